--- a/crates/micadrum-peers/benches/detectors.rs
+++ b/crates/micadrum-membership/benches/detectors.rs
@@ -1,5 +1,5 @@
 //! The failure detector of this package beside `foca` 1 in the same simulated fleet: what each finds, how soon, and whom
-//! it accuses wrongly. Run with `cargo bench -p micadrum-peers --bench detectors`.
+//! it accuses wrongly. Run with `cargo bench -p micadrum-membership --bench detectors`.
 #[path = "../tests/fleet/world.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
 mod world;
@@ -7,7 +7,7 @@
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
-use micadrum_peers::{Event, Status};
+use micadrum_membership::{Event, Status};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
--- a/crates/micadrum-peers/benches/thousand.rs
+++ b/crates/micadrum-membership/benches/thousand.rs
@@ -1,11 +1,11 @@
 //! A fleet of a thousand: what each member sends at rest and in a storm against its ceiling, how soon a hundred that are
 //! killed at once are known to all, what a datagram costs, and what a million forged ones change.
-//! Run with `cargo bench -p micadrum-peers --bench thousand`.
+//! Run with `cargo bench -p micadrum-membership --bench thousand`.
 #[path = "../tests/fleet/world.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
 mod world;
 
-use micadrum_peers::Input;
+use micadrum_membership::Input;
 use rand_chacha::rand_core::RngCore;
 use std::time::{Duration, Instant};
 use world::{CLEAN, Path, World, ms};
--- a/crates/micadrum-peers/tests/fleet/links.rs
+++ b/crates/micadrum-membership/tests/fleet/links.rs
@@ -1,6 +1,6 @@
 //! Links: frames cut anywhere, changed, repeated; strangers; a side that falls silent; one that does not keep up.
 use crate::world::*;
-use micadrum_peers::*;
+use micadrum_membership::*;
 use std::time::Duration;
 
 const LIFE: Life = Life { number: 3, run: 9 };
--- a/crates/micadrum-peers/tests/fleet/lives.rs
+++ b/crates/micadrum-membership/tests/fleet/lives.rs
@@ -1,6 +1,6 @@
 //! Lives: a folder that was lost or put back, two processes under one name, and the end of numbers.
 use crate::world::*;
-use micadrum_peers::*;
+use micadrum_membership::*;
 
 fn forgotten(world: &World, n: usize) -> Vec<(u64, u64)> {
     let of = world.events.iter().filter(|(_, by, _)| *by == n).filter_map(|(.., event)| match event {
--- a/crates/micadrum-peers/tests/fleet/strangers.rs
+++ b/crates/micadrum-membership/tests/fleet/strangers.rs
@@ -1,6 +1,6 @@
 //! What strangers, replays, liars and floods can do.
 use crate::world::*;
-use micadrum_peers::*;
+use micadrum_membership::*;
 use rand_chacha::rand_core::RngCore;
 
 /// Guards against any datagram that was not sealed by who it says, or was sent before: nothing may change by it.
--- a/crates/micadrum-peers/tests/fleet/views.rs
+++ b/crates/micadrum-membership/tests/fleet/views.rs
@@ -1,6 +1,6 @@
 //! Who is believed to be there, while processes and links fail.
 use crate::world::*;
-use micadrum_peers::*;
+use micadrum_membership::*;
 use std::time::Duration;
 
 /// Guards against a killed member that some do not find, or find late, and against others that are blamed with it.
--- a/crates/micadrum-peers/tests/fleet/world.rs
+++ b/crates/micadrum-membership/tests/fleet/world.rs
@@ -1,5 +1,5 @@
 //! Many members in one simulated time: links that lose, delay, cut and repeat, processes that pause and start again.
-use micadrum_peers::*;
+use micadrum_membership::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::cmp::Reverse;
--- a/crates/micadrum-rehearsal/src/ground.rs
+++ b/crates/micadrum-testkit/src/ground.rs
@@ -2,8 +2,8 @@
 //! Free of I/O and clocks.
 use crate::plan::{Dice, Plan, PlannedFault};
 use crate::scenario::{FaultKind, Ways};
-use micadrum_operator::Operator;
-use micadrum_peers::Secret;
+use micadrum_config::Operator;
+use micadrum_membership::Secret;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/micadrum-rehearsal/src/history.rs
+++ b/crates/micadrum-testkit/src/history.rs
@@ -3,7 +3,7 @@
 //! A check is a function over the history: it knows nothing of the code under test, and convicts by what was recorded.
 use crate::observation::At;
 use crate::plan::Plan;
-use micadrum_peers::{Event, Status};
+use micadrum_membership::{Event, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One thing that is recorded.
--- a/crates/micadrum-rehearsal/src/hunt.rs
+++ b/crates/micadrum-testkit/src/hunt.rs
@@ -46,10 +46,10 @@
             [] => "none".to_owned(),
             some => some.iter().map(usize::to_string).collect::<Vec<_>>().join(","),
         };
-        let _ = writeln!(text, "  replay: micadrum-rehearse sim {file}{options} --seed {}", self.seed);
+        let _ = writeln!(text, "  replay: micadrum-testkit sim {file}{options} --seed {}", self.seed);
         let _ = writeln!(
             text,
-            "  shortest: micadrum-rehearse sim {file}{options} --seed {} --faults {} --until \"{}\"",
+            "  shortest: micadrum-testkit sim {file}{options} --seed {} --faults {} --until \"{}\"",
             self.seed,
             list(&self.faults),
             self.length
--- a/crates/micadrum-rehearsal/src/judge/views.rs
+++ b/crates/micadrum-testkit/src/judge/views.rs
@@ -45,7 +45,7 @@
     use crate::history::What;
     use crate::plan::Plan;
     use crate::scenario::Scenario;
-    use micadrum_peers::{Event, Status};
+    use micadrum_membership::{Event, Status};
 
     const S: At = 1_000_000;
     const TEXT: &str = "title = \"t\"\nlength = \"60 s\"\nsenders = 2\ntraffic = \"20/s\"\n";
--- a/crates/micadrum-rehearsal/src/lib.rs
+++ b/crates/micadrum-testkit/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod report;
 pub mod scenario;
 pub mod sim;
-pub use micadrum_operator::units;
+pub use micadrum_config::units;
 mod wire;
 mod world;
--- a/crates/micadrum-rehearsal/src/main.rs
+++ b/crates/micadrum-testkit/src/main.rs
@@ -1,11 +1,11 @@
-//! `micadrum-rehearse`: plays a scenario against the daemon, simulated or live, and judges the six rules.
+//! `micadrum-testkit`: plays a scenario against the daemon, simulated or live, and judges the six rules.
 use clap::{Args, Parser, Subcommand};
-use micadrum_rehearsal::count::Count;
-use micadrum_rehearsal::plan::Plan;
-use micadrum_rehearsal::report::Report;
-use micadrum_rehearsal::scenario::Scenario;
-use micadrum_rehearsal::units::Span;
-use micadrum_rehearsal::{hunt, live, sim};
+use micadrum_testkit::count::Count;
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::report::Report;
+use micadrum_testkit::scenario::Scenario;
+use micadrum_testkit::units::Span;
+use micadrum_testkit::{hunt, live, sim};
 use std::io::{BufRead, BufReader};
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 ///
 /// Exit: 0 no rule broke, 1 a rule broke, 2 the command or a file is wrong, 3 the run could not be made.
 #[derive(Parser)]
-#[command(name = "micadrum-rehearse", version)]
+#[command(name = "micadrum-testkit", version)]
 struct Command {
     #[command(subcommand)]
     what: What,
@@ -280,7 +280,7 @@
             ExitCode::from(2)
         }
         Err(Wrong::Run(what)) => {
-            eprintln!("micadrum-rehearse: {what}");
+            eprintln!("micadrum-testkit: {what}");
             ExitCode::from(3)
         }
     }
--- a/crates/micadrum-rehearsal/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -15,7 +15,7 @@
 use micadrum::daemon::config::Config;
 use micadrum::daemon::ports::{LocalFuture, Log, Ports, Traces, WallClock};
 use micadrum::daemon::{self, Signal};
-use micadrum_operator::Operator;
+use micadrum_config::Operator;
 use micadrum_recovery::Boot;
 use net::{LinkState, Process, ProcessNetwork, SimNet, address};
 use std::cell::{Cell, RefCell};
--- a/crates/micadrum-rehearsal/tests/command.rs
+++ b/crates/micadrum-testkit/tests/command.rs
@@ -2,7 +2,7 @@
 use std::process::{Command, Output};
 
 fn rehearse(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_micadrum-rehearse")).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_micadrum-testkit")).args(args).output().unwrap()
 }
 
 fn file(text: &str) -> tempfile::NamedTempFile {
--- a/crates/micadrum-rehearsal/tests/common/mod.rs
+++ b/crates/micadrum-testkit/tests/common/mod.rs
@@ -1,14 +1,14 @@
 //! Helpers shared by the tests of the kit.
 #![allow(dead_code)]
-use micadrum_rehearsal::plan::Plan;
-use micadrum_rehearsal::report::Report;
-use micadrum_rehearsal::scenario::Scenario;
-use micadrum_rehearsal::sim::{self, Show};
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::report::Report;
+use micadrum_testkit::scenario::Scenario;
+use micadrum_testkit::sim::{self, Show};
 use std::path::{Path, PathBuf};
 
 /// The scenarios that are shipped.
 pub fn shipped() -> Vec<PathBuf> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/rehearsals");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/scenarios");
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
     assert!(files.len() >= 8, "{files:?}");
--- a/crates/micadrum-rehearsal/tests/determinism.rs
+++ b/crates/micadrum-testkit/tests/determinism.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::{play, read, shipped};
-use micadrum_rehearsal::plan::Plan;
-use micadrum_rehearsal::units::Span;
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::units::Span;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// Longer days are cut here; they were played whole, twice, when they were shipped.
--- a/crates/micadrum-rehearsal/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -2,10 +2,10 @@
 mod common;
 
 use common::{kept, play, read, scenario, shipped};
-use micadrum_rehearsal::judge::Rule;
-use micadrum_rehearsal::plan::{Lie, Plan};
-use micadrum_rehearsal::scenario::Scenario;
-use micadrum_rehearsal::units::Span;
+use micadrum_testkit::judge::Rule;
+use micadrum_testkit::plan::{Lie, Plan};
+use micadrum_testkit::scenario::Scenario;
+use micadrum_testkit::units::Span;
 
 fn shipped_one(name: &str, seeds: std::ops::RangeInclusive<u64>) {
     let file = shipped().into_iter().find(|f| f.file_stem().is_some_and(|stem| stem == name)).unwrap();
--- a/crates/micadrum-rehearsal/tests/hunt.rs
+++ b/crates/micadrum-testkit/tests/hunt.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::scenario;
-use micadrum_rehearsal::hunt;
-use micadrum_rehearsal::plan::{Lie, Plan};
+use micadrum_testkit::hunt;
+use micadrum_testkit::plan::{Lie, Plan};
 
 /// Guards against a change that breaks a rule under faults that nobody thought of.
 #[test]
--- a/crates/micadrum-rehearsal/tests/live.rs
+++ b/crates/micadrum-testkit/tests/live.rs
@@ -1,8 +1,8 @@
 //! The built daemon as processes on loopback. The binary is there when the whole workspace is tested.
 mod common;
 
-use micadrum_rehearsal::live;
-use micadrum_rehearsal::plan::Plan;
+use micadrum_testkit::live;
+use micadrum_testkit::plan::Plan;
 
 /// Guards against a live run that plays another plan than the simulated one, or whose senders do not survive real
 /// signals: killed and terminated while messages are out, they lose and double nothing.
--- a/crates/micadrum-rehearsal/tests/peers.rs
+++ b/crates/micadrum-testkit/tests/peers.rs
@@ -2,12 +2,12 @@
 mod common;
 
 use common::daemon;
-use micadrum_peers::{Event, Standing};
-use micadrum_rehearsal::history::{History, What};
-use micadrum_rehearsal::live;
-use micadrum_rehearsal::plan::Plan;
-use micadrum_rehearsal::report::Report;
-use micadrum_rehearsal::scenario::Scenario;
+use micadrum_membership::{Event, Standing};
+use micadrum_testkit::history::{History, What};
+use micadrum_testkit::live;
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::report::Report;
+use micadrum_testkit::scenario::Scenario;
 
 const SECOND: u64 = 1_000_000;
 
@@ -87,7 +87,7 @@
     // Heard by nobody, sender 2 hears all the same: it accuses nobody.
     let accused = |by: u32, from: u64, until: u64| {
         let deaths = history.events(by, from).filter(|(when, event)| {
-            *when < until && matches!(event, Event::Changed { is: micadrum_peers::Status::Dead, .. })
+            *when < until && matches!(event, Event::Changed { is: micadrum_membership::Status::Dead, .. })
         });
         deaths.count()
     };
@@ -98,7 +98,7 @@
     right(report, at(37) + slack, at(41), "a restart within the time of detection");
     let deaths_of_4 = history.records().iter().filter(|r| {
         r.at >= at(37) && r.at < at(41)
-            && matches!(&r.what, What::Peers(Event::Changed { name, is: micadrum_peers::Status::Dead, .. }) if name == "n4")
+            && matches!(&r.what, What::Peers(Event::Changed { name, is: micadrum_membership::Status::Dead, .. }) if name == "n4")
     });
     assert_eq!(deaths_of_4.count(), 0, "{}", history.text());
     let forgot =
@@ -106,7 +106,7 @@
     assert!(forgot, "a lost folder is recognised: {}", history.text());
     right(report, at(42) + slack, at(45), "a lost folder");
     let left = history.events(1, at(45)).any(|(_, event)| {
-        matches!(event, Event::Changed { name, is: micadrum_peers::Status::Left, .. } if name == "n0")
+        matches!(event, Event::Changed { name, is: micadrum_membership::Status::Left, .. } if name == "n0")
     });
     assert!(left, "who ends in good order says so: {}", history.text());
     right(report, at(54), at(59), "after loss");
@@ -177,7 +177,7 @@
     let found = |by: u32| {
         history.events(by, at(16)).any(|(when, event)| {
             when < at(25)
-                && matches!(event, Event::Changed { name, is: micadrum_peers::Status::Dead, .. } if name == "n2")
+                && matches!(event, Event::Changed { name, is: micadrum_membership::Status::Dead, .. } if name == "n2")
         })
     };
     let missed: Vec<u32> = (0..8).filter(|by| *by != 2 && !found(*by)).collect();
@@ -185,7 +185,7 @@
     right(report, at(29), at(32), "after loss");
     let deaths = history.records().iter().filter(|r| {
         r.at > at(11)
-            && matches!(&r.what, What::Peers(Event::Changed { name, is: micadrum_peers::Status::Dead, .. }) if name != "n2")
+            && matches!(&r.what, What::Peers(Event::Changed { name, is: micadrum_membership::Status::Dead, .. }) if name != "n2")
     });
     assert_eq!(deaths.count(), 0, "loss kills nobody: {}", history.text());
     assert!(report.verdict.kept, "{}", report.text());
--- a/crates/micadrum-rehearsal/tests/power.rs
+++ b/crates/micadrum-testkit/tests/power.rs
@@ -1,11 +1,11 @@
 //! Senders that lose power: what was not synced may be gone, in part or whole, and names may be as they were before.
 mod common;
 
-use micadrum_peers::Event;
-use micadrum_rehearsal::judge::Rule;
-use micadrum_rehearsal::plan::Plan;
-use micadrum_rehearsal::report::Report;
-use micadrum_rehearsal::scenario::Scenario;
+use micadrum_membership::Event;
+use micadrum_testkit::judge::Rule;
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::report::Report;
+use micadrum_testkit::scenario::Scenario;
 
 fn day(outlasts: &str, disk: &str) -> Scenario {
     let text = format!(
--- a/crates/micadrum-rehearsal/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -5,12 +5,12 @@
 use common::daemon;
 use micadrum_recovery::stages::{Stage, Why};
 use micadrum_recovery::trust::{Clock, Faith, Finding, Machine};
-use micadrum_rehearsal::history::{History, Return};
-use micadrum_rehearsal::judge::Rule;
-use micadrum_rehearsal::live;
-use micadrum_rehearsal::plan::Plan;
-use micadrum_rehearsal::report::Report;
-use micadrum_rehearsal::scenario::Scenario;
+use micadrum_testkit::history::{History, Return};
+use micadrum_testkit::judge::Rule;
+use micadrum_testkit::live;
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::report::Report;
+use micadrum_testkit::scenario::Scenario;
 
 const SECOND: u64 = 1_000_000;
 
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::{StartError, operator, platform};
 use clap::Subcommand;
-use micadrum_peers::Secret;
+use micadrum_membership::Secret;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::os::unix::fs::OpenOptionsExt;
--- a/src/command/peers.rs
+++ b/src/command/peers.rs
@@ -1,5 +1,5 @@
 //! What a sender believes of its peers, as a table.
-use micadrum_peers::{PeerView, Reach, Standing, Status, View};
+use micadrum_membership::{PeerView, Reach, Standing, Status, View};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -3,7 +3,7 @@
 use super::shape::Shape;
 use super::targets::Targets;
 use crate::profile::Profile;
-use micadrum_operator::Operator;
+use micadrum_config::Operator;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/daemon/host/durable.rs
+++ b/src/daemon/host/durable.rs
@@ -5,7 +5,7 @@
 use crate::daemon::input::{Answer, Input};
 use crate::daemon::notices::Notice;
 use crate::{MessageId, Outcome};
-use micadrum_operator::{Durability, Operator};
+use micadrum_config::{Durability, Operator};
 use std::io;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -44,7 +44,7 @@
 use host::{Host, Legacy, Links, Start};
 use input::{Ask, Doors, Input};
 use latest::Latest;
-use micadrum_operator::Durability;
+use micadrum_config::Durability;
 use micadrum_recovery::Word;
 use ports::{Listener, Ports, WallClock};
 use recovery::Returning;
--- a/src/daemon/peers/book.rs
+++ b/src/daemon/peers/book.rs
@@ -1,7 +1,7 @@
 //! The book of lives in the folder that lasts.
 use crate::daemon::maintenance::put;
 use crate::daemon::ports::Storage;
-use micadrum_peers::{Book, BookError, MemberId};
+use micadrum_membership::{Book, BookError, MemberId};
 use std::io;
 use std::rc::Rc;
 
--- a/src/daemon/peers/links.rs
+++ b/src/daemon/peers/links.rs
@@ -2,7 +2,7 @@
 //! see who sees whom, and its word for one that comes back.
 use super::{Ask, Views};
 use crate::daemon::ports::{Listener, LocalFuture, Log, Network, Stream};
-use micadrum_peers::{Link, LinkError, LinkEvent, MOST_PAYLOAD, MemberId, Roster, Secret, Status, View};
+use micadrum_membership::{Link, LinkError, LinkEvent, MOST_PAYLOAD, MemberId, Roster, Secret, Status, View};
 use micadrum_recovery::Word;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
--- a/src/daemon/peers/mod.rs
+++ b/src/daemon/peers/mod.rs
@@ -9,8 +9,8 @@
 use book::Shelf;
 pub use links::{Asker, Gathering, Speaker};
 use links::{Linking, Seen};
-use micadrum_operator::Operator;
-use micadrum_peers::{
+use micadrum_config::Operator;
+use micadrum_membership::{
     Book, Ceiling, Input, MOST_DATAGRAM, Member, Output, Peers, Roster, RosterError, Secret, Settings, View,
 };
 use micadrum_recovery::Word;
@@ -60,13 +60,13 @@
 /// Why they cannot be used.
 pub fn follow(operator: &Operator) -> Result<Option<Members>, PeersError> {
     let Some(peers) = &operator.peers else { return Ok(None) };
-    let micros = |span: micadrum_operator::units::Span| Duration::from_micros(span.0);
+    let micros = |span: micadrum_config::units::Span| Duration::from_micros(span.0);
     let settings = Settings {
         probe_every: micros(peers.probe_every),
         dead_after: micros(peers.dead_after),
         ceiling: Ceiling { datagrams: peers.datagrams, bytes: peers.bytes },
     };
-    let member = |member: &micadrum_operator::peers::Member| Member {
+    let member = |member: &micadrum_config::peers::Member| Member {
         name: member.name.clone(),
         address: member.address,
         building: member.building.clone(),
--- a/src/daemon/peers/tell.rs
+++ b/src/daemon/peers/tell.rs
@@ -1,6 +1,6 @@
 //! What people on call and programs hear of the peers.
 use crate::daemon::ports::Log;
-use micadrum_peers::{Event, Standing};
+use micadrum_membership::{Event, Standing};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/daemon/recovery/ask.rs
+++ b/src/daemon/recovery/ask.rs
@@ -1,8 +1,8 @@
 //! Asks the peers, over links, what they know.
 use crate::daemon::peers::Handle;
 use crate::daemon::ports::Ports;
-use micadrum_operator::Peers;
-use micadrum_peers::Standing;
+use micadrum_config::Peers;
+use micadrum_membership::Standing;
 use micadrum_recovery::asking::{Candidate, Ended};
 use micadrum_recovery::{Asking, Word};
 use rand_chacha::ChaCha8Rng;
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -7,7 +7,7 @@
 use super::ports::{Log, Ports};
 use super::store::{Damage, Store, StoreError};
 use ask::Asked;
-use micadrum_operator::{Durability, Recovery as Set};
+use micadrum_config::{Durability, Recovery as Set};
 use micadrum_recovery::owed::{Left, Repeats, Verdict, judge, time_left, turned_away_for};
 use micadrum_recovery::stages::{Input, Settings, Stage, Step};
 use micadrum_recovery::trust::{Clock, Faith, Found};
@@ -218,7 +218,7 @@
         Store::set_aside(&*ports.storage)?;
         store = Store::open(ports.storage.clone(), disk)?.0;
     }
-    let micros = |span: micadrum_operator::units::Span| Duration::from_micros(span.0);
+    let micros = |span: micadrum_config::units::Span| Duration::from_micros(span.0);
     let settings = Settings {
         ask_for: micros(set.ask_for),
         list_for: micros(set.list_for),
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -1,6 +1,6 @@
 //! What passes between a sender and its partners, a line an event, for counts over a whole fleet.
 //!
-//! Off unless it is asked for: a line a call is much on a busy day. `micadrum-rehearse count` adds the lines up.
+//! Off unless it is asked for: a line a call is much on a busy day. `micadrum-testkit count` adds the lines up.
 use super::ports::Log;
 use super::targets::Targets;
 use crate::{Outcome, Report, Span, Time};
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use micadrum::daemon::ports::{Ports, Succession, Traces};
 use micadrum::daemon::system::{Folder, StandardError, SystemClock, Tcp};
 use micadrum::daemon::{self, Signal};
-use micadrum_operator::Operator;
+use micadrum_config::Operator;
 use micadrum_recovery::Boot;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
     #[error("configuration {path}: {source}")]
     NotConfig { path: PathBuf, source: serde_json::Error },
     #[error("operator's file {0}")]
-    NotOperator(#[from] micadrum_operator::FileError),
+    NotOperator(#[from] micadrum_config::FileError),
     #[error("secret {0}: no key: 64 hexadecimal digits, as `micadrum key FILE` writes them")]
     NotSecret(PathBuf),
     #[error(transparent)]
@@ -77,7 +77,7 @@
         Some(peers) => {
             let path = path.parent().unwrap_or(Path::new("")).join(&peers.secret);
             let text = String::from_utf8_lossy(&read("secret", &path)?).into_owned();
-            Some(micadrum_operator::peers::key(text.trim()).ok_or(StartError::NotSecret(path))?)
+            Some(micadrum_config::peers::key(text.trim()).ok_or(StartError::NotSecret(path))?)
         }
         None => None,
     };
