--- a/benches/module.rs
+++ b/benches/module.rs
@@ -14,45 +14,48 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: Span(2 * SECOND),
-            deadline: Span(600 * SECOND),
-            worth: 1.0,
-            late_worth: 0.5,
-            repeat: Repeat::Keyed { group: Group::All, window: Span(5 * SECOND) },
+            latency_objective: TimeDelta(2 * SECOND),
+            deadline: TimeDelta(600 * SECOND),
+            priority_weight: 1.0,
+            late_weight: 0.5,
+            idempotency: Idempotency::WithKey {
+                scope: DeduplicationScope::Destination,
+                window: TimeDelta(5 * SECOND),
+            },
             ordered: true,
         }],
-        kinds: vec![Kind { routes_apart: false, batch: 1 }],
+        kinds: vec![DestinationKind { limits_per_endpoint: false, max_batch_size: 1 }],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         zone: ZoneId(0),
-        senders: 3,
-        slots: SLOTS,
-        most_held: 1_000_000,
+        fleet_size: 3,
+        max_concurrent_calls: SLOTS,
+        max_pending_messages: 1_000_000,
         max_attempts: 6,
-        period: Span(MILLISECOND),
-        connect_timeout: Span(SECOND),
-        decay: Decay::Even,
-        discovery: Discovery::Pushed,
-        hints: Hints::None,
-        probes: false,
-        cancel: true,
-        ends_noticed: false,
-        calls_expire_whole: false,
+        min_step_interval: TimeDelta(MILLISECOND),
+        connect_timeout: TimeDelta(SECOND),
+        weight_decay: WeightDecay::Linear,
+        discovery: DiscoveryMode::Watch,
+        capacity_hints: CapacityHints::None,
+        health_checks: false,
+        cancellation: true,
+        completion_requires_acknowledgement: false,
+        batch_expires_together: false,
         rules: Rules {
-            drain_grace: Span(SECOND),
-            cold_share: 0.2,
-            ramp: Span(10 * SECOND),
+            drain_grace: TimeDelta(SECOND),
+            slow_start_share: 0.2,
+            slow_start_duration: TimeDelta(10 * SECOND),
             overload_factor: 2.0,
-            fall: Span(1_500_000),
-            order_settle: Span(0),
-            must_ask_in: Span(10 * SECOND),
+            overload_window: TimeDelta(1_500_000),
+            ordering_hold: TimeDelta(0),
+            discovery_staleness_limit: TimeDelta(10 * SECOND),
         },
     }
 }
 
 /// A sender whose messages are replaced as they are delivered.
 struct World {
-    sender: Sender,
+    sender: DeliveryEngine,
     now: u64,
     destinations: u64,
     next: u32,
@@ -66,7 +69,7 @@
 impl World {
     /// With `dead` messages besides for a destination that never answers, if any.
     fn new(destinations: u64, held: u32) -> Self {
-        let sender = Sender::new(settings(), 1).expect("settings that can be acted on");
+        let sender = DeliveryEngine::new(settings(), 1).expect("settings that can be acted on");
         let mut world = World {
             sender,
             now: 1_000 * SECOND,
@@ -77,15 +80,15 @@
             delivered: 0,
             longest: Duration::ZERO,
         };
-        let entry = |d: u64| Entry {
+        let entry = |d: u64| EndpointEntry {
             endpoint: EndpointId(d as u32),
             destination: DestinationId(d),
             kind: KindId(0),
             zone: ZoneId(0),
-            listing: Listing::Active,
-            hint: 0.0,
+            state: EndpointState::Active,
+            capacity_hint: 0.0,
         };
-        let mut events = vec![Event::FullList((0..destinations).map(entry).collect())];
+        let mut events = vec![Event::EndpointSnapshot((0..destinations).map(entry).collect())];
         events.extend((0..held).map(|_| world.message()));
         world.step(&events);
         // Until nothing is left of the beginning.
@@ -107,14 +110,14 @@
             tenant: None,
             key: Some(OrderKey(u64::from(id) / 3 * self.destinations + destination)),
             destination: DestinationId(destination),
-            budget: Span(600 * SECOND),
+            time_to_live: TimeDelta(600 * SECOND),
         })
     }
 
     fn step(&mut self, events: &[Event]) {
         let mut actions = Vec::with_capacity(2 * SLOTS);
         let began = Instant::now();
-        self.sender.step(Time(self.now), black_box(events), &mut actions);
+        self.sender.step(Timestamp(self.now), black_box(events), &mut actions);
         let took = began.elapsed();
         self.spent += took;
         self.longest = self.longest.max(took);
@@ -124,7 +127,7 @@
                     let answer_after = (10 + u64::from(message.0) * 6_151 % 21) * MILLISECOND;
                     self.out.insert((self.now + answer_after, message));
                 }
-                Action::Refuse { .. } | Action::Fail(_) => panic!("{action:?}"),
+                Action::Return { .. } | Action::Fail(_) => panic!("{action:?}"),
                 _ => {}
             }
         }
@@ -136,8 +139,15 @@
         while let Some((_, message)) = self.out.first().copied().filter(|(at, _)| *at <= self.now) {
             self.out.pop_first();
             self.delivered += 1;
-            let (outcome, elapsed) = (Outcome::Success, Span(20 * MILLISECOND));
-            events.push(Event::Ended { message, attempt: 0, outcome, elapsed, last: true, report: None });
+            let (outcome, elapsed) = (Outcome::Success, TimeDelta(20 * MILLISECOND));
+            events.push(Event::AttemptEnded {
+                message,
+                attempt: 0,
+                outcome,
+                elapsed,
+                completes: true,
+                report: None,
+            });
             let new = self.message();
             events.push(new);
         }
@@ -194,15 +204,15 @@
     );
     // All of 10,000 endpoints give way to as many others in one list.
     let mut world = World::new(10_000, 10_000);
-    let entry = |e: u32| Entry {
+    let entry = |e: u32| EndpointEntry {
         endpoint: EndpointId(10_000 + e),
         destination: DestinationId(u64::from(e)),
         kind: KindId(0),
         zone: ZoneId(0),
-        listing: Listing::Active,
-        hint: 0.0,
+        state: EndpointState::Active,
+        capacity_hint: 0.0,
     };
-    world.step(&[Event::FullList((0..10_000).map(entry).collect())]);
+    world.step(&[Event::EndpointSnapshot((0..10_000).map(entry).collect())]);
     println!("a step with a list of 10,000 other endpoints: {:?}", world.longest);
     for (destinations, held, longest) in longest {
         println!("longest step at {destinations} destinations, {held} held: {longest:?}");
--- a/crates/micadrum-config/src/lib.rs
+++ b/crates/micadrum-config/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// The whole file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// Senders that know each other; off without it.
     pub peers: Option<Peers>,
     /// What the journal outlasts.
@@ -50,7 +50,7 @@
     Own(&'static str),
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads and checks a file for the sender `own`; `file` is only named in errors.
     ///
     /// # Errors
--- a/crates/micadrum-config/src/peers.rs
+++ b/crates/micadrum-config/src/peers.rs
@@ -20,7 +20,7 @@
 
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct PeerMember {
     /// Its name: that of its platform configuration.
     pub name: String,
     /// Where it hears its peers.
@@ -49,7 +49,7 @@
     /// Bytes a second that it sends at the most.
     pub bytes: f64,
     /// All members, this sender too, by name.
-    pub members: BTreeMap<String, Member>,
+    pub members: BTreeMap<String, PeerMember>,
 }
 
 #[derive(Deserialize)]
@@ -111,7 +111,7 @@
         }
         let datagrams = at_least(self.datagrams, 400.0, 1.0, LEAST_DATAGRAMS, "datagrams")?;
         let bytes = at_least(self.kilobytes, 100_000.0, 1000.0, LEAST_BYTES, "kilobytes")?;
-        let mut members = BTreeMap::<String, Member>::new();
+        let mut members = BTreeMap::<String, PeerMember>::new();
         let mut addresses = BTreeMap::new();
         let mut keys = BTreeMap::new();
         if let Some(beyond) = self.member.get(MOST_MEMBERS) {
@@ -149,8 +149,12 @@
                     text.wrong(written.span(), format!("{other:?} has this key already: each has its own"))
                 );
             }
-            let member =
-                Member { name: name.clone(), address: reached, building: building.into_inner(), key: public };
+            let member = PeerMember {
+                name: name.clone(),
+                address: reached,
+                building: building.into_inner(),
+                key: public,
+            };
             if members.insert(name.clone(), member).is_some() {
                 return Err(text.wrong(at, format!("the member {name:?} stands twice")));
             }
@@ -180,7 +184,7 @@
     pub(crate) fn may_become(&self, next: &Self) -> Result<(), ChangeError> {
         let own = |peers: &Self| peers.members.get(&peers.own).cloned();
         let (now, then) = (own(self), own(next));
-        let same = |part: fn(&Member) -> String| now.as_ref().map(part) == then.as_ref().map(part);
+        let same = |part: fn(&PeerMember) -> String| now.as_ref().map(part) == then.as_ref().map(part);
         if self.own != next.own {
             Err(ChangeError::Own("name"))
         } else if !same(|m| m.address.to_string()) || self.listen != next.listen {
--- a/crates/micadrum-config/src/tests.rs
+++ b/crates/micadrum-config/src/tests.rs
@@ -39,7 +39,7 @@
         (file("").replace("secret = \"s\"\n", ""), 1, "missing field `secret`"),
     ];
     for (text, line, what) in cases {
-        let error = Operator::parse("o.toml", &text, "n1").expect_err(&text);
+        let error = OperatorConfig::parse("o.toml", &text, "n1").expect_err(&text);
         assert!(error.what.contains(what), "{error}\n{text}");
         assert_eq!((error.place.0, &*error.file), (line, "o.toml"), "{error}\n{text}");
     }
@@ -48,24 +48,24 @@
 /// Guards against an order of the members that means something, and defaults that a good file does not get.
 #[test]
 fn a_good_file_is_read_whatever_the_order_of_its_members() {
-    let one = Operator::parse("o", &file(""), "n1").unwrap().peers.unwrap();
+    let one = OperatorConfig::parse("o", &file(""), "n1").unwrap().peers.unwrap();
     let turned = format!("[peers]\nsecret = \"s\"\n{}{}", member("n2", 2, &key(2)), member("n1", 1, &key(1)));
-    assert_eq!(Some(&one), Operator::parse("o", &turned, "n1").unwrap().peers.as_ref());
+    assert_eq!(Some(&one), OperatorConfig::parse("o", &turned, "n1").unwrap().peers.as_ref());
     assert_eq!((one.probe_every, one.dead_after), (units::Span::millis(100), units::Span::seconds(1)));
     assert_eq!(one.members["n2"].key, [2; 32]);
-    assert_eq!(Operator::parse("o", "", "n1").unwrap(), Operator::default());
+    assert_eq!(OperatorConfig::parse("o", "", "n1").unwrap(), OperatorConfig::default());
     let most: String = (0..1001).map(|n| member(&format!("m{n}"), 10 + n, &format!("{n:064x}"))).collect();
-    let error = Operator::parse("o", &(file("") + &most), "n1").unwrap_err();
+    let error = OperatorConfig::parse("o", &(file("") + &most), "n1").unwrap_err();
     assert!(error.what.contains("no more than 1000 members"), "{error}");
 }
 
 /// Guards against a reload that half takes: what others know a process by cannot change under it.
 #[test]
 fn members_may_change_and_what_a_process_is_known_by_may_not() {
-    let read = |text: &str, own: &str| Operator::parse("o", text, own).unwrap();
+    let read = |text: &str, own: &str| OperatorConfig::parse("o", text, own).unwrap();
     let now = read(&file(""), "n1");
     assert_eq!(now.may_become(&read(&(file("") + &member("n3", 3, &key(3))), "n1")), Ok(()));
-    assert_eq!(now.may_become(&Operator::default()), Err(ChangeError::Switched("peers")));
+    assert_eq!(now.may_become(&OperatorConfig::default()), Err(ChangeError::Switched("peers")));
     assert_eq!(now.may_become(&read(&file(""), "n2")), Err(ChangeError::Own("name")));
     let moved = read(&file("").replace("127.0.0.1:1\"", "127.0.0.1:7\""), "n1");
     assert_eq!(now.may_become(&moved), Err(ChangeError::Own("address")));
--- a/crates/micadrum-membership/src/ceiling.rs
+++ b/crates/micadrum-membership/src/ceiling.rs
@@ -28,7 +28,7 @@
 
 /// Datagrams and bytes a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ceiling {
+pub struct SendBudget {
     /// Datagrams a second.
     pub datagrams: f64,
     /// Bytes a second, of the datagrams themselves.
@@ -37,14 +37,14 @@
 
 /// What is left of a ceiling.
 pub(crate) struct Bucket {
-    most: Ceiling,
-    left: Ceiling,
+    most: SendBudget,
+    left: SendBudget,
     at: Duration,
 }
 
 impl Bucket {
-    pub fn new(most: Ceiling, now: Duration) -> Self {
-        let left = Ceiling { datagrams: most.datagrams * BURST, bytes: most.bytes * BURST };
+    pub fn new(most: SendBudget, now: Duration) -> Self {
+        let left = SendBudget { datagrams: most.datagrams * BURST, bytes: most.bytes * BURST };
         Self { most, left, at: now }
     }
 
@@ -59,7 +59,7 @@
     /// Takes out one datagram, if its rank allows it now.
     pub fn take(&mut self, now: Duration, bytes: usize, rank: Rank) -> bool {
         self.fill(now);
-        let Ceiling { datagrams, bytes: room } = self.left;
+        let SendBudget { datagrams, bytes: room } = self.left;
         let stays = |most: f64| most * BURST * rank.leaves();
         let fits =
             datagrams - 1.0 >= stays(self.most.datagrams) && room - bytes as f64 >= stays(self.most.bytes);
@@ -72,28 +72,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a ceiling that a storm goes over, or that lets rumours take what answers need.
-    #[test]
-    fn nothing_goes_over_it_and_answers_go_first() {
-        let most = Ceiling { datagrams: 100.0, bytes: 10_000.0 };
-        let mut bucket = Bucket::new(most, Duration::ZERO);
-        let (mut sent, mut bytes) = (0, 0);
-        for ms in 0..10_000u64 {
-            for (size, rank) in [(300, Rank::Last), (80, Rank::Usual), (90, Rank::First)] {
-                if bucket.take(Duration::from_millis(ms), size, rank) {
-                    (sent, bytes) = (sent + 1, bytes + size);
-                }
-            }
-        }
-        assert!(sent <= 100 * 10 + 25 && bytes <= 10_000 * 10 + 2500, "{sent} {bytes}");
-        assert!(sent > 950 || bytes > 95_000, "it is used: {sent} {bytes}");
-        let at = Duration::from_secs(100);
-        while bucket.take(at, 10, Rank::Last) {}
-        assert!(bucket.take(at, 10, Rank::Usual), "rumours leave room for rounds");
-        while bucket.take(at, 10, Rank::Usual) {}
-        assert!(bucket.take(at, 10, Rank::First), "rounds leave room for answers");
-    }
-}
+mod tests;
--- a/crates/micadrum-membership/src/lib.rs
+++ b/crates/micadrum-membership/src/lib.rs
@@ -25,11 +25,11 @@
 mod window;
 mod wire;
 
-pub use ceiling::Ceiling;
-pub use life::{Book, BookError, Life};
-pub use link::{Full, Link, LinkError, LinkEvent, MOST_PAYLOAD};
+pub use ceiling::SendBudget;
+pub use life::{Incarnation, IncarnationRecord, IncarnationRecordError};
+pub use link::{Link, LinkError, LinkEvent, MOST_PAYLOAD, QueueFull};
 pub use member::{Member, MemberId, Roster, RosterError};
-pub use peers::{Event, Input, Output, Peers, Settings, Standing};
+pub use peers::{Event, Input, Membership, Output, Settings, Standing};
 pub use seal::{Secret, WeakKey};
 pub use view::{Counts, PeerView, Reach, Status, View};
 pub use wire::MOST_DATAGRAM;
--- a/crates/micadrum-membership/src/life.rs
+++ b/crates/micadrum-membership/src/life.rs
@@ -12,7 +12,7 @@
 /// One life of a sender: of two, the one with the higher number is the later one. Two with one number are of two
 /// processes, of which one has forgotten.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Grows with every start; 0 for none.
     pub number: u64,
     /// Drawn by chance at the start: tells two processes apart that took the same number from copies of one folder.
@@ -21,20 +21,20 @@
 
 /// Proof that a life was spoken by its own sender: only that one can make it and check it, so nobody can invent a life
 /// that somebody else is to have had.
-pub type Stamp = [u8; 16];
+pub type IncarnationProof = [u8; 16];
 
 /// A life that was heard of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heard {
     /// The highest.
-    pub life: Life,
+    pub life: Incarnation,
     /// Its proof.
-    pub stamp: Stamp,
+    pub stamp: IncarnationProof,
 }
 
 /// Why a book cannot be read; its sender then begins as one that has forgotten.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum BookError {
+pub enum IncarnationRecordError {
     /// It ends too soon, or its checksum is not that of what it holds.
     #[error("it is damaged")]
     Damaged,
@@ -48,13 +48,13 @@
 
 /// What outlasts the process: this sender's last life, and the highest that it heard of each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Book {
+pub struct IncarnationRecord {
     owner: Option<MemberId>,
     pub(crate) own: u64,
     pub(crate) heard: BTreeMap<MemberId, Heard>,
 }
 
-impl Book {
+impl IncarnationRecord {
     /// An empty one.
     #[must_use]
     pub fn new(owner: MemberId) -> Self {
@@ -82,15 +82,15 @@
     ///
     /// # Errors
     /// Why it cannot be used.
-    pub fn parse(bytes: &[u8], owner: MemberId) -> Result<Self, BookError> {
-        let at = bytes.len().checked_sub(CHECK).ok_or(BookError::Damaged)?;
+    pub fn parse(bytes: &[u8], owner: MemberId) -> Result<Self, IncarnationRecordError> {
+        let at = bytes.len().checked_sub(CHECK).ok_or(IncarnationRecordError::Damaged)?;
         let (held, check) = bytes.split_at(at);
         if blake3::hash(held).as_bytes() != check {
-            return Err(BookError::Damaged);
+            return Err(IncarnationRecordError::Damaged);
         }
-        let held = held.strip_prefix(MAGIC).ok_or(BookError::Version)?;
-        let book: Self = postcard::from_bytes(held).map_err(|_| BookError::Damaged)?;
-        if book.owner == Some(owner) { Ok(book) } else { Err(BookError::Another) }
+        let held = held.strip_prefix(MAGIC).ok_or(IncarnationRecordError::Version)?;
+        let book: Self = postcard::from_bytes(held).map_err(|_| IncarnationRecordError::Damaged)?;
+        if book.owner == Some(owner) { Ok(book) } else { Err(IncarnationRecordError::Another) }
     }
 
     /// Notes a life of a member; whether it is a higher one than was known. Of one number the first that was heard stays:
@@ -113,49 +113,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn id(n: u8) -> MemberId {
-        MemberId([n; 8])
-    }
-
-    fn heard(number: u64) -> Heard {
-        Heard { life: Life { number, run: 1 }, stamp: [0; 16] }
-    }
-
-    /// Guards against a damaged, foreign or cut book that is believed: cut at every length, changed at every byte.
-    #[test]
-    fn a_book_that_is_not_whole_is_not_believed() {
-        let mut book = Book::starting_at(id(1), 7);
-        assert!(book.note(id(2), heard(3), |_| true));
-        let bytes = book.to_bytes();
-        assert_eq!(Book::parse(&bytes, id(1)), Ok(book));
-        assert_eq!(Book::parse(&bytes, id(2)), Err(BookError::Another));
-        for cut in 0..bytes.len() {
-            assert_eq!(Book::parse(&bytes[..cut], id(1)), Err(BookError::Damaged), "cut at {cut}");
-            let mut changed = bytes.clone();
-            changed[cut] ^= 1;
-            assert_eq!(Book::parse(&changed, id(1)), Err(BookError::Damaged), "changed at {cut}");
-        }
-    }
-
-    /// Guards against a lower life that takes a higher one's place, and a book that grows without end or drops a member.
-    #[test]
-    fn only_higher_lives_are_noted_and_those_gone_make_room() {
-        let mut book = Book::new(id(1));
-        assert!(book.note(id(2), heard(5), |_| true));
-        assert!(!book.note(id(2), heard(5), |_| true) && !book.note(id(2), heard(4), |_| true));
-        let other = Heard { life: Life { number: 5, run: 9 }, ..heard(5) };
-        assert!(
-            !book.note(id(2), other, |_| true),
-            "another process took the number without knowing of the first"
-        );
-        let member = |n: usize| MemberId((n as u64 + (1 << 40)).to_le_bytes());
-        for n in 0..2 * MOST_HEARD {
-            book.note(member(n), heard(9), |of| of == id(2));
-        }
-        assert_eq!(book.heard.len(), MOST_HEARD);
-        assert_eq!(book.heard[&id(2)], heard(5));
-    }
-}
+mod tests;
--- a/crates/micadrum-membership/src/link.rs
+++ b/crates/micadrum-membership/src/link.rs
@@ -7,7 +7,7 @@
 //! ```
 //! The hello's tag is made with a key of the pair, that of frames with one that both nonces went into: nothing that was
 //! said on another link fits. Frames are counted; the count is under the tag.
-use crate::life::Life;
+use crate::life::Incarnation;
 use crate::member::{MemberId, Roster};
 use crate::seal::{Secret, same, tag};
 use std::collections::VecDeque;
@@ -54,7 +54,7 @@
 /// Not now: so much waits already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too much waits to be sent")]
-pub struct Full;
+pub struct QueueFull;
 
 /// What a link tells.
 #[derive(Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         /// Who.
         peer: MemberId,
         /// Under which life.
-        life: Life,
+        life: Incarnation,
     },
     /// A payload came whole.
     Payload(Vec<u8>),
@@ -83,7 +83,7 @@
 pub struct Link {
     secret: Secret,
     roster: Roster,
-    life: Life,
+    life: Incarnation,
     /// Whom this side dialed.
     dialed: Option<MemberId>,
     nonce: [u8; 16],
@@ -111,7 +111,7 @@
     pub fn dial(
         secret: Secret,
         roster: Roster,
-        life: Life,
+        life: Incarnation,
         to: MemberId,
         nonce: [u8; 16],
         now: Duration,
@@ -123,14 +123,14 @@
 
     /// A link with whoever connected.
     #[must_use]
-    pub fn accept(secret: Secret, roster: Roster, life: Life, nonce: [u8; 16], now: Duration) -> Self {
+    pub fn accept(secret: Secret, roster: Roster, life: Incarnation, nonce: [u8; 16], now: Duration) -> Self {
         Self::new(secret, roster, life, None, nonce, now)
     }
 
     fn new(
         secret: Secret,
         roster: Roster,
-        life: Life,
+        life: Incarnation,
         dialed: Option<MemberId>,
         nonce: [u8; 16],
         now: Duration,
@@ -217,9 +217,9 @@
     ///
     /// # Errors
     /// Too much waits already, or this is too long: the layer above comes again once something was sent.
-    pub fn send(&mut self, payload: Vec<u8>) -> Result<(), Full> {
+    pub fn send(&mut self, payload: Vec<u8>) -> Result<(), QueueFull> {
         if payload.len() > MOST_PAYLOAD || self.queued + payload.len() > MOST_QUEUED {
-            return Err(Full);
+            return Err(QueueFull);
         }
         self.queued += payload.len();
         self.queue.push_back(payload);
@@ -280,7 +280,7 @@
             long
         };
         let (from, to) = (MemberId(word(4)), MemberId(word(12)));
-        let life = Life { number: u64::from_le_bytes(word(20)), run: u64::from_le_bytes(word(28)) };
+        let life = Incarnation { number: u64::from_le_bytes(word(20)), run: u64::from_le_bytes(word(28)) };
         let (nonce, echo, told) = (long(36), long(52), long(68));
         let expected = if self.dialed.is_some() { ACCEPTOR } else { DIALER };
         let member = self.roster.get(from).ok_or(LinkError::Stranger)?;
--- a/crates/micadrum-membership/src/peer.rs
+++ b/crates/micadrum-membership/src/peer.rs
@@ -1,8 +1,8 @@
 //! One other member, as it is known here: what came from it, and the question that is out to it.
-use crate::ceiling::{Bucket, Ceiling};
-use crate::life::Life;
+use crate::ceiling::{Bucket, SendBudget};
+use crate::life::Incarnation;
 use crate::member::{Member, MemberId};
-use crate::seal::{Pair, Secret};
+use crate::seal::{Secret, SessionKeys};
 use crate::view::{PeerView, Reach, Status};
 use crate::window::Window;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 /// The same before anything is known of a link.
 const FIRST_WAIT: Duration = Duration::from_millis(300);
 /// A member that says more than this is flooding.
-const FLOOD: Ceiling = Ceiling { datagrams: 400.0, bytes: 200_000.0 };
+const FLOOD: SendBudget = SendBudget { datagrams: 400.0, bytes: 200_000.0 };
 
 /// Where a question stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// A question that has no answer yet.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Question {
+pub(crate) struct PendingProbe {
     /// When it was first asked.
     pub began: Duration,
     pub stage: Stage,
@@ -41,12 +41,12 @@
 
 /// There and back, as it was measured (after RFC 6298).
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Trip {
+pub(crate) struct RoundTrip {
     mean: Duration,
     spread: Duration,
 }
 
-impl Trip {
+impl RoundTrip {
     /// That of a first measurement.
     pub fn first(took: Duration) -> Self {
         Self { mean: took, spread: took / 2 }
@@ -73,24 +73,24 @@
 pub(crate) struct Peer {
     pub member: Member,
     /// What the two of them seal with, once it was needed; none if the member's key is none.
-    pair: Option<Option<Pair>>,
+    pair: Option<Option<SessionKeys>>,
     pub status: Status,
     pub since: Duration,
     pub forgot: bool,
     /// Its list of members is another than ours.
     pub other_list: bool,
     /// The life whose datagrams the window tells apart.
-    pub speaks: Option<Life>,
+    pub speaks: Option<Incarnation>,
     pub window: Window,
     pub flood: Bucket,
-    pub question: Option<Question>,
+    pub question: Option<PendingProbe>,
     heard: Option<(Duration, Reach)>,
     /// When it was last heard straight.
     pub straight: Option<Duration>,
     /// When it last answered what went to it straight.
     pub answered: Option<Duration>,
     sent: VecDeque<Sent>,
-    trip: Option<Trip>,
+    trip: Option<RoundTrip>,
     /// Tries to reach it while it is dead: every second one goes through another.
     pub tries: u32,
     /// It is in line to be asked.
@@ -98,7 +98,7 @@
     /// When it was last asked.
     pub asked_at: Option<Duration>,
     /// The life under which it said that it ends.
-    pub left: Option<Life>,
+    pub left: Option<Incarnation>,
 }
 
 impl Peer {
@@ -127,7 +127,7 @@
     }
 
     /// What the two of them seal with. Agreeing costs some 50 us: that of a thousand at once would hold a start up.
-    pub fn pair(&mut self, secret: &Secret, own: MemberId) -> Option<Pair> {
+    pub fn pair(&mut self, secret: &Secret, own: MemberId) -> Option<SessionKeys> {
         let Member { key, .. } = &self.member;
         let other = MemberId::of(&self.member.name);
         *self.pair.get_or_insert_with(|| secret.pair(own, other, key).ok())
@@ -168,25 +168,25 @@
             self.answered = Some(now);
             let took = now.saturating_sub(at);
             if measures {
-                self.trip.get_or_insert_with(|| Trip::first(took)).measure(took);
+                self.trip.get_or_insert_with(|| RoundTrip::first(took)).measure(took);
             }
         }
         Some((at, straight))
     }
 
     /// How long an answer is waited for; `usual` is that of its building, for a link that was not measured yet.
-    pub fn wait(&self, usual: Option<Trip>) -> Duration {
-        self.trip.or(usual).map_or(FIRST_WAIT, Trip::wait).clamp(LEAST_WAIT, MOST_WAIT)
+    pub fn wait(&self, usual: Option<RoundTrip>) -> Duration {
+        self.trip.or(usual).map_or(FIRST_WAIT, RoundTrip::wait).clamp(LEAST_WAIT, MOST_WAIT)
     }
 
     /// Another life of it speaks: what came under the one before says nothing of this one.
-    pub fn begins(&mut self, life: Life, forgot: bool) {
+    pub fn begins(&mut self, life: Incarnation, forgot: bool) {
         self.speaks = Some(life);
         self.window = Window::default();
         self.forgot = forgot;
     }
 
-    pub fn view(&self, life: Option<Life>) -> PeerView {
+    pub fn view(&self, life: Option<Incarnation>) -> PeerView {
         PeerView {
             name: self.member.name.clone(),
             address: self.member.address,
--- a/crates/micadrum-membership/src/peers/asking.rs
+++ b/crates/micadrum-membership/src/peers/asking.rs
@@ -1,8 +1,8 @@
 //! Who is asked when, and what it means that no answer comes.
-use super::{Event, Peers};
+use super::{Event, Membership};
 use crate::ceiling::Rank;
 use crate::member::MemberId;
-use crate::peer::{Peer, Question, Stage};
+use crate::peer::{Peer, PendingProbe, Stage};
 use crate::rumours::MOST_IN_ONE;
 use crate::view::Status;
 use crate::wire::Body;
@@ -25,7 +25,7 @@
 /// Urgent questions that the ceiling held back are tried again after this.
 const URGENT_AGAIN: Duration = Duration::from_millis(20);
 
-impl Peers {
+impl Membership {
     pub(super) fn timer(&mut self, now: Duration) {
         if !self.writing && self.write_at.is_some_and(|at| at <= now) {
             self.write();
@@ -123,7 +123,7 @@
         }
         if let Some(peer) = self.peers.get_mut(&id) {
             let timer = now + self.health.patience(peer.wait(self.usual.get(&peer.member.building).copied()));
-            peer.question = Some(Question { began: now, stage: Stage::Straight, rounds: 0, timer });
+            peer.question = Some(PendingProbe { began: now, stage: Stage::Straight, rounds: 0, timer });
             self.timers.insert((timer, id));
         }
         true
--- a/crates/micadrum-membership/src/peers/hearing.rs
+++ b/crates/micadrum-membership/src/peers/hearing.rs
@@ -1,10 +1,10 @@
 //! What comes: datagrams, signs of life, rumours; and what is believed by them.
-use super::{Event, Peers};
+use super::{Event, Membership};
 use crate::ceiling::Rank;
 use crate::life::Heard;
 use crate::member::MemberId;
-use crate::peer::Trip;
-use crate::rumours::{MOST_IN_ONE, Rumour, Word};
+use crate::peer::RoundTrip;
+use crate::rumours::{GossipStatus, GossipUpdate, MOST_IN_ONE};
 use crate::view::{Reach, Status};
 use crate::wire::{self, Body, Header, Unread};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 /// Bytes of a datagram that is passed on: a question or its answer.
 const MOST_SEALED: usize = 400;
 
-impl Peers {
+impl Membership {
     /// Takes a datagram in; `via` passed it on, unless it came straight.
     pub(super) fn datagram(&mut self, bytes: &[u8], now: Duration, via: Option<MemberId>) {
         let Ok(Header { forgot, from, to, life, to_run, number }) = wire::header(bytes) else {
@@ -154,7 +154,7 @@
         let Some(peer) = self.peers.get(&from) else { return };
         match self.usual.get_mut(&peer.member.building) {
             Some(trip) => trip.measure(took),
-            None => drop(self.usual.insert(peer.member.building.clone(), Trip::first(took))),
+            None => drop(self.usual.insert(peer.member.building.clone(), RoundTrip::first(took))),
         }
     }
 
@@ -175,21 +175,21 @@
         let life = self.book.heard.get(&id).map_or(0, |heard| heard.life.number);
         self.event(Event::Changed { name, was, is, life });
         let word = match (was, is) {
-            (_, Status::Suspect | Status::Dead) => Word::Silent,
-            (Status::Suspect | Status::Dead | Status::Left, Status::Live) => Word::Back,
+            (_, Status::Suspect | Status::Dead) => GossipStatus::Silent,
+            (Status::Suspect | Status::Dead | Status::Left, Status::Live) => GossipStatus::Back,
             _ => return,
         };
         let times = (self.told_at_once() + 2 * self.doublings()) as u32;
-        self.rumours.add(Rumour { about: id, life, word }, times);
+        self.rumours.add(GossipUpdate { about: id, life, word }, times);
         let soon = now + TELL_AFTER;
         let tell_at = self.told_at.map_or(soon, |told| soon.max(told + TELL_AGAIN));
         self.tell_at = self.tell_at.or(Some(tell_at));
     }
 
-    pub(super) fn hear(&mut self, rumours: &[Rumour], now: Duration) {
+    pub(super) fn hear(&mut self, rumours: &[GossipUpdate], now: Duration) {
         for rumour in rumours.iter().take(MOST_IN_ONE) {
             if rumour.about == self.roster.own() {
-                if rumour.word == Word::Silent && rumour.life == self.life.number {
+                if rumour.word == GossipStatus::Silent && rumour.life == self.life.number {
                     self.health.worse();
                 }
                 continue;
@@ -198,12 +198,12 @@
             let Some(peer) = self.peers.get(&rumour.about) else { continue };
             let of_late = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < FRESH);
             let points = match rumour.word {
-                Word::Silent => {
+                GossipStatus::Silent => {
                     rumour.life >= known
                         && matches!(peer.status, Status::Live | Status::Unknown)
                         && !of_late(peer.heard())
                 }
-                Word::Back => peer.status != Status::Live || rumour.life > known,
+                GossipStatus::Back => peer.status != Status::Live || rumour.life > known,
             };
             if points && peer.question.is_none() && !of_late(peer.asked_at) {
                 self.make_urgent(rumour.about);
--- a/crates/micadrum-membership/src/peers/mod.rs
+++ b/crates/micadrum-membership/src/peers/mod.rs
@@ -4,12 +4,12 @@
 mod oneself;
 mod saying;
 
-use crate::ceiling::{Bucket, Ceiling};
+use crate::ceiling::{Bucket, SendBudget};
 use crate::health::Health;
-use crate::life::{Book, Life, Stamp};
+use crate::life::{Incarnation, IncarnationProof, IncarnationRecord};
 use crate::member::{MemberId, Roster};
-use crate::peer::{Peer, Trip};
-use crate::rumours::Rumours;
+use crate::peer::{Peer, RoundTrip};
+use crate::rumours::GossipQueue;
 use crate::seal::Secret;
 use crate::view::{Counts, Status, View};
 use rand_chacha::ChaCha8Rng;
@@ -26,7 +26,7 @@
     /// A suspect that says nothing for so long is dead.
     pub dead_after: Duration,
     /// What is sent at the most.
-    pub ceiling: Ceiling,
+    pub ceiling: SendBudget,
 }
 
 /// How a sender stands among its peers.
@@ -130,14 +130,14 @@
 }
 
 /// The members as one of them sees them.
-pub struct Peers {
+pub struct Membership {
     settings: Settings,
     secret: Secret,
     chance: ChaCha8Rng,
     roster: Roster,
-    book: Book,
-    life: Life,
-    stamp: Stamp,
+    book: IncarnationRecord,
+    life: Incarnation,
+    stamp: IncarnationProof,
     forgot: bool,
     standing: Standing,
     renewals: u32,
@@ -146,10 +146,10 @@
     /// Those that know this life as the highest.
     confirmed: BTreeSet<MemberId>,
     /// What links to each building take, for those that were not measured yet.
-    usual: BTreeMap<String, Trip>,
+    usual: BTreeMap<String, RoundTrip>,
     peers: BTreeMap<MemberId, Peer>,
     timers: BTreeSet<(Duration, MemberId)>,
-    rumours: Rumours,
+    rumours: GossipQueue,
     health: Health,
     bucket: Bucket,
     counts: Counts,
@@ -174,7 +174,7 @@
     outputs: VecDeque<Output>,
 }
 
-impl Peers {
+impl Membership {
     /// A sender that starts now, with the book of its earlier lives; an empty one where there is none.
     ///
     /// Its life is to be written down before anything else: the first output asks for that.
@@ -183,7 +183,7 @@
         settings: Settings,
         secret: Secret,
         roster: Roster,
-        mut book: Book,
+        mut book: IncarnationRecord,
         mut chance: ChaCha8Rng,
         now: Duration,
     ) -> Self {
@@ -195,7 +195,7 @@
             }
         };
         let number = book.own.checked_add(1);
-        let life = Life { number: number.unwrap_or(u64::MAX), run };
+        let life = Incarnation { number: number.unwrap_or(u64::MAX), run };
         book.own = life.number;
         let stamp = secret.stamp(life);
         let mut peers = Self {
@@ -214,7 +214,7 @@
             usual: BTreeMap::new(),
             peers: BTreeMap::new(),
             timers: BTreeSet::new(),
-            rumours: Rumours::default(),
+            rumours: GossipQueue::default(),
             health: Health::default(),
             counts: Counts::default(),
             number: 0,
--- a/crates/micadrum-membership/src/peers/oneself.rs
+++ b/crates/micadrum-membership/src/peers/oneself.rs
@@ -1,9 +1,9 @@
 //! How this sender stands: its life, who knows it, its end, the list that it follows.
-use super::{Event, Output, Peers, Standing};
+use super::{Event, Membership, Output, Standing};
 use crate::ceiling::Rank;
 use crate::life::Heard;
 use crate::member::MemberId;
-use crate::peer::{Peer, Question, Stage};
+use crate::peer::{Peer, PendingProbe, Stage};
 use crate::view::Status;
 use crate::wire::Body;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 /// Two that took one number sort that out between them within this, if both are there.
 const DISPUTE: Duration = Duration::from_secs(2);
 
-impl Peers {
+impl Membership {
     pub(super) fn event(&mut self, event: Event) {
         self.outputs.push_back(Output::Event(event));
     }
@@ -150,7 +150,7 @@
         for (id, peer) in &mut self.peers {
             let wait = peer.wait(self.usual.get(&peer.member.building).copied());
             if let Some(question) = &mut peer.question {
-                *question = Question { began: now, stage: Stage::Straight, rounds: 0, timer: now + wait };
+                *question = PendingProbe { began: now, stage: Stage::Straight, rounds: 0, timer: now + wait };
                 self.timers.insert((question.timer, *id));
             }
         }
--- a/crates/micadrum-membership/src/peers/saying.rs
+++ b/crates/micadrum-membership/src/peers/saying.rs
@@ -1,5 +1,5 @@
 //! What goes out: sealed, and as far as the ceiling allows.
-use super::{Output, Peers};
+use super::{Membership, Output};
 use crate::ceiling::Rank;
 use crate::member::MemberId;
 use crate::peer::Peer;
@@ -11,7 +11,7 @@
 /// Rumours in a question or an answer.
 const FEW: usize = 6;
 
-impl Peers {
+impl Membership {
     pub(super) fn next_nonce(&mut self) -> u32 {
         self.nonce = self.nonce.wrapping_add(1);
         self.nonce
--- a/crates/micadrum-membership/src/rumours.rs
+++ b/crates/micadrum-membership/src/rumours.rs
@@ -9,7 +9,7 @@
 
 /// What is said of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Word {
+pub(crate) enum GossipStatus {
     /// It does not answer.
     Silent,
     /// It answers again, or under a new life.
@@ -18,24 +18,24 @@
 
 /// One rumour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Rumour {
+pub(crate) struct GossipUpdate {
     pub about: MemberId,
     pub life: u64,
-    pub word: Word,
+    pub word: GossipStatus,
 }
 
 /// Those that are being passed on: one for each member at the most. A datagram costs what it takes along, not what is held.
 #[derive(Default)]
-pub(crate) struct Rumours {
+pub(crate) struct GossipQueue {
     /// By member, with how many more times it is told.
-    held: BTreeMap<MemberId, (Rumour, u32)>,
+    held: BTreeMap<MemberId, (GossipUpdate, u32)>,
     /// The same in the order in which they are told: told least often so far goes first.
     order: BTreeSet<(Reverse<u32>, MemberId)>,
 }
 
-impl Rumours {
+impl GossipQueue {
     /// Passes one on, `times` over; it takes the place of what was said of that member before.
-    pub fn add(&mut self, rumour: Rumour, times: u32) {
+    pub fn add(&mut self, rumour: GossipUpdate, times: u32) {
         self.forget(rumour.about);
         if times > 0 {
             self.held.insert(rumour.about, (rumour, times));
@@ -44,7 +44,7 @@
     }
 
     /// Those for the next datagram.
-    pub fn next(&mut self, most: usize) -> Vec<Rumour> {
+    pub fn next(&mut self, most: usize) -> Vec<GossipUpdate> {
         let first: Vec<_> = self.order.iter().take(most).copied().collect();
         let mut told = Vec::with_capacity(first.len());
         for (Reverse(left), id) in first {
@@ -70,23 +70,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against rumours that are told for ever, or of which the newest waits behind old ones.
-    #[test]
-    fn each_is_told_so_often_and_the_newest_first() {
-        let mut rumours = Rumours::default();
-        let rumour = |n: u8| Rumour { about: MemberId([n; 8]), life: 1, word: Word::Silent };
-        (0..10).for_each(|n| rumours.add(rumour(n), 3));
-        assert_eq!(rumours.next(10).len(), 10);
-        rumours.add(rumour(20), 3);
-        assert_eq!(rumours.next(1), [rumour(20)]);
-        let mut told = 11;
-        for _ in 0..10 {
-            told += rumours.next(10).len();
-        }
-        assert_eq!(told, 33);
-        assert!(rumours.next(10).is_empty());
-    }
-}
+mod tests;
--- a/crates/micadrum-membership/src/seal.rs
+++ b/crates/micadrum-membership/src/seal.rs
@@ -2,7 +2,7 @@
 //!
 //! X25519 (RFC 7748) gives what only the two of them know; BLAKE3 derives a key for each way from it and seals with
 //! it. So a datagram can come from no third, not even a member, and checking one costs a hash.
-use crate::life::{Life, Stamp};
+use crate::life::{Incarnation, IncarnationProof};
 use crate::member::MemberId;
 use x25519_dalek::{PublicKey, StaticSecret};
 
@@ -20,7 +20,7 @@
 
 /// What one pair of members seals with.
 #[derive(Clone, Copy)]
-pub(crate) struct Pair {
+pub(crate) struct SessionKeys {
     pub out: [u8; 32],
     pub back: [u8; 32],
 }
@@ -39,7 +39,12 @@
         PublicKey::from(&self.key).to_bytes()
     }
 
-    pub(crate) fn pair(&self, own: MemberId, other: MemberId, key: &[u8; 32]) -> Result<Pair, WeakKey> {
+    pub(crate) fn pair(
+        &self,
+        own: MemberId,
+        other: MemberId,
+        key: &[u8; 32],
+    ) -> Result<SessionKeys, WeakKey> {
         let shared = self.key.diffie_hellman(&PublicKey::from(*key));
         if !shared.was_contributory() {
             return Err(WeakKey);
@@ -48,10 +53,10 @@
             let material = [shared.as_bytes().as_slice(), &from.0, &to.0].concat();
             blake3::derive_key("micadrum peers 1: datagrams", &material)
         };
-        Ok(Pair { out: way(own, other), back: way(other, own) })
+        Ok(SessionKeys { out: way(own, other), back: way(other, own) })
     }
 
-    pub(crate) fn stamp(&self, life: Life) -> Stamp {
+    pub(crate) fn stamp(&self, life: Incarnation) -> IncarnationProof {
         let mut spoken = [0; 16];
         spoken[..8].copy_from_slice(&life.number.to_le_bytes());
         spoken[8..].copy_from_slice(&life.run.to_le_bytes());
@@ -72,23 +77,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against keys that a third could have, that are the same both ways, or that a key without strength gives.
-    #[test]
-    fn a_pair_agrees_and_nobody_else_does() {
-        let [a, b, c] = [1, 2, 3].map(|n| Secret::new([n; 32]));
-        let [x, y, z] = [1, 2, 3].map(|n| MemberId([n; 8]));
-        let ours = a.pair(x, y, &b.public()).unwrap();
-        let theirs = b.pair(y, x, &a.public()).unwrap();
-        assert_eq!((ours.out, ours.back), (theirs.back, theirs.out));
-        assert_ne!(ours.out, ours.back);
-        let others = c.pair(z, y, &b.public()).unwrap();
-        assert_ne!(others.out, ours.out);
-        assert_eq!(a.pair(x, y, &[0; 32]).err(), Some(WeakKey));
-        let life = Life { number: 3, run: 9 };
-        assert_ne!(a.stamp(life), b.stamp(life));
-        assert_ne!(a.stamp(life), a.stamp(Life { number: 4, ..life }));
-    }
-}
+mod tests;
--- a/crates/micadrum-membership/src/view.rs
+++ b/crates/micadrum-membership/src/view.rs
@@ -1,5 +1,5 @@
 //! What a sender believes of its peers, for the layers above and for people. It may be wrong at any moment.
-use crate::life::Life;
+use crate::life::Incarnation;
 use crate::peers::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
     /// There and back, smoothed.
     pub round_trip: Option<Duration>,
     /// The highest life that was heard.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// It said that it has forgotten earlier lives: its promises and copies no longer count.
     pub forgot: bool,
     /// Its list of members is another than this sender's.
@@ -91,7 +91,7 @@
     /// This sender's name.
     pub own: String,
     /// Its life.
-    pub life: Life,
+    pub life: Incarnation,
     /// How it stands itself.
     pub standing: Standing,
     /// It has forgotten earlier lives.
--- a/crates/micadrum-membership/src/wire.rs
+++ b/crates/micadrum-membership/src/wire.rs
@@ -13,9 +13,9 @@
 //! 52 16  tag           keyed BLAKE3 of all else, under the key of this way between the two
 //! 68     body          postcard
 //! ```
-use crate::life::{Heard, Life, Stamp};
+use crate::life::{Heard, Incarnation, IncarnationProof};
 use crate::member::MemberId;
-use crate::rumours::Rumour;
+use crate::rumours::GossipUpdate;
 use crate::seal::{same, tag};
 use serde::{Deserialize, Serialize};
 
@@ -31,7 +31,7 @@
     pub forgot: bool,
     pub from: MemberId,
     pub to: MemberId,
-    pub life: Life,
+    pub life: Incarnation,
     pub to_run: u64,
     pub number: u64,
 }
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
     /// Are you there? My list of members is this one.
-    Ping { nonce: u32, stamp: Stamp, list: u64, rumours: Vec<Rumour> },
+    Ping { nonce: u32, stamp: IncarnationProof, list: u64, rumours: Vec<GossipUpdate> },
     /// I am; this is the highest life that I know of you.
-    Ack { nonce: u32, stamp: Stamp, known: Option<Heard>, rumours: Vec<Rumour> },
+    Ack { nonce: u32, stamp: IncarnationProof, known: Option<Heard>, rumours: Vec<GossipUpdate> },
     /// Pass this on to a third, as it is.
     Relay { to: MemberId, sealed: Vec<u8> },
     /// Passed on for a third, as it came.
@@ -82,7 +82,7 @@
         forgot: bytes[3] & FORGOT != 0,
         from: MemberId(word(bytes, 4)),
         to: MemberId(word(bytes, 12)),
-        life: Life { number: number(20), run: number(28) },
+        life: Incarnation { number: number(20), run: number(28) },
         to_run: number(36),
         number: number(44),
     })
@@ -123,37 +123,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::rumours::{MOST_IN_ONE, Word};
-
-    fn sample() -> (Header, Body) {
-        let id = |n| MemberId([n; 8]);
-        let rumour = Rumour { about: id(255), life: u64::MAX, word: Word::Back };
-        let known = Some(Heard { life: Life { number: u64::MAX, run: u64::MAX }, stamp: [7; 16] });
-        let body = Body::Ack { nonce: u32::MAX, stamp: [9; 16], known, rumours: vec![rumour; MOST_IN_ONE] };
-        let life = Life { number: 1, run: 2 };
-        (Header { forgot: true, from: id(1), to: id(2), life, to_run: 3, number: 4 }, body)
-    }
-
-    /// Guards against a datagram that is believed though it was cut or changed, at every length and byte, and against
-    /// one that is too long for a link.
-    #[test]
-    fn what_was_cut_or_changed_is_not_read() {
-        let (told, body) = sample();
-        let key = [5; 32];
-        let bytes = seal(&told, &body, &key);
-        assert!(bytes.len() <= MOST_DATAGRAM, "{}", bytes.len());
-        assert_eq!((header(&bytes), open(&bytes, &key)), (Ok(told), Ok(body)));
-        assert_eq!(open(&bytes, &[6; 32]), Err(Unread::Forged));
-        for at in 0..bytes.len() {
-            let read = |bytes: &[u8]| header(bytes).and_then(|_| open(bytes, &key));
-            assert!(read(&bytes[..at]).is_err(), "cut at {at}");
-            for bit in 0..8 {
-                let mut changed = bytes.clone();
-                changed[at] ^= 1 << bit;
-                assert!(read(&changed).is_err(), "byte {at} bit {bit}");
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/micadrum-membership/tests/fleet/links.rs
+++ b/crates/micadrum-membership/tests/fleet/links.rs
@@ -3,7 +3,7 @@
 use micadrum_membership::*;
 use std::time::Duration;
 
-const LIFE: Life = Life { number: 3, run: 9 };
+const LIFE: Incarnation = Incarnation { number: 3, run: 9 };
 
 struct Ends {
     dialer: Link,
@@ -150,5 +150,5 @@
     ends.acceptor.done_with(waiting * 10_000);
     talk(&mut ends, 100_000).unwrap();
     assert_eq!(waiting + events(&mut ends.acceptor).len(), sent);
-    assert_eq!(ends.dialer.send(vec![0; MOST_PAYLOAD + 1]), Err(Full));
+    assert_eq!(ends.dialer.send(vec![0; MOST_PAYLOAD + 1]), Err(QueueFull));
 }
--- a/crates/micadrum-membership/tests/fleet/lives.rs
+++ b/crates/micadrum-membership/tests/fleet/lives.rs
@@ -99,10 +99,14 @@
         world.run(ms(3000));
         let twin = World::new(6, 9).roster(1);
         let id = MemberId::of("n1");
-        let book = if lost_folder { Book::new(id) } else { Book::parse(&world.books[1], id).unwrap() };
+        let book = if lost_folder {
+            IncarnationRecord::new(id)
+        } else {
+            IncarnationRecord::parse(&world.books[1], id).unwrap()
+        };
         let chance = rand_chacha::rand_core::SeedableRng::seed_from_u64(77);
         let first = world.nodes[1].take().unwrap();
-        world.nodes[1] = Some(Peers::new(SETTINGS, secret(1), twin, book, chance, world.now));
+        world.nodes[1] = Some(Membership::new(SETTINGS, secret(1), twin, book, chance, world.now));
         world.input(1, Input::Timer);
         world.run(ms(2000));
         assert_eq!(world.view(1).standing, Standing::Settled);
@@ -143,7 +147,7 @@
     world.kill(1);
     let id = MemberId::of("n1");
     for (last, standing) in [(u64::MAX - 1, Standing::Settled), (u64::MAX, Standing::Exhausted)] {
-        world.books[1] = Book::starting_at(id, last).to_bytes();
+        world.books[1] = IncarnationRecord::starting_at(id, last).to_bytes();
         world.start(1);
         world.run(ms(3000));
         assert_eq!((world.view(1).life.number, world.view(1).standing), (u64::MAX, standing));
--- a/crates/micadrum-membership/tests/fleet/world.rs
+++ b/crates/micadrum-membership/tests/fleet/world.rs
@@ -14,7 +14,7 @@
 pub const SETTINGS: Settings = Settings {
     probe_every: ms(100),
     dead_after: ms(1000),
-    ceiling: Ceiling { datagrams: 400.0, bytes: 100_000.0 },
+    ceiling: SendBudget { datagrams: 400.0, bytes: 100_000.0 },
 };
 
 /// What happens to a datagram on its way.
@@ -39,7 +39,7 @@
     pub now: Duration,
     pub settings: Settings,
     pub members: Vec<Member>,
-    pub nodes: Vec<Option<Peers>>,
+    pub nodes: Vec<Option<Membership>>,
     pub books: Vec<Vec<u8>>,
     pub link: Box<dyn Fn(usize, usize) -> Path>,
     pub events: Vec<(Duration, usize, Event)>,
@@ -106,9 +106,10 @@
     /// Starts one from its book; from none if that is damaged.
     pub fn start(&mut self, n: usize) {
         let id = MemberId::of(&self.members[n].name);
-        let book = Book::parse(&self.books[n], id).unwrap_or(Book::new(id));
+        let book = IncarnationRecord::parse(&self.books[n], id).unwrap_or(IncarnationRecord::new(id));
         let chance = ChaCha8Rng::seed_from_u64(self.chance.next_u64());
-        self.nodes[n] = Some(Peers::new(self.settings, secret(n), self.roster(n), book, chance, self.now));
+        self.nodes[n] =
+            Some(Membership::new(self.settings, secret(n), self.roster(n), book, chance, self.now));
         self.drain(n);
     }
 
@@ -146,7 +147,7 @@
     }
 
     fn drain(&mut self, n: usize) {
-        while let Some(output) = self.nodes[n].as_mut().and_then(Peers::poll_output) {
+        while let Some(output) = self.nodes[n].as_mut().and_then(Membership::poll_output) {
             match output {
                 Output::Send(to, bytes) => {
                     assert!(bytes.len() <= MOST_DATAGRAM);
@@ -172,7 +173,7 @@
                 Output::Event(event) => self.events.push((self.now, n, event)),
             }
         }
-        if let Some(due) = self.nodes[n].as_ref().and_then(Peers::due) {
+        if let Some(due) = self.nodes[n].as_ref().and_then(Membership::due) {
             self.wakes[n] += 1;
             self.push(due.max(self.now), What::Wakes(n, self.wakes[n]));
         }
--- a/crates/micadrum-recovery/src/lib.rs
+++ b/crates/micadrum-recovery/src/lib.rs
@@ -29,7 +29,7 @@
 }
 
 pub use admission::Admission;
-pub use asking::Asking;
-pub use stages::{Stage, Stages};
-pub use trust::{Boot, Stamp, Trust};
-pub use words::{Caution, Word};
+pub use asking::PeerQuery;
+pub use stages::{Phases, RecoveryPhase};
+pub use trust::{Boot, JournalStamp, Trust};
+pub use words::{EndpointRestrictions, PeerReport};
--- a/crates/micadrum-recovery/src/trust.rs
+++ b/crates/micadrum-recovery/src/trust.rs
@@ -25,7 +25,7 @@
 
 /// What a process leaves at the head of its journal: who it was, and where it ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct JournalStamp {
     /// The sender's name.
     pub sender: String,
     /// The machine's run; none where it could not be told.
@@ -38,7 +38,7 @@
 
 /// What a process finds.
 #[derive(Clone, Debug)]
-pub struct Found<'a> {
+pub struct RecoveryInputs<'a> {
     /// This sender's name.
     pub own: &'a str,
     /// The machine's run now.
@@ -48,7 +48,7 @@
     /// The operators vouch for the clock: it was set before this process started.
     pub clock_vouched: bool,
     /// The last stamp in the journal.
-    pub stamp: Option<&'a Stamp>,
+    pub stamp: Option<&'a JournalStamp>,
     /// The latest wall time that the journal tells of.
     pub latest: u64,
     /// The journal holds nothing at all.
@@ -74,7 +74,7 @@
 /// What a kept fact is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Faith {
+pub enum JournalTrust {
     /// Nothing: it is of another sender.
     Void,
     /// It is true, but it may not be all: later facts may be missing.
@@ -100,7 +100,7 @@
 /// Something that people on call should hear of, in one line of the log each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Finding {
+pub enum RecoveryFinding {
     /// There is no journal.
     Empty,
     /// The journal is another sender's.
@@ -127,7 +127,7 @@
     Clock(Clock),
 }
 
-impl fmt::Display for Finding {
+impl fmt::Display for RecoveryFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => f.write_str("the folder holds no journal: a first start, or a folder that was lost"),
@@ -182,20 +182,20 @@
     /// Whether the machine began anew.
     pub machine: Machine,
     /// What the journal is worth: what is owed, how far it got, and what is over.
-    pub journal: Faith,
+    pub journal: JournalTrust,
     /// Whether spans since then mean anything.
     pub clock: Clock,
     /// How far the clock stands from that of those that never stopped, in microseconds, where it is not believed and they
     /// told: it may shorten what is left to a message, and lengthens nothing.
     pub offset: Option<i64>,
     /// What people should hear.
-    pub findings: Vec<Finding>,
+    pub findings: Vec<RecoveryFinding>,
 }
 
 impl Trust {
     /// Judges what was found.
     #[must_use]
-    pub fn judge(found: &Found<'_>) -> Self {
+    pub fn judge(found: &RecoveryInputs<'_>) -> Self {
         let mut findings = Vec::new();
         let machine = match (found.stamp.and_then(|stamp| stamp.boot), found.boot) {
             (Some(before), Some(now)) if before == now => Machine::Same,
@@ -205,27 +205,27 @@
         let foreign = found.stamp.filter(|stamp| stamp.sender != found.own);
         let outlasted = found.stamp.is_some_and(|stamp| stamp.outlasts_machine);
         let journal = if let Some(stamp) = foreign {
-            findings.push(Finding::Foreign(stamp.sender.clone()));
-            Faith::Void
+            findings.push(RecoveryFinding::Foreign(stamp.sender.clone()));
+            JournalTrust::Void
         } else if found.empty {
-            findings.push(Finding::Empty);
-            Faith::Binds
+            findings.push(RecoveryFinding::Empty);
+            JournalTrust::Binds
         } else {
             match machine {
-                Machine::Another => findings.push(Finding::Rebooted { outlasted }),
-                Machine::Unknown if found.stamp.is_none() => findings.push(Finding::Unstamped),
-                Machine::Unknown => findings.push(Finding::NoBoot),
+                Machine::Another => findings.push(RecoveryFinding::Rebooted { outlasted }),
+                Machine::Unknown if found.stamp.is_none() => findings.push(RecoveryFinding::Unstamped),
+                Machine::Unknown => findings.push(RecoveryFinding::NoBoot),
                 Machine::Same => {}
             }
             if found.skipped > 0 {
-                findings.push(Finding::Damaged(found.skipped));
+                findings.push(RecoveryFinding::Damaged(found.skipped));
             }
             let all = machine == Machine::Same || outlasted;
-            if all && found.skipped == 0 { Faith::Binds } else { Faith::Hint }
+            if all && found.skipped == 0 { JournalTrust::Binds } else { JournalTrust::Hint }
         };
         if found.torn > 0 {
             // The act that a record stands before follows its writing: whatever was broken off has not happened.
-            findings.push(Finding::Torn(found.torn));
+            findings.push(RecoveryFinding::Torn(found.torn));
         }
         let written = found.latest.max(found.stamp.map_or(0, |stamp| stamp.wall));
         let behind = written.saturating_sub(found.wall);
@@ -240,15 +240,15 @@
             Clock::Unchecked
         };
         if clock != Clock::Believed {
-            findings.push(Finding::Clock(clock));
+            findings.push(RecoveryFinding::Clock(clock));
         }
         Self { machine, journal, clock, offset: None, findings }
     }
 
     /// Others know that life of this sender, which its folder does not.
     pub fn others_know(&mut self, known: u64) {
-        self.journal = self.journal.min(Faith::Hint);
-        self.findings.push(Finding::Older { known });
+        self.journal = self.journal.min(JournalTrust::Hint);
+        self.findings.push(RecoveryFinding::Older { known });
     }
 
     /// How far the clock stands from those of others that never stopped: their median counts, and only against it.
@@ -258,9 +258,9 @@
         let Some(median) = sorted.get(sorted.len() / 2) else { return };
         let off = median.unsigned_abs();
         if off > APART && matches!(self.clock, Clock::Believed | Clock::Unchecked) {
-            self.findings.retain(|finding| !matches!(finding, Finding::Clock(_)));
+            self.findings.retain(|finding| !matches!(finding, RecoveryFinding::Clock(_)));
             self.clock = Clock::Off(off);
-            self.findings.push(Finding::Clock(self.clock));
+            self.findings.push(RecoveryFinding::Clock(self.clock));
         }
         if self.clock != Clock::Believed {
             self.offset = Some(*median);
@@ -287,153 +287,27 @@
     /// folder is taken for that of a first start, unless others know better.
     #[must_use]
     pub fn knows_ids(&self) -> bool {
-        self.journal == Faith::Binds
+        self.journal == JournalTrust::Binds
     }
 
     /// Whether other senders are asked: what they know beside the folder is of use.
     #[must_use]
     pub fn asks(&self) -> bool {
-        self.is_return() || self.journal == Faith::Hint
+        self.is_return() || self.journal == JournalTrust::Hint
     }
 
     /// Whether service returns in stages; else it is full at once.
     #[must_use]
     pub fn takes_stages(&self) -> bool {
-        self.is_return() || self.journal != Faith::Binds
+        self.is_return() || self.journal != JournalTrust::Binds
     }
 
     /// Whether the machine lost power, or may have: partners and the rest of the fleet may have too.
     #[must_use]
     pub fn is_return(&self) -> bool {
-        self.machine != Machine::Same && !self.findings.contains(&Finding::Empty)
+        self.machine != Machine::Same && !self.findings.contains(&RecoveryFinding::Empty)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const BEFORE: Boot = Boot([1; 16]);
-    const NOW: u64 = 1_700_000_000_000_000;
-
-    fn stamp(outlasts_machine: bool) -> Stamp {
-        Stamp { sender: "n1".to_owned(), boot: Some(BEFORE), wall: NOW - 60_000_000, outlasts_machine }
-    }
-
-    fn found(stamp: Option<&Stamp>, boot: Option<Boot>) -> Found<'_> {
-        Found {
-            own: "n1",
-            boot,
-            wall: NOW,
-            clock_vouched: false,
-            stamp,
-            latest: NOW - 5_000_000,
-            empty: false,
-            skipped: 0,
-            torn: 0,
-        }
-    }
-
-    /// Guards against trusting what a power loss may have taken, and against distrust after a mere crash.
-    #[test]
-    fn a_journal_binds_as_far_as_what_was_written_is_there() {
-        let cases = [
-            (false, Some(BEFORE), Machine::Same, Faith::Binds, Clock::Believed),
-            (true, Some(BEFORE), Machine::Same, Faith::Binds, Clock::Believed),
-            (false, Some(Boot([2; 16])), Machine::Another, Faith::Hint, Clock::Unchecked),
-            (true, Some(Boot([2; 16])), Machine::Another, Faith::Binds, Clock::Unchecked),
-            (false, None, Machine::Unknown, Faith::Hint, Clock::Unchecked),
-            (true, None, Machine::Unknown, Faith::Binds, Clock::Unchecked),
-        ];
-        for (outlasts, boot, machine, journal, clock) in cases {
-            let stamp = stamp(outlasts);
-            let trust = Trust::judge(&found(Some(&stamp), boot));
-            assert_eq!(
-                (trust.machine, trust.journal, trust.clock),
-                (machine, journal, clock),
-                "{outlasts} {boot:?}"
-            );
-            let vouched = Found { clock_vouched: true, ..found(Some(&stamp), boot) };
-            assert_eq!(Trust::judge(&vouched).clock, Clock::Believed);
-        }
-        let stamped = stamp(true);
-        assert_eq!(Trust::judge(&found(Some(&stamped), None)).findings[0], Finding::NoBoot);
-        let trust = Trust::judge(&found(None, Some(BEFORE)));
-        assert_eq!((trust.journal, trust.findings[0].clone()), (Faith::Hint, Finding::Unstamped));
-    }
-
-    /// Guards against sending what another sender owes, and against a folder that is not named for what it is.
-    #[test]
-    fn each_kind_of_folder_is_named_once() {
-        let other = Stamp { sender: "n2".to_owned(), ..stamp(true) };
-        let trust = Trust::judge(&found(Some(&other), Some(BEFORE)));
-        assert_eq!(
-            (trust.journal, &trust.findings[..]),
-            (Faith::Void, &[Finding::Foreign("n2".to_owned())][..])
-        );
-        let empty = Trust::judge(&Found { empty: true, ..found(None, Some(BEFORE)) });
-        assert_eq!((empty.journal, &empty.findings[..]), (Faith::Binds, &[Finding::Empty][..]));
-        assert!(!empty.is_return() && empty.knows_ids());
-        let mut lost = empty.clone();
-        lost.others_know(3);
-        assert!(!lost.knows_ids());
-        let stamp = stamp(false);
-        let damaged = Trust::judge(&Found { skipped: 9, torn: 3, ..found(Some(&stamp), Some(BEFORE)) });
-        assert_eq!(damaged.findings, [Finding::Damaged(9), Finding::Torn(3)]);
-        assert_eq!(damaged.journal, Faith::Hint);
-        let torn = Trust::judge(&Found { torn: 3, ..found(Some(&stamp), Some(BEFORE)) });
-        assert_eq!((torn.journal, torn.is_return()), (Faith::Binds, false));
-        let both = |trust: &Trust| (trust.asks(), trust.takes_stages());
-        assert_eq!(
-            [&torn, &empty, &lost, &damaged, &trust].map(both),
-            [(false, false), (false, false), (true, true), (true, true), (false, true),]
-        );
-        let mut older = Trust::judge(&found(Some(&stamp), Some(BEFORE)));
-        older.others_know(9);
-        assert_eq!((older.journal, &older.findings[..]), (Faith::Hint, &[Finding::Older { known: 9 }][..]));
-        for finding in older.findings.iter().chain(&damaged.findings).chain(&empty.findings) {
-            assert!(!finding.to_string().contains('\n'));
-        }
-    }
-
-    /// Guards against believing a clock that others show to be wrong, and against a peer that makes one believed.
-    #[test]
-    fn others_can_only_take_the_clock_away() {
-        let stamp = stamp(false);
-        let at = |wall, boot, vouched| {
-            Trust::judge(&Found { wall, clock_vouched: vouched, ..found(Some(&stamp), Some(boot)) })
-        };
-        assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, Clock::Behind(3_595_000_000));
-        assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, Clock::Believed, "set right by a step");
-        let mut unchecked = at(NOW, Boot([2; 16]), false);
-        unchecked.others_have(&[0, 10, -10]);
-        assert_eq!(
-            (unchecked.clock, unchecked.offset, unchecked.now(NOW)),
-            (Clock::Unchecked, Some(0), Some(NOW))
-        );
-        let mut vouched = at(NOW, Boot([2; 16]), true);
-        vouched.others_have(&[]);
-        vouched.others_have(&[3_600_000_000, 0, 100]);
-        assert_eq!(vouched.clock, Clock::Believed, "one of three lies");
-        vouched.others_have(&[3_600_000_000, 3_600_000_001, 100]);
-        assert_eq!(vouched.clock, Clock::Off(3_600_000_000));
-        assert_eq!(vouched.now(NOW), Some(NOW - 3_600_000_000));
-        assert_eq!(vouched.findings.iter().filter(|f| matches!(f, Finding::Clock(_))).count(), 1);
-    }
-
-    /// Guards against a boot id that reads as another one, or as none.
-    #[test]
-    fn a_boot_id_is_read_as_the_kernel_writes_it() {
-        let text = "2f6e3c1a-0b4d-4e8f-9a7c-1234567890ab\n";
-        assert_eq!(Boot::parse(text).map(|boot| boot.0[..3].to_owned()), Some(vec![0x2f, 0x6e, 0x3c]));
-        assert_eq!(Boot::parse(&text.replace('-', "")), Boot::parse(text));
-        for wrong in [
-            "",
-            "2f6e3c1a",
-            "zf6e3c1a-0b4d-4e8f-9a7c-1234567890ab",
-            "\u{e9}\u{e9}6e3c1a0b4d4e8f9a7c1234567890",
-        ] {
-            assert_eq!(Boot::parse(wrong), None, "{wrong}");
-        }
-    }
-}
+mod tests;
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -15,7 +15,7 @@
 use micadrum::daemon::config::Config;
 use micadrum::daemon::ports::{LocalFuture, Log, Ports, Traces, WallClock};
 use micadrum::daemon::{self, Signal};
-use micadrum_config::Operator;
+use micadrum_config::OperatorConfig;
 use micadrum_recovery::Boot;
 use net::{LinkState, Process, ProcessNetwork, SimNet, address};
 use std::cell::{Cell, RefCell};
@@ -100,7 +100,7 @@
             let mut config = Config::parse(config.to_string().as_bytes()).map_err(io::Error::other)?;
             if let Some(OperatorFile { text, secret }) = operator {
                 let operator =
-                    Operator::parse("operator.toml", &text, &config.name).map_err(io::Error::other)?;
+                    OperatorConfig::parse("operator.toml", &text, &config.name).map_err(io::Error::other)?;
                 config = config.with_operator(operator, Some(secret));
             }
             let listen = config.listen;
@@ -182,7 +182,7 @@
 
     fn terminate(&self, sender: u32) {
         if let Some(running) = &*self.nodes[sender as usize].running.borrow() {
-            let _ = running.signals.send(Signal::WindDown);
+            let _ = running.signals.send(Signal::Shutdown);
         }
     }
 
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::daemon;
-use micadrum_recovery::stages::{Stage, Why};
-use micadrum_recovery::trust::{Clock, Faith, Finding, Machine};
+use micadrum_recovery::stages::{RecoveryPhase, Why};
+use micadrum_recovery::trust::{Clock, JournalTrust, Machine, RecoveryFinding};
 use micadrum_testkit::history::{History, Return};
 use micadrum_testkit::judge::Rule;
 use micadrum_testkit::live;
@@ -31,17 +31,19 @@
 
 /// The returns of processes that found a journal of before.
 fn returned(history: &History) -> Vec<Return> {
-    let again =
-        |of: &Return| of.trust.as_ref().is_some_and(|trust| !trust.findings.contains(&Finding::Empty));
+    let again = |of: &Return| {
+        of.trust.as_ref().is_some_and(|trust| !trust.findings.contains(&RecoveryFinding::Empty))
+    };
     history.returns().into_iter().filter(again).collect()
 }
 
 /// Each return went through its stages in their order, and those that were not cut short by another loss to the end.
 fn in_order(report: &Report, whole: usize) {
-    let order = [Stage::Asking, Stage::Listing, Stage::Finishing, Stage::Admitting];
+    let order =
+        [RecoveryPhase::Asking, RecoveryPhase::Listing, RecoveryPhase::Finishing, RecoveryPhase::Admitting];
     let returned = returned(&report.history);
     for of in &returned {
-        let stages: Vec<Stage> = of.steps.iter().map(|(_, step)| step.stage).collect();
+        let stages: Vec<RecoveryPhase> = of.steps.iter().map(|(_, step)| step.stage).collect();
         assert_eq!(stages, order[..stages.len()], "{}", report.history.text());
     }
     let to_the_end = returned.iter().filter(|of| of.steps.len() == 4).count();
@@ -64,7 +66,7 @@
         let trust = of.trust.as_ref().unwrap();
         assert_eq!(
             (trust.machine, trust.journal),
-            (Machine::Another, Faith::Binds),
+            (Machine::Another, JournalTrust::Binds),
             "{}",
             report.history.text()
         );
@@ -137,8 +139,8 @@
         };
         for (sender, from) in [(0, 12), (1, 16)] {
             let Some(trust) = back(sender, from) else { continue };
-            let older = trust.findings.iter().any(|finding| matches!(finding, Finding::Older { .. }));
-            assert!(older && trust.journal == Faith::Hint, "seed {seed}, sender {sender}: {trust:?}");
+            let older = trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::Older { .. }));
+            assert!(older && trust.journal == JournalTrust::Hint, "seed {seed}, sender {sender}: {trust:?}");
             judged += 1;
         }
         in_order(&report, 4);
@@ -208,7 +210,9 @@
     let (mut forgot, mut away) = (0, 0);
     for of in report.history.returns() {
         let Some(trust) = of.trust else { continue };
-        forgot += usize::from(trust.findings.iter().any(|finding| matches!(finding, Finding::Older { .. })));
+        forgot += usize::from(
+            trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::Older { .. })),
+        );
         away += usize::from(trust.machine == Machine::Another);
     }
     // Of the four that are struck later one may be gone for good.
--- a/src/bin/micadrum-adapter/world.rs
+++ b/src/bin/micadrum-adapter/world.rs
@@ -12,7 +12,7 @@
 }
 
 struct Instance {
-    sender: Sender,
+    sender: DeliveryEngine,
     ordered: Vec<bool>,
     known: Names,
     endpoints: HashMap<String, EndpointId>,
@@ -27,13 +27,13 @@
         Status::Failure => Outcome::Failure,
         Status::Overloaded => {
             let wait = detail.filter(|ms| *ms > 0.0);
-            Outcome::Full(wait.map(|ms| Span((ms * 1000.0).ceil() as u64)))
+            Outcome::Rejected { retry_after: wait.map(|ms| TimeDelta((ms * 1000.0).ceil() as u64)) }
         }
         Status::TimedOut => Outcome::TimedOut,
         Status::Unreachable => Outcome::ConnectFailed,
         Status::Broken => Outcome::Reset,
         Status::Withdrawn => Outcome::Cancelled,
-        Status::Void => Outcome::Void,
+        Status::Void => Outcome::NotSent,
     }
 }
 
@@ -43,7 +43,7 @@
         let settings = p.settings(&known)?;
         Ok(Self {
             ordered: settings.classes.iter().map(|c| c.ordered).collect(),
-            sender: Sender::new(settings, seed).map_err(|e| e.to_string())?,
+            sender: DeliveryEngine::new(settings, seed).map_err(|e| e.to_string())?,
             known,
             endpoints: HashMap::new(),
             names: Vec::new(),
@@ -52,7 +52,7 @@
         })
     }
 
-    fn entries(&mut self, rows: &[wire::Row]) -> Result<Vec<Entry>, String> {
+    fn entries(&mut self, rows: &[wire::Row]) -> Result<Vec<EndpointEntry>, String> {
         let mut list = Vec::with_capacity(rows.len());
         for row in rows {
             let endpoint = match self.endpoints.get(&row.endpoint) {
@@ -64,17 +64,17 @@
                     new
                 }
             };
-            list.push(Entry {
+            list.push(EndpointEntry {
                 endpoint,
                 destination: DestinationId(row.dest),
                 kind: look(&self.known.kinds, &row.flavor, "kind")?,
                 zone: look(&self.known.zones, &row.rack_zone, "zone")?,
-                listing: match row.readiness {
-                    Readiness::Active => Listing::Active,
-                    Readiness::Leaving => Listing::Draining,
-                    Readiness::Left => Listing::Removed,
+                state: match row.readiness {
+                    Readiness::Active => EndpointState::Active,
+                    Readiness::Leaving => EndpointState::Draining,
+                    Readiness::Left => EndpointState::Removed,
                 },
-                hint: row.power_hint.unwrap_or(0.0),
+                capacity_hint: row.power_hint.unwrap_or(0.0),
             });
         }
         Ok(list)
@@ -82,14 +82,14 @@
 
     fn event(&mut self, input: Input, pages: &HashMap<u64, Vec<wire::Row>>) -> Result<Option<Event>, String> {
         Ok(Some(match input {
-            Input::Discovery { kind: ListKind::Broken, .. } => Event::ListFailed,
+            Input::Discovery { kind: ListKind::Broken, .. } => Event::DiscoveryFailed,
             Input::Discovery { kind, page } => {
                 let page = page.ok_or("discovery without a page")?;
                 let rows = pages.get(&page).ok_or_else(|| format!("unknown catalog page {page}"))?;
                 let list = self.entries(rows)?;
                 match kind {
-                    ListKind::Patch => Event::ListChanges(list),
-                    _ => Event::FullList(list),
+                    ListKind::Patch => Event::EndpointUpdates(list),
+                    _ => Event::EndpointSnapshot(list),
                 }
             }
             Input::Ask { job, realm, subject, service, time_budget, dest } => {
@@ -112,27 +112,30 @@
                     tenant,
                     key,
                     destination: DestinationId(dest),
-                    budget: Span(time_budget),
+                    time_to_live: TimeDelta(time_budget),
                 })
             }
             Input::ReportBack { job, attempt, result, lag, last, detail, stats } => {
                 let value = |at: Option<usize>| at.and_then(|i| stats.as_ref()?.get(i)).copied();
                 let report = match (value(self.left_at), value(self.limit_at)) {
                     (None, None) => None,
-                    (left, limit) => Some(Report { left: left.unwrap_or(1.0), limit: limit.unwrap_or(0.0) }),
+                    (left, limit) => Some(LoadReport {
+                        remaining_share: left.unwrap_or(1.0),
+                        limit_per_second: limit.unwrap_or(0.0),
+                    }),
                 };
-                Event::Ended {
+                Event::AttemptEnded {
                     message: MessageId(job),
                     attempt,
                     outcome: outcome(result, detail),
-                    elapsed: Span(lag),
-                    last,
+                    elapsed: TimeDelta(lag),
+                    completes: last,
                     report,
                 }
             }
-            Input::Vanished { job } => Event::Withdrawn(MessageId(job)),
-            Input::Bell {} => Event::Woken,
-            Input::Checked { endpoint, result } => Event::Checked {
+            Input::Vanished { job } => Event::Cancelled(MessageId(job)),
+            Input::Bell {} => Event::TimerFired,
+            Input::Checked { endpoint, result } => Event::HealthCheckEnded {
                 endpoint: look(&self.endpoints, &endpoint, "endpoint")?,
                 outcome: outcome(result, None),
             },
@@ -144,18 +147,18 @@
     fn output(&self, action: Action) -> Option<Output> {
         let name = |endpoint: EndpointId| self.names[endpoint.0 as usize].clone();
         Some(match action {
-            Action::Forget(_) => return None,
+            Action::ForgetEndpoint(_) => return None,
             Action::Send { message, endpoint, expires } => {
                 Output::Forward { job: message.0, endpoint: name(endpoint), expire_at: expires.0 }
             }
             Action::Cancel { message, attempt } => Output::StopAttempt { job: message.0, attempt },
-            Action::Refuse { message, .. } => Output::Busy { job: message.0 },
+            Action::Return { message, .. } => Output::Busy { job: message.0 },
             Action::Fail(id) => Output::Fail { job: id.0 },
-            Action::WakeIn(span) => Output::WakeMe { after: span.0, mark: "wake" },
-            Action::Subscribe => Output::Subscribe { on: true },
-            Action::FetchList => Output::ListAll {},
-            Action::Probe(endpoint) => Output::SoundOut { endpoint: name(endpoint) },
-            Action::CloseIdle(endpoint) => Output::CloseIdle { endpoint: name(endpoint) },
+            Action::SetTimer(span) => Output::WakeMe { after: span.0, mark: "wake" },
+            Action::WatchEndpoints => Output::Subscribe { on: true },
+            Action::PollEndpoints => Output::ListAll {},
+            Action::CheckHealth(endpoint) => Output::SoundOut { endpoint: name(endpoint) },
+            Action::CloseIdleConnections(endpoint) => Output::CloseIdle { endpoint: name(endpoint) },
             Action::Log(words) => Output::WriteLog { words },
         })
     }
@@ -193,7 +196,7 @@
                 continue;
             };
             let mut actions = Vec::new();
-            instance.sender.step(Time(batch.sim_time), &events, &mut actions);
+            instance.sender.step(Timestamp(batch.sim_time), &events, &mut actions);
             let actions: Vec<Output> = actions.into_iter().filter_map(|a| instance.output(a)).collect();
             if !actions.is_empty() {
                 senders.push(wire::Answer { sender: group.sender, actions });
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,14 +1,14 @@
 //! How far service has returned, in words.
 use micadrum_recovery::Trust;
-use micadrum_recovery::stages::{Stage, Step};
-use micadrum_recovery::trust::{Clock, Faith, Machine};
+use micadrum_recovery::stages::{RecoveryPhase, Step};
+use micadrum_recovery::trust::{Clock, JournalTrust, Machine};
 use serde::Deserialize;
 use std::fmt::Write as _;
 
 /// What the door tells.
 #[derive(Deserialize)]
 pub struct Report {
-    stage: Stage,
+    stage: RecoveryPhase,
     for_us: u64,
     waits_for: String,
     trust: Trust,
@@ -35,9 +35,9 @@
         Machine::Unknown => "not known",
     };
     let journal = match trust.journal {
-        Faith::Binds => "binds",
-        Faith::Hint => "a hint: what it holds may have run, and more may be missing",
-        Faith::Void => "another sender's, set aside",
+        JournalTrust::Binds => "binds",
+        JournalTrust::Hint => "a hint: what it holds may have run, and more may be missing",
+        JournalTrust::Void => "another sender's, set aside",
     };
     let clock = match trust.clock {
         Clock::Believed => "believed".to_owned(),
@@ -67,27 +67,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a door that tells what this cannot read.
-    #[test]
-    fn what_the_door_tells_is_shown() {
-        let json = r#"{"stage":"finishing","for_us":5000,"waits_for":"what is owed from before",
-            "trust":{"machine":"another","journal":"hint","clock":{"off":3600000000},
-            "findings":[{"rebooted":{"outlasted":false}},{"clock":{"off":3600000000}}]},
-            "asked":{"answered":2,"steady":1,"silent":3,"took":1000000,"late":true},
-            "steps":[{"stage":"asking","took":1000000,"why":"done"}]}"#;
-        let text = told(&serde_json::from_str(json).unwrap());
-        for part in [
-            "Finishing for 5 ms",
-            "began anew",
-            "a hint",
-            "3600 s off",
-            "2 answered, 1 of them",
-            "Asking: 1000 ms",
-        ] {
-            assert!(text.contains(part), "{part}: {text}");
-        }
-    }
-}
+mod tests;
--- a/src/daemon/management.rs
+++ b/src/daemon/admin_server.rs
@@ -1,11 +1,11 @@
 //! The door for operators: one call to a connection, beside the clients' and bounded for itself.
-use super::budget::OPERATORS;
-use super::input::{Ask, AskError, Doors, Input};
-use super::latest::Latest;
-use super::peers::{Gathering, Views};
+use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent};
+use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, collect, plain};
+use super::membership::{Gathering, Views};
 use super::ports::{Listener, Log, Stream};
-use super::recovery::Returning;
-use super::server::{House, Lingering, Seat, collect, plain};
+use super::recovery::RecoveryStatus;
+use super::resource_budget::OPERATORS;
+use super::watch_cell::WatchCell;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -35,13 +35,13 @@
 /// Serves operators for as long as the process runs. With all places taken, the caller who came first goes.
 pub async fn serve(
     listener: Box<dyn Listener>,
-    host: UnboundedSender<Input>,
-    doors: Latest<Doors>,
+    host: UnboundedSender<LoopEvent>,
+    doors: WatchCell<ListenerState>,
     peers: Option<Peers>,
-    returning: Returning,
+    returning: RecoveryStatus,
     log: Rc<dyn Log>,
 ) {
-    let house = House::new(OPERATORS, BODIES);
+    let house = ConnectionLimits::new(OPERATORS, BODIES);
     loop {
         match listener.accept().await {
             Ok(stream) => {
@@ -66,12 +66,12 @@
 
 async fn connection(
     stream: Box<dyn Stream>,
-    house: Arc<House>,
-    seat: Arc<Seat>,
-    host: UnboundedSender<Input>,
-    doors: Latest<Doors>,
+    house: Arc<ConnectionLimits>,
+    seat: Arc<ConnectionPermit>,
+    host: UnboundedSender<LoopEvent>,
+    doors: WatchCell<ListenerState>,
     peers: Option<Peers>,
-    returning: Returning,
+    returning: RecoveryStatus,
 ) {
     let service = service_fn(|request| {
         let (house, host, doors, peers) = (house.clone(), host.clone(), doors.get(), peers.clone());
@@ -86,7 +86,7 @@
         .header_read_timeout(PATIENCE)
         .keep_alive(false)
         .half_close(true)
-        .serve_connection(TokioIo::new(Lingering::new(stream)), service);
+        .serve_connection(TokioIo::new(LingeringClose::new(stream)), service);
     tokio::select! {
         biased;
         // A caller that breaks off hears nothing more: there is nobody to tell of the error.
@@ -97,14 +97,14 @@
 
 async fn respond(
     request: Request<Incoming>,
-    house: &House,
-    host: &UnboundedSender<Input>,
-    doors: Doors,
+    house: &ConnectionLimits,
+    host: &UnboundedSender<LoopEvent>,
+    doors: ListenerState,
     peers: Option<&Peers>,
-    returning: &Returning,
+    returning: &RecoveryStatus,
 ) -> Response<Full<Bytes>> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/status") if doors == Doors::Open => plain(StatusCode::OK, "ready\n"),
+        (&Method::GET, "/status") if doors == ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
         (&Method::GET, "/status") => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         (&Method::GET, "/status/metrics") => figures(host).await,
         (&Method::GET, "/status/peers") => match peers {
@@ -134,9 +134,9 @@
     plain(StatusCode::SERVICE_UNAVAILABLE, "the sender is ending\n")
 }
 
-async fn figures(host: &UnboundedSender<Input>) -> Response<Full<Bytes>> {
+async fn figures(host: &UnboundedSender<LoopEvent>) -> Response<Full<Bytes>> {
     let (answer, answered) = oneshot::channel();
-    let _ = host.send(Input::Operator(Ask::Figures(answer)));
+    let _ = host.send(LoopEvent::Admin(AdminRequest::Metrics(answer)));
     let Ok(figures) = answered.await else { return gone() };
     json(&*figures)
 }
@@ -150,8 +150,8 @@
 
 async fn maintain(
     request: Request<Incoming>,
-    house: &House,
-    host: &UnboundedSender<Input>,
+    house: &ConnectionLimits,
+    host: &UnboundedSender<LoopEvent>,
     out: bool,
 ) -> Response<Full<Bytes>> {
     let body = match timeout(PATIENCE, collect(request.into_body(), house)).await {
@@ -164,11 +164,11 @@
         return plain(StatusCode::BAD_REQUEST, "the body is to be the id of an endpoint\n");
     }
     let (done, answered) = oneshot::channel();
-    let ask = Ask::Maintain { endpoint: id.to_owned(), out, done };
-    let _ = host.send(Input::Operator(ask));
+    let ask = AdminRequest::SetMaintenance { endpoint: id.to_owned(), out, done };
+    let _ = host.send(LoopEvent::Admin(ask));
     match answered.await {
         Ok(Ok(())) => plain(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-        Ok(Err(e @ AskError::Unknown(_))) => plain(StatusCode::NOT_FOUND, format!("{e}\n")),
+        Ok(Err(e @ AdminError::Unknown(_))) => plain(StatusCode::NOT_FOUND, format!("{e}\n")),
         Ok(Err(e)) => plain(StatusCode::INSUFFICIENT_STORAGE, format!("{e}\n")),
         Err(_) => gone(),
     }
--- a/src/daemon/memory/slices.rs
+++ b/src/daemon/checkpoint/schedule.rs
@@ -3,7 +3,7 @@
 //!
 //! The file grows by what changes, and is written anew beside itself when it has doubled. Nothing of it is owed to anybody:
 //! where there is no room it is given up, and begun again later.
-use crate::{EndpointId, Time};
+use crate::{EndpointId, Timestamp};
 use std::collections::BTreeSet;
 
 /// Endpoints in a slice at the most: 0.13 ms and 14 KB, as measured with 10,000 endpoints.
@@ -27,7 +27,7 @@
 }
 
 /// The order of work.
-pub struct Slices {
+pub struct CheckpointSchedule {
     /// Bytes that a file may hold.
     most: u64,
     /// What has changed since it was written.
@@ -39,10 +39,10 @@
     new_length: u64,
     begin: bool,
     whole: bool,
-    not_before: Time,
+    not_before: Timestamp,
 }
 
-impl Slices {
+impl CheckpointSchedule {
     /// Nothing is written yet; a file may hold `most` bytes.
     pub fn new(most: u64) -> Self {
         Self {
@@ -53,7 +53,7 @@
             new_length: 0,
             begin: true,
             whole: true,
-            not_before: Time(0),
+            not_before: Timestamp(0),
         }
     }
 
@@ -63,17 +63,17 @@
     }
 
     /// From when on there is something to do, if there is.
-    pub fn due(&self) -> Option<Time> {
+    pub fn due(&self) -> Option<Timestamp> {
         let work = self.begin || self.lacking.is_some() || !self.changed.is_empty();
         work.then_some(self.not_before)
     }
 
     /// What is to be done `now`.
-    pub fn next(&mut self, now: Time) -> Option<Next> {
+    pub fn next(&mut self, now: Timestamp) -> Option<Next> {
         if self.due().is_none_or(|due| now < due) {
             return None;
         }
-        self.not_before = Time(now.0 + PAUSE);
+        self.not_before = Timestamp(now.0 + PAUSE);
         if std::mem::take(&mut self.begin) {
             return Some(Next::Begin);
         }
@@ -124,91 +124,11 @@
     }
 
     /// There was no room: all is given up until later.
-    pub fn given_up(&mut self, now: Time) {
+    pub fn given_up(&mut self, now: Timestamp) {
         let Self { most, .. } = *self;
-        *self = Self { not_before: Time(now.0 + RETRY), ..Self::new(most) };
+        *self = Self { not_before: Timestamp(now.0 + RETRY), ..Self::new(most) };
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const RECORD: u64 = 300;
-
-    fn write(slices: &mut Slices, ids: &[EndpointId], written: &mut BTreeSet<EndpointId>) {
-        for id in ids {
-            if slices.fits(RECORD) {
-                slices.wrote(RECORD);
-                written.insert(*id);
-            }
-        }
-    }
-
-    /// Works until nothing is left to do; the longest slice, and what the last file that was begun holds.
-    fn work(slices: &mut Slices, all: u32, now: &mut u64) -> (usize, BTreeSet<EndpointId>, bool) {
-        let (mut longest, mut written, mut whole) = (0, BTreeSet::new(), false);
-        while let Some(due) = slices.due() {
-            *now = (*now).max(due.0);
-            match slices.next(Time(*now)).expect("it was due") {
-                Next::Begin => {
-                    written.clear();
-                    slices.begun(20, (0..all).map(EndpointId).collect());
-                }
-                Next::Write(ids) => {
-                    longest = longest.max(ids.len());
-                    write(slices, &ids, &mut written);
-                }
-                Next::Finish => whole = slices.finished(),
-            }
-        }
-        (longest, written, whole)
-    }
-
-    /// Guards against a loop that is held up by all that is remembered, and against an endpoint that no slice has.
-    #[test]
-    fn all_is_written_in_slices() {
-        for all in [0, 1, 63, 64, 65, 10_000] {
-            let mut slices = Slices::new(1 << 30);
-            let mut now = 0;
-            let (longest, written, whole) = work(&mut slices, all, &mut now);
-            assert!(longest <= SLICE && written.len() == all as usize && whole, "{all}: {longest}");
-            assert_eq!(slices.due(), None, "nothing has changed");
-            let before = now;
-            slices.changed(EndpointId(3));
-            assert!(slices.next(Time(before)).is_none(), "a pause after the last slice");
-            let (longest, written, _) = work(&mut slices, all, &mut now);
-            assert_eq!((longest, written.len(), now), (1, 1, before + PAUSE));
-        }
-    }
-
-    /// Guards against a file that grows by what changes, or is written anew all the time.
-    #[test]
-    fn a_file_is_written_anew_when_it_has_doubled() {
-        let (most, mut now) = (60_000, 0);
-        let mut slices = Slices::new(most);
-        work(&mut slices, 30, &mut now);
-        let (mut begun, mut longest) = (0, 0);
-        for n in 0..2_000 {
-            slices.changed(EndpointId(n % 30));
-            let before = slices.new_length;
-            work(&mut slices, 30, &mut now);
-            begun += usize::from(slices.length < longest && before > 0);
-            longest = slices.length;
-            assert!(slices.length <= most, "{}", slices.length);
-        }
-        assert!((5..100).contains(&begun), "{begun} times anew for 600 KB of changes");
-    }
-
-    /// Guards against a file past its bound, and against taking one for whole that is not.
-    #[test]
-    fn what_does_not_fit_is_left_out() {
-        let mut slices = Slices::new(10 * RECORD);
-        let (_, written, whole) = work(&mut slices, 100, &mut 0);
-        assert_eq!((written.len(), whole), (9, false));
-        assert!(written.contains(&EndpointId(0)), "the first ones are kept");
-        slices.given_up(Time(7));
-        assert_eq!(slices.due(), Some(Time(7 + RETRY)));
-        assert_eq!(slices.next(Time(7 + RETRY)), Some(Next::Begin));
-    }
-}
+mod tests;
--- a/src/daemon/classes.rs
+++ b/src/daemon/class_registry.rs
@@ -6,19 +6,19 @@
 //! A message of an earlier process tells its class by name, and may have been taken on under any meaning that the name has
 //! had: it goes by what is strictest in all of them. Of a name of which nothing is known it is sent once, as nobody knows
 //! what a repeat would do, and in the order of its key.
-use crate::{Class, ClassId, Group, Repeat, Span};
+use crate::{Class, ClassId, DeduplicationScope, Idempotency, TimeDelta};
 use std::collections::{BTreeMap, HashMap};
 
 /// So many at the most over the life of a process.
 const MOST: usize = 1024;
 
 /// A class with its name.
-pub type Named = (String, Class);
+pub type NamedClass = (String, Class);
 
 /// All that there have been.
 #[derive(Clone)]
-pub struct Classes {
-    known: Vec<Named>,
+pub struct ClassRegistry {
+    known: Vec<NamedClass>,
     current: HashMap<String, ClassId>,
     /// Those of messages of earlier processes, by name and by whether an idempotency key came with them.
     earlier: BTreeMap<(String, bool), ClassId>,
@@ -26,20 +26,20 @@
 
 /// How little may be done with a message of a class that may have run: the more, the stricter.
 fn strictness(class: &Class) -> (u8, u64) {
-    match class.repeat {
-        Repeat::Safe => (0, 0),
-        Repeat::Keyed { group: Group::All, window } => (1, u64::MAX - window.0),
-        Repeat::Keyed { group: Group::Zone, window } => (2, u64::MAX - window.0),
-        Repeat::Unsafe => (3, 0),
+    match class.idempotency {
+        Idempotency::Idempotent => (0, 0),
+        Idempotency::WithKey { scope: DeduplicationScope::Destination, window } => (1, u64::MAX - window.0),
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window } => (2, u64::MAX - window.0),
+        Idempotency::NonIdempotent => (3, 0),
     }
 }
 
-impl Classes {
+impl ClassRegistry {
     /// Those that the settings name, and those that messages of earlier processes may still be of.
     ///
     /// # Errors
     /// A name that stands there twice, or too many.
-    pub fn new(named: Vec<Named>, retired: Vec<Named>) -> Result<Self, String> {
+    pub fn new(named: Vec<NamedClass>, retired: Vec<NamedClass>) -> Result<Self, String> {
         let mut classes = Self { known: retired, current: HashMap::new(), earlier: BTreeMap::new() };
         classes.change(named)?;
         Ok(classes)
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// A name that stands there twice, or too many; nothing has changed then.
-    pub fn change(&mut self, named: Vec<Named>) -> Result<(), String> {
+    pub fn change(&mut self, named: Vec<NamedClass>) -> Result<(), String> {
         let before = self.known.len();
         let mut current = HashMap::new();
         for named in named {
@@ -76,7 +76,7 @@
     }
 
     /// The same with their names.
-    pub fn named(&self) -> &[Named] {
+    pub fn named(&self) -> &[NamedClass] {
         &self.known
     }
 
@@ -101,9 +101,9 @@
         let is_known = meant.is_some();
         let mut class = meant.unwrap_or_else(|| self.unknown());
         class.ordered |= of_name().any(|class| class.ordered);
-        if matches!(class.repeat, Repeat::Keyed { .. }) && !keyed {
+        if matches!(class.idempotency, Idempotency::WithKey { .. }) && !keyed {
             // Taken on under a meaning that asked for no key: nothing would tell a repeat.
-            class.repeat = Repeat::Unsafe;
+            class.idempotency = Idempotency::NonIdempotent;
         }
         let named = (name.to_owned(), class);
         let number = self.known.iter().position(|known| *known == named).unwrap_or_else(|| {
@@ -120,11 +120,11 @@
         let least =
             |worth: fn(&Class) -> f64| classes().map(worth).min_by(f64::total_cmp).unwrap_or_default();
         Class {
-            aim: classes().map(|class| class.aim).max().unwrap_or(Span(1)),
-            deadline: classes().map(|class| class.deadline).max().unwrap_or(Span(1)),
-            worth: least(|class| class.worth),
-            late_worth: least(|class| class.late_worth),
-            repeat: Repeat::Unsafe,
+            latency_objective: classes().map(|class| class.latency_objective).max().unwrap_or(TimeDelta(1)),
+            deadline: classes().map(|class| class.deadline).max().unwrap_or(TimeDelta(1)),
+            priority_weight: least(|class| class.priority_weight),
+            late_weight: least(|class| class.late_weight),
+            idempotency: Idempotency::NonIdempotent,
             ordered: true,
         }
     }
@@ -136,57 +136,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::Span;
-
-    fn class(name: &str, repeat: Repeat) -> Named {
-        let (aim, deadline) = (Span(1), Span(2));
-        (name.to_owned(), Class { aim, deadline, worth: 1.0, late_worth: 0.3, repeat, ordered: false })
-    }
-
-    /// Guards against messages that change their class as it is renamed, vanishes or comes back, and against one of an
-    /// earlier process that is repeated by a milder meaning of its class's name.
-    #[test]
-    fn numbers_stay_and_the_strictest_meaning_binds_what_is_older() {
-        let (safe, strict) = (class("a", Repeat::Safe), class("a", Repeat::Unsafe));
-        let b = class("b", Repeat::Safe);
-        let mut classes = Classes::new(vec![safe.clone(), b.clone()], Vec::new()).unwrap();
-        classes.change(vec![strict.clone()]).unwrap();
-        assert_eq!((classes.of_newcomer("a"), classes.of_newcomer("b")), (Some(ClassId(2)), None));
-        assert!(classes.take_up("b", false));
-        assert_eq!(classes.of_earlier("b", false), Some(ClassId(1)));
-        assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()]);
-        classes.change(vec![b.clone(), safe.clone()]).unwrap();
-        assert!(classes.take_up("a", true));
-        assert_eq!(
-            (classes.of_newcomer("a"), classes.of_earlier("a", true)),
-            (Some(ClassId(0)), Some(ClassId(2)))
-        );
-        assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()], "all meanings stay");
-        assert!(classes.change(vec![b.clone(), class("c", Repeat::Safe), b.clone()]).is_err());
-        assert_eq!((classes.all().len(), classes.of_newcomer("a")), (3, Some(ClassId(0))), "as before");
-        let mut next = Classes::new(vec![safe], vec![strict]).unwrap();
-        assert!(next.take_up("a", true));
-        assert_eq!(next.of_earlier("a", true), Some(ClassId(0)));
-        assert_eq!(next.all()[0].repeat, Repeat::Unsafe);
-    }
-
-    /// Guards against a message of before that is never tried as its class has gone or now wants a key that it does not
-    /// have, and against an order that is lost as the strictest meaning of its effect asked for none.
-    #[test]
-    fn a_message_of_before_has_a_class_whatever_the_settings_have_become() {
-        let keyed = Repeat::Keyed { group: Group::All, window: Span(5) };
-        let in_order = |named: Named| (named.0, Class { ordered: true, ..named.1 });
-        let retired = vec![in_order(class("a", Repeat::Safe))];
-        let mut classes = Classes::new(vec![class("a", keyed), class("b", Repeat::Safe)], retired).unwrap();
-        assert!(classes.take_up("a", true) && classes.take_up("a", false) && classes.take_up("b", false));
-        assert!(!classes.take_up("gone", true), "nothing is known of it");
-        let of = |name, with_key| classes.all()[classes.of_earlier(name, with_key).unwrap().0].clone();
-        assert_eq!((of("a", true).repeat, of("a", true).ordered), (keyed, true));
-        assert_eq!((of("a", false).repeat, of("a", false).ordered), (Repeat::Unsafe, true));
-        assert_eq!(classes.of_earlier("b", false), classes.of_newcomer("b"));
-        assert_eq!((of("gone", true).repeat, of("gone", true).ordered), (Repeat::Unsafe, true));
-        assert_eq!(classes.of_newcomer("gone"), None);
-    }
-}
+mod tests;
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -1,9 +1,9 @@
 //! The configuration as the platform hands it out.
-use super::budget::Limits;
-use super::shape::Shape;
-use super::targets::Targets;
+use super::config_schema::ConfigSchema;
+use super::endpoint_list::EndpointList;
+use super::resource_budget::ResourceLimits;
 use crate::profile::Profile;
-use micadrum_config::Operator;
+use micadrum_config::OperatorConfig;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
     /// For random numbers, hexadecimal.
     pub seed: String,
     /// The machine's limits.
-    pub limits: Limits,
+    pub limits: ResourceLimits,
     /// The list as this sender last had it.
-    pub known: Targets,
+    pub known: EndpointList,
     /// The settings of the decision module.
     pub settings: Profile,
     /// What the operator's file turns on; nothing where there is none.
     #[serde(skip)]
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// The secret that its `[peers]` names.
     #[serde(skip)]
     pub secret: Option<[u8; 32]>,
@@ -51,7 +51,7 @@
 
     /// The same with what the operator's file turns on, and the secret that it names.
     #[must_use]
-    pub fn with_operator(self, operator: Operator, secret: Option<[u8; 32]>) -> Self {
+    pub fn with_operator(self, operator: OperatorConfig, secret: Option<[u8; 32]>) -> Self {
         Self { operator, secret, ..self }
     }
 
@@ -61,14 +61,14 @@
     }
 
     /// The keys that every later configuration has to hold. The list is no setting: it comes as it is.
-    pub(super) fn shape(&self) -> Shape {
-        let mut shape = Shape::of(&self.value());
+    pub(super) fn shape(&self) -> ConfigSchema {
+        let mut shape = ConfigSchema::of(&self.value());
         shape.loosen("known");
         shape
     }
 
     /// The first key of an earlier one that this one lacks.
-    pub(super) fn lacks(&self, shape: &Shape) -> Option<String> {
+    pub(super) fn lacks(&self, shape: &ConfigSchema) -> Option<String> {
         shape.missing(&self.value())
     }
 
--- a/src/daemon/shape.rs
+++ b/src/daemon/config_schema.rs
@@ -5,11 +5,11 @@
 
 /// The keys of a JSON value, all the way down.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum ConfigSchema {
     /// An object with these keys.
-    Object(BTreeMap<String, Shape>),
+    Object(BTreeMap<String, ConfigSchema>),
     /// A list: what all of its elements have, and what each has that tells its `name`.
-    List(Box<Shape>, BTreeMap<String, Shape>),
+    List(Box<ConfigSchema>, BTreeMap<String, ConfigSchema>),
     /// Anything else.
     Leaf,
 }
@@ -18,7 +18,7 @@
     value.get("name")?.as_str()
 }
 
-impl Shape {
+impl ConfigSchema {
     /// That of a value.
     pub fn of(value: &Value) -> Self {
         match value {
@@ -79,30 +79,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    /// Guards against half a file that is taken for a whole one, and against turning down what is only new.
-    #[test]
-    fn a_missing_key_is_named_at_any_depth() {
-        let first = json!({"a": {"b": 1}, "known": {"x": 1},
-            "lanes": [{"name": "l", "aim": 1, "fifo": true}, {"name": "m", "aim": 2}]});
-        let mut shape = Shape::of(&first);
-        shape.loosen("known");
-        let missing = |value: Value| shape.missing(&value);
-        let lanes = json!([{"name": "n", "aim": 3}, {"name": "l", "aim": 1, "fifo": false}]);
-        assert_eq!(missing(json!({"a": {"b": "c", "d": 1}, "known": 1, "lanes": lanes, "e": 1})), None);
-        assert_eq!(missing(json!({"a": {"b": 1}, "known": 1, "lanes": []})), None);
-        for (value, key) in [
-            (json!({}), "a"),
-            (json!({"a": {"d": 1}, "known": 1, "lanes": []}), "a.b"),
-            (json!({"a": {"b": 1}, "lanes": []}), "known"),
-            (json!({"a": {"b": 1}, "known": 1, "lanes": 1}), "lanes"),
-            (json!({"a": {"b": 1}, "known": 1, "lanes": [{"name": "n"}]}), "lanes.0.aim"),
-            (json!({"a": {"b": 1}, "known": 1, "lanes": [{"name": "l", "aim": 1}]}), "lanes.0.fifo"),
-        ] {
-            assert_eq!(missing(value).as_deref(), Some(key));
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/daemon/config_schema/tests.rs
@@ -0,0 +1,25 @@
+use super::*;
+use serde_json::json;
+
+/// Guards against half a file that is taken for a whole one, and against turning down what is only new.
+#[test]
+fn a_missing_key_is_named_at_any_depth() {
+    let first = json!({"a": {"b": 1}, "known": {"x": 1},
+        "lanes": [{"name": "l", "aim": 1, "fifo": true}, {"name": "m", "aim": 2}]});
+    let mut shape = ConfigSchema::of(&first);
+    shape.loosen("known");
+    let missing = |value: Value| shape.missing(&value);
+    let lanes = json!([{"name": "n", "aim": 3}, {"name": "l", "aim": 1, "fifo": false}]);
+    assert_eq!(missing(json!({"a": {"b": "c", "d": 1}, "known": 1, "lanes": lanes, "e": 1})), None);
+    assert_eq!(missing(json!({"a": {"b": 1}, "known": 1, "lanes": []})), None);
+    for (value, key) in [
+        (json!({}), "a"),
+        (json!({"a": {"d": 1}, "known": 1, "lanes": []}), "a.b"),
+        (json!({"a": {"b": 1}, "lanes": []}), "known"),
+        (json!({"a": {"b": 1}, "known": 1, "lanes": 1}), "lanes"),
+        (json!({"a": {"b": 1}, "known": 1, "lanes": [{"name": "n"}]}), "lanes.0.aim"),
+        (json!({"a": {"b": 1}, "known": 1, "lanes": [{"name": "l", "aim": 1}]}), "lanes.0.fifo"),
+    ] {
+        assert_eq!(missing(value).as_deref(), Some(key));
+    }
+}
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -1,10 +1,10 @@
 //! The list of endpoints: an unbroken watch on the agent of this machine.
-use super::asking::{Asking, Call, Terms};
 use super::connection::{CallError, Connection, request};
-use super::input::Input;
-use super::latest::Latest;
+use super::endpoint_list::EndpointList;
+use super::events::LoopEvent;
+use super::poll_schedule::{Poll, PollSchedule, PollingTerms};
 use super::ports::{Network, Ports};
-use super::targets::Targets;
+use super::watch_cell::WatchCell;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Method;
@@ -30,9 +30,9 @@
 /// Who is asked for the list, and how.
 pub struct Agent {
     /// Where it is.
-    pub address: Latest<SocketAddr>,
+    pub address: WatchCell<SocketAddr>,
     /// On which terms it is asked.
-    pub terms: Latest<Terms>,
+    pub terms: WatchCell<PollingTerms>,
     /// The revision from which it is asked to go on first, if any.
     pub known: Option<u64>,
     /// No list is longer.
@@ -42,7 +42,7 @@
 /// Watches the list at the agent's present address, for as long as the host listens, first from the revision that is
 /// `known`, if any: the whole list is much, and asked of discovery by all who start together. An agent at another
 /// address is asked for the whole list: its revisions need not follow those of the one before.
-pub async fn watch(agent: Agent, mut asking: Asking, host: UnboundedSender<Input>, ports: Ports) {
+pub async fn watch(agent: Agent, mut asking: PollSchedule, host: UnboundedSender<LoopEvent>, ports: Ports) {
     let Agent { address: agents, terms, known, most_bytes } = agent;
     let mut agent = agents.get();
     let (mut revision, mut connection, mut failing) = (known, None, false);
@@ -72,7 +72,7 @@
                 // An agent that has started anew may count from the start: nothing would be newer than what is known.
                 let follows = targets.complete || revision.is_none_or(|from| targets.revision >= from);
                 revision = follows.then_some(targets.revision);
-                if host.send(Input::Targets(targets)).is_err() {
+                if host.send(LoopEvent::EndpointList(targets)).is_err() {
                     return;
                 }
             }
@@ -91,10 +91,10 @@
     network: &dyn Network,
     agent: SocketAddr,
     revision: Option<u64>,
-    call: Call,
+    call: Poll,
     most_bytes: usize,
     kept: &mut Option<Connection>,
-) -> Result<Targets, WatchError> {
+) -> Result<EndpointList, WatchError> {
     let path = match revision {
         Some(revision) => format!("/api/targets?from={revision}&hold_ms={}", call.hold.as_millis()),
         None => "/api/targets".to_owned(),
@@ -113,7 +113,7 @@
         return Err(WatchError::Status(answer.status()));
     }
     let body = http_body_util::Limited::new(answer.into_body(), most_bytes).collect().await;
-    let targets: Targets = serde_json::from_slice(&body.map_err(WatchError::Body)?.to_bytes())?;
+    let targets: EndpointList = serde_json::from_slice(&body.map_err(WatchError::Body)?.to_bytes())?;
     *kept = Some(connection);
-    Ok(Targets { agent: Some(agent), ..targets })
+    Ok(EndpointList { agent: Some(agent), ..targets })
 }
--- a/src/daemon/durability/lasting.rs
+++ b/src/daemon/durability/durable_storage.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 /// A folder whose renames are synced, the file before and the name after.
-pub struct Lasting(pub Rc<dyn Storage>);
+pub struct DurableStorage(pub Rc<dyn Storage>);
 
-impl Storage for Lasting {
+impl Storage for DurableStorage {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.0.read(name)
     }
--- a/src/daemon/durability/gate.rs
+++ b/src/daemon/durability/group_commit.rs
@@ -7,7 +7,7 @@
 
 /// What the gate wants done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum NextStep {
     /// Nothing, or not before then.
     Wait(Option<Duration>),
     /// A sync, of all that is written now.
@@ -18,7 +18,7 @@
 
 /// The state of one journal's file.
 #[derive(Debug)]
-pub struct Gate {
+pub struct GroupCommit {
     /// So long a record waits for others before it is synced.
     delay: Duration,
     written: u64,
@@ -33,7 +33,7 @@
     file: u64,
 }
 
-impl Gate {
+impl GroupCommit {
     /// Of a file all of which stands.
     pub fn new(delay: Duration) -> Self {
         Self { delay, written: 0, standing: 0, syncing: None, since: None, failed: None, file: 0 }
@@ -48,19 +48,19 @@
     }
 
     /// What is to be done now.
-    pub fn wanted(&self, now: Duration) -> Wanted {
+    pub fn wanted(&self, now: Duration) -> NextStep {
         if let Some(at) = self.failed {
-            return if now >= at { Wanted::NewFile } else { Wanted::Wait(Some(at)) };
+            return if now >= at { NextStep::NewFile } else { NextStep::Wait(Some(at)) };
         }
         match self.since.map(|since| since + self.delay) {
             Some(due) if self.syncing.is_none() => {
                 if now >= due {
-                    Wanted::Sync
+                    NextStep::Sync
                 } else {
-                    Wanted::Wait(Some(due))
+                    NextStep::Wait(Some(due))
                 }
             }
-            _ => Wanted::Wait(None),
+            _ => NextStep::Wait(None),
         }
     }
 
@@ -108,61 +108,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::daemon::durability::Held;
-
-    const fn ms(n: u64) -> Duration {
-        Duration::from_millis(n)
-    }
-
-    /// Guards against an act that goes out before its record stands, and one that waits though it does.
-    #[test]
-    fn what_is_written_during_a_sync_waits_for_the_next() {
-        let (mut gate, mut held) = (Gate::new(ms(2)), Held::default());
-        gate.written(1, ms(0));
-        held.hold(1, "a");
-        assert_eq!(gate.wanted(ms(1)), Wanted::Wait(Some(ms(2))));
-        gate.written(2, ms(1));
-        held.hold(2, "b");
-        assert_eq!(gate.wanted(ms(2)), Wanted::Sync);
-        let file = gate.sync_begins();
-        gate.written(3, ms(3));
-        held.hold(3, "c");
-        assert_eq!(gate.wanted(ms(9)), Wanted::Wait(None), "one at a time");
-        assert_eq!(held.next(gate.standing()), None);
-        gate.sync_ended(file, true, ms(9));
-        assert_eq!([held.next(gate.standing()), held.next(gate.standing())], [Some("a"), Some("b")]);
-        assert_eq!((held.next(gate.standing()), gate.wanted(ms(9))), (None, Wanted::Sync));
-        let file = gate.sync_begins();
-        gate.sync_ended(file, true, ms(10));
-        assert_eq!((held.next(gate.standing()), held.is_empty()), (Some("c"), true));
-        assert_eq!(gate.wanted(ms(99)), Wanted::Wait(None));
-    }
-
-    /// Guards against a second sync of a file whose first one failed, and a late yes of a file that was given up.
-    #[test]
-    fn a_failed_sync_is_final_for_its_file() {
-        let mut gate = Gate::new(ms(0));
-        gate.written(1, ms(0));
-        let first = gate.sync_begins();
-        gate.sync_ended(first, false, ms(5));
-        assert_eq!((gate.wanted(ms(5)), gate.standing(), gate.has_failed()), (Wanted::NewFile, 0, true));
-        gate.no_new_file(ms(1000));
-        gate.written(2, ms(6));
-        assert_eq!(gate.wanted(ms(6)), Wanted::Wait(Some(ms(1000))));
-        gate.sync_ended(first, true, ms(7));
-        assert_eq!(gate.standing(), 0, "nothing is out");
-        gate.new_file();
-        assert_eq!(
-            (gate.standing(), gate.has_failed(), gate.wanted(ms(1000))),
-            (2, false, Wanted::Wait(None))
-        );
-        gate.written(3, ms(1001));
-        let second = gate.sync_begins();
-        gate.sync_ended(first, true, ms(1002));
-        assert_eq!(gate.standing(), 2, "a yes of the file before");
-        gate.sync_ended(second, true, ms(1003));
-        assert_eq!(gate.standing(), 3);
-    }
-}
+mod tests;
--- a/src/daemon/durability/mod.rs
+++ b/src/daemon/durability/mod.rs
@@ -2,28 +2,28 @@
 //!
 //! Under `process` a record stands once it is written: it outlasts the process and not the machine. Under `machine` it
 //! stands once it is synced, and what a record must stand before, an answer, a call, a notice, is held until then.
-mod gate;
-mod lasting;
-mod traced;
+mod durable_storage;
+mod group_commit;
+mod traced_storage;
 
-pub use gate::{Gate, Wanted};
-pub use lasting::Lasting;
+pub use durable_storage::DurableStorage;
+pub use group_commit::{GroupCommit, NextStep};
 use std::collections::VecDeque;
 use std::time::Duration;
-pub use traced::Traced;
+pub use traced_storage::TracedStorage;
 
 /// Acts that wait for the records before them, in the order of those records.
-pub struct Held<T> {
+pub struct DeferredEffects<T> {
     acts: VecDeque<(u64, T)>,
 }
 
-impl<T> Default for Held<T> {
+impl<T> Default for DeferredEffects<T> {
     fn default() -> Self {
         Self { acts: VecDeque::new() }
     }
 }
 
-impl<T> Held<T> {
+impl<T> DeferredEffects<T> {
     /// Holds an act until the records up to `mark` stand.
     pub fn hold(&mut self, mark: u64, act: T) {
         self.acts.push_back((mark, act));
--- a/src/daemon/durability/traced.rs
+++ b/src/daemon/durability/traced_storage.rs
@@ -12,7 +12,7 @@
 }
 
 /// A folder of which each file that is begun, synced or renamed is told in a line.
-pub struct Traced {
+pub struct TracedStorage {
     folder: Rc<dyn Storage>,
     log: Rc<dyn Log>,
     files: RefCell<BTreeMap<String, Rc<Named>>>,
@@ -24,7 +24,7 @@
     log: Rc<dyn Log>,
 }
 
-impl Traced {
+impl TracedStorage {
     /// That folder, told of in that log.
     pub fn new(folder: Rc<dyn Storage>, log: Rc<dyn Log>) -> Self {
         Self { folder, log, files: RefCell::default() }
@@ -42,7 +42,7 @@
     }
 }
 
-impl Storage for Traced {
+impl Storage for TracedStorage {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.folder.read(name)
     }
@@ -118,35 +118,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::daemon::system::Folder;
-
-    struct Lines(RefCell<Vec<String>>);
-
-    impl Log for Lines {
-        fn line(&self, text: &str) {
-            self.0.borrow_mut().push(text.to_owned());
-        }
-    }
-
-    /// Guards against a length that was not synced, or that is told of another file.
-    #[tokio::test]
-    async fn what_is_synced_is_told_under_its_name() {
-        let folder = tempfile::tempdir().unwrap();
-        let log = Rc::new(Lines(RefCell::default()));
-        let traced = Traced::new(Rc::new(Folder(folder.path().to_owned())), log.clone());
-        let mut file = traced.create("a.new").unwrap();
-        file.append(b"1234").unwrap();
-        // As whoever puts a file in place of another does: what is open stays the same file.
-        traced.open("a.new").unwrap();
-        let sync = file.sync();
-        file.append(b"56").unwrap();
-        sync.await.unwrap();
-        traced.rename("a.new", "a").unwrap();
-        file.sync_now().unwrap();
-        traced.open("a").unwrap().sync_now().unwrap();
-        let told = ["begun a.new", "synced a.new 4", "renamed a.new a", "synced a 6", "synced a 6"];
-        assert_eq!(*log.0.borrow(), told.map(|line| format!("trace storage {line}")));
-    }
-}
+mod tests;
--- a/src/daemon/targets.rs
+++ b/src/daemon/endpoint_list.rs
@@ -4,7 +4,7 @@
 
 /// A version of the list, or the changes that led to it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Targets {
+pub struct EndpointList {
     /// Whose list it is: versions are counted by an agent.
     #[serde(skip)]
     pub agent: Option<SocketAddr>,
@@ -13,12 +13,12 @@
     /// Whether it is the whole list.
     pub complete: bool,
     /// Its entries.
-    pub members: Vec<Member>,
+    pub members: Vec<ListedEndpoint>,
 }
 
 /// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct ListedEndpoint {
     /// The same at every sender.
     pub id: String,
     /// Where this sender reaches it.
--- a/src/daemon/host/operators.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -1,14 +1,14 @@
 //! What operators ask: other settings, figures.
-use super::list::Endpoint;
-use super::{Host, settings, terms};
-use crate::daemon::call::ReportFields;
-use crate::daemon::classes::Named;
+use super::endpoints::KnownEndpoint;
+use super::{EventLoop, settings, terms};
+use crate::daemon::class_registry::NamedClass;
 use crate::daemon::config::Config;
-use crate::daemon::figures::Figures;
+use crate::daemon::endpoint_list::Phase;
 use crate::daemon::maintenance::replace;
-use crate::daemon::peers;
+use crate::daemon::membership;
+use crate::daemon::metrics::Metrics;
+use crate::daemon::outbound_call::ReportFields;
 use crate::daemon::ports::Storage;
-use crate::daemon::targets::Phase;
 use crate::profile::Profile;
 use crate::{EndpointId, Event};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 /// A picture of the figures serves all who ask within this.
 pub(super) const PICTURE: Duration = Duration::from_millis(100);
 
-pub(super) fn written_classes(folder: &dyn Storage) -> Result<Vec<Named>, String> {
+pub(super) fn written_classes(folder: &dyn Storage) -> Result<Vec<NamedClass>, String> {
     match folder.read(CLASSES).map_err(|e| e.to_string())? {
         Some(bytes) => serde_json::from_slice(&bytes).map_err(|e| e.to_string()),
         None => Ok(Vec::new()),
@@ -42,7 +42,7 @@
     ReportFields { left: has("x0"), limit: has("x1") }
 }
 
-impl Host {
+impl EventLoop {
     /// Takes a configuration over whole, or leaves all as it was.
     pub(super) fn reload(&mut self, config: &Config) -> Result<String, String> {
         if let Some(key) = config.lacks(&self.shape) {
@@ -50,7 +50,7 @@
         }
         let (profile, names) = (&config.settings, config.settings.names());
         self.config.operator.may_become(&config.operator).map_err(|e| e.to_string())?;
-        let members = peers::follow(&config.operator).map_err(|e| e.to_string())?;
+        let members = membership::follow(&config.operator).map_err(|e| e.to_string())?;
         if names.kinds != self.names.kinds || names.zones != self.names.zones {
             return Err("kinds and zones cannot change while a sender runs".to_owned());
         }
@@ -100,7 +100,7 @@
     }
 
     /// The figures as they are now, or were a moment ago.
-    pub(super) fn picture(&mut self) -> Rc<Figures> {
+    pub(super) fn picture(&mut self) -> Rc<Metrics> {
         let at = Instant::now();
         if let Some((taken, picture)) = &self.picture
             && at < *taken + PICTURE
@@ -109,8 +109,9 @@
         }
         let now = self.clock.at(at);
         let listed = self.endpoints.iter().filter(|(_, known)| known.member.phase != Phase::Deleted);
-        let down = |(id, known): &(&EndpointId, &Endpoint)| !known.serving || self.sender.avoids(now, **id);
-        let picture = Rc::new(Figures {
+        let down =
+            |(id, known): &(&EndpointId, &KnownEndpoint)| !known.serving || self.sender.avoids(now, **id);
+        let picture = Rc::new(Metrics {
             backend_calls: self.outside.written.load(Ordering::Relaxed),
             inflight: self.numbers.len() - self.unnoticed,
             hosts_listed: listed.clone().count(),
--- a/src/daemon/host/intake.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -1,40 +1,41 @@
 //! Messages that are taken on, or taken up from an earlier process.
-use super::Host;
-use crate::daemon::input::Answer;
-use crate::daemon::notices::Notice;
-use crate::daemon::store::{End, Handed, Owed};
+use super::EventLoop;
+use crate::daemon::events::SubmitResponse;
+use crate::daemon::journal::{FinalOutcome, PendingMessage, SubmittedMessage};
+use crate::daemon::notifications::Notification;
 use crate::{
-    ClassId, DestinationId, Event, Message, MessageId, OrderKey, Repeat, Resumed, Span, Time, ZoneId,
+    ClassId, DestinationId, Event, Idempotency, Message, MessageId, OrderKey, RecoveredMessage, TimeDelta,
+    Timestamp, ZoneId,
 };
 use std::hash::{DefaultHasher, Hash, Hasher};
 use tokio::time::Instant;
 
-impl Host {
-    pub(super) fn hand_in(&mut self, message: Handed, deadline: Instant) -> Answer {
+impl EventLoop {
+    pub(super) fn submit(&mut self, message: SubmittedMessage, deadline: Instant) -> SubmitResponse {
         if self.numbers.contains_key(&message.id) || self.store.was_over(&message.id) {
-            return Answer::TakenOn;
+            return SubmitResponse::Accepted;
         }
-        let owed = Owed::new(message, self.clock.at(deadline).0);
+        let owed = PendingMessage::new(message, self.clock.at(deadline).0);
         let Some(class) = self.classes.of_newcomer(&owed.message.class) else {
-            return Answer::Malformed(format!("unknown class {:?}", owed.message.class));
+            return SubmitResponse::Malformed(format!("unknown class {:?}", owed.message.class));
         };
         let tenants = &self.names.tenants;
         let unknown = |name: &&String| !tenants.is_empty() && !tenants.contains_key(*name);
         if let Some(name) = owed.message.tenant.as_ref().filter(unknown) {
-            return Answer::Malformed(format!("unknown tenant {name:?}"));
+            return SubmitResponse::Malformed(format!("unknown tenant {name:?}"));
         }
         let mut known = match self.message(0, class, &owed) {
             Ok(known) => known,
-            Err(what) => return Answer::Malformed(what),
+            Err(what) => return SubmitResponse::Malformed(what),
         };
         if self.cannot_promise() {
             self.figures.refused(&owed.message.class);
-            return Answer::Refused;
+            return SubmitResponse::Rejected;
         }
         let away = self.returning.turns_away(self.repeats(class));
         if let Some(wait) = away.or_else(|| self.returning.admit().err()) {
             self.figures.refused(&owed.message.class);
-            return Answer::Later(wait);
+            return SubmitResponse::RetryAfter(wait);
         }
         let now = self.now();
         // Only the platform is still to hear of the others.
@@ -42,33 +43,40 @@
         if !self.sender.admits(now, held, known.destination) {
             self.figures.refused(&owed.message.class);
             self.trace.ended(now, owed.message.destination, "door", &owed.message.class, 0);
-            return Answer::Refused;
+            return SubmitResponse::Rejected;
         }
         let class = owed.message.class.clone();
         let id = owed.message.id.clone();
         if self.config.operator.recovery.is_some() {
             self.marks.mark(&mut self.store, now.0);
         }
-        match self.store.take_on(owed) {
+        match self.store.accept(owed) {
             Ok(number) => {
                 known.id = MessageId(number);
                 self.numbers.insert(id, number);
                 self.trace.taken(now, known.destination.0);
                 self.pending.push((now, Event::Message(known)));
-                Answer::TakenOn
+                SubmitResponse::Accepted
             }
             Err(e) => {
                 self.figures.refused(&class);
                 self.log(&format!("refused: {e}"));
-                Answer::Refused
+                SubmitResponse::Rejected
             }
         }
     }
 
     /// A message in the module's terms; the error says what cannot be understood.
-    pub(super) fn message(&self, number: u32, class: ClassId, owed: &Owed) -> Result<Message, String> {
+    pub(super) fn message(
+        &self,
+        number: u32,
+        class: ClassId,
+        owed: &PendingMessage,
+    ) -> Result<Message, String> {
         let of_class = &self.settings.classes[class.0];
-        if matches!(of_class.repeat, Repeat::Keyed { .. }) && owed.message.idempotency_key.is_none() {
+        if matches!(of_class.idempotency, Idempotency::WithKey { .. })
+            && owed.message.idempotency_key.is_none()
+        {
             return Err(format!("class {:?} needs an idempotency key", owed.message.class));
         }
         // One of before may be of a tenant that the settings no longer name.
@@ -79,17 +87,19 @@
             key.hash(&mut hasher);
             OrderKey(hasher.finish())
         });
-        let budget = Span(owed.deadline.saturating_sub(self.now().0));
+        let budget = TimeDelta(owed.deadline.saturating_sub(self.now().0));
         let destination = DestinationId(owed.message.destination);
-        Ok(Message { id: MessageId(number), class, tenant, key, destination, budget })
+        Ok(Message { id: MessageId(number), class, tenant, key, destination, time_to_live: budget })
     }
 
     /// Takes up what an earlier process left.
     pub(super) fn resume(&mut self) {
         self.latest = self.store.latest();
-        let owed: Vec<(u32, Owed)> = self.store.owed().map(|(number, owed)| (number, owed.clone())).collect();
+        let owed: Vec<(u32, PendingMessage)> =
+            self.store.pending().map(|(number, owed)| (number, owed.clone())).collect();
         if !owed.is_empty() {
-            let count = |which: fn(&Owed) -> bool| owed.iter().filter(|(_, owed)| which(owed)).count();
+            let count =
+                |which: fn(&PendingMessage) -> bool| owed.iter().filter(|(_, owed)| which(owed)).count();
             let untried = count(|owed| owed.end.is_none() && owed.attempts == 0);
             let ended = count(|owed| owed.end.is_some());
             let all = owed.len();
@@ -110,7 +120,7 @@
                 Ok(message) => message,
                 Err(what) => {
                     self.log(&format!("resuming {}: {what}", owed.message.id));
-                    self.end(number, owed.end.unwrap_or(End::Failed));
+                    self.end(number, owed.end.unwrap_or(FinalOutcome::Failed));
                     continue;
                 }
             };
@@ -121,14 +131,15 @@
             }
             let ran = owed.ran.as_ref().or(owed.out.as_ref()).map(|first| {
                 let zone = self.names.zones.get(&first.zone).copied();
-                (Time(first.at), zone.unwrap_or(ZoneId(usize::MAX)))
+                (Timestamp(first.at), zone.unwrap_or(ZoneId(usize::MAX)))
             });
             let ended = owed.end.is_some();
-            let resumed = Resumed { message, attempts: owed.attempts, ran, ended };
+            let resumed =
+                RecoveredMessage { message, attempts: owed.attempts, first_uncertain_attempt: ran, ended };
             self.take_up(resumed);
             if let Some(end) = owed.end {
                 self.unnoticed += 1;
-                let _ = self.notices.send(Notice { number, id: owed.message.id, end });
+                let _ = self.notices.send(Notification { number, id: owed.message.id, end });
             }
         }
     }
--- a/src/daemon/host/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -1,17 +1,17 @@
 //! Calls to partners: how they begin, how they end, and how messages end with them.
-use super::Host;
-use super::durable::Act;
-use crate::daemon::call::{Call, Parcel};
-use crate::daemon::input::{Called, Input};
-use crate::daemon::notices::Notice;
-use crate::daemon::store::{Attempt, End, Handed, StoreError};
+use super::EventLoop;
+use super::durable_effects::DeferredEffect;
+use crate::daemon::events::{CallCompletion, LoopEvent};
+use crate::daemon::journal::{Attempt, FinalOutcome, JournalError, SubmittedMessage};
+use crate::daemon::notifications::Notification;
+use crate::daemon::outbound_call::{BatchedMessage, Call};
 use crate::daemon::trace;
-use crate::{EndpointId, Event, MessageId, Outcome, Report, Span, Time};
+use crate::{EndpointId, Event, LoadReport, MessageId, Outcome, TimeDelta, Timestamp};
 use std::time::Duration;
 use tokio::time::Instant;
 
-impl Host {
-    pub(super) fn call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Time) {
+impl EventLoop {
+    pub(super) fn call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Timestamp) {
         let now = self.now();
         // The module forgets no endpoint that it sends to.
         let Some(at) = self.endpoints.get(&endpoint) else { return };
@@ -28,7 +28,7 @@
                 unsent.push((MessageId(number), attempt));
                 continue;
             }
-            parcels.push(Parcel {
+            parcels.push(BatchedMessage {
                 number,
                 id: owed.message.id.clone(),
                 idempotency_key: owed.message.idempotency_key.clone(),
@@ -36,8 +36,9 @@
             });
         }
         for (message, attempt) in unsent {
-            let (outcome, elapsed) = (Outcome::Withheld, Span(0));
-            let event = Event::Ended { message, attempt, outcome, elapsed, last: false, report: None };
+            let (outcome, elapsed) = (Outcome::Deferred, TimeDelta(0));
+            let event =
+                Event::AttemptEnded { message, attempt, outcome, elapsed, completes: false, report: None };
             self.pending.push((now, event));
         }
         if parcels.is_empty() {
@@ -54,7 +55,7 @@
             expires: self.clock.instant(expires),
             connect_timeout: Duration::from_micros(self.settings.connect_timeout.0),
         };
-        self.act(Act::Call(call));
+        self.act(DeferredEffect::Call(call));
     }
 
     /// Lets a call go out.
@@ -63,13 +64,13 @@
         let (kept, outside) = (self.pool.take(endpoint, address, Instant::now()), self.outside.clone());
         self.tasks.spawn_local(async move {
             if let Some(connection) = call.run(kept, &outside).await {
-                let _ = outside.host.send(Input::Idle(endpoint, address, connection));
+                let _ = outside.host.send(LoopEvent::ConnectionIdle(endpoint, address, connection));
             }
         });
     }
 
-    pub(super) fn called(&mut self, called: Called) {
-        let at = self.clock.at(called.at);
+    pub(super) fn called(&mut self, called: CallCompletion) {
+        let at = self.clock.at(called.completed_at);
         let sent = self.calls.remove(&called.number).unwrap_or(at);
         if let (Some(at_end), Some((_, outcome, _))) =
             (self.endpoints.get(&called.endpoint), called.ends.first())
@@ -79,26 +80,29 @@
                 endpoint: &at_end.member.id,
                 messages: called.ends.len(),
                 outcome: *outcome,
-                elapsed: Span(at.0.saturating_sub(sent.0)),
+                elapsed: TimeDelta(at.0.saturating_sub(sent.0)),
                 report: called.report,
             };
             self.trace.call(at, &ended);
         }
         self.slices.changed(called.endpoint);
-        let heeded = called.ends.iter().any(|(_, outcome, _)| matches!(outcome, Outcome::Full(Some(_))));
+        let heeded = called
+            .ends
+            .iter()
+            .any(|(_, outcome, _)| matches!(outcome, Outcome::Rejected { retry_after: Some(_) }));
         self.ended(sent, at, called.ends, called.report);
-        if let Some(wait) = called.wait.filter(|_| !heeded) {
-            self.pending.push((at, Event::Told { endpoint: called.endpoint, wait }));
+        if let Some(wait) = called.retry_after.filter(|_| !heeded) {
+            self.pending.push((at, Event::RetryAfter { endpoint: called.endpoint, wait }));
         }
     }
 
     /// Books how the attempts of a call ended.
     pub(super) fn ended(
         &mut self,
-        sent: Time,
-        at: Time,
+        sent: Timestamp,
+        at: Timestamp,
         ends: Vec<(u32, Outcome, bool)>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         for (number, outcome, last) in ends {
             let attempts = self.store.get(number).map_or(1, |owed| owed.attempts);
@@ -110,34 +114,34 @@
             } else {
                 let may_have_run = matches!(outcome, Outcome::Failure | Outcome::TimedOut | Outcome::Reset);
                 let booked = match outcome {
-                    Outcome::Withheld => self.store.withheld(number),
+                    Outcome::Deferred => self.store.attempt_deferred(number),
                     _ => self.store.outcome(number, may_have_run),
                 };
                 self.booked(booked);
             }
-            let event = Event::Ended {
+            let event = Event::AttemptEnded {
                 message: MessageId(number),
                 attempt: attempts.saturating_sub(1),
                 outcome,
-                elapsed: Span(at.0.saturating_sub(sent.0)),
-                last,
+                elapsed: TimeDelta(at.0.saturating_sub(sent.0)),
+                completes: last,
                 report,
             };
             self.pending.push((at, event));
         }
     }
 
-    pub(super) fn end(&mut self, number: u32, end: End) {
+    pub(super) fn end(&mut self, number: u32, end: FinalOutcome) {
         let Some(owed) = self.store.get(number) else { return };
         let id = owed.message.id.clone();
         self.figures.ended(&owed.message.class, end);
-        let how = if matches!(end, End::Failed) { "failed" } else { "returned" };
-        let Handed { destination, class, .. } = &owed.message;
+        let how = if matches!(end, FinalOutcome::Failed) { "failed" } else { "returned" };
+        let SubmittedMessage { destination, class, .. } = &owed.message;
         self.trace.ended(self.now(), *destination, how, class, owed.attempts);
         let booked = self.store.end(number, end);
         self.booked(booked);
         self.unnoticed += 1;
-        self.act(Act::Notice(Notice { number, id, end }));
+        self.act(DeferredEffect::Notice(Notification { number, id, end }));
     }
 
     /// Nothing more is owed.
@@ -152,7 +156,7 @@
     }
 
     /// A record that cannot be written is made good by the next compaction; the sender goes on.
-    pub(super) fn booked(&mut self, written: Result<(), StoreError>) {
+    pub(super) fn booked(&mut self, written: Result<(), JournalError>) {
         if let Err(e) = written {
             self.log(&e.to_string());
         }
--- a/src/daemon/host/remembering.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,41 +1,42 @@
 //! What outlasts the process beside the journal: what it starts from, and what it writes down as it goes.
-use super::Host;
-use super::list::Endpoint;
+use super::EventLoop;
+use super::endpoints::KnownEndpoint;
+use crate::daemon::checkpoint::restore::{RestoredCheckpoint, restore};
+use crate::daemon::checkpoint::schedule::Next;
+use crate::daemon::checkpoint::{Checkpoint, DiscoveryVersion, EndpointCheckpoint};
 use crate::daemon::config::Config;
-use crate::daemon::memory::recall::{Recalled, recall};
-use crate::daemon::memory::slices::Next;
-use crate::daemon::memory::{Known, Memory, Version};
-use crate::daemon::targets::Targets;
-use crate::{EndpointId, Learned, Time};
+use crate::daemon::endpoint_list::EndpointList;
+use crate::{EndpointId, RouteSnapshot, Timestamp};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::RngCore;
 use std::io;
 use tokio::time::Instant;
 
-impl Host {
+impl EventLoop {
     /// Goes by the configuration's list and what an earlier process left. With `chance` that was a restart: what was
     /// learned has aged, and others start too; without, it is this very moment's.
-    pub(super) fn start_from(&mut self, memory: Memory, config: &Config, mut chance: Option<ChaCha8Rng>) {
-        let known = Targets { agent: Some(config.discovery), ..config.known.clone() };
+    pub(super) fn start_from(&mut self, memory: Checkpoint, config: &Config, mut chance: Option<ChaCha8Rng>) {
+        let known = EndpointList { agent: Some(config.discovery), ..config.known.clone() };
         let now = self.now();
         self.counts_anew = memory.version.is_none() && !memory.endpoints.is_empty();
-        let Recalled { members, from, learned, held_out } = recall(memory, &known, chance.is_none(), now);
+        let RestoredCheckpoint { members, from, learned, held_out } =
+            restore(memory, &known, chance.is_none(), now);
         if held_out > 0 {
             self.log(&format!("{held_out} endpoints stay out: they were heard to drain or to be gone"));
         }
         let (members, heard): (Vec<_>, Vec<_>) = members.into_iter().unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
-        self.targets(Targets { agent: None, revision: known.revision, complete: true, members });
+        self.targets(EndpointList { agent: None, revision: known.revision, complete: true, members });
         for (name, heard) in names.iter().zip(heard) {
             if let Some(at) = self.endpoint_ids.get(name).and_then(|id| self.endpoints.get_mut(id)) {
                 at.heard = heard;
             }
         }
-        self.version = from.map(|revision| Version { agent: config.discovery, revision });
+        self.version = from.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
         self.step();
         for (name, lines, written) in learned {
             let Some(id) = self.endpoint_ids.get(&name) else { continue };
-            let mut worth = |line: Learned| match &mut chance {
+            let mut worth = |line: RouteSnapshot| match &mut chance {
                 Some(random) => {
                     let chance = f64::from(random.next_u32()) / f64::from(u32::MAX);
                     if self.returning.believes_clock() {
@@ -57,7 +58,7 @@
     }
 
     /// The list has led to that version, with news of these endpoints: written down before anything follows from it.
-    pub(super) fn heard(&mut self, version: Version, news: Vec<EndpointId>) {
+    pub(super) fn heard(&mut self, version: DiscoveryVersion, news: Vec<EndpointId>) {
         if self.version == Some(version) && news.is_empty() {
             return;
         }
@@ -83,7 +84,7 @@
     }
 
     /// When the next slice is due, if there is one: only with all that has happened learned from.
-    pub(super) fn memory_due(&self) -> Option<Time> {
+    pub(super) fn memory_due(&self) -> Option<Timestamp> {
         self.slices.due().filter(|_| self.pending.is_empty())
     }
 
@@ -102,24 +103,24 @@
     }
 
     /// All of it, for a next process on this machine.
-    pub(super) fn memory(&self) -> Memory {
+    pub(super) fn memory(&self) -> Checkpoint {
         let now = self.now();
         let endpoints = self.endpoints.keys().filter_map(|id| self.known(*id, now));
         let endpoints = endpoints.map(|known| (known.member.id.clone(), known)).collect();
-        Memory { version: self.comparable(), whole: true, endpoints }
+        Checkpoint { version: self.comparable(), whole: true, endpoints }
     }
 
-    fn known(&self, id: EndpointId, now: Time) -> Option<Known> {
+    fn known(&self, id: EndpointId, now: Timestamp) -> Option<EndpointCheckpoint> {
         let at = self.endpoints.get(&id)?;
         let learned = self.sender.learned(id);
-        Some(Known { member: at.member.clone(), heard: at.heard, learned, written: now })
+        Some(EndpointCheckpoint { member: at.member.clone(), heard: at.heard, learned, written: now })
     }
 
     /// A new file, and what goes into it: first what binds.
     fn begin_file(&mut self) -> io::Result<Vec<EndpointId>> {
         let bytes = self.notebook.begin()?;
         let now = self.now();
-        let binds = |(id, at): &(&EndpointId, &Endpoint)| !at.serving || self.sender.binds(now, **id);
+        let binds = |(id, at): &(&EndpointId, &KnownEndpoint)| !at.serving || self.sender.binds(now, **id);
         let (first, rest): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(binds);
         let ids: Vec<EndpointId> = first.into_iter().chain(rest).map(|(id, _)| *id).collect();
         self.slices.begun(bytes, ids.clone());
@@ -132,14 +133,14 @@
     }
 
     /// The version that others may compare theirs with.
-    fn comparable(&self) -> Option<Version> {
+    fn comparable(&self) -> Option<DiscoveryVersion> {
         self.version.filter(|_| !self.counts_anew)
     }
 
     fn write_down(&mut self, ids: Vec<EndpointId>, news: bool) -> io::Result<()> {
         let now = self.now();
         let version = self.comparable().filter(|_| news);
-        let known: Vec<Known> = ids.into_iter().filter_map(|id| self.known(id, now)).collect();
+        let known: Vec<EndpointCheckpoint> = ids.into_iter().filter_map(|id| self.known(id, now)).collect();
         let slices = &mut self.slices;
         let bytes = self.notebook.write(known.into_iter(), news, version, |bytes| slices.fits(bytes))?;
         slices.wrote(bytes);
@@ -149,7 +150,7 @@
     /// Writes something down, if the journal leaves room. Where it does not, or the disk, all of the room is the journal's:
     /// nothing of it is owed to anybody.
     fn keep(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) {
-        let done = match self.store.has_room() {
+        let done = match self.store.has_capacity() {
             true => write(self),
             false => Err(io::ErrorKind::StorageFull.into()),
         };
--- a/src/daemon/host/clock.rs
+++ b/src/daemon/event_loop/clock.rs
@@ -1,5 +1,5 @@
 //! The module's clock, on the clocks of the machine.
-use crate::Time;
+use crate::Timestamp;
 use crate::daemon::ports::WallClock;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -17,11 +17,11 @@
         Self { start: Instant::now(), wall: micros(wall.now()) }
     }
 
-    pub(super) fn at(&self, instant: Instant) -> Time {
-        Time(self.wall + micros(instant.saturating_duration_since(self.start)))
+    pub(super) fn at(&self, instant: Instant) -> Timestamp {
+        Timestamp(self.wall + micros(instant.saturating_duration_since(self.start)))
     }
 
-    pub(super) fn instant(&self, time: Time) -> Instant {
+    pub(super) fn instant(&self, time: Timestamp) -> Instant {
         self.start + Duration::from_micros(time.0.saturating_sub(self.wall))
     }
 }
--- a/src/daemon/host/durable.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -1,51 +1,51 @@
 //! What goes out only once the records before it outlast the machine: answers, calls, notices.
-use super::Host;
-use crate::daemon::call::Call;
-use crate::daemon::durability::{AGAIN, Gate, Held, Wanted};
-use crate::daemon::input::{Answer, Input};
-use crate::daemon::notices::Notice;
+use super::EventLoop;
+use crate::daemon::durability::{AGAIN, DeferredEffects, GroupCommit, NextStep};
+use crate::daemon::events::{LoopEvent, SubmitResponse};
+use crate::daemon::notifications::Notification;
+use crate::daemon::outbound_call::Call;
 use crate::{MessageId, Outcome};
-use micadrum_config::{Durability, Operator};
+use micadrum_config::{Durability, OperatorConfig};
 use std::io;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 /// Something that a record must stand before.
-pub(super) enum Act {
-    Answer(oneshot::Sender<Answer>, Answer),
+pub(super) enum DeferredEffect {
+    Answer(oneshot::Sender<SubmitResponse>, SubmitResponse),
     Call(Call),
-    Notice(Notice),
+    Notice(Notification),
 }
 
 /// What is held, and why.
-pub(super) struct Durable {
-    gate: Gate,
-    held: Held<Act>,
+pub(super) struct DurableEffects {
+    gate: GroupCommit,
+    held: DeferredEffects<DeferredEffect>,
     new_files: u64,
     origin: Instant,
 }
 
-impl Durable {
+impl DurableEffects {
     /// None where a record stands as soon as it is written.
-    pub fn new(operator: &Operator) -> Option<Self> {
+    pub fn new(operator: &OperatorConfig) -> Option<Self> {
         let Durability::Machine { delay } = operator.durability else { return None };
-        let gate = Gate::new(Duration::from_micros(delay.0));
-        Some(Self { gate, held: Held::default(), new_files: 0, origin: Instant::now() })
+        let gate = GroupCommit::new(Duration::from_micros(delay.0));
+        Some(Self { gate, held: DeferredEffects::default(), new_files: 0, origin: Instant::now() })
     }
 
     /// When the gate wants to be asked again.
     pub fn due(&self) -> Option<Instant> {
         match self.gate.wanted(self.origin.elapsed()) {
-            Wanted::Wait(at) => at.map(|at| self.origin + at),
-            Wanted::Sync | Wanted::NewFile => Some(Instant::now()),
+            NextStep::Wait(at) => at.map(|at| self.origin + at),
+            NextStep::Sync | NextStep::NewFile => Some(Instant::now()),
         }
     }
 }
 
-impl Host {
+impl EventLoop {
     /// Does something once all records up to now stand.
-    pub(super) fn act(&mut self, act: Act) {
+    pub(super) fn act(&mut self, act: DeferredEffect) {
         match &mut self.durable {
             Some(durable) => durable.held.hold(self.store.mark(), act),
             None => self.do_now(act),
@@ -53,19 +53,19 @@
     }
 
     /// Tells a client. Only a yes is a promise.
-    pub(super) fn answer(&mut self, to: oneshot::Sender<Answer>, said: Answer) {
+    pub(super) fn answer(&mut self, to: oneshot::Sender<SubmitResponse>, said: SubmitResponse) {
         match said {
-            Answer::TakenOn => self.act(Act::Answer(to, said)),
+            SubmitResponse::Accepted => self.act(DeferredEffect::Answer(to, said)),
             // A client that has gone comes again under a new id.
             said => drop(to.send(said)),
         }
     }
 
-    fn do_now(&mut self, act: Act) {
+    fn do_now(&mut self, act: DeferredEffect) {
         match act {
-            Act::Answer(to, said) => drop(to.send(said)),
-            Act::Call(call) => self.go_out(call),
-            Act::Notice(notice) => drop(self.notices.send(notice)),
+            DeferredEffect::Answer(to, said) => drop(to.send(said)),
+            DeferredEffect::Call(call) => self.go_out(call),
+            DeferredEffect::Notice(notice) => drop(self.notices.send(notice)),
         }
     }
 
@@ -101,15 +101,15 @@
             durable.gate.new_file();
         }
         match durable.gate.wanted(now) {
-            Wanted::Wait(_) => {}
-            Wanted::Sync => {
+            NextStep::Wait(_) => {}
+            NextStep::Sync => {
                 let (file, sync) = (durable.gate.sync_begins(), self.store.sync());
                 let host = self.outside.host.clone();
                 self.tasks.spawn_local(async move {
-                    let _ = host.send(Input::Synced(file, sync.await));
+                    let _ = host.send(LoopEvent::JournalSynced(file, sync.await));
                 });
             }
-            Wanted::NewFile => match self.store.begin_anew() {
+            NextStep::NewFile => match self.store.rewrite() {
                 Ok(()) => {
                     durable.new_files = self.store.new_files();
                     durable.gate.new_file();
@@ -122,7 +122,7 @@
         }
         while let Some(act) = self.durable.as_mut().and_then(|d| d.held.next(d.gate.standing())) {
             match act {
-                Act::Call(call) => self.go_out_late(call),
+                DeferredEffect::Call(call) => self.go_out_late(call),
                 act => self.do_now(act),
             }
         }
@@ -134,14 +134,14 @@
         let may = call
             .parcels
             .iter()
-            .all(|parcel| self.sender.may_begin(now, MessageId(parcel.number), call.endpoint));
+            .all(|parcel| self.sender.is_call_still_allowed(now, MessageId(parcel.number), call.endpoint));
         let there = self.endpoints.get(&call.endpoint).is_some_and(|at| at.member.host_port == call.address);
         if may && there && Instant::now() < call.expires {
             self.go_out(call);
             return;
         }
         self.calls.remove(&call.number);
-        let unsent = call.parcels.iter().map(|parcel| (parcel.number, Outcome::Withheld, false)).collect();
+        let unsent = call.parcels.iter().map(|parcel| (parcel.number, Outcome::Deferred, false)).collect();
         self.ended(now, now, unsent, None);
     }
 }
--- a/src/daemon/host/returning.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -1,32 +1,38 @@
 //! How service returns after a restart: what is owed in which stage, what others warn of, what this one tells them.
-use super::Host;
-use crate::daemon::input::Doors;
-use crate::daemon::store::{Attempt, End, Owed};
-use crate::daemon::targets::Phase;
-use crate::{ClassId, Event, Repeat, Resumed, Span, Time};
-use micadrum_recovery::owed::{Left, Repeats, Verdict};
+use super::EventLoop;
+use crate::daemon::endpoint_list::Phase;
+use crate::daemon::events::ListenerState;
+use crate::daemon::journal::{Attempt, FinalOutcome, PendingMessage};
+use crate::{ClassId, Event, Idempotency, RecoveredMessage, TimeDelta, Timestamp};
+use micadrum_recovery::owed::{LeftoverMessage, Repeats, Verdict};
 use micadrum_recovery::stages::Input;
-use micadrum_recovery::words::OfEndpoint;
-use micadrum_recovery::{Caution, Stamp};
+use micadrum_recovery::words::EndpointReport;
+use micadrum_recovery::{EndpointRestrictions, JournalStamp};
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-impl Host {
+impl EventLoop {
     pub(super) fn repeats(&self, class: ClassId) -> Repeats {
-        match self.settings.classes[class.0].repeat {
-            Repeat::Safe => Repeats::Freely,
-            Repeat::Keyed { .. } => Repeats::Within,
-            Repeat::Unsafe => Repeats::Never,
+        match self.settings.classes[class.0].idempotency {
+            Idempotency::Idempotent => Repeats::Freely,
+            Idempotency::WithKey { .. } => Repeats::Within,
+            Idempotency::NonIdempotent => Repeats::Never,
         }
     }
 
     /// What the journal has of a message, as far as that is to be believed; an end where it has to end at once.
-    pub(super) fn believed(&mut self, number: u32, class: ClassId, owed: &mut Owed) -> Option<End> {
+    pub(super) fn believed(
+        &mut self,
+        number: u32,
+        class: ClassId,
+        owed: &mut PendingMessage,
+    ) -> Option<FinalOutcome> {
         let repeats = self.repeats(class);
         let first = owed.ran.as_ref().or(owed.out.as_ref()).cloned();
         let begun = first.as_ref().map(|first| first.at);
         let not_before = self.store.not_before(number);
-        match self.returning.judge(repeats, Left { ended: owed.end.is_some(), begun, not_before }) {
+        match self.returning.judge(repeats, LeftoverMessage { ended: owed.end.is_some(), begun, not_before })
+        {
             Verdict::AsWritten => {
                 self.reset_deadline(number, class, owed);
                 None
@@ -41,36 +47,36 @@
                 self.reset_deadline(number, class, owed);
                 None
             }
-            Verdict::Returns => Some(End::Returned(None)),
+            Verdict::Returns => Some(FinalOutcome::Returned(None)),
             // The journal of another sender is set aside before it is read here.
-            Verdict::Fails | Verdict::NotOurs => Some(End::Failed),
+            Verdict::Fails | Verdict::NotOurs => Some(FinalOutcome::Failed),
         }
     }
 
     /// Writes down who goes on with the journal. Only once all that follows from how it was found stands in it: a process
     /// that ends before finds it the same way again.
-    pub(super) fn stamp(&mut self, stamp: Option<Stamp>) {
+    pub(super) fn stamp(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
         if !self.returning.believes_clock() {
             self.store.new_clock(self.now().0);
-            if let Err(e) = self.store.begin_anew() {
+            if let Err(e) = self.store.rewrite() {
                 self.log(&format!("{e}; ids of messages that are over may be forgotten early"));
             }
         }
         let stamped = self.store.stamp(stamp);
         self.booked(stamped);
         // The stamp outlasts the machine whatever the rest does: a folder that power has emptied is told from a new one.
-        if let Err(e) = self.store.outlast_the_machine() {
+        if let Err(e) = self.store.enable_durability() {
             self.log(&format!("{e}; after a loss of power the folder may look like that of a first start"));
         }
     }
 
     /// Hands a message of before to the module, once such are sent; one whose time is up at once, as its end needs no call.
-    pub(super) fn take_up(&mut self, resumed: Resumed) {
-        if resumed.ended || resumed.message.budget == Span(0) || self.sends_what_is_owed() {
-            self.pending.push((self.now(), Event::Resumed(resumed)));
+    pub(super) fn take_up(&mut self, resumed: RecoveredMessage) {
+        if resumed.ended || resumed.message.time_to_live == TimeDelta(0) || self.sends_what_is_owed() {
+            self.pending.push((self.now(), Event::Recovered(resumed)));
         } else {
-            let deadline = self.now().0 + resumed.message.budget.0;
+            let deadline = self.now().0 + resumed.message.time_to_live.0;
             self.resting.insert((deadline, resumed.message.id.0), resumed);
         }
     }
@@ -83,7 +89,7 @@
     /// rests.
     pub(super) fn return_due(&self) -> Option<Instant> {
         let first =
-            self.resting.first_key_value().map(|((deadline, _), _)| self.clock.instant(Time(*deadline)));
+            self.resting.first_key_value().map(|((deadline, _), _)| self.clock.instant(Timestamp(*deadline)));
         self.returning.due().into_iter().chain(first).min()
     }
 
@@ -95,7 +101,7 @@
         let moved = self.returning.handle(Input::Left(self.numbers.len()));
         self.wake_the_rested();
         if moved && self.returning.is_open() && self.winding_down.is_none() {
-            self.doors.set(Doors::Open);
+            self.doors.set(ListenerState::Accepting);
         }
     }
 
@@ -107,17 +113,17 @@
             false => self.resting.split_off(&(now.0 + 1, 0)),
         };
         let woken = std::mem::replace(&mut self.resting, later);
-        let mut woken: Vec<((u64, u32), Resumed)> = woken.into_iter().collect();
+        let mut woken: Vec<((u64, u32), RecoveredMessage)> = woken.into_iter().collect();
         woken.sort_by_key(|((_, number), _)| *number);
         for ((deadline, _), mut resumed) in woken {
-            resumed.message.budget = Span(deadline.saturating_sub(now.0));
-            self.pending.push((now, Event::Resumed(resumed)));
+            resumed.message.time_to_live = TimeDelta(deadline.saturating_sub(now.0));
+            self.pending.push((now, Event::Recovered(resumed)));
         }
     }
 
     /// Puts a deadline of before on the clock of now, once and for all: a next process on this run of the machine believes its
     /// clock.
-    fn reset_deadline(&mut self, number: u32, class: ClassId, owed: &mut Owed) {
+    fn reset_deadline(&mut self, number: u32, class: ClassId, owed: &mut PendingMessage) {
         if self.returning.believes_clock() || owed.end.is_some() {
             return;
         }
@@ -129,7 +135,7 @@
     }
 
     /// Heeds what others warn of. What this sender knows itself stands beside it, and its own list counts before it.
-    pub(super) fn heed(&mut self, caution: Caution) {
+    pub(super) fn heed(&mut self, caution: EndpointRestrictions) {
         if !self.returning.may_send() {
             // Changes since a version come when there are some: only the whole list is an answer at once.
             self.version = None;
@@ -148,7 +154,7 @@
                 self.version = None;
             }
             if of.told > 0 {
-                self.pending.push((now, Event::Told { endpoint: id, wait: Span(of.told) }));
+                self.pending.push((now, Event::RetryAfter { endpoint: id, wait: TimeDelta(of.told) }));
             }
             self.sender.warned(now, id, of.health);
         }
@@ -157,15 +163,15 @@
                 "{} endpoints stay out: other senders heard that they drain or are gone",
                 entries.len()
             ));
-            self.pending.push((now, Event::ListChanges(entries)));
+            self.pending.push((now, Event::EndpointUpdates(entries)));
         }
     }
 
     /// What this sender has to say of endpoints to another that comes back.
-    pub(super) fn word(&self) -> BTreeMap<String, OfEndpoint> {
+    pub(super) fn word(&self) -> BTreeMap<String, EndpointReport> {
         let now = self.now();
         let of = |id, out| {
-            let mut word = OfEndpoint { out, ..OfEndpoint::default() };
+            let mut word = EndpointReport { out, ..EndpointReport::default() };
             for (place, learned) in self.sender.learned(id).iter().enumerate() {
                 let Some((told, health)) = learned.as_ref().map(|learned| learned.word(now)) else {
                     continue;
--- a/src/daemon/host/leaving.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -1,10 +1,10 @@
 //! How a host ends: it winds down, or gives its place to the next process.
-use super::Host;
+use super::EventLoop;
 use crate::Event;
 use crate::daemon::config::Config;
-use crate::daemon::figures::Figures;
-use crate::daemon::handover::{Inheritance, Successor};
-use crate::daemon::input::{Doors, Input};
+use crate::daemon::events::{ListenerState, LoopEvent};
+use crate::daemon::handover::{InheritedState, Successor};
+use crate::daemon::metrics::Metrics;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -19,32 +19,32 @@
 
 /// When the process winds down.
 #[derive(Clone, Copy)]
-pub(super) struct WindDown {
+pub(super) struct ShutdownDeadlines {
     /// From then on it ends as soon as nothing is owed.
     pub(super) quiet: Instant,
     pub(super) end: Instant,
 }
 
 /// What a host leaves behind that gave up its place.
-pub struct Legacy {
+pub struct HandoverState {
     /// To whom.
     pub successor: Successor,
     /// What it leaves, beside the journal.
-    pub inheritance: Inheritance,
+    pub inheritance: InheritedState,
     /// The configuration that it followed.
     pub config: Rc<Config>,
     /// Its last picture.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
 }
 
-impl Host {
+impl EventLoop {
     /// Begins to wind down, as it was `told` to.
     pub(super) fn wind_down(&mut self, told: Instant) {
         if self.winding_down.is_none() {
-            let wind_down = WindDown { quiet: told + STILL_COMING, end: told + WIND_DOWN };
+            let wind_down = ShutdownDeadlines { quiet: told + STILL_COMING, end: told + WIND_DOWN };
             self.winding_down = Some(wind_down);
-            self.doors.set(Doors::Closing);
-            self.pending.push((self.now(), Event::WindDown(self.clock.at(wind_down.end))));
+            self.doors.set(ListenerState::Draining);
+            self.pending.push((self.now(), Event::Shutdown(self.clock.at(wind_down.end))));
         }
     }
 
@@ -52,9 +52,9 @@
     pub(super) async fn give_up(
         mut self,
         successor: Successor,
-        inputs: &mut UnboundedReceiver<Input>,
-    ) -> Legacy {
-        self.doors.set(Doors::Giving);
+        inputs: &mut UnboundedReceiver<LoopEvent>,
+    ) -> HandoverState {
+        self.doors.set(ListenerState::HandingOver);
         self.tasks.shutdown().await;
         sleep(CLOSING).await;
         // What has come to its end by now is booked and learned from: a wait that was told binds the next process
@@ -62,13 +62,21 @@
         let mut left = Vec::new();
         while let Ok(input) = inputs.try_recv() {
             match input {
-                Input::Called(_) | Input::Noticed(_) | Input::Targets(_) => self.take_in(input),
-                Input::HandIn { .. } | Input::Connected { .. } | Input::Idle(..) | Input::Successor(_) => {}
-                Input::WindDown(_) | Input::Reload(_) | Input::Reread(_) | Input::Operator(_) => {
+                LoopEvent::CallCompleted(_)
+                | LoopEvent::NotificationsAcknowledged(_)
+                | LoopEvent::EndpointList(_) => self.take_in(input),
+                LoopEvent::Submit { .. }
+                | LoopEvent::Connected { .. }
+                | LoopEvent::ConnectionIdle(..)
+                | LoopEvent::Successor(_) => {}
+                LoopEvent::Shutdown(_)
+                | LoopEvent::Reload(_)
+                | LoopEvent::ReloadIfChanged(_)
+                | LoopEvent::Admin(_) => {
                     left.push(input);
                 }
                 // Of a file that this host has closed.
-                Input::Synced(..) => {}
+                LoopEvent::JournalSynced(..) => {}
             }
         }
         for input in left {
@@ -76,11 +84,11 @@
         }
         // No call is begun that would end after now: none at all.
         let now = self.now();
-        self.pending.push((now, Event::HandOver(now)));
+        self.pending.push((now, Event::Handover(now)));
         self.step();
         self.picture = None;
-        let figures = Figures { inflight: 0, ..(*self.picture()).clone() };
-        let inheritance = Inheritance { memory: self.memory(), classes: self.classes.named().to_vec() };
-        Legacy { successor, inheritance, config: self.config, figures: Rc::new(figures) }
+        let figures = Metrics { inflight: 0, ..(*self.picture()).clone() };
+        let inheritance = InheritedState { memory: self.memory(), classes: self.classes.named().to_vec() };
+        HandoverState { successor, inheritance, config: self.config, figures: Rc::new(figures) }
     }
 }
--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -3,10 +3,10 @@
 //!
 //! The next process asks. The one at work settles, closes the journal, and gives what it has. Until the other says
 //! that it has taken it, the place is still its own: if the link ends first, the other has ended, and it goes on.
-use super::classes::Named;
-use super::lock::{Lock, Lockable};
-use super::memory::Memory;
+use super::checkpoint::Checkpoint;
+use super::class_registry::NamedClass;
 use super::ports::{Listener, Log};
+use super::state_lock::{StateLock, UnlockedState};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -41,11 +41,11 @@
 
 /// What one process leaves to the next, beside the journal.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Inheritance {
+pub struct InheritedState {
     /// What it heard and learned, as it would leave it to a process after a restart.
-    pub memory: Memory,
+    pub memory: Checkpoint,
     /// All classes that its messages may be of.
-    pub classes: Vec<Named>,
+    pub classes: Vec<NamedClass>,
 }
 
 /// Why a place could not be taken.
@@ -75,23 +75,23 @@
 pub struct Successor(UnixStream);
 
 /// What the next process starts with.
-pub struct Taken {
+pub struct ReceivedListener {
     /// The link, until the place is its own.
     pub predecessor: Predecessor,
     /// The listening socket.
     pub listener: OwnedFd,
     /// The lock on the folder; none from a process that had none, or of a version that keeps it.
-    pub lock: Option<Lock>,
+    pub lock: Option<StateLock>,
     /// And the rest.
-    pub inheritance: Inheritance,
+    pub inheritance: InheritedState,
 }
 
 /// How a process comes to its place.
-pub enum Entry {
+pub enum StartupMode {
     /// Nobody is at work in the folder; none where it takes no lock.
-    Alone(Option<Lock>),
+    Fresh(Option<StateLock>),
     /// From the process at work, and the lock once that has ended.
-    From(Taken, Option<Lockable>),
+    Successor(ReceivedListener, Option<UnlockedState>),
 }
 
 /// Takes the place of the process at work in that folder, or begins alone if there is none. One that is about to begin or
@@ -99,20 +99,20 @@
 ///
 /// # Errors
 /// One is at work, and does not give its place up.
-pub async fn enter(folder: &Path, log: &dyn Log) -> Result<Entry, HandoverError> {
-    let mut file = Lockable::in_folder(folder).map_err(|e| unlocked(&e, log)).ok();
+pub async fn enter(folder: &Path, log: &dyn Log) -> Result<StartupMode, HandoverError> {
+    let mut file = UnlockedState::in_folder(folder).map_err(|e| unlocked(&e, log)).ok();
     let late = Instant::now() + PATIENCE;
     loop {
         if let Some(taken) = ask(folder).await? {
-            return Ok(Entry::From(taken, file));
+            return Ok(StartupMode::Successor(taken, file));
         }
-        let Some(free) = file else { return Ok(Entry::Alone(None)) };
+        let Some(free) = file else { return Ok(StartupMode::Fresh(None)) };
         match free.lock() {
-            Ok(Ok(lock)) => return Ok(Entry::Alone(Some(lock))),
+            Ok(Ok(lock)) => return Ok(StartupMode::Fresh(Some(lock))),
             Ok(Err(held)) => file = Some(held),
             Err(e) => {
                 unlocked(&e, log);
-                return Ok(Entry::Alone(None));
+                return Ok(StartupMode::Fresh(None));
             }
         }
         if Instant::now() >= late {
@@ -128,16 +128,18 @@
 }
 
 /// Asks for the place of the process at work in that folder; none if there is none.
-async fn ask(folder: &Path) -> Result<Option<Taken>, HandoverError> {
+async fn ask(folder: &Path) -> Result<Option<ReceivedListener>, HandoverError> {
     // A socket that nobody listens at was left by a process that ended.
     let Ok(mut stream) = UnixStream::connect(folder.join(NAME)).await else { return Ok(None) };
     stream.write_all(HELLO).await?;
     let given = timeout(PATIENCE, receive(&mut stream)).await.map_err(|_| HandoverError::Late)?;
     let (listener, lock, inheritance) = given?;
-    Ok(Some(Taken { predecessor: Predecessor(stream), listener, lock, inheritance }))
+    Ok(Some(ReceivedListener { predecessor: Predecessor(stream), listener, lock, inheritance }))
 }
 
-async fn receive(stream: &mut UnixStream) -> Result<(OwnedFd, Option<Lock>, Inheritance), HandoverError> {
+async fn receive(
+    stream: &mut UnixStream,
+) -> Result<(OwnedFd, Option<StateLock>, InheritedState), HandoverError> {
     let unreadable = |what: &str| HandoverError::Unreadable(what.to_owned());
     let mut length = [0; 8];
     let mut given = Vec::new();
@@ -158,7 +160,7 @@
     }
     let mut given = given.into_iter();
     let fd = given.next().ok_or_else(|| unreadable("the listening socket"))?;
-    let lock = given.next().map(Lock::from);
+    let lock = given.next().map(StateLock::from);
     let length = Some(u64::from_le_bytes(length)).filter(|length| *length <= MOST);
     let mut bytes = vec![0; length.ok_or_else(|| unreadable("a length beyond all bounds"))? as usize];
     stream.read_exact(&mut bytes).await?;
@@ -197,8 +199,8 @@
     pub async fn give(
         &mut self,
         listener: &dyn Listener,
-        lock: Option<&Lock>,
-        inheritance: &Inheritance,
+        lock: Option<&StateLock>,
+        inheritance: &InheritedState,
     ) -> io::Result<()> {
         let bytes = postcard::to_allocvec(inheritance).map_err(io::Error::other)?;
         let length = (bytes.len() as u64).to_le_bytes();
--- a/src/daemon/server.rs
+++ b/src/daemon/ingress.rs
@@ -1,10 +1,10 @@
 //! The side that clients see: messages are handed in, and answered once the journal holds them.
-use super::budget::Budget;
 use super::connection::{Connection, MOST_ANSWER, request};
-use super::input::{Answer, Doors, Input};
-use super::latest::Latest;
+use super::events::{ListenerState, LoopEvent, SubmitResponse};
+use super::journal::SubmittedMessage;
 use super::ports::{Listener, Log, Network, Ports, Stream};
-use super::store::Handed;
+use super::resource_budget::ResourceBudget;
+use super::watch_cell::WatchCell;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -48,7 +48,7 @@
 
 /// Room for connections, and those on which nothing waits for an answer: with the house full, the one that
 /// has rested longest makes room for a newcomer.
-pub struct House {
+pub struct ConnectionLimits {
     room: Arc<Semaphore>,
     /// Bytes of bodies that may be read at once.
     bodies: Arc<Semaphore>,
@@ -62,7 +62,7 @@
     seats: BTreeMap<u64, Arc<Notify>>,
 }
 
-impl House {
+impl ConnectionLimits {
     /// One with so many places, in which so many bytes of bodies may be read at once.
     pub fn new(places: usize, bodies: usize) -> Arc<Self> {
         let (room, bodies) = (Arc::new(Semaphore::new(places)), Arc::new(Semaphore::new(bodies)));
@@ -70,13 +70,13 @@
     }
 
     /// A place for a newcomer; with the house full, who has rested longest leaves.
-    pub async fn seat(self: &Arc<Self>) -> Option<Arc<Seat>> {
+    pub async fn seat(self: &Arc<Self>) -> Option<Arc<ConnectionPermit>> {
         if self.room.available_permits() == 0 {
             self.make_room();
         }
         // All seats taken and none at rest: answers are due within milliseconds.
         let permit = self.room.clone().acquire_owned().await.ok()?;
-        Some(Arc::new(Seat::new(self.clone(), permit)))
+        Some(Arc::new(ConnectionPermit::new(self.clone(), permit)))
     }
 
     /// With all permits back, every connection has ended.
@@ -97,8 +97,8 @@
 }
 
 /// The place of one connection in the house.
-pub struct Seat {
-    house: Arc<House>,
+pub struct ConnectionPermit {
+    house: Arc<ConnectionLimits>,
     /// Tells the connection that its place is wanted.
     pub leave: Arc<Notify>,
     /// Its place among those that rest, while it does.
@@ -106,8 +106,8 @@
     _permit: OwnedSemaphorePermit,
 }
 
-impl Seat {
-    fn new(house: Arc<House>, permit: OwnedSemaphorePermit) -> Self {
+impl ConnectionPermit {
+    fn new(house: Arc<ConnectionLimits>, permit: OwnedSemaphorePermit) -> Self {
         let seat = Self { house, leave: Arc::default(), place: Mutex::default(), _permit: permit };
         seat.rest();
         seat
@@ -132,7 +132,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.rouse();
     }
@@ -140,19 +140,19 @@
 
 /// A client's stream. Closing it ends the sending side first and reads on for a while: closed at once with
 /// bytes unread, the system would reset the connection and might take the last answer with it.
-pub struct Lingering {
+pub struct LingeringClose {
     stream: Box<dyn Stream>,
     until: Option<Pin<Box<Sleep>>>,
 }
 
-impl Lingering {
+impl LingeringClose {
     /// That of a client that has just connected.
     pub fn new(stream: Box<dyn Stream>) -> Self {
         Self { stream, until: None }
     }
 }
 
-impl AsyncRead for Lingering {
+impl AsyncRead for LingeringClose {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -162,7 +162,7 @@
     }
 }
 
-impl AsyncWrite for Lingering {
+impl AsyncWrite for LingeringClose {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -190,9 +190,9 @@
 }
 
 /// What the answer to a client may need.
-struct Desk {
-    host: UnboundedSender<Input>,
-    doors: Latest<Doors>,
+struct IngressContext {
+    host: UnboundedSender<LoopEvent>,
+    doors: WatchCell<ListenerState>,
     network: Rc<dyn Network>,
     /// Where clients come, also when another process lets them in.
     at: SocketAddr,
@@ -202,25 +202,30 @@
 pub fn serve(
     listener: Rc<dyn Listener>,
     at: SocketAddr,
-    host: UnboundedSender<Input>,
-    doors: Latest<Doors>,
-    budget: Budget,
+    host: UnboundedSender<LoopEvent>,
+    doors: WatchCell<ListenerState>,
+    budget: ResourceBudget,
     ports: &Ports,
 ) -> impl Future<Output = ()> + use<> {
-    let desk = Rc::new(Desk { host, doors, network: ports.network.clone(), at });
+    let desk = Rc::new(IngressContext { host, doors, network: ports.network.clone(), at });
     accept(listener, desk, budget, ports.log.clone())
 }
 
-async fn accept(listener: Rc<dyn Listener>, desk: Rc<Desk>, budget: Budget, log: Rc<dyn Log>) {
+async fn accept(
+    listener: Rc<dyn Listener>,
+    desk: Rc<IngressContext>,
+    budget: ResourceBudget,
+    log: Rc<dyn Log>,
+) {
     let doors = &desk.doors;
-    let house = House::new(budget.clients, budget.bodies);
+    let house = ConnectionLimits::new(budget.clients, budget.bodies);
     loop {
         let accepted = tokio::select! {
             biased;
-            () = doors.wait_for(|doors| matches!(doors, Doors::Shut | Doors::Given)) => break,
+            () = doors.wait_for(|doors| matches!(doors, ListenerState::Closed | ListenerState::HandedOver)) => break,
             // Who comes now waits for the next process, or for this one to go on.
-            () = doors.wait_for(|doors| doors == Doors::Giving) => {
-                doors.wait_for(|doors| doors != Doors::Giving).await;
+            () = doors.wait_for(|doors| doors == ListenerState::HandingOver) => {
+                doors.wait_for(|doors| doors != ListenerState::HandingOver).await;
                 continue;
             }
             accepted = listener.accept() => accepted,
@@ -242,7 +247,7 @@
     house.empty().await;
 }
 
-async fn connection(stream: Box<dyn Stream>, seat: Arc<Seat>, desk: Rc<Desk>) {
+async fn connection(stream: Box<dyn Stream>, seat: Arc<ConnectionPermit>, desk: Rc<IngressContext>) {
     let service = service_fn(|request| {
         let (seat, desk) = (seat.clone(), desk.clone());
         async move { Ok::<_, Infallible>(respond(request, &seat, &desk).await) }
@@ -253,40 +258,46 @@
         .max_buf_size(MOST_HEAD)
         // A client may end its sending with its request; it still waits for the answer.
         .half_close(true)
-        .serve_connection(TokioIo::new(Lingering::new(stream)), service);
+        .serve_connection(TokioIo::new(LingeringClose::new(stream)), service);
     tokio::pin!(connection);
     // A client that breaks its connection off hears nothing more: there is nobody to tell of the error.
     tokio::select! {
         biased;
         _ = connection.as_mut() => return,
         () = seat.leave.notified() => return,
-        () = desk.doors.wait_for(|doors| doors == Doors::Shut) => connection.as_mut().graceful_shutdown(),
+        () = desk.doors.wait_for(|doors| doors == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
 }
 
-async fn respond(request: Request<Incoming>, seat: &Seat, desk: &Desk) -> Response<Full<Bytes>> {
+async fn respond(
+    request: Request<Incoming>,
+    seat: &ConnectionPermit,
+    desk: &IngressContext,
+) -> Response<Full<Bytes>> {
     let doors = desk.doors.get();
     let mut response = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/-/ready") if matches!(doors, Doors::Giving | Doors::Given) => {
-            desk.pass_on(Method::GET, "/-/ready", &HeaderMap::new(), Bytes::new()).await
+        (&Method::GET, "/-/ready")
+            if matches!(doors, ListenerState::HandingOver | ListenerState::HandedOver) =>
+        {
+            desk.forward_to_successor(Method::GET, "/-/ready", &HeaderMap::new(), Bytes::new()).await
         }
-        (&Method::GET, "/-/ready") if doors == Doors::Open => plain(StatusCode::OK, "ready\n"),
+        (&Method::GET, "/-/ready") if doors == ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
         (&Method::GET, "/-/ready") => plain(StatusCode::SERVICE_UNAVAILABLE, "winding down\n"),
-        (&Method::POST, "/api") => hand_in(request, seat, desk).await,
+        (&Method::POST, "/api") => submit(request, seat, desk).await,
         (_, "/-/ready" | "/api") => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
         _ => plain(StatusCode::NOT_FOUND, "not found\n"),
     };
     // Whoever sent what cannot be used is out of step, or about to send it again: it starts anew.
-    if desk.doors.get() != Doors::Open || response.status().is_client_error() {
+    if desk.doors.get() != ListenerState::Accepting || response.status().is_client_error() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-impl Desk {
+impl IngressContext {
     /// Passes a request on to the process that lets clients in by now, and its answer back.
-    async fn pass_on(
+    async fn forward_to_successor(
         &self,
         method: Method,
         path: &str,
@@ -326,7 +337,7 @@
 
 /// Reads a body whole; what is read counts towards what all clients together may fill. It is copied out of
 /// the connection's buffers, which a message would keep for as long as it is held.
-pub async fn collect(mut body: Incoming, house: &House) -> Result<Bytes, Response<Full<Bytes>>> {
+pub async fn collect(mut body: Incoming, house: &ConnectionLimits) -> Result<Bytes, Response<Full<Bytes>>> {
     let too_large = || plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
     if body.size_hint().lower() > MOST_BODY as u64 {
         return Err(too_large());
@@ -346,7 +357,11 @@
     Ok(whole.into())
 }
 
-async fn hand_in(request: Request<Incoming>, seat: &Seat, desk: &Desk) -> Response<Full<Bytes>> {
+async fn submit(
+    request: Request<Incoming>,
+    seat: &ConnectionPermit,
+    desk: &IngressContext,
+) -> Response<Full<Bytes>> {
     let came = Instant::now();
     let (head, body) = request.into_parts();
     // Beside a length, a coding may hide another request in the body, and hyper does not show the length
@@ -368,11 +383,11 @@
         return plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n");
     }
     let (answer, answered) = oneshot::channel();
-    let _ = desk.host.send(Input::HandIn { message, deadline: came + remaining, answer });
+    let _ = desk.host.send(LoopEvent::Submit { message, deadline: came + remaining, answer });
     let answer = match answered.await {
         // A host that gave up its place took nothing on.
-        Err(_) if matches!(desk.doors.get(), Doors::Giving | Doors::Given) => {
-            let passed_on = desk.pass_on(Method::POST, "/api", &head.headers, body).await;
+        Err(_) if matches!(desk.doors.get(), ListenerState::HandingOver | ListenerState::HandedOver) => {
+            let passed_on = desk.forward_to_successor(Method::POST, "/api", &head.headers, body).await;
             seat.rest();
             return passed_on;
         }
@@ -380,21 +395,21 @@
     };
     seat.rest();
     match answer {
-        Ok(Answer::TakenOn) => plain(StatusCode::ACCEPTED, ""),
-        Ok(Answer::Malformed(what)) => plain(StatusCode::BAD_REQUEST, format!("{what}\n")),
-        Ok(Answer::Later(wait)) => {
+        Ok(SubmitResponse::Accepted) => plain(StatusCode::ACCEPTED, ""),
+        Ok(SubmitResponse::Malformed(what)) => plain(StatusCode::BAD_REQUEST, format!("{what}\n")),
+        Ok(SubmitResponse::RetryAfter(wait)) => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on yet\n");
             let seconds = wait.as_millis().div_ceil(1000).max(1);
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds as u64));
             response
         }
         // A host that has ended took nothing on.
-        Ok(Answer::Refused) | Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
+        Ok(SubmitResponse::Rejected) | Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
     }
 }
 
 /// A message and how long it may still be delivered.
-fn read(headers: &HeaderMap, body: Bytes) -> Result<(Handed, Duration), String> {
+fn read(headers: &HeaderMap, body: Bytes) -> Result<(SubmittedMessage, Duration), String> {
     let optional = |name: &str| -> Result<Option<String>, String> {
         let text = headers.get(name).map(|value| value.to_str().map(|text| text.trim().to_owned()));
         let text = text.transpose().map_err(|_| format!("{name} is not text"))?;
@@ -411,7 +426,7 @@
     let envelope = needed("X-Envelope")?;
     let destination = envelope.split([',', ';', ' ']).find_map(|field| field.trim().strip_prefix("dest="));
     let destination = destination.and_then(|number| number.parse().ok());
-    let message = Handed {
+    let message = SubmittedMessage {
         id: needed("X-Txn")?,
         class: needed("X-Lane")?,
         tenant: optional("X-Org")?,
