--- a/src/daemon/store.rs
+++ b/src/daemon/journal/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! Each record is framed by its length and a checksum over both. `write` is enough, without a sync: the
 //! folder is lost only with the machine, and then its messages are handed to others.
+use super::completed_ids::CompletedIds;
 use super::frame::{frame, unframe};
-use super::over::Over;
 use super::ports::{AppendFile, LocalFuture, Storage};
 use bytes::Bytes;
-use micadrum_recovery::Stamp;
+use micadrum_recovery::JournalStamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -50,7 +50,7 @@
 
 /// How a message ended that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum FinalOutcome {
     /// No promise about its effect.
     Failed,
     /// The client may safely come again, perhaps after so many milliseconds.
@@ -66,7 +66,7 @@
 
 /// A message as a client handed it in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct SubmittedMessage {
     pub id: String,
     pub class: String,
     pub tenant: Option<String>,
@@ -78,8 +78,8 @@
 
 /// A message that this sender owes its end, or the notice of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owed {
-    pub message: Handed,
+pub struct PendingMessage {
+    pub message: SubmittedMessage,
     /// Wall clock, microseconds: it binds across processes.
     pub deadline: u64,
     pub attempts: u32,
@@ -88,17 +88,17 @@
     /// The attempt that is out, or was when the process ended.
     pub out: Option<Attempt>,
     /// Set once it is over and only the notice is owed.
-    pub end: Option<End>,
+    pub end: Option<FinalOutcome>,
 }
 
-impl Owed {
+impl PendingMessage {
     /// A message that nobody has tried to deliver yet.
-    pub fn new(message: Handed, deadline: u64) -> Self {
+    pub fn new(message: SubmittedMessage, deadline: u64) -> Self {
         Self { message, deadline, attempts: 0, ran: None, out: None, end: None }
     }
 
     fn size(&self) -> u64 {
-        let Handed { id, class, tenant, key, idempotency_key, body, .. } = &self.message;
+        let SubmittedMessage { id, class, tenant, key, idempotency_key, body, .. } = &self.message;
         let optional = [tenant, key, idempotency_key].map(|text| text.as_ref().map_or(0, String::len));
         (id.len() + class.len() + optional.iter().sum::<usize>() + body.len()) as u64 + OVERHEAD
     }
@@ -107,13 +107,13 @@
 /// Only ever grows at its end: files of before are read by the same numbers.
 #[derive(Serialize, Deserialize)]
 enum Record {
-    Taken(u32, Box<Owed>),
+    Taken(u32, Box<PendingMessage>),
     Begun(u32, Attempt),
     Outcome {
         number: u32,
         may_have_run: bool,
     },
-    Ended(u32, End),
+    Ended(u32, FinalOutcome),
     /// As files of before had it: over, nobody knows when.
     Over(u32),
     /// Over since then.
@@ -121,7 +121,7 @@
     /// Ids of messages that are over, with until when they are kept.
     OverIds(Vec<(Arc<str>, u64)>),
     /// Who writes from here on, and where.
-    Stamped(Stamp),
+    Stamped(JournalStamp),
     /// Messages from that number on were not taken on before that moment.
     NotBefore(u32, u64),
     /// It may have run, first in that attempt: the journal may be missing it.
@@ -134,7 +134,7 @@
 
 /// What the journal held when it was opened, besides the messages.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Damage {
+pub struct CorruptionReport {
     /// Bytes cut off at the end: a record whose writing the process's end broke off.
     pub torn: usize,
     /// Bytes passed over before a record that could be read.
@@ -143,7 +143,7 @@
     pub unreadable: Option<String>,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for CorruptionReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { torn, skipped, unreadable } = self;
         if let Some(why) = unreadable {
@@ -158,24 +158,24 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("journal: {doing}: {source}")]
-pub struct StoreError {
+pub struct JournalError {
     doing: &'static str,
     source: io::Error,
 }
 
 /// The open journal, with the state that its records add up to.
-pub struct Store {
+pub struct Journal {
     folder: Rc<dyn Storage>,
     file: Box<dyn AppendFile>,
     length: u64,
     compact_at: u64,
     disk: u64,
-    owed: BTreeMap<u32, Owed>,
+    owed: BTreeMap<u32, PendingMessage>,
     owed_bytes: u64,
-    over: Over,
+    over: CompletedIds,
     next: u32,
     /// Who wrote last, and where.
-    stamp: Option<Stamp>,
+    stamp: Option<JournalStamp>,
     /// Moments, with the first number that was not taken on before each; none that nothing owed needs any more.
     not_before: VecDeque<(u32, u64)>,
     /// The latest wall time that any record tells of.
@@ -191,12 +191,12 @@
     room: Vec<u8>,
 }
 
-impl Store {
+impl Journal {
     /// Opens the journal in `folder`, or begins one, and brings back what it holds. Damage is reported, and
     /// never keeps a sender from starting: what can still be read is still owed.
-    pub fn open(folder: Rc<dyn Storage>, disk: u64) -> Result<(Self, Damage), StoreError> {
-        let error = |doing| move |source| StoreError { doing, source };
-        let mut damage = Damage::default();
+    pub fn open(folder: Rc<dyn Storage>, disk: u64) -> Result<(Self, CorruptionReport), JournalError> {
+        let error = |doing| move |source| JournalError { doing, source };
+        let mut damage = CorruptionReport::default();
         let bytes = match folder.read(NAME) {
             Ok(bytes) => bytes.unwrap_or_default(),
             Err(e) => {
@@ -206,7 +206,7 @@
             }
         };
         let file = folder.open(NAME).map_err(error("opening"))?;
-        let mut store = Store {
+        let mut store = Journal {
             folder,
             file,
             length: 0,
@@ -214,7 +214,7 @@
             disk,
             owed: BTreeMap::new(),
             owed_bytes: 0,
-            over: Over::new(MOST_OVER, (disk as f64 * OVER_MOST) as u64),
+            over: CompletedIds::new(MOST_OVER, (disk as f64 * OVER_MOST) as u64),
             next: 0,
             stamp: None,
             not_before: VecDeque::new(),
@@ -254,7 +254,7 @@
     ///
     /// # Errors
     /// Why it cannot be.
-    pub fn outlast_the_machine(&mut self) -> Result<(), StoreError> {
+    pub fn enable_durability(&mut self) -> Result<(), JournalError> {
         self.synced = true;
         let done = self.file.sync_now().and_then(|()| self.folder.sync_names());
         done.map_err(|e| self.error("syncing", e))
@@ -279,7 +279,7 @@
     ///
     /// # Errors
     /// Why there is none.
-    pub fn begin_anew(&mut self) -> Result<(), StoreError> {
+    pub fn rewrite(&mut self) -> Result<(), JournalError> {
         self.compact();
         match self.failed_compaction.take() {
             Some(e) => Err(self.error("beginning a new file", e)),
@@ -291,8 +291,8 @@
     ///
     /// # Errors
     /// What the system says.
-    pub fn set_aside(folder: &dyn Storage) -> Result<(), StoreError> {
-        let error = |source| StoreError { doing: "setting another sender's aside", source };
+    pub fn set_aside(folder: &dyn Storage) -> Result<(), JournalError> {
+        let error = |source| JournalError { doing: "setting another sender's aside", source };
         folder.rename(NAME, SET_ASIDE).and_then(|()| folder.sync_names()).map_err(error)
     }
 
@@ -300,12 +300,12 @@
     ///
     /// # Errors
     /// What the system says; this process goes on by it all the same.
-    pub fn stamp(&mut self, stamp: Stamp) -> Result<(), StoreError> {
+    pub fn stamp(&mut self, stamp: JournalStamp) -> Result<(), JournalError> {
         self.append(Record::Stamped(stamp))
     }
 
     /// Who wrote last, and where.
-    pub fn stamped(&self) -> Option<&Stamp> {
+    pub fn stamped(&self) -> Option<&JournalStamp> {
         self.stamp.as_ref()
     }
 
@@ -313,7 +313,7 @@
     ///
     /// # Errors
     /// What the system says; nothing rests on it but caution.
-    pub fn mark_time(&mut self, now: u64) -> Result<(), StoreError> {
+    pub fn mark_time(&mut self, now: u64) -> Result<(), JournalError> {
         self.append(Record::NotBefore(self.next, now))
     }
 
@@ -342,17 +342,17 @@
     }
 
     /// All that is owed, in the order in which it was taken on.
-    pub fn owed(&self) -> impl Iterator<Item = (u32, &Owed)> {
+    pub fn pending(&self) -> impl Iterator<Item = (u32, &PendingMessage)> {
         self.owed.iter().map(|(number, owed)| (*number, owed))
     }
 
     /// The message of that number.
-    pub fn get(&self, number: u32) -> Option<&Owed> {
+    pub fn get(&self, number: u32) -> Option<&PendingMessage> {
         self.owed.get(&number)
     }
 
     /// Records a message as taken on, under a new number; an error means that the disk has no room for it.
-    pub fn take_on(&mut self, owed: Owed) -> Result<u32, StoreError> {
+    pub fn accept(&mut self, owed: PendingMessage) -> Result<u32, JournalError> {
         let after = self.owed_bytes + self.over.bytes() + owed.size();
         if after > self.share(OWED_MOST) || self.length > self.share(FILE_MOST) {
             return Err(self.error("taking on", io::ErrorKind::StorageFull.into()));
@@ -363,37 +363,37 @@
     }
 
     /// Records that an attempt is about to begin; on an error it has not begun.
-    pub fn begin(&mut self, number: u32, attempt: Attempt) -> Result<(), StoreError> {
+    pub fn begin(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
         self.append(Record::Begun(number, attempt))
     }
 
     /// Records that a message may have run, first in that attempt, which is over.
-    pub fn ran(&mut self, number: u32, attempt: Attempt) -> Result<(), StoreError> {
+    pub fn ran(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
         self.append(Record::Ran(number, attempt))
     }
 
     /// Records that a message has time until then, by the clock of now.
-    pub fn deadline(&mut self, number: u32, deadline: u64) -> Result<(), StoreError> {
+    pub fn deadline(&mut self, number: u32, deadline: u64) -> Result<(), JournalError> {
         self.append(Record::Deadline(number, deadline))
     }
 
     /// Records how the attempt that is out ended.
-    pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), StoreError> {
+    pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
         self.append(Record::Outcome { number, may_have_run })
     }
 
     /// Records that the attempt that was begun was held back, with nothing written of it.
-    pub fn withheld(&mut self, number: u32) -> Result<(), StoreError> {
+    pub fn attempt_deferred(&mut self, number: u32) -> Result<(), JournalError> {
         self.append(Record::Withheld(number))
     }
 
     /// Records that a message is over and its notice owed.
-    pub fn end(&mut self, number: u32, end: End) -> Result<(), StoreError> {
+    pub fn end(&mut self, number: u32, end: FinalOutcome) -> Result<(), JournalError> {
         self.append(Record::Ended(number, end))
     }
 
     /// Records that nothing more is owed `now`: delivered, withdrawn, or its notice acknowledged.
-    pub fn over(&mut self, number: u32, now: u64) -> Result<(), StoreError> {
+    pub fn over(&mut self, number: u32, now: u64) -> Result<(), JournalError> {
         self.append(Record::OverSince(number, now))
     }
 
@@ -405,7 +405,7 @@
     /// A record that cannot be written is applied all the same, but for what must not happen without it, a message that
     /// is taken on or an attempt that begins: this process goes on by what it knows, and the next compaction writes it
     /// down.
-    fn append(&mut self, record: Record) -> Result<(), StoreError> {
+    fn append(&mut self, record: Record) -> Result<(), JournalError> {
         let needed = matches!(
             record,
             Record::Outcome { .. }
@@ -553,7 +553,7 @@
 
     /// Whether there is room beside the journal for what is only of use: it has its reserve, and would fit beside itself
     /// written anew.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.reserved && self.length + self.owed_bytes + self.over.bytes() < self.share(ROOM_BESIDE)
     }
 
@@ -615,312 +615,10 @@
         Ok((file, length))
     }
 
-    fn error(&self, doing: &'static str, source: io::Error) -> StoreError {
-        StoreError { doing, source }
+    fn error(&self, doing: &'static str, source: io::Error) -> JournalError {
+        JournalError { doing, source }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::daemon::system::Folder;
-    use std::fs::File;
-    use std::path::Path;
-
-    const DISK: u64 = 3_000_000;
-    const NOW: u64 = 1_700_000_000_000_000;
-
-    fn message(id: &str, body: usize) -> Owed {
-        let message = Handed {
-            id: id.to_owned(),
-            class: "charge".to_owned(),
-            tenant: None,
-            key: None,
-            idempotency_key: None,
-            destination: 7,
-            body: vec![b'x'; body].into(),
-        };
-        Owed::new(message, 1)
-    }
-
-    fn open(folder: &Path) -> (Store, Damage) {
-        Store::open(Rc::new(Folder(folder.to_owned())), DISK).unwrap()
-    }
-
-    fn attempt(at: u64) -> Attempt {
-        Attempt { at, zone: "a".to_owned() }
-    }
-
-    fn ids(store: &Store) -> Vec<&str> {
-        store.owed().map(|(_, owed)| owed.message.id.as_str()).collect()
-    }
-
-    /// Guards against a stamp, a moment or a deadline that is lost when the file is written anew, and against numbers that begin
-    /// anew under old moments.
-    #[test]
-    fn stamps_and_moments_outlast_a_new_file() {
-        let folder = tempfile::tempdir().unwrap();
-        let stamp = |wall| Stamp { sender: "n1".to_owned(), boot: None, wall, outlasts_machine: true };
-        let (mut store, _) = open(folder.path());
-        assert!(store.is_empty() && store.stamped().is_none());
-        store.stamp(stamp(NOW)).unwrap();
-        assert!(!store.is_empty());
-        let first = store.take_on(message("a", 10)).unwrap();
-        store.mark_time(NOW + 5).unwrap();
-        let second = store.take_on(message("b", 10)).unwrap();
-        store.ran(second, Attempt { at: NOW + 6, zone: "z".to_owned() }).unwrap();
-        store.deadline(second, NOW + 77).unwrap();
-        store.begin_anew().unwrap();
-        drop(store);
-        let (mut store, _) = open(folder.path());
-        assert_eq!((store.stamped(), store.latest()), (Some(&stamp(NOW)), NOW + 5));
-        assert_eq!((store.not_before(first), store.not_before(second)), (None, Some(NOW + 5)));
-        let owed = store.get(second).unwrap();
-        assert_eq!((owed.deadline, owed.ran.as_ref().map(|ran| ran.at)), (NOW + 77, Some(NOW + 6)));
-        // The clock goes back: what is said by it counts from its stamp on.
-        store.new_clock(NOW - 9_000);
-        store.stamp(stamp(NOW - 9_000)).unwrap();
-        assert_eq!((store.not_before(second), store.latest()), (None, NOW - 9_000));
-        store.mark_time(NOW - 8_000).unwrap();
-        let third = store.take_on(message("c", 10)).unwrap();
-        assert_eq!((store.not_before(second), store.not_before(third)), (None, Some(NOW - 8_000)));
-    }
-
-    /// Guards against forgetting, over a restart, which attempt may have run first.
-    #[test]
-    fn a_reopened_journal_tells_how_far_each_message_got() {
-        let folder = tempfile::tempdir().unwrap();
-        let (mut store, _) = open(folder.path());
-        let numbers: Vec<u32> = ["a", "b", "c"].map(|id| store.take_on(message(id, 10)).unwrap()).into();
-        for at in [5, 6, 7] {
-            store.begin(numbers[0], attempt(at)).unwrap();
-            store.outcome(numbers[0], at > 5).unwrap();
-        }
-        store.begin(numbers[1], attempt(8)).unwrap();
-        store.over(numbers[2], NOW).unwrap();
-        drop(store);
-        let (mut store, damage) = open(folder.path());
-        assert_eq!((ids(&store), damage), (vec!["a", "b"], Damage::default()));
-        let a = store.get(numbers[0]).unwrap();
-        assert_eq!((a.attempts, &a.ran, &a.out), (3, &Some(attempt(6)), &None));
-        assert_eq!(store.get(numbers[1]).unwrap().out, Some(attempt(8)));
-        assert!(store.take_on(message("d", 1)).unwrap() > numbers[1]);
-    }
-
-    /// Guards against a start that fails, or loses sound records, over a torn tail or a damaged middle.
-    #[test]
-    fn damage_costs_no_more_than_the_damaged_record() {
-        let folder = tempfile::tempdir().unwrap();
-        let (mut store, _) = open(folder.path());
-        let mut ends = vec![];
-        for id in ["a", "b", "c"] {
-            store.take_on(message(id, 100)).unwrap();
-            ends.push(store.length as usize);
-        }
-        let path = folder.path().join(NAME);
-        drop(store);
-        let whole = std::fs::read(&path).unwrap();
-        for cut in ends[1] + 1..whole.len() {
-            std::fs::write(&path, &whole[..cut]).unwrap();
-            let (mut store, damage) = open(folder.path());
-            assert_eq!((ids(&store), damage.torn), (vec!["a", "b"], cut - ends[1]));
-            store.take_on(message("d", 1)).unwrap();
-            drop(store);
-            let (store, damage) = open(folder.path());
-            assert_eq!((ids(&store), damage), (vec!["a", "b", "d"], Damage::default()));
-        }
-        for at in ends[0]..ends[1] {
-            let mut bytes = whole.clone();
-            bytes[at] ^= 0x55;
-            std::fs::write(&path, &bytes).unwrap();
-            let (store, damage) = open(folder.path());
-            assert_eq!((ids(&store), damage.skipped), (vec!["a", "c"], ends[1] - ends[0]), "byte {at}");
-        }
-    }
-
-    /// Guards against delivering once more what was over before a restart: its id is known after one, and after
-    /// the file was written anew.
-    #[test]
-    fn ids_that_are_over_outlast_the_process() {
-        let folder = tempfile::tempdir().unwrap();
-        let (mut store, _) = open(folder.path());
-        for id in ["a", "b"] {
-            let number = store.take_on(message(id, 10)).unwrap();
-            store.over(number, NOW).unwrap();
-        }
-        let open_one = store.take_on(message("c", 10)).unwrap();
-        drop(store);
-        let (mut store, _) = open(folder.path());
-        store.compact();
-        drop(store);
-        let (mut store, damage) = open(folder.path());
-        assert_eq!((ids(&store), damage), (vec!["c"], Damage::default()));
-        assert_eq!(["a", "b", "c", "d"].map(|id| store.was_over(id)), [true, true, false, false]);
-        store.over(open_one, NOW + 31_000_000).unwrap();
-        assert_eq!(["a", "b", "c"].map(|id| store.was_over(id)), [false, false, true], "their time was up");
-    }
-
-    /// Guards against an attempt that counts, or goes out, though the disk took no record of it.
-    #[test]
-    fn an_unwritten_attempt_is_an_error_and_has_not_begun() {
-        let folder = tempfile::tempdir().unwrap();
-        let (mut store, _) = open(folder.path());
-        let number = store.take_on(message("a", 10)).unwrap();
-        store.file = Box::new(File::open(folder.path().join(NAME)).unwrap());
-        folder.close().unwrap();
-        assert!(store.begin(number, attempt(5)).is_err());
-        let owed = store.get(number).unwrap();
-        assert_eq!((owed.attempts, &owed.ran, &owed.out), (0, &None, &None));
-        assert!(store.take_on(message("b", 10)).is_err());
-        assert_eq!(ids(&store), ["a"]);
-    }
-
-    /// Guards against an attempt that was held back and counts in the next process, or that takes an earlier one with it as
-    /// the record of its begin is missing.
-    #[test]
-    fn an_attempt_that_was_held_back_never_was() {
-        let folder = tempfile::tempdir().unwrap();
-        let (mut store, _) = open(folder.path());
-        let number = store.take_on(message("a", 10)).unwrap();
-        store.begin(number, attempt(5)).unwrap();
-        store.outcome(number, false).unwrap();
-        store.begin(number, attempt(6)).unwrap();
-        store.withheld(number).unwrap();
-        // Once more, of one whose begin was never written.
-        store.withheld(number).unwrap();
-        drop(store);
-        let (store, _) = open(folder.path());
-        let owed = store.get(number).unwrap();
-        assert_eq!((owed.attempts, &owed.ran, &owed.out), (1, &None, &None));
-    }
-
-    /// A folder on a disk that others fill: it holds no more than so many bytes, if that is set.
-    struct Shared {
-        folder: Folder,
-        path: std::path::PathBuf,
-        most: Rc<std::cell::Cell<Option<u64>>>,
-    }
-
-    struct Part(Box<dyn AppendFile>, std::path::PathBuf, Rc<std::cell::Cell<Option<u64>>>);
-
-    fn bytes_in(path: &Path) -> u64 {
-        std::fs::read_dir(path).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum()
-    }
-
-    impl AppendFile for Part {
-        fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-            if self.2.get().is_some_and(|most| bytes_in(&self.1) + bytes.len() as u64 > most) {
-                return Err(io::ErrorKind::StorageFull.into());
-            }
-            self.0.append(bytes)
-        }
-
-        fn sync(&self) -> LocalFuture<'static, io::Result<()>> {
-            Box::pin(async { Ok(()) })
-        }
-
-        fn sync_now(&mut self) -> io::Result<()> {
-            Ok(())
-        }
-
-        fn truncate(&mut self, length: u64) -> io::Result<()> {
-            self.0.truncate(length)
-        }
-    }
-
-    impl Storage for Shared {
-        fn sync_names(&self) -> io::Result<()> {
-            Ok(())
-        }
-
-        fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
-            self.folder.read(name)
-        }
-
-        fn open(&self, name: &str) -> io::Result<Box<dyn AppendFile>> {
-            Ok(Box::new(Part(self.folder.open(name)?, self.path.clone(), self.most.clone())))
-        }
-
-        fn create(&self, name: &str) -> io::Result<Box<dyn AppendFile>> {
-            Ok(Box::new(Part(self.folder.create(name)?, self.path.clone(), self.most.clone())))
-        }
-
-        fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-            self.folder.rename(from, to)
-        }
-
-        fn remove(&self, name: &str) -> io::Result<()> {
-            self.folder.remove(name)
-        }
-    }
-
-    /// Guards against room that was set aside for ends and goes to newcomers: on a disk that is full for long every end of
-    /// what is held has to be in the journal, or it is sent again after a kill (full-disk-restart 15186626001).
-    #[test]
-    fn on_a_full_disk_the_reserve_holds_every_end() {
-        let place = tempfile::tempdir().unwrap();
-        let path = place.path().to_owned();
-        let most = Rc::new(std::cell::Cell::new(None));
-        let shared = || Shared { folder: Folder(path.clone()), path: path.clone(), most: most.clone() };
-        let (mut store, _) = Store::open(Rc::new(shared()), DISK).unwrap();
-        let numbers: Vec<u32> =
-            (0..500).map(|n| store.take_on(message(&n.to_string(), 300)).unwrap()).collect();
-        for number in &numbers {
-            store.begin(*number, attempt(1)).unwrap();
-        }
-        most.set(Some(bytes_in(&path)));
-        for (n, number) in numbers.iter().enumerate() {
-            assert!(store.outcome(*number, true).is_ok(), "{n}");
-            // Until bodies that ended are left out of a file written anew, and there is room for a reserve.
-            if n < 300 {
-                assert!(
-                    store.take_on(message("late", 300)).is_err(),
-                    "{n}: room taken from what is owed its end"
-                );
-                assert!(
-                    store.begin(*number, attempt(2)).is_err(),
-                    "{n}: an attempt without room for its end"
-                );
-            }
-            assert!(store.end(*number, End::Failed).is_ok(), "{n}");
-        }
-        drop(store);
-        let (mut store, _) = Store::open(Rc::new(shared()), DISK).unwrap();
-        assert_eq!(store.owed().filter(|(_, owed)| owed.end == Some(End::Failed)).count(), 500);
-        most.set(None);
-        assert!(store.take_on(message("later", 300)).is_ok() && store.reserved, "there is room again");
-    }
-
-    /// Guards against a folder over its limit, also while old and new file stand side by side, and against
-    /// refusing long before: the journal is written anew in time, and refuses when that can no longer help.
-    #[test]
-    fn the_folder_stays_under_its_limit() {
-        let folder = tempfile::tempdir().unwrap();
-        let (mut store, _) = open(folder.path());
-        let size = || {
-            let files = std::fs::read_dir(folder.path()).unwrap();
-            files.map(|f| f.unwrap().metadata().unwrap().len()).sum::<u64>()
-        };
-        for n in 0..500 {
-            let number = store.take_on(message(&n.to_string(), 50_000)).unwrap();
-            store.over(number, NOW).unwrap();
-            assert!(size() < DISK / 2, "{}", size());
-        }
-        let most = |store: &Store| store.length + store.owed_bytes;
-        let mut taken = 0;
-        while store.take_on(message(&format!("m{taken}"), 50_000)).is_ok() {
-            taken += 1;
-            assert!(most(&store) < DISK * 95 / 100 && size() < DISK, "{taken} taken, {} bytes", most(&store));
-        }
-        assert_eq!(taken, (DISK * 2 / 5 / 50_300) as usize);
-        // Attempts of all that is held make the file grow, and it is written anew under the same limit.
-        for n in 0..20_000 {
-            let (number, _) = store.owed().nth(n % taken).unwrap();
-            store.begin(number, attempt(1)).unwrap();
-            assert!(most(&store) < DISK * 95 / 100, "{} bytes", most(&store));
-        }
-        drop(store);
-        let (store, _) = open(folder.path());
-        assert_eq!(store.owed().count(), taken);
-    }
-}
+mod tests;
--- a/src/daemon/peers/tell.rs
+++ b/src/daemon/membership/event_log.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 /// Writes it to the log.
-pub struct Tell {
+pub struct EventLog {
     log: Rc<dyn Log>,
     trace: bool,
     /// The last write failed, and that was told.
     unwritten: bool,
 }
 
-impl Tell {
+impl EventLog {
     /// To that log; with records for programs if `trace`.
     pub fn new(log: Rc<dyn Log>, trace: bool) -> Self {
         Self { log, trace, unwritten: false }
--- a/src/daemon/peers/book.rs
+++ b/src/daemon/membership/incarnation_store.rs
@@ -1,7 +1,7 @@
 //! The book of lives in the folder that lasts.
 use crate::daemon::maintenance::put;
 use crate::daemon::ports::Storage;
-use micadrum_membership::{Book, BookError, MemberId};
+use micadrum_membership::{IncarnationRecord, IncarnationRecordError, MemberId};
 use std::io;
 use std::rc::Rc;
 
@@ -18,19 +18,19 @@
 
 /// Why it cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum ShelfError {
+pub enum IncarnationStoreError {
     /// It cannot be read.
     #[error("{NAME}: {0}")]
     Unreadable(#[from] io::Error),
     /// What it holds is no book of this sender's.
     #[error("{NAME}: {0}")]
-    NoBook(#[from] BookError),
+    NoBook(#[from] IncarnationRecordError),
 }
 
 /// Where the book lies.
-pub struct Shelf(Rc<dyn Storage>);
+pub struct IncarnationStore(Rc<dyn Storage>);
 
-impl Shelf {
+impl IncarnationStore {
     /// In that folder.
     pub fn new(folder: Rc<dyn Storage>) -> Self {
         Self(folder)
@@ -40,10 +40,10 @@
     ///
     /// # Errors
     /// Why it cannot be used.
-    pub fn read(&self, owner: MemberId) -> Result<Book, ShelfError> {
+    pub fn read(&self, owner: MemberId) -> Result<IncarnationRecord, IncarnationStoreError> {
         match self.0.read(NAME)? {
-            Some(bytes) => Ok(Book::parse(&bytes, owner)?),
-            None => Ok(Book::new(owner)),
+            Some(bytes) => Ok(IncarnationRecord::parse(&bytes, owner)?),
+            None => Ok(IncarnationRecord::new(owner)),
         }
     }
 
--- a/src/daemon/peers/links.rs
+++ b/src/daemon/membership/links.rs
@@ -3,7 +3,7 @@
 use super::{Ask, Views};
 use crate::daemon::ports::{Listener, LocalFuture, Log, Network, Stream};
 use micadrum_membership::{Link, LinkError, LinkEvent, MOST_PAYLOAD, MemberId, Roster, Secret, Status, View};
-use micadrum_recovery::Word;
+use micadrum_recovery::PeerReport;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::Serialize;
@@ -36,7 +36,7 @@
 const ASK_WORD: &[u8] = b"word?";
 
 /// Gives this sender's word.
-pub type Speaker = Rc<dyn Fn() -> LocalFuture<'static, Word>>;
+pub type PeerReportSource = Rc<dyn Fn() -> LocalFuture<'static, PeerReport>>;
 
 /// What is needed to open links, as the operator's file reads now.
 pub struct Linking {
@@ -45,13 +45,13 @@
     roster: RefCell<Roster>,
     chance: RefCell<ChaCha8Rng>,
     views: Views,
-    speaker: Speaker,
+    speaker: PeerReportSource,
 }
 
 /// What one member sees, or that it did not say.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Seen {
+pub enum PeerAnswer {
     /// Its view.
     View(Box<View>),
     /// Why it is not there.
@@ -82,7 +82,7 @@
         roster: Roster,
         entropy: [u8; 32],
         views: Views,
-        speaker: Speaker,
+        speaker: PeerReportSource,
     ) -> Rc<Self> {
         // Another stream of chance than the one that lives are drawn from.
         let mut chance = ChaCha8Rng::from_seed(entropy);
@@ -198,14 +198,14 @@
     }
 
     /// What a member has to say to one that comes back; none if it does not answer.
-    async fn word(&self, name: &str) -> Option<Word> {
+    async fn word(&self, name: &str) -> Option<PeerReport> {
         let id = MemberId::of(name);
         let at = self.roster.borrow().get(id)?.address;
         timeout(PATIENCE, self.ask(ASK_WORD, id, at)).await.ok()?.ok()
     }
 
     /// What all members see, each as it says itself; those that this one holds for dead are asked too.
-    pub async fn all(self: Rc<Self>) -> BTreeMap<String, Seen> {
+    pub async fn all(self: Rc<Self>) -> BTreeMap<String, PeerAnswer> {
         let mut seen = BTreeMap::new();
         let Some(own) = self.views.now() else { return seen };
         let places = Arc::new(Semaphore::new(MOST_DIALED));
@@ -220,12 +220,12 @@
                 (name, asked.and_then(|view| view.ok_or(LinkFailure::Late)))
             });
         }
-        seen.insert(own.own.clone(), Seen::View(Box::new(own)));
+        seen.insert(own.own.clone(), PeerAnswer::View(Box::new(own)));
         while let Some(asked) = asks.join_next().await {
             let Ok((name, asked)) = asked else { continue };
             let what = match asked {
-                Ok(view) => Seen::View(Box::new(view)),
-                Err(e) => Seen::Silent(e.to_string()),
+                Ok(view) => PeerAnswer::View(Box::new(view)),
+                Err(e) => PeerAnswer::Silent(e.to_string()),
             };
             seen.insert(name, what);
         }
@@ -298,7 +298,7 @@
 
 impl Gathering {
     /// What all members see; none before this one speaks with them.
-    pub async fn all(&self) -> Option<BTreeMap<String, Seen>> {
+    pub async fn all(&self) -> Option<BTreeMap<String, PeerAnswer>> {
         let (answer, answered) = tokio::sync::oneshot::channel();
         let _ = self.0.send(Ask::All(answer));
         answered.await.ok()
@@ -311,7 +311,7 @@
 
 impl Asker {
     /// What a member has to say; none if it does not answer, or before this one speaks with them.
-    pub async fn word(&self, name: &str) -> Option<Word> {
+    pub async fn word(&self, name: &str) -> Option<PeerReport> {
         let (answer, answered) = tokio::sync::oneshot::channel();
         let _ = self.0.send(Ask::Word(name.to_owned(), answer));
         answered.await.ok().flatten()
@@ -319,7 +319,11 @@
 }
 
 /// Asks one for its word.
-pub fn ask_for_word(linking: &Rc<Linking>, name: String, answer: tokio::sync::oneshot::Sender<Option<Word>>) {
+pub fn ask_for_word(
+    linking: &Rc<Linking>,
+    name: String,
+    answer: tokio::sync::oneshot::Sender<Option<PeerReport>>,
+) {
     let linking = linking.clone();
     spawn_local(async move {
         let _ = answer.send(linking.word(&name).await);
@@ -327,7 +331,7 @@
 }
 
 /// Looks at all members, one look at a time for each that asks.
-pub fn gather(linking: &Rc<Linking>, answer: tokio::sync::oneshot::Sender<BTreeMap<String, Seen>>) {
+pub fn gather(linking: &Rc<Linking>, answer: tokio::sync::oneshot::Sender<BTreeMap<String, PeerAnswer>>) {
     let linking = linking.clone();
     spawn_local(async move {
         let _ = answer.send(linking.all().await);
--- a/src/daemon/peers/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -1,19 +1,21 @@
 //! The senders that know each other, on a real socket: feeds [`Peers`] what comes and when, and carries out what it
 //! says. It decides nothing.
-mod book;
+mod event_log;
+mod incarnation_store;
 mod links;
-mod tell;
 
 use super::config::Config;
 use super::ports::{Datagrams, Listener, Ports};
-use book::Shelf;
-pub use links::{Asker, Gathering, Speaker};
-use links::{Linking, Seen};
-use micadrum_config::Operator;
+use event_log::EventLog;
+use incarnation_store::IncarnationStore;
+pub use links::{Asker, Gathering, PeerReportSource};
+use links::{Linking, PeerAnswer};
+use micadrum_config::OperatorConfig;
 use micadrum_membership::{
-    Book, Ceiling, Input, MOST_DATAGRAM, Member, Output, Peers, Roster, RosterError, Secret, Settings, View,
+    IncarnationRecord, Input, MOST_DATAGRAM, Member, Membership, Output, Roster, RosterError, Secret,
+    SendBudget, Settings, View,
 };
-use micadrum_recovery::Word;
+use micadrum_recovery::PeerReport;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use std::cell::RefCell;
@@ -21,7 +23,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tell::Tell;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
@@ -36,7 +37,7 @@
 
 /// Why peers cannot be turned on.
 #[derive(Debug, thiserror::Error)]
-pub enum PeersError {
+pub enum MembershipError {
     /// The list cannot be used.
     #[error(transparent)]
     Roster(#[from] RosterError),
@@ -58,15 +59,15 @@
 ///
 /// # Errors
 /// Why they cannot be used.
-pub fn follow(operator: &Operator) -> Result<Option<Members>, PeersError> {
+pub fn follow(operator: &OperatorConfig) -> Result<Option<Members>, MembershipError> {
     let Some(peers) = &operator.peers else { return Ok(None) };
     let micros = |span: micadrum_config::units::Span| Duration::from_micros(span.0);
     let settings = Settings {
         probe_every: micros(peers.probe_every),
         dead_after: micros(peers.dead_after),
-        ceiling: Ceiling { datagrams: peers.datagrams, bytes: peers.bytes },
+        ceiling: SendBudget { datagrams: peers.datagrams, bytes: peers.bytes },
     };
-    let member = |member: &micadrum_config::peers::Member| Member {
+    let member = |member: &micadrum_config::peers::PeerMember| Member {
         name: member.name.clone(),
         address: member.address,
         building: member.building.clone(),
@@ -81,13 +82,13 @@
 
 /// Bytes of the folder that lasts that the book of lives may take, with the one that takes its place.
 pub fn room(members: usize) -> u64 {
-    book::room(members)
+    incarnation_store::room(members)
 }
 
 /// Shows what is believed to whoever holds it.
 #[derive(Clone)]
 pub struct Views {
-    core: Rc<RefCell<Option<Peers>>>,
+    core: Rc<RefCell<Option<Membership>>>,
     origin: Instant,
 }
 
@@ -103,8 +104,8 @@
 
 enum Ask {
     Follow(Members),
-    All(oneshot::Sender<BTreeMap<String, Seen>>),
-    Word(String, oneshot::Sender<Option<Word>>),
+    All(oneshot::Sender<BTreeMap<String, PeerAnswer>>),
+    Word(String, oneshot::Sender<Option<PeerReport>>),
     Leave,
 }
 
@@ -156,14 +157,19 @@
 /// # Errors
 /// What is wrong with the list or the secret. A book that is damaged, and an address that another process holds, stop
 /// nothing.
-pub fn start(config: &Config, ports: &Ports, speaker: Speaker) -> Result<Option<Handle>, PeersError> {
+pub fn start(
+    config: &Config,
+    ports: &Ports,
+    speaker: PeerReportSource,
+) -> Result<Option<Handle>, MembershipError> {
     let (Some(peers), Some(members)) = (&config.operator.peers, follow(&config.operator)?) else {
         return Ok(None);
     };
-    let secret = config.secret.map(Secret::new).ok_or_else(|| PeersError::NoSecret(peers.secret.clone()))?;
+    let secret =
+        config.secret.map(Secret::new).ok_or_else(|| MembershipError::NoSecret(peers.secret.clone()))?;
     let own = &peers.members[&peers.own];
     if secret.public() != own.key {
-        return Err(PeersError::NotOurs(peers.own.clone()));
+        return Err(MembershipError::NotOurs(peers.own.clone()));
     }
     let views = Views { core: Rc::default(), origin: Instant::now() };
     let (follows, mut lists) = unbounded_channel();
@@ -174,10 +180,10 @@
             let _ = on_list.send(Ask::Follow(members));
         }
     });
-    let task = Task {
+    let task = MembershipTask {
         views: views.clone(),
-        shelf: Shelf::new(ports.storage.clone()),
-        tell: Tell::new(ports.log.clone(), ports.traces.peers),
+        shelf: IncarnationStore::new(ports.storage.clone()),
+        tell: EventLog::new(ports.log.clone(), ports.traces.peers),
         ports: ports.clone(),
         from_daemon,
         speaker,
@@ -186,23 +192,23 @@
     Ok(Some(Handle { views, follows, asks, task }))
 }
 
-struct Task {
+struct MembershipTask {
     views: Views,
-    shelf: Shelf,
-    tell: Tell,
+    shelf: IncarnationStore,
+    tell: EventLog,
     ports: Ports,
     from_daemon: UnboundedReceiver<Ask>,
-    speaker: Speaker,
+    speaker: PeerReportSource,
 }
 
-impl Task {
+impl MembershipTask {
     async fn run(mut self, at: SocketAddr, mut members: Members, secret: Secret) {
         let Some((socket, links)) = self.bind(at, &mut members).await else { return };
         // Only now: a process before this one may have written in it until it gave the address up.
         let own = members.roster.own();
         let book = self.shelf.read(own).unwrap_or_else(|wrong| {
             self.ports.log.line(&format!("peers: {wrong}; the peers are asked for this sender's life"));
-            Book::new(own)
+            IncarnationRecord::new(own)
         });
         let chance = ChaCha8Rng::from_seed(self.ports.entropy);
         let Members { settings, roster } = members;
@@ -215,7 +221,7 @@
         if let Ok(at) = socket.local_addr() {
             serving.spawn_local(linking.clone().serve(at, links, self.ports.log.clone()));
         }
-        let core = Peers::new(settings, secret, roster, book, chance, self.views.origin.elapsed());
+        let core = Membership::new(settings, secret, roster, book, chance, self.views.origin.elapsed());
         *self.views.core.borrow_mut() = Some(core);
         let mut buffer = vec![0; MOST_DATAGRAM + 1];
         loop {
@@ -289,7 +295,7 @@
         }
     }
 
-    fn with<T: Default>(&self, act: impl FnOnce(&mut Peers, Duration) -> T) -> T {
+    fn with<T: Default>(&self, act: impl FnOnce(&mut Membership, Duration) -> T) -> T {
         let now = self.views.origin.elapsed();
         self.views.core.borrow_mut().as_mut().map_or_else(T::default, |peers| act(peers, now))
     }
--- a/src/daemon/figures.rs
+++ b/src/daemon/metrics.rs
@@ -1,11 +1,11 @@
 //! What one process tells operators of itself, in figures. Free of I/O and clocks.
-use super::store::End;
+use super::journal::FinalOutcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// How messages of one class ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct OfClass {
+pub struct ClassMetrics {
     /// Delivered.
     pub success: u64,
     /// Refused at the door, or handed back.
@@ -16,9 +16,9 @@
 
 /// One picture of a process; its counts begin at 0 with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     /// By class.
-    pub calls: BTreeMap<String, OfClass>,
+    pub calls: BTreeMap<String, ClassMetrics>,
     /// Messages that were written whole to endpoints.
     pub backend_calls: u64,
     /// Messages taken on that have not ended.
@@ -33,11 +33,11 @@
     pub reconfig_failed: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// Shows a class, at 0 until something of it ends.
     pub fn show(&mut self, class: &str) {
         if !self.calls.contains_key(class) {
-            self.calls.insert(class.to_owned(), OfClass::default());
+            self.calls.insert(class.to_owned(), ClassMetrics::default());
         }
     }
 
@@ -52,15 +52,15 @@
     }
 
     /// A message that was taken on ended undelivered.
-    pub fn ended(&mut self, class: &str, end: End) {
+    pub fn ended(&mut self, class: &str, end: FinalOutcome) {
         match end {
-            End::Failed => self.count(class, |of| &mut of.failure),
-            End::Returned(_) => self.refused(class),
+            FinalOutcome::Failed => self.count(class, |of| &mut of.failure),
+            FinalOutcome::Returned(_) => self.refused(class),
         }
     }
 
     /// Classes are those of the settings, of now or before: whoever comes with another has not been taken on.
-    fn count(&mut self, class: &str, which: impl Fn(&mut OfClass) -> &mut u64) {
+    fn count(&mut self, class: &str, which: impl Fn(&mut ClassMetrics) -> &mut u64) {
         self.show(class);
         if let Some(of) = self.calls.get_mut(class) {
             *which(of) += 1;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -2,52 +2,52 @@
 //!
 //! It runs on one thread inside a [`tokio::task::LocalSet`]; whoever drops that ends all of its tasks. What it
 //! needs of the machine comes through [`ports`].
-mod asking;
-mod budget;
-mod call;
-mod classes;
+mod admin_server;
+mod checkpoint;
+mod class_registry;
+mod completed_ids;
 pub mod config;
+mod config_schema;
 mod connection;
+mod connection_pool;
 mod discovery;
 mod durability;
-mod figures;
+pub mod endpoint_list;
+mod event_loop;
+mod events;
 mod frame;
 mod handover;
-mod host;
-mod input;
-mod latest;
-mod lock;
+mod ingress;
+mod journal;
 mod maintenance;
-mod management;
-mod memory;
-mod notices;
-mod over;
-mod peers;
-mod pool;
+mod membership;
+mod metrics;
+mod notifications;
+mod outbound_call;
+mod poll_schedule;
 pub mod ports;
 mod recovery;
-mod server;
-mod shape;
-mod store;
+mod resource_budget;
+mod state_lock;
 pub mod system;
-pub mod targets;
 mod trace;
+mod watch_cell;
 
-use asking::Asking;
-use budget::Budget;
 use config::Config;
 use discovery::Agent;
-use durability::{Lasting, Traced};
-use figures::Figures;
+use durability::{DurableStorage, TracedStorage};
+use event_loop::{EventLoop, EventLoopChannels, EventLoopConfig, HandoverState};
+use events::{AdminRequest, ListenerState, LoopEvent};
 pub use handover::HandoverError;
-use handover::{Entry, Taken};
-use host::{Host, Legacy, Links, Start};
-use input::{Ask, Doors, Input};
-use latest::Latest;
+use handover::{ReceivedListener, StartupMode};
+use journal::{CorruptionReport, Journal, JournalError};
+use metrics::Metrics;
 use micadrum_config::Durability;
-use micadrum_recovery::Word;
+use micadrum_recovery::PeerReport;
+use poll_schedule::PollSchedule;
 use ports::{Listener, Ports, WallClock};
-use recovery::Returning;
+use recovery::RecoveryStatus;
+use resource_budget::ResourceBudget;
 use std::future::pending;
 use std::io;
 use std::net::SocketAddr;
@@ -55,11 +55,11 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::time::Duration;
-use store::{Damage, Store, StoreError};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 use tokio::time::Instant;
+use watch_cell::WatchCell;
 
 /// How long answers on their way out may take once the host has ended.
 const LAST_ANSWERS: Duration = Duration::from_millis(200);
@@ -67,11 +67,11 @@
 /// What the platform asks of a running sender.
 pub enum Signal {
     /// To wind down and end: SIGTERM or SIGINT.
-    WindDown,
+    Shutdown,
     /// To follow the configuration as it now reads, or the word that it cannot be read: SIGHUP.
     Reload(Result<Box<Config>, String>),
     /// To follow it if it reads otherwise than it did: a SIGHUP may have gone to the process whose place this one took.
-    Reread(Result<Box<Config>, String>),
+    ReloadIfChanged(Result<Box<Config>, String>),
 }
 
 /// Why a sender could not start.
@@ -91,7 +91,7 @@
     Handover(#[from] HandoverError),
     /// The senders that are to know each other cannot.
     #[error("peers: {0}")]
-    Peers(#[from] peers::PeersError),
+    Peers(#[from] membership::MembershipError),
     /// Clients cannot be listened for.
     #[error("listening on {address}: {source}")]
     Listen {
@@ -102,8 +102,8 @@
     },
 }
 
-impl From<StoreError> for StartError {
-    fn from(error: StoreError) -> Self {
+impl From<JournalError> for StartError {
+    fn from(error: JournalError) -> Self {
         Self::Store(error.to_string())
     }
 }
@@ -119,17 +119,18 @@
     mut signals: UnboundedReceiver<Signal>,
 ) -> Result<(), StartError> {
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
-    let mut budget = Budget::new(&config.limits, config.settings.most_calls(), config.management.is_some());
+    let mut budget =
+        ResourceBudget::new(&config.limits, config.settings.most_calls(), config.management.is_some());
     if let Some(peers) = &config.operator.peers {
-        budget.set_aside(peers::DESCRIPTORS, peers::room(peers.members.len()));
+        budget.set_aside(membership::DESCRIPTORS, membership::room(peers.members.len()));
     }
     let shape = config.shape();
     let (inputs, mut from_all) = unbounded_channel();
-    let doors = Latest::new(Doors::Opening);
-    let platform = Latest::new(config.discovery);
+    let doors = WatchCell::new(ListenerState::Starting);
+    let platform = WatchCell::new(config.discovery);
     let ports = match ports.traces.storage {
         true => {
-            let traced = Traced::new(ports.storage.clone(), ports.log.clone());
+            let traced = TracedStorage::new(ports.storage.clone(), ports.log.clone());
             Ports { storage: Rc::new(traced), ..ports }
         }
         false => ports,
@@ -137,16 +138,16 @@
     // What a machine that has begun anew goes by has to be there: lives, orders of the operators, the journal's stamp.
     let lasting = config.operator.durability != Durability::Process || config.operator.recovery.is_some();
     let ports = match lasting {
-        true => Ports { storage: Rc::new(Lasting(ports.storage.clone())), ..ports },
+        true => Ports { storage: Rc::new(DurableStorage(ports.storage.clone())), ..ports },
         false => ports,
     };
-    let returning = Returning::default();
+    let returning = RecoveryStatus::default();
     let speaker = speaker(returning.clone(), inputs.clone(), ports.wall.clone());
-    let peers = peers::start(&config, &ports, speaker)?;
+    let peers = membership::start(&config, &ports, speaker)?;
     if let Some(address) = config.management {
         let (listener, at) = listen(&ports, address, None).await?;
         ports.log.line(&format!("operators: listening on {at}"));
-        spawn_local(management::serve(
+        spawn_local(admin_server::serve(
             listener,
             inputs.clone(),
             doors.clone(),
@@ -159,9 +160,9 @@
     spawn_local(async move {
         while let Some(signal) = signals.recv().await {
             let _ = on_signal.send(match signal {
-                Signal::WindDown => Input::WindDown(Instant::now()),
-                Signal::Reload(config) => Input::Reload(config),
-                Signal::Reread(config) => Input::Reread(config),
+                Signal::Shutdown => LoopEvent::Shutdown(Instant::now()),
+                Signal::Reload(config) => LoopEvent::Reload(config),
+                Signal::ReloadIfChanged(config) => LoopEvent::ReloadIfChanged(config),
             });
         }
     });
@@ -170,9 +171,10 @@
     let mut lock = None;
     if let Some(succession) = &ports.handover {
         match handover::enter(&succession.folder, &*ports.log).await? {
-            Entry::Alone(held) => lock = held,
-            Entry::From(taken, file) => {
-                let Taken { predecessor: before, listener, lock: given, inheritance: left } = taken;
+            StartupMode::Fresh(held) => lock = held,
+            StartupMode::Successor(taken, file) => {
+                let ReceivedListener { predecessor: before, listener, lock: given, inheritance: left } =
+                    taken;
                 let file = file.filter(|_| given.is_none());
                 (predecessor, inheritance, adopted) = (Some((before, file)), Some(left), Some(listener));
                 lock = given;
@@ -180,8 +182,8 @@
         }
     }
     let mut config = Rc::new(config);
-    let mut place: Option<Place> = None;
-    let mut figures = Figures::default();
+    let mut place: Option<ServingSocket> = None;
+    let mut figures = Metrics::default();
     loop {
         // After a handover, or one that failed, this machine's folder is this very moment's.
         let begins_anew = inheritance.is_none();
@@ -190,22 +192,22 @@
                 recovery::begin(&returning, set, &config, &ports, budget.disk, peers.as_ref()).await?
             }
             _ => {
-                let (store, damage) = Store::open(ports.storage.clone(), budget.disk)?;
-                (store, damage, recovery::Begun::default())
+                let (store, damage) = Journal::open(ports.storage.clone(), budget.disk)?;
+                (store, damage, recovery::RecoveryStart::default())
             }
         };
-        if damage != Damage::default() {
+        if damage != CorruptionReport::default() {
             ports.log.line(&format!("journal: {damage}"));
         }
         let (notices, queue) = unbounded_channel();
-        let links = Links {
+        let links = EventLoopChannels {
             inputs: inputs.clone(),
             notices,
             doors: doors.clone(),
             platform: platform.clone(),
-            peers: peers.as_ref().map(peers::Handle::follows),
+            peers: peers.as_ref().map(membership::Handle::follows),
         };
-        let start = Start {
+        let start = EventLoopConfig {
             config: config.clone(),
             shape: shape.clone(),
             seed,
@@ -214,33 +216,34 @@
             returning: returning.clone(),
             found,
         };
-        let host = Host::new(start, store, links, budget, ports.clone()).map_err(StartError::Settings)?;
+        let host =
+            EventLoop::new(start, store, links, budget, ports.clone()).map_err(StartError::Settings)?;
         let mut with_platform = JoinSet::new();
         let (terms, known) = (host.terms(), host.asks_from());
-        let asking = Asking::new(terms.get(), seed);
+        let asking = PollSchedule::new(terms.get(), seed);
         let agent = Agent { address: platform.clone(), terms, known, most_bytes: budget.list };
         let watch = discovery::watch(agent, asking, inputs.clone(), ports.clone());
         with_platform.spawn_local(watch);
-        with_platform.spawn_local(notices::run(platform.clone(), queue, inputs.clone(), ports.clone()));
+        with_platform.spawn_local(notifications::run(platform.clone(), queue, inputs.clone(), ports.clone()));
         // Only now: a sender that can be reached has taken up what it owes.
-        let Place { listener, server } = match place.take() {
+        let ServingSocket { listener, server } = match place.take() {
             Some(place) => place,
             None => {
                 let (listener, at) = listen(&ports, config.listen, adopted.take()).await?;
                 ports.log.line(&format!("listening on {at}"));
                 let listener = Rc::<dyn Listener>::from(listener);
                 let server =
-                    server::serve(listener.clone(), at, inputs.clone(), doors.clone(), budget, &ports);
+                    ingress::serve(listener.clone(), at, inputs.clone(), doors.clone(), budget, &ports);
                 if let Some(succession) = &ports.handover {
                     let (folder, host) = (succession.folder.clone(), inputs.clone());
-                    let asked = move |successor| drop(host.send(Input::Successor(successor)));
+                    let asked = move |successor| drop(host.send(LoopEvent::Successor(successor)));
                     spawn_local(handover::listen(folder, asked, ports.log.clone()));
                 }
-                Place { listener, server: spawn_local(server) }
+                ServingSocket { listener, server: spawn_local(server) }
             }
         };
         if returning.is_open() {
-            doors.set(Doors::Open);
+            doors.set(ListenerState::Accepting);
         }
         if let (Some((before, file)), Some(succession)) = (predecessor.take(), &ports.handover) {
             ports.log.line("took the place of the process before");
@@ -259,12 +262,12 @@
                 peers.leave().await;
             }
             // Whoever comes until now has heard an answer.
-            doors.set(Doors::Shut);
+            doors.set(ListenerState::Closed);
             let _ = tokio::time::timeout(LAST_ANSWERS, server).await;
             return Ok(());
         };
         drop(with_platform);
-        let Legacy { mut successor, inheritance: left, config: followed, figures: last } = legacy;
+        let HandoverState { mut successor, inheritance: left, config: followed, figures: last } = legacy;
         // What this process is told meanwhile: whoever has the place at the end is to follow it.
         let (mut reload, mut wind_down) = (None, None);
         let taken = {
@@ -277,9 +280,11 @@
             });
             loop {
                 match stand_by(&mut from_all, &last, given.as_mut()).await {
-                    Stood::Done(taken) => break taken,
-                    Stood::Told(told @ Input::WindDown(_)) => wind_down = wind_down.or(Some(told)),
-                    Stood::Told(told) => reload = Some(told),
+                    StandbyOutcome::Done(taken) => break taken,
+                    StandbyOutcome::Told(told @ LoopEvent::Shutdown(_)) => {
+                        wind_down = wind_down.or(Some(told))
+                    }
+                    StandbyOutcome::Told(told) => reload = Some(told),
                 }
             }
         };
@@ -287,7 +292,7 @@
             ports.log.line("the next process took this one's place");
             // It speaks for this sender from now on, at the same address.
             drop((peers, lock));
-            doors.set(Doors::Given);
+            doors.set(ListenerState::HandedOver);
             if reload.is_some() {
                 successor.reload().await;
             }
@@ -295,9 +300,9 @@
             let mut server = pin!(server);
             loop {
                 match stand_by(&mut from_all, &last, server.as_mut()).await {
-                    Stood::Done(_) => return Ok(()),
-                    Stood::Told(Input::WindDown(_)) => {}
-                    Stood::Told(_) => successor.reload().await,
+                    StandbyOutcome::Done(_) => return Ok(()),
+                    StandbyOutcome::Told(LoopEvent::Shutdown(_)) => {}
+                    StandbyOutcome::Told(_) => successor.reload().await,
                 }
             }
         }
@@ -306,21 +311,25 @@
             let _ = inputs.send(input);
         }
         figures = (*last).clone();
-        (config, inheritance, place) = (followed, Some(left), Some(Place { listener, server }));
+        (config, inheritance, place) = (followed, Some(left), Some(ServingSocket { listener, server }));
     }
 }
 
 /// Gives this sender's word to others that come back: while it comes back itself it has none.
-fn speaker(returning: Returning, host: UnboundedSender<Input>, wall: Rc<dyn WallClock>) -> peers::Speaker {
+fn speaker(
+    returning: RecoveryStatus,
+    host: UnboundedSender<LoopEvent>,
+    wall: Rc<dyn WallClock>,
+) -> membership::PeerReportSource {
     let started = Instant::now();
     Rc::new(move || {
         let (returning, host, wall) = (returning.clone(), host.clone(), wall.clone());
         Box::pin(async move {
-            let mut word = Word::default();
+            let mut word = PeerReport::default();
             // From then on it sees to its own messages.
             if returning.may_send() {
                 let (answer, answered) = oneshot::channel();
-                let _ = host.send(Input::Operator(Ask::Word(answer)));
+                let _ = host.send(LoopEvent::Admin(AdminRequest::PeerReport(answer)));
                 word.endpoints = answered.await.unwrap_or_default();
                 word.steady_for = returning.steady_for(started.elapsed());
             }
@@ -331,7 +340,7 @@
 }
 
 /// What a sender is reached by.
-struct Place {
+struct ServingSocket {
     listener: Rc<dyn Listener>,
     server: JoinHandle<()>,
 }
@@ -351,29 +360,29 @@
 }
 
 /// What ended a time of standing by.
-enum Stood<T> {
+enum StandbyOutcome<T> {
     /// What was waited for.
     Done(T),
     /// A word to this process: to wind down, or of another configuration.
-    Told(Input),
+    Told(LoopEvent),
 }
 
 /// Waits for something while the next process has this one's place or is taking it. Operators hear how it stood when it
 /// was given; whoever asks for more hears that nobody is at work here.
 async fn stand_by<T>(
-    inputs: &mut UnboundedReceiver<Input>,
-    figures: &Rc<Figures>,
+    inputs: &mut UnboundedReceiver<LoopEvent>,
+    figures: &Rc<Metrics>,
     mut until: Pin<&mut impl Future<Output = T>>,
-) -> Stood<T> {
+) -> StandbyOutcome<T> {
     loop {
         tokio::select! {
             biased;
-            done = &mut until => return Stood::Done(done),
+            done = &mut until => return StandbyOutcome::Done(done),
             input = inputs.recv() => match input {
-                Some(Input::Operator(Ask::Figures(answer))) => drop(answer.send(figures.clone())),
-                Some(told @ (Input::WindDown(_) | Input::Reload(_) | Input::Reread(_))) => return Stood::Told(told),
+                Some(LoopEvent::Admin(AdminRequest::Metrics(answer))) => drop(answer.send(figures.clone())),
+                Some(told @ (LoopEvent::Shutdown(_) | LoopEvent::Reload(_) | LoopEvent::ReloadIfChanged(_))) => return StandbyOutcome::Told(told),
                 Some(_) => {}
-                None => return Stood::Done(until.await),
+                None => return StandbyOutcome::Done(until.await),
             },
         }
     }
--- a/src/daemon/notices/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -1,15 +1,15 @@
 //! Notices to the platform: how messages ended that were taken on and not delivered. What goes when is decided in [`owed`].
-mod owed;
+mod queue;
 
 use super::connection::{CallError, Connection, request};
-use super::input::Input;
-use super::latest::Latest;
+use super::events::LoopEvent;
+use super::journal::FinalOutcome;
 use super::ports::{Network, Ports};
-use super::store::End;
+use super::watch_cell::WatchCell;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::{Method, StatusCode};
-use owed::{MOST_LINES, Owed};
+use queue::{MOST_LINES, NotificationQueue};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// The end of one message.
-pub struct Notice {
+pub struct Notification {
     pub number: u32,
     pub id: String,
-    pub end: End,
+    pub end: FinalOutcome,
 }
 
 #[derive(Serialize)]
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-enum NoticeError {
+enum NotificationError {
     #[error("no answer")]
     Silent,
     #[error(transparent)]
@@ -50,12 +50,12 @@
 
 /// Sends what comes in, batched, and each notice until it is answered with 204, also at another address.
 pub async fn run(
-    platforms: Latest<SocketAddr>,
-    mut queue: UnboundedReceiver<Notice>,
-    host: UnboundedSender<Input>,
+    platforms: WatchCell<SocketAddr>,
+    mut queue: UnboundedReceiver<Notification>,
+    host: UnboundedSender<LoopEvent>,
     ports: Ports,
 ) {
-    let mut owed = Owed::default();
+    let mut owed = NotificationQueue::default();
     let mut connection = None;
     let mut reached = platforms.get();
     loop {
@@ -87,17 +87,17 @@
         }
         let sent = tokio::select! {
             biased;
-            () = platforms.wait_for(|address| address != platform) => Ok(Err(NoticeError::Moved)),
+            () = platforms.wait_for(|address| address != platform) => Ok(Err(NotificationError::Moved)),
             sent = timeout(PATIENCE, post(&*ports.network, platform, &batch.notices, &mut connection)) => sent,
         };
-        match sent.unwrap_or(Err(NoticeError::Silent)) {
+        match sent.unwrap_or(Err(NotificationError::Silent)) {
             Ok(()) => {
                 let numbers = batch.notices.iter().map(|n| n.number).collect();
-                if host.send(Input::Noticed(numbers)).is_err() {
+                if host.send(LoopEvent::NotificationsAcknowledged(numbers)).is_err() {
                     return;
                 }
             }
-            Err(NoticeError::Status(StatusCode::BAD_REQUEST)) => {
+            Err(NotificationError::Status(StatusCode::BAD_REQUEST)) => {
                 if let Some(id) = owed.turned_away(batch, Instant::now()) {
                     let what = "the platform cannot read it (status 400)";
                     ports.log.line(&format!("notices: the end of {id:?}: {what}; it goes again by itself"));
@@ -114,12 +114,12 @@
     }
 }
 
-fn lines(notices: &[Notice]) -> Bytes {
+fn lines(notices: &[Notification]) -> Bytes {
     let mut text = Vec::new();
     for notice in notices {
         let (state, after_ms) = match notice.end {
-            End::Failed => ("failed", None),
-            End::Returned(after) => ("returned", after),
+            FinalOutcome::Failed => ("failed", None),
+            FinalOutcome::Returned(after) => ("returned", after),
         };
         // Strings and numbers always have a JSON form, and a Vec takes any text.
         let _ = serde_json::to_writer(&mut text, &Line { id: &notice.id, state, after_ms });
@@ -131,9 +131,9 @@
 async fn post(
     network: &dyn Network,
     platform: SocketAddr,
-    notices: &[Notice],
+    notices: &[Notification],
     kept: &mut Option<Connection>,
-) -> Result<(), NoticeError> {
+) -> Result<(), NotificationError> {
     // A notice does no harm twice: one that met a stale connection just goes again.
     let mut connection = match kept.take() {
         Some(connection) => connection,
@@ -145,5 +145,5 @@
     if answer.into_body().collect().await.is_ok() {
         *kept = Some(connection);
     }
-    if status == StatusCode::NO_CONTENT { Ok(()) } else { Err(NoticeError::Status(status)) }
+    if status == StatusCode::NO_CONTENT { Ok(()) } else { Err(NotificationError::Status(status)) }
 }
--- a/src/daemon/call.rs
+++ b/src/daemon/outbound_call.rs
@@ -1,8 +1,8 @@
 //! One call: what is sent, and what came back as an [`Outcome`].
 use super::connection::{ANSWER_PATIENCE, CallError, Connection, MOST_ANSWER, Tally, request};
-use super::input::{Called, Input};
+use super::events::{CallCompletion, LoopEvent};
 use super::ports::{Log, Ports};
-use crate::{EndpointId, Outcome, Report, Span};
+use crate::{EndpointId, LoadReport, Outcome, TimeDelta};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use bytes::Bytes;
@@ -30,7 +30,7 @@
 
 /// One message of a call.
 #[derive(Clone)]
-pub struct Parcel {
+pub struct BatchedMessage {
     pub number: u32,
     pub id: String,
     pub idempotency_key: Option<String>,
@@ -42,7 +42,7 @@
     pub number: u64,
     pub endpoint: EndpointId,
     pub address: SocketAddr,
-    pub parcels: Vec<Parcel>,
+    pub parcels: Vec<BatchedMessage>,
     /// When it is given up.
     pub expires: Instant,
     pub connect_timeout: Duration,
@@ -57,7 +57,7 @@
 
 /// What a call needs besides itself.
 #[derive(Clone)]
-pub struct Outside {
+pub struct CallContext {
     /// The machine.
     pub ports: Ports,
     /// Where the fields of load reports stand.
@@ -67,7 +67,7 @@
     /// Room for connections whose answers are known and not yet read to their end.
     pub unread: Arc<Semaphore>,
     /// The host.
-    pub host: UnboundedSender<Input>,
+    pub host: UnboundedSender<LoopEvent>,
 }
 
 #[derive(Serialize)]
@@ -97,12 +97,12 @@
 impl Call {
     /// Makes the call, on `kept` or a new connection. The host hears how it ended as soon as that is known; the
     /// connection comes back if it can carry another call.
-    pub async fn run(self, kept: Option<Connection>, outside: &Outside) -> Option<Connection> {
-        let done = |called| drop(outside.host.send(Input::Called(called)));
+    pub async fn run(self, kept: Option<Connection>, outside: &CallContext) -> Option<Connection> {
+        let done = |called| drop(outside.host.send(LoopEvent::CallCompleted(called)));
         let (connection, answer) = match self.answer(kept, outside).await {
             Ok(Some(answered)) => answered,
             Ok(None) => {
-                done(self.called(self.all(Outcome::Withheld), None, None));
+                done(self.called(self.all(Outcome::Deferred), None, None));
                 return None;
             }
             Err(outcome) => {
@@ -141,7 +141,7 @@
     async fn answer(
         &self,
         kept: Option<Connection>,
-        outside: &Outside,
+        outside: &CallContext,
     ) -> Result<Option<(Connection, Response<Incoming>)>, Outcome> {
         if let Some(mut kept) = kept
             && kept.is_alive().await
@@ -160,7 +160,7 @@
     async fn send(
         &self,
         connection: &mut Connection,
-        outside: &Outside,
+        outside: &CallContext,
     ) -> Result<Response<Incoming>, Outcome> {
         let (request, body) = self.request();
         let tally = Tally { count: outside.written.clone(), adds: self.parcels.len() as u64 };
@@ -200,14 +200,14 @@
     }
 
     /// A new connection for the call; none if its messages may not go out any more once there is one.
-    async fn connect(&self, outside: &Outside) -> Result<Option<Connection>, Outcome> {
+    async fn connect(&self, outside: &CallContext) -> Result<Option<Connection>, Outcome> {
         let left = self.expires.saturating_duration_since(Instant::now());
         let new =
             Connection::open(&*outside.ports.network, self.address, left.min(self.connect_timeout)).await;
         let new = new.map_err(|_| Outcome::ConnectFailed)?;
         let (may_begin, allowed) = oneshot::channel();
         let messages = self.parcels.iter().map(|p| p.number).collect();
-        let _ = outside.host.send(Input::Connected { endpoint: self.endpoint, messages, may_begin });
+        let _ = outside.host.send(LoopEvent::Connected { endpoint: self.endpoint, messages, may_begin });
         // A host that has ended has no more calls to make.
         Ok(allowed.await.unwrap_or(false).then_some(new))
     }
@@ -235,7 +235,7 @@
         self.parcels.iter().map(|p| (p.number, outcome, false)).collect()
     }
 
-    fn batch_ends(&self, body: &[u8], told: Option<Span>, log: &dyn Log) -> Vec<(u32, Outcome, bool)> {
+    fn batch_ends(&self, body: &[u8], told: Option<TimeDelta>, log: &dyn Log) -> Vec<(u32, Outcome, bool)> {
         let states: BTreeMap<String, State> = match serde_json::from_slice::<Vec<BatchEnd>>(body) {
             Ok(ends) => ends.into_iter().map(|end| (end.id, end.state)).collect(),
             Err(e) => {
@@ -243,19 +243,31 @@
                 BTreeMap::new()
             }
         };
-        let end = |parcel: &Parcel| match states.get(&parcel.id) {
+        let end = |parcel: &BatchedMessage| match states.get(&parcel.id) {
             Some(State::Ok) => (Outcome::Success, true),
-            Some(State::Later) => (Outcome::Full(told), false),
-            Some(State::Gone) => (Outcome::Void, true),
-            Some(State::Exhausted) => (Outcome::Void, false),
+            Some(State::Later) => (Outcome::Rejected { retry_after: told }, false),
+            Some(State::Gone) => (Outcome::NotSent, true),
+            Some(State::Exhausted) => (Outcome::NotSent, false),
             // What the answer does not tell of may have run.
             Some(State::Error) | None => (Outcome::Failure, false),
         };
         self.parcels.iter().map(|p| (p.number, end(p).0, end(p).1)).collect()
     }
 
-    fn called(&self, ends: Vec<(u32, Outcome, bool)>, wait: Option<Span>, report: Option<Report>) -> Called {
-        Called { number: self.number, endpoint: self.endpoint, at: Instant::now(), ends, wait, report }
+    fn called(
+        &self,
+        ends: Vec<(u32, Outcome, bool)>,
+        wait: Option<TimeDelta>,
+        report: Option<LoadReport>,
+    ) -> CallCompletion {
+        CallCompletion {
+            number: self.number,
+            endpoint: self.endpoint,
+            completed_at: Instant::now(),
+            ends,
+            retry_after: wait,
+            report,
+        }
     }
 }
 
@@ -276,27 +288,27 @@
 }
 
 /// The outcome that a status stands for, and whether it ends the message.
-fn outcome(status: StatusCode, headers: &HeaderMap, told: Option<Span>) -> (Outcome, bool) {
+fn outcome(status: StatusCode, headers: &HeaderMap, told: Option<TimeDelta>) -> (Outcome, bool) {
     match status {
         StatusCode::OK => (Outcome::Success, true),
-        StatusCode::TOO_MANY_REQUESTS => (Outcome::Full(told), false),
-        StatusCode::SERVICE_UNAVAILABLE if headers.contains_key("X-No-Slot") => (Outcome::Void, false),
-        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full(told), false),
-        StatusCode::GATEWAY_TIMEOUT => (Outcome::Void, false),
-        StatusCode::GONE => (Outcome::Void, true),
+        StatusCode::TOO_MANY_REQUESTS => (Outcome::Rejected { retry_after: told }, false),
+        StatusCode::SERVICE_UNAVAILABLE if headers.contains_key("X-No-Slot") => (Outcome::NotSent, false),
+        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Rejected { retry_after: told }, false),
+        StatusCode::GATEWAY_TIMEOUT => (Outcome::NotSent, false),
+        StatusCode::GONE => (Outcome::NotSent, true),
         // Nothing else is agreed on: it may have run.
         _ => (Outcome::Failure, false),
     }
 }
 
 /// A told wait: seconds, with decimals.
-fn told(headers: &HeaderMap) -> Option<Span> {
+fn told(headers: &HeaderMap) -> Option<TimeDelta> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
-    (seconds > 0.0).then(|| Span((seconds.min(MOST_WAIT) * 1e6).ceil() as u64))
+    (seconds > 0.0).then(|| TimeDelta((seconds.min(MOST_WAIT) * 1e6).ceil() as u64))
 }
 
 impl ReportFields {
-    fn read(self, headers: &HeaderMap) -> Option<Report> {
+    fn read(self, headers: &HeaderMap) -> Option<LoadReport> {
         let text = headers.get("X-Pressure")?.to_str().ok()?;
         let field = |name: &str| -> Option<f64> {
             let mut fields = text.split(',').filter_map(|pair| pair.trim().split_once('='));
@@ -309,6 +321,6 @@
         if left.is_none() && limit.is_none() {
             return None;
         }
-        Some(Report { left: left.unwrap_or(1.0), limit: limit.unwrap_or(0.0) })
+        Some(LoadReport { remaining_share: left.unwrap_or(1.0), limit_per_second: limit.unwrap_or(0.0) })
     }
 }
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -177,7 +177,7 @@
     /// The log.
     pub log: Rc<dyn Log>,
     /// How processes of one sender follow each other, where they can.
-    pub handover: Option<Succession>,
+    pub handover: Option<HandoverConfig>,
     /// What is to be told of in the log beside what people read.
     pub traces: Traces,
     /// Which run of the machine this is; none where it does not say, or nobody asks.
@@ -188,7 +188,7 @@
 
 /// How processes of one sender follow each other on one machine.
 #[derive(Clone)]
-pub struct Succession {
+pub struct HandoverConfig {
     /// The folder in which they find each other.
     pub folder: PathBuf,
     /// Has the configuration read again, which [`super::Signal::Reread`] then brings: whoever told the process before to
--- a/src/daemon/recovery/ask.rs
+++ b/src/daemon/recovery/ask.rs
@@ -1,10 +1,10 @@
 //! Asks the peers, over links, what they know.
-use crate::daemon::peers::Handle;
+use crate::daemon::membership::Handle;
 use crate::daemon::ports::Ports;
 use micadrum_config::Peers;
 use micadrum_membership::Standing;
 use micadrum_recovery::asking::{Candidate, Ended};
-use micadrum_recovery::{Asking, Word};
+use micadrum_recovery::{PeerQuery, PeerReport};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::Serialize;
@@ -33,7 +33,7 @@
 
 /// One word, as it was heard.
 pub struct Heard {
-    word: Word,
+    word: PeerReport,
     /// How long ago.
     ago: Duration,
     /// The wall clock here then, microseconds.
@@ -47,7 +47,7 @@
     }
 
     /// What was said, and how long ago.
-    pub fn word(&self) -> (Word, Duration) {
+    pub fn word(&self) -> (PeerReport, Duration) {
         (self.word.clone(), self.ago)
     }
 }
@@ -87,7 +87,7 @@
     candidates.sort_by_key(|(place, _)| *place);
     let own = members.members.get(&members.own).map_or("", |member| &member.building);
     let now = || begun.elapsed();
-    let mut asking = Asking::new(
+    let mut asking = PeerQuery::new(
         candidates.into_iter().map(|(_, candidate)| candidate),
         own,
         until.saturating_duration_since(begun),
@@ -112,7 +112,7 @@
         }
     };
     let wall = ports.wall.now().as_micros() as u64;
-    let heard = |(word, ago): (Word, Duration)| Heard {
+    let heard = |(word, ago): (PeerReport, Duration)| Heard {
         word,
         ago,
         here: wall.saturating_sub(ago.as_micros() as u64),
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -3,16 +3,16 @@
 mod ask;
 
 use super::config::Config;
-use super::peers;
+use super::journal::{CorruptionReport, Journal, JournalError};
+use super::membership;
 use super::ports::{Log, Ports};
-use super::store::{Damage, Store, StoreError};
 use ask::Asked;
 use micadrum_config::{Durability, Recovery as Set};
-use micadrum_recovery::owed::{Left, Repeats, Verdict, judge, time_left, turned_away_for};
-use micadrum_recovery::stages::{Input, Settings, Stage, Step};
-use micadrum_recovery::trust::{Clock, Faith, Found};
+use micadrum_recovery::owed::{LeftoverMessage, Repeats, Verdict, judge, time_left, turned_away_for};
+use micadrum_recovery::stages::{Input, RecoveryPhase, Settings, Step};
+use micadrum_recovery::trust::{Clock, JournalTrust, RecoveryInputs};
 use micadrum_recovery::words::{add_up, offsets};
-use micadrum_recovery::{Caution, Record, Stages, Stamp, Trust};
+use micadrum_recovery::{EndpointRestrictions, JournalStamp, Phases, Record, Trust};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The stage.
-    pub stage: Stage,
+    pub stage: RecoveryPhase,
     /// For how long, in microseconds.
     pub for_us: u64,
     /// What it waits for.
@@ -41,7 +41,7 @@
 
 struct Inner {
     trust: Trust,
-    stages: Stages,
+    stages: Phases,
     asked: Option<Asked>,
     origin: Instant,
     wait_out: Duration,
@@ -52,9 +52,9 @@
 
 /// The return of one process; all handles are alike. Empty until its journal is read, and for good where this part is off.
 #[derive(Clone, Default)]
-pub struct Returning(Rc<RefCell<Option<Inner>>>);
+pub struct RecoveryStatus(Rc<RefCell<Option<Inner>>>);
 
-impl Returning {
+impl RecoveryStatus {
     /// Where it stands; none where this part is off.
     pub fn report(&self) -> Option<Report> {
         let inner = self.0.borrow();
@@ -97,7 +97,7 @@
 
     /// Whether it is at full service.
     pub fn is_full(&self) -> bool {
-        self.0.borrow().as_ref().is_none_or(|inner| inner.stages.stage() == Stage::Full)
+        self.0.borrow().as_ref().is_none_or(|inner| inner.stages.stage() == RecoveryPhase::Full)
     }
 
     /// When time alone changes something.
@@ -127,7 +127,7 @@
     }
 
     /// What becomes of a message that the journal has.
-    pub fn judge(&self, repeats: Repeats, left: Left) -> Verdict {
+    pub fn judge(&self, repeats: Repeats, left: LeftoverMessage) -> Verdict {
         self.0.borrow().as_ref().map_or(Verdict::AsWritten, |inner| judge(&inner.trust, repeats, left))
     }
 
@@ -172,7 +172,7 @@
             let stage = self.stages.stage();
             self.log.line(&format!("recovery: {stage:?}, waits for {}", stage.waits_for()));
         }
-        if self.stages.stage() == Stage::Full && self.full_since.is_none() {
+        if self.stages.stage() == RecoveryPhase::Full && self.full_since.is_none() {
             self.full_since = Some(Instant::now());
         }
     }
@@ -180,11 +180,11 @@
 
 /// What a process begins with beside its journal.
 #[derive(Default)]
-pub struct Begun {
+pub struct RecoveryStart {
     /// What others warn of.
-    pub caution: Caution,
+    pub caution: EndpointRestrictions,
     /// What is written at the journal's end once it is taken up.
-    pub stamp: Option<Stamp>,
+    pub stamp: Option<JournalStamp>,
 }
 
 /// Reads the journal, judges it, and asks the peers where that is of use: the journal, and what others add to the rest.
@@ -192,17 +192,17 @@
 /// # Errors
 /// The journal cannot be opened.
 pub async fn begin(
-    returning: &Returning,
+    returning: &RecoveryStatus,
     set: &Set,
     config: &Config,
     ports: &Ports,
     disk: u64,
-    peers: Option<&peers::Handle>,
-) -> Result<(Store, Damage, Begun), StoreError> {
+    peers: Option<&membership::Handle>,
+) -> Result<(Journal, CorruptionReport, RecoveryStart), JournalError> {
     let origin = Instant::now();
     let wall = || ports.wall.now().as_micros() as u64;
-    let (mut store, damage) = Store::open(ports.storage.clone(), disk)?;
-    let mut trust = Trust::judge(&Found {
+    let (mut store, damage) = Journal::open(ports.storage.clone(), disk)?;
+    let mut trust = Trust::judge(&RecoveryInputs {
         own: &config.name,
         boot: ports.boot,
         wall: wall(),
@@ -213,10 +213,10 @@
         skipped: damage.skipped,
         torn: damage.torn,
     });
-    if trust.journal == Faith::Void {
+    if trust.journal == JournalTrust::Void {
         drop(store);
-        Store::set_aside(&*ports.storage)?;
-        store = Store::open(ports.storage.clone(), disk)?.0;
+        Journal::set_aside(&*ports.storage)?;
+        store = Journal::open(ports.storage.clone(), disk)?.0;
     }
     let micros = |span: micadrum_config::units::Span| Duration::from_micros(span.0);
     let settings = Settings {
@@ -229,7 +229,7 @@
     // Others begin to ask this one by now.
     *returning.0.borrow_mut() = Some(Inner {
         trust: trust.clone(),
-        stages: Stages::new(settings, Duration::ZERO),
+        stages: Phases::new(settings, Duration::ZERO),
         asked: None,
         origin,
         wait_out: micros(set.wait_out),
@@ -237,7 +237,7 @@
         log: ports.log.clone(),
         trace: ports.traces.recovery,
     });
-    let mut caution = Caution::default();
+    let mut caution = EndpointRestrictions::default();
     let mut asked = None;
     if let (Some(peers), Some(members)) = (peers, &config.operator.peers) {
         let until = origin + settings.ask_for;
@@ -266,19 +266,20 @@
         ));
     }
     let outlasts_machine = matches!(config.operator.durability, Durability::Machine { .. });
-    let stamp = Stamp { sender: config.name.clone(), boot: ports.boot, wall: wall(), outlasts_machine };
+    let stamp =
+        JournalStamp { sender: config.name.clone(), boot: ports.boot, wall: wall(), outlasts_machine };
     returning.with(|inner, now| {
         inner.record(&Record::Trust(trust.clone()));
         if trust.takes_stages() {
             inner.stages.handle(Input::Asked, now);
         } else {
-            inner.stages = Stages::full(settings, now);
+            inner.stages = Phases::full(settings, now);
             inner.full_since = Some(Instant::now());
         }
         (inner.trust, inner.asked) = (trust, asked);
         inner.tell(0);
     });
-    Ok((store, damage, Begun { caution, stamp: Some(stamp) }))
+    Ok((store, damage, RecoveryStart { caution, stamp: Some(stamp) }))
 }
 
 /// Tells the journal of the time now and then, so that a later process knows what was not taken on before.
@@ -289,7 +290,7 @@
 
 impl Marks {
     /// Before a message is taken on at `now`, wall clock.
-    pub fn mark(&mut self, store: &mut Store, now: u64) {
+    pub fn mark(&mut self, store: &mut Journal, now: u64) {
         if self.last.is_some_and(|last| now.abs_diff(last) < MARK_EVERY) {
             return;
         }
--- a/src/daemon/budget.rs
+++ b/src/daemon/resource_budget.rs
@@ -24,7 +24,7 @@
 
 /// The limits that the configuration tells.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+pub struct ResourceLimits {
     memory_mb: f64,
     sockets: usize,
     disk_mb: f64,
@@ -32,7 +32,7 @@
 
 /// The part of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct ResourceBudget {
     /// Client connections at once.
     pub clients: usize,
     /// Bytes of request bodies that are being read, over all clients.
@@ -49,9 +49,9 @@
     pub memory_file: u64,
 }
 
-impl Budget {
+impl ResourceBudget {
     /// Deals the limits out; `calls` may be out at once.
-    pub fn new(limits: &Limits, calls: usize, operators: bool) -> Self {
+    pub fn new(limits: &ResourceLimits, calls: usize, operators: bool) -> Self {
         let memory = (limits.memory_mb * 1e6) as usize;
         // Operators' places come out of what is only kept for later.
         let operators = if operators { OPERATORS + 1 } else { 0 };
@@ -78,21 +78,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a part that grows past the whole: each gets something, and together they stay under
-    /// the descriptors.
-    #[test]
-    fn the_parts_stay_under_the_limits() {
-        for sockets in [256, 384, 1024] {
-            for calls in [4, 40] {
-                let limits = Limits { memory_mb: 32.0, sockets, disk_mb: 3.0 };
-                let budget = Budget::new(&limits, calls, true);
-                let all = budget.clients + budget.idle + calls + budget.unread + OWN_SOCKETS + OPERATORS + 1;
-                assert!(all <= sockets && budget.clients * CLIENT_MEMORY + budget.bodies < 16_000_000);
-                assert!(budget.clients * 3 >= sockets.min(768) && budget.idle > calls, "{budget:?}");
-            }
-        }
-    }
-}
+mod tests;
--- a/src/daemon/lock.rs
+++ b/src/daemon/state_lock.rs
@@ -17,24 +17,24 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// The lock, for as long as this is kept. It is of the open file, not of the process: who is given that holds it too.
-pub struct Lock(File);
+pub struct StateLock(File);
 
-impl AsFd for Lock {
+impl AsFd for StateLock {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.0.as_fd()
     }
 }
 
-impl From<OwnedFd> for Lock {
+impl From<OwnedFd> for StateLock {
     fn from(given: OwnedFd) -> Self {
         Self(given.into())
     }
 }
 
 /// A file that can be locked.
-pub struct Lockable(File);
+pub struct UnlockedState(File);
 
-impl Lockable {
+impl UnlockedState {
     /// That of a folder.
     ///
     /// # Errors
@@ -47,9 +47,9 @@
     ///
     /// # Errors
     /// The system locks no files there.
-    pub fn lock(self) -> io::Result<Result<Lock, Self>> {
+    pub fn lock(self) -> io::Result<Result<StateLock, Self>> {
         match flock(&self.0, FlockOperation::NonBlockingLockExclusive) {
-            Ok(()) => Ok(Ok(Lock(self.0))),
+            Ok(()) => Ok(Ok(StateLock(self.0))),
             Err(Errno::WOULDBLOCK) => Ok(Err(self)),
             Err(e) => Err(e.into()),
         }
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// The system locks no files there.
-    pub async fn locked(mut self) -> io::Result<Lock> {
+    pub async fn locked(mut self) -> io::Result<StateLock> {
         loop {
             match self.lock()? {
                 Ok(lock) => return Ok(lock),
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -1,9 +1,9 @@
 //! What passes between a sender and its partners, a line an event, for counts over a whole fleet.
 //!
 //! Off unless it is asked for: a line a call is much on a busy day. `micadrum-testkit count` adds the lines up.
+use super::endpoint_list::EndpointList;
 use super::ports::Log;
-use super::targets::Targets;
-use crate::{Outcome, Report, Span, Time};
+use crate::{LoadReport, Outcome, TimeDelta, Timestamp};
 use std::rc::Rc;
 
 /// Writes the lines, if it is on.
@@ -20,9 +20,9 @@
     /// How the first of them fared.
     pub outcome: Outcome,
     /// How long it was out.
-    pub elapsed: Span,
+    pub elapsed: TimeDelta,
     /// What its answer told.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl Trace {
@@ -32,22 +32,23 @@
     }
 
     /// A call has ended.
-    pub fn call(&self, at: Time, ended: &Ended<'_>) {
+    pub fn call(&self, at: Timestamp, ended: &Ended<'_>) {
         let Some(log) = &self.0 else { return };
         let Ended { destination, endpoint, messages, outcome, elapsed, report } = ended;
         let (outcome, wait) = match outcome {
             Outcome::Success => ("success", None),
             Outcome::Failure => ("failure", None),
-            Outcome::Full(wait) => ("full", *wait),
+            Outcome::Rejected { retry_after: wait } => ("full", *wait),
             Outcome::TimedOut => ("timeout", None),
             Outcome::ConnectFailed => ("unreachable", None),
             Outcome::Reset => ("reset", None),
             Outcome::Cancelled => ("cancelled", None),
-            Outcome::Void => ("void", None),
-            Outcome::Withheld => ("withheld", None),
+            Outcome::NotSent => ("void", None),
+            Outcome::Deferred => ("withheld", None),
         };
         let wait = wait.map_or(String::new(), |wait| format!(" wait_us={}", wait.0));
-        let report = report.map_or(String::new(), |r| format!(" left={} limit={}", r.left, r.limit));
+        let report = report
+            .map_or(String::new(), |r| format!(" left={} limit={}", r.remaining_share, r.limit_per_second));
         log.line(&format!(
             "trace call at={} destination={destination} endpoint={endpoint} messages={messages} \
              outcome={outcome} elapsed_us={}{wait}{report}",
@@ -56,15 +57,15 @@
     }
 
     /// A connection to an endpoint was opened, or was not to be had.
-    pub fn connect(&self, at: Time, destination: u64, endpoint: &str) {
+    pub fn connect(&self, at: Timestamp, destination: u64, endpoint: &str) {
         let Some(log) = &self.0 else { return };
         log.line(&format!("trace connect at={} destination={destination} endpoint={endpoint}", at.0));
     }
 
     /// News of the list.
-    pub fn list(&self, at: Time, targets: &Targets) {
+    pub fn list(&self, at: Timestamp, targets: &EndpointList) {
         let Some(log) = &self.0 else { return };
-        let Targets { revision, complete, members, .. } = targets;
+        let EndpointList { revision, complete, members, .. } = targets;
         log.line(&format!(
             "trace list at={} revision={revision} whole={complete} entries={}",
             at.0,
@@ -73,13 +74,13 @@
     }
 
     /// A message was taken on.
-    pub fn taken(&self, at: Time, destination: u64) {
+    pub fn taken(&self, at: Timestamp, destination: u64) {
         let Some(log) = &self.0 else { return };
         log.line(&format!("trace taken at={} destination={destination}", at.0));
     }
 
     /// A message was turned away at the door, or has ended undelivered.
-    pub fn ended(&self, at: Time, destination: u64, how: &str, class: &str, attempts: u32) {
+    pub fn ended(&self, at: Timestamp, destination: u64, how: &str, class: &str, attempts: u32) {
         let Some(log) = &self.0 else { return };
         let at = at.0;
         log.line(&format!(
--- a/src/daemon/latest.rs
+++ b/src/daemon/watch_cell.rs
@@ -10,15 +10,15 @@
 }
 
 /// A handle to the value; all handles are alike.
-pub struct Latest<T>(Rc<Shared<T>>);
+pub struct WatchCell<T>(Rc<Shared<T>>);
 
-impl<T> Clone for Latest<T> {
+impl<T> Clone for WatchCell<T> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<T: Copy + PartialEq> Latest<T> {
+impl<T: Copy + PartialEq> WatchCell<T> {
     /// A value to follow.
     pub fn new(value: T) -> Self {
         Self(Rc::new(Shared { value: Cell::new(value), changed: Notify::new() }))
@@ -51,21 +51,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a change that is missed between a look and the wait for the next.
-    #[tokio::test]
-    async fn a_follower_sees_what_it_waits_for() {
-        let value = Latest::new(1);
-        assert!(!value.set(1));
-        let other = value.clone();
-        let ((), ()) = tokio::join!(value.wait_for(|v| v == 3), async {
-            for v in [2, 3] {
-                assert!(other.set(v));
-                tokio::task::yield_now().await;
-            }
-        });
-        assert_eq!(value.get(), 3);
-    }
-}
+mod tests;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -6,328 +6,352 @@
 //!
 //! A step looks at what happened, at what is due and at who may be sent to, never at all that is held.
 
-pub(crate) mod line;
-mod rules;
+mod guards;
 #[cfg(test)]
-pub(crate) mod slow;
-mod turns;
+#[path = "tests/reference.rs"]
+pub(crate) mod reference;
+mod route;
+mod scheduling;
 
-use crate::index::calls::{Call, Calls, Ended};
+use crate::index::calls::{Call, CallProgress, InFlightCalls};
 use crate::index::directory::{Directory, Endpoint};
-use crate::index::held::{Held, Ran, Stage, Try};
-use crate::index::keys::{Keys, Left};
-use crate::index::waiting::{Slip, Stand, Timer, Waiting};
-use crate::index::worth::{bends, learn, worth};
+use crate::index::keys::{KeyRelease, OrderingKeys};
+use crate::index::message_state::{ActiveAttempt, MessageState, Phase, UncertainAttempt};
+use crate::index::pending::{PendingEntry, PendingMessages, Readiness, Timer};
+use crate::index::weight::{remaining_weight, update_mean_share, weight_curve};
 use crate::interface::*;
-use crate::pacing::{Flow, Health, flow::RATE_S};
-use line::{Line, Seen};
+use crate::pacing::{Health, Pacer, Route, pacer::RATE_WINDOW_SECONDS};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
+use route::ObservedOutcome;
 use rustc_hash::FxHashMap;
 
 /// Learned share of calls without an answer at which answers count as getting lost.
-const LOST_SHARE: f64 = 0.075;
+const LOST_ANSWER_THRESHOLD: f64 = 0.075;
 /// Learned share of a kind's calls without a connection at which its tables count as crowded.
-const CROWDED_SHARE: f64 = 0.01;
+const CONNECT_FAILURE_THRESHOLD: f64 = 0.01;
 /// Weight of one more call in a share that is learned over many lines.
-const POOLED_LEARN: f64 = 0.05;
+const POOLED_LEARNING_WEIGHT: f64 = 0.05;
 /// Steps between wake-ups at the least; held-up messages are looked at half as often.
-const HEARTBEAT: u64 = 4;
+const HEARTBEAT_STEPS: u64 = 4;
 /// Of each kind of work (moments, ends, turns) a step does at most so much, so that none holds up the host.
-const MOST_IN_STEP: usize = 1024;
+const MAX_WORK_PER_STEP: usize = 1024;
 
 /// A sender's decisions: see the crate's page for an example.
 #[cfg_attr(test, derive(Clone))]
-pub struct Sender {
+pub struct DeliveryEngine {
     pub(crate) settings: Settings,
     random: ChaCha8Rng,
-    now: Time,
+    now: Timestamp,
     // Boxed, as a table that grows moves all of its entries in one step.
-    held: FxHashMap<MessageId, Box<Held>>,
-    taken: u64,
-    pub(crate) directory: Directory<Line>,
-    calls: Calls,
-    keys: Keys,
-    waiting: Waiting,
+    messages: FxHashMap<MessageId, Box<MessageState>>,
+    next_sequence: u64,
+    pub(crate) directory: Directory<Route>,
+    calls: InFlightCalls,
+    keys: OrderingKeys,
+    pending: PendingMessages,
     /// Messages whose windows have closed, and endpoints that may be forgotten.
-    closed: Vec<MessageId>,
-    leaving: Vec<(EndpointId, DestinationId)>,
-    unfinished: bool,
+    closed_windows: Vec<MessageId>,
+    retiring: Vec<(EndpointId, DestinationId)>,
+    has_more_work: bool,
     /// Ended, with the notice still open: until then the key is not free.
-    unnoticed: FxHashMap<MessageId, (OrderKey, u64)>,
+    unacknowledged: FxHashMap<MessageId, (OrderKey, u64)>,
     /// When the process ends, and whether the next one takes its place.
-    ends_at: Option<(Time, bool)>,
-    woken_at: Option<Time>,
-    ask_list_at: Option<Time>,
-    list_failures: u32,
+    ends_at: Option<(Timestamp, bool)>,
+    timer_at: Option<Timestamp>,
+    watch_at: Option<Timestamp>,
+    discovery_failures: u32,
     /// By kind: learned share of calls that get no connection.
-    crowded: Vec<f64>,
+    connect_failure_shares: Vec<f64>,
     /// Learned share of all calls that got no answer.
-    lost: f64,
+    lost_answer_share: f64,
     /// Seconds for which an idle connection is trusted to be alive.
-    trusted_idle: f64,
+    trusted_idle_seconds: f64,
     log: Vec<String>,
 }
 
-impl Sender {
+impl DeliveryEngine {
     /// A sender with no messages and no list; an error names a setting that cannot be acted on.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let asks = settings.discovery == Discovery::OnRequest;
-        let bends = settings.classes.iter().map(|class| bends(class, settings.decay)).collect();
-        Ok(Sender {
+        let asks = settings.discovery == DiscoveryMode::Poll;
+        let bends = settings.classes.iter().map(|class| weight_curve(class, settings.weight_decay)).collect();
+        Ok(DeliveryEngine {
             random: ChaCha8Rng::seed_from_u64(seed),
-            now: Time(0),
-            held: FxHashMap::default(),
-            taken: 0,
+            now: Timestamp(0),
+            messages: FxHashMap::default(),
+            next_sequence: 0,
             directory: Directory::new(),
-            calls: Calls::default(),
-            keys: Keys::default(),
-            waiting: Waiting::new(bends),
-            closed: Vec::new(),
-            leaving: Vec::new(),
-            unfinished: false,
-            unnoticed: FxHashMap::default(),
+            calls: InFlightCalls::default(),
+            keys: OrderingKeys::default(),
+            pending: PendingMessages::new(bends),
+            closed_windows: Vec::new(),
+            retiring: Vec::new(),
+            has_more_work: false,
+            unacknowledged: FxHashMap::default(),
             ends_at: None,
-            woken_at: None,
-            ask_list_at: asks.then_some(Time(0)),
-            list_failures: 0,
-            crowded: vec![0.0; settings.kinds.len()],
-            lost: 0.0,
-            trusted_idle: f64::INFINITY,
+            timer_at: None,
+            watch_at: asks.then_some(Timestamp(0)),
+            discovery_failures: 0,
+            connect_failure_shares: vec![0.0; settings.kinds.len()],
+            lost_answer_share: 0.0,
+            trusted_idle_seconds: f64::INFINITY,
             log: Vec::new(),
             settings,
         })
     }
 
     /// Takes in all events of a round, then decides once; what the host is to do is added to `actions`.
-    pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
+    pub fn step(&mut self, now: Timestamp, events: &[Event], actions: &mut Vec<Action>) {
         self.begin(now, events, actions);
-        self.end_in_time(actions);
+        self.end_expired(actions);
         self.shed(actions);
-        self.give_turns(actions);
+        self.schedule(actions);
         self.finish(actions);
     }
 
-    fn begin(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        self.trusted_idle *= (seconds(since(now, self.now)) / RATE_S).exp();
-        (self.now, self.unfinished) = (now, false);
-        self.waiting.advance(now, Time(now.0 + self.margin() + 1));
+    fn begin(&mut self, now: Timestamp, events: &[Event], actions: &mut Vec<Action>) {
+        self.trusted_idle_seconds *= (seconds(since(now, self.now)) / RATE_WINDOW_SECONDS).exp();
+        (self.now, self.has_more_work) = (now, false);
+        self.pending.advance(now, Timestamp(now.0 + self.end_margin() + 1));
         self.fire_timers();
         for event in events {
-            self.take_in(event, actions);
+            self.apply_event(event, actions);
         }
     }
 
     fn finish(&mut self, actions: &mut Vec<Action>) {
-        self.forget_gone(actions);
-        if self.ask_list_at.take_if(|at| *at <= self.now).is_some() {
-            actions.push(Action::Subscribe);
+        self.forget_removed_endpoints(actions);
+        if self.watch_at.take_if(|at| *at <= self.now).is_some() {
+            actions.push(Action::WatchEndpoints);
         }
-        self.set_alarm(actions);
+        self.set_timer(actions);
         actions.extend(self.log.drain(..).map(Action::Log));
     }
 
     fn fire_timers(&mut self) {
-        for _ in 0..MOST_IN_STEP {
-            match self.waiting.timers.take_due(self.now) {
-                Some(Timer::Ready(id)) => self.file(id),
-                Some(Timer::Window(id)) => self.closed.push(id),
-                Some(Timer::Rest(key)) => self.forget_rested(key),
-                Some(Timer::Look(destination)) => self.waiting.look(destination),
-                Some(Timer::Gone(endpoint, destination)) => self.leaving.push((endpoint, destination)),
+        for _ in 0..MAX_WORK_PER_STEP {
+            match self.pending.timers.take_due(self.now) {
+                Some(Timer::BackoffElapsed(id)) => self.update_entry(id),
+                Some(Timer::DeduplicationWindowClosed(id)) => self.closed_windows.push(id),
+                Some(Timer::OrderingHoldElapsed(key)) => self.forget_idle_key(key),
+                Some(Timer::RecheckDestination(destination)) => self.pending.recheck(destination),
+                Some(Timer::ForgetEndpoint(endpoint, destination)) => {
+                    self.retiring.push((endpoint, destination))
+                }
                 None => return,
             }
         }
-        self.unfinished = true;
+        self.has_more_work = true;
     }
 
     /// A wake-up for the first moment at which something may be due: many senders mostly sleep.
-    fn set_alarm(&mut self, actions: &mut Vec<Action>) {
-        let beat = HEARTBEAT * self.settings.period.0;
-        let held_up = self.waiting.any_ready().then(|| Time(self.now.0 + 2 * beat));
-        let end = self.waiting.first_deadline().map(|deadline| self.last_moment(deadline));
-        let due = [self.waiting.timers.next(), held_up, end, self.ask_list_at].into_iter().flatten().min();
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        let beat = HEARTBEAT_STEPS * self.settings.min_step_interval.0;
+        let held_up = self.pending.any_ready().then(|| Timestamp(self.now.0 + 2 * beat));
+        let end = self.pending.first_deadline().map(|deadline| self.end_by(deadline));
+        let due = [self.pending.timers.next(), held_up, end, self.watch_at].into_iter().flatten().min();
         let Some(next) = due else { return };
-        let at = match self.unfinished {
-            true => Time(self.now.0 + self.settings.period.0),
-            false => next.max(Time(self.now.0 + beat)),
+        let at = match self.has_more_work {
+            true => Timestamp(self.now.0 + self.settings.min_step_interval.0),
+            false => next.max(Timestamp(self.now.0 + beat)),
         };
-        if self.woken_at.is_none_or(|set| set <= self.now || at < set) {
-            self.woken_at = Some(at);
-            actions.push(Action::WakeIn(Span(at.0 - self.now.0)));
+        if self.timer_at.is_none_or(|set| set <= self.now || at < set) {
+            self.timer_at = Some(at);
+            actions.push(Action::SetTimer(TimeDelta(at.0 - self.now.0)));
         }
     }
 
-    fn take_in(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    fn apply_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             // A class that the settings do not name cannot be decided on: refused, nothing has run.
             Event::Message(message) if message.class.0 >= self.settings.classes.len() => {
-                actions.push(Action::Refuse { message: message.id, after: None });
+                actions.push(Action::Return { message: message.id, retry_after: None });
             }
-            Event::Message(message) => self.message(*message),
-            Event::Resumed(resumed) => self.resumed(resumed),
-            Event::Told { endpoint, wait } => self.told(*endpoint, *wait),
-            Event::Noticed(id) => {
-                if let Some((key, place)) = self.unnoticed.remove(id) {
-                    self.leave_key(*id, place, key);
+            Event::Message(message) => self.accept(*message),
+            Event::Recovered(resumed) => self.recover(resumed),
+            Event::RetryAfter { endpoint, wait } => self.apply_retry_after(*endpoint, *wait),
+            Event::CompletionAcknowledged(id) => {
+                if let Some((key, place)) = self.unacknowledged.remove(id) {
+                    self.release_key(*id, place, key);
                 }
             }
-            Event::WindDown(end) => self.ends_at = Some((*end, false)),
-            Event::HandOver(end) => self.ends_at = Some((*end, true)),
-            Event::Settings(settings) => self.settle(settings),
-            Event::Ended { .. } => self.ended(event, actions),
-            Event::Withdrawn(id) => self.withdrawn(*id),
-            Event::FullList(entries) => self.list(entries, true),
-            Event::ListChanges(entries) => self.list(entries, false),
-            Event::ListFailed => {
-                self.list_failures = (self.list_failures + 1).min(4);
-                let most = self.settings.rules.must_ask_in.0 as f64 / 2.0;
-                let wait = self.settings.connect_timeout.0 as f64 * f64::from(1 << self.list_failures) / 4.0;
-                self.ask_list_at = Some(after(self.now, wait.min(most) * (0.5 + self.chance())));
+            Event::Shutdown(end) => self.ends_at = Some((*end, false)),
+            Event::Handover(end) => self.ends_at = Some((*end, true)),
+            Event::Settings(settings) => self.apply_settings(settings),
+            Event::AttemptEnded { .. } => self.attempt_ended(event, actions),
+            Event::Cancelled(id) => self.cancelled(*id),
+            Event::EndpointSnapshot(entries) => self.apply_endpoints(entries, true),
+            Event::EndpointUpdates(entries) => self.apply_endpoints(entries, false),
+            Event::DiscoveryFailed => {
+                self.discovery_failures = (self.discovery_failures + 1).min(4);
+                let most = self.settings.rules.discovery_staleness_limit.0 as f64 / 2.0;
+                let wait =
+                    self.settings.connect_timeout.0 as f64 * f64::from(1 << self.discovery_failures) / 4.0;
+                self.watch_at = Some(after(self.now, wait.min(most) * (0.5 + self.random_unit())));
             }
-            Event::Checked { .. } => {}
-            Event::Woken => self.woken_at = None,
+            Event::HealthCheckEnded { .. } => {}
+            Event::TimerFired => self.timer_at = None,
         }
     }
 
-    fn message(&mut self, message: Message) {
+    fn accept(&mut self, message: Message) {
         let ordered = self.settings.classes[message.class.0].ordered;
-        let place = self.taken;
-        self.taken += 1;
-        let crowded = message.key.filter(|_| ordered).and_then(|k| self.keys.enter(k, place, message.id));
-        let deadline = Time(self.now.0 + message.budget.0);
-        let stage = Stage::Waiting(self.now);
-        let held = Held { message, deadline, place, attempts: 0, stage, ran: None, found: false, slip: None };
-        self.held.insert(message.id, Box::new(held));
-        self.file(message.id);
+        let place = self.next_sequence;
+        self.next_sequence += 1;
+        let crowded = message.key.filter(|_| ordered).and_then(|k| self.keys.push(k, place, message.id));
+        let deadline = Timestamp(self.now.0 + message.time_to_live.0);
+        let stage = Phase::Pending(self.now);
+        let held = MessageState {
+            message,
+            deadline,
+            sequence: place,
+            attempts: 0,
+            phase: stage,
+            first_uncertain_attempt: None,
+            recovered_untried: false,
+            entry: None,
+        };
+        self.messages.insert(message.id, Box::new(held));
+        self.update_entry(message.id);
         if let Some(first) = crowded {
-            self.file(first);
+            self.update_entry(first);
         }
     }
 
     /// A message of an earlier process: its attempts count, and what may have run is known.
-    fn resumed(&mut self, resumed: &Resumed) {
-        let Resumed { message, attempts, ran, ended } = *resumed;
+    fn recover(&mut self, resumed: &RecoveredMessage) {
+        let RecoveredMessage { message, attempts, first_uncertain_attempt: ran, ended } = *resumed;
         if message.class.0 >= self.settings.classes.len() {
             return;
         }
-        self.message(message);
+        self.accept(message);
         if ended {
-            self.leave(message.id);
+            self.forget_undelivered(message.id);
             return;
         }
         // What was out failed with its process. All senders that restart come back together: by chance apart.
-        let (jitter, class) = (self.chance(), &self.settings.classes[message.class.0]);
-        let wait = if attempts > 0 { rules::backoff(class, attempts, jitter) } else { 0.0 };
+        let (jitter, class) = (self.random_unit(), &self.settings.classes[message.class.0]);
+        let wait = if attempts > 0 { guards::backoff(class, attempts, jitter) } else { 0.0 };
         let at = after(self.now, wait);
-        let Some(held) = self.held.get_mut(&message.id) else { return };
-        (held.attempts, held.found) = (attempts, attempts == 0);
-        held.stage = Stage::Waiting(at);
-        held.ran = ran.map(|(sent, zone)| Ran { sent, zone });
-        self.file(message.id);
+        let Some(held) = self.messages.get_mut(&message.id) else { return };
+        (held.attempts, held.recovered_untried) = (attempts, attempts == 0);
+        held.phase = Phase::Pending(at);
+        held.first_uncertain_attempt = ran.map(|(sent, zone)| UncertainAttempt { sent_at: sent, zone });
+        self.update_entry(message.id);
         if let Some(key) = message.key.filter(|_| ran.is_some()) {
-            self.rest(key);
+            self.hold_key(key);
         }
     }
 
-    fn told(&mut self, endpoint: EndpointId, wait: Span) {
+    fn apply_retry_after(&mut self, endpoint: EndpointId, wait: TimeDelta) {
         let Some(at) = self.directory.endpoint(endpoint) else { return };
-        let [own, shared] = self.directory.places(at);
-        self.wait(shared.or(own), wait);
+        let [own, shared] = self.directory.route_slots(at);
+        self.hold_route(shared.or(own), wait);
     }
 
-    fn wait(&mut self, line: Option<usize>, wait: Span) {
-        let Some(line) = line.map(|place| self.directory.line_mut(place)) else { return };
-        line.told_until = line.told_until.max(Time(self.now.0 + wait.0));
+    fn hold_route(&mut self, line: Option<usize>, wait: TimeDelta) {
+        let Some(line) = line.map(|place| self.directory.route_mut(place)) else { return };
+        line.retry_after_until = line.retry_after_until.max(Timestamp(self.now.0 + wait.0));
     }
 
     /// Whether a message for `destination` may be taken on: there is room beside the `held` ones and time to
     /// deliver it, and the list names the destination, or did until a short while ago.
-    pub fn admits(&self, now: Time, held: usize, destination: DestinationId) -> bool {
-        let late = Time(now.0 + self.settings.connect_timeout.0);
+    pub fn admits(&self, now: Timestamp, held: usize, destination: DestinationId) -> bool {
+        let late = Timestamp(now.0 + self.settings.connect_timeout.0);
         let time = self.ends_at.is_none_or(|(end, succeeded)| succeeded || late < end);
-        held < self.settings.most_held && time && self.directory.destination(destination).is_some()
+        held < self.settings.max_pending_messages && time && self.directory.destination(destination).is_some()
     }
 
-    fn list(&mut self, entries: &[Entry], whole: bool) {
-        self.list_failures = 0;
+    fn apply_endpoints(&mut self, entries: &[EndpointEntry], whole: bool) {
+        self.discovery_failures = 0;
         let s = &self.settings;
-        let shares = |kind: KindId| s.kinds.get(kind.0).is_some_and(|kind| !kind.routes_apart);
+        let shares = |kind: KindId| s.kinds.get(kind.0).is_some_and(|kind| !kind.limits_per_endpoint);
         // The hint is the route's, or that of the destination whose endpoints share a limit.
-        let line = |entry: &Entry, own: Option<EndpointId>| {
+        let line = |entry: &EndpointEntry, own: Option<EndpointId>| {
             let gate = own.is_none() == shares(entry.kind);
-            let hinted = s.hints != Hints::None && gate;
-            Line::new(entry.destination, own, gate, if hinted { entry.hint } else { 0.0 })
+            let hinted = s.capacity_hints != CapacityHints::None && gate;
+            Route::new(entry.destination, own, gate, if hinted { entry.capacity_hint } else { 0.0 })
         };
-        let known: Vec<Entry> = entries.iter().filter(|e| e.kind.0 < s.kinds.len()).copied().collect();
-        for (id, destination, gone, before) in self.directory.enter(&known, whole, self.now, shares, line) {
+        let known: Vec<EndpointEntry> =
+            entries.iter().filter(|e| e.kind.0 < s.kinds.len()).copied().collect();
+        for (id, destination, gone, before) in self.directory.apply(&known, whole, self.now, shares, line) {
             if let Some(gone) = gone {
-                let forget = Time(gone.0 + self.settings.rules.ramp.0);
-                self.waiting.timers.set(forget, Timer::Gone(id, destination));
+                let forget = Timestamp(gone.0 + self.settings.rules.slow_start_duration.0);
+                self.pending.timers.set(forget, Timer::ForgetEndpoint(id, destination));
             }
-            self.relisted(id, before);
-            self.waiting.wake(destination);
+            self.endpoint_state_changed(id, before);
+            self.pending.mark_changed(destination);
         }
     }
 
     /// Who drained and is in service again was restarted: it comes back cold, to the traffic it had.
-    fn relisted(&mut self, id: EndpointId, before: Listing) {
+    fn endpoint_state_changed(&mut self, id: EndpointId, before: EndpointState) {
         let Some(at) = self.directory.endpoint(id) else { return };
-        let health = match (before, at.listing) {
-            (Listing::Active, Listing::Draining) => Health::Down(self.now),
-            (Listing::Draining, Listing::Active) => Health::Returning(self.now),
+        let health = match (before, at.state) {
+            (EndpointState::Active, EndpointState::Draining) => Health::Ejected(self.now),
+            (EndpointState::Draining, EndpointState::Active) => Health::SlowStart(self.now),
             _ => return,
         };
-        let (now, line) = (self.now, self.directory.line_mut(at.line));
-        line.flow = Flow { health, tokens: 1.0, ..line.flow(now, &self.settings) };
+        let (now, line) = (self.now, self.directory.route_mut(at.route));
+        line.pacer = Pacer { health, tokens: 1.0, ..line.pacer_at(now, &self.settings) };
     }
 
     /// Other settings hold from now on. A message that has had all the attempts now allowed ends.
-    fn settle(&mut self, settings: &Settings) {
-        self.waiting.classes(settings.classes.iter().map(|class| bends(class, settings.decay)).collect());
+    fn apply_settings(&mut self, settings: &Settings) {
+        self.pending.set_curves(
+            settings.classes.iter().map(|class| weight_curve(class, settings.weight_decay)).collect(),
+        );
         self.settings = settings.clone();
-        let spent = |held: &Held| held.attempts >= settings.max_attempts;
-        self.closed.extend(self.held.iter().filter(|(_, held)| spent(held)).map(|(id, _)| *id));
+        let spent = |held: &MessageState| held.attempts >= settings.max_attempts;
+        self.closed_windows.extend(self.messages.iter().filter(|(_, held)| spent(held)).map(|(id, _)| *id));
     }
 
     /// What was learned of an endpoint that has gone is dropped once no call to it is out, no wait that it
     /// told runs on, and it has not come back for a ramp; a destination goes with its last endpoint.
-    fn forget_gone(&mut self, actions: &mut Vec<Action>) {
-        let (now, leaving) = (self.now, std::mem::take(&mut self.leaving));
-        let until = |line: &Line| if line.out.is_empty() { line.told_until } else { Time(u64::MAX) };
-        let wanted = |line: &Line| Some(until(line)).filter(|until| now < *until);
-        let long_gone = Time(now.0.saturating_sub(self.settings.rules.ramp.0));
+    fn forget_removed_endpoints(&mut self, actions: &mut Vec<Action>) {
+        let (now, leaving) = (self.now, std::mem::take(&mut self.retiring));
+        let until = |line: &Route| {
+            if line.in_flight.is_empty() { line.retry_after_until } else { Timestamp(u64::MAX) }
+        };
+        let wanted = |line: &Route| Some(until(line)).filter(|until| now < *until);
+        let long_gone = Timestamp(now.0.saturating_sub(self.settings.rules.slow_start_duration.0));
         for (id, of, forgotten, again) in self.directory.retire_all(leaving, long_gone, wanted) {
-            actions.extend(forgotten.then_some(Action::Forget(id)));
-            if let Some(again) = again.filter(|at| *at < Time(u64::MAX)) {
-                self.waiting.timers.set(again, Timer::Gone(id, of));
+            actions.extend(forgotten.then_some(Action::ForgetEndpoint(id)));
+            if let Some(again) = again.filter(|at| *at < Timestamp(u64::MAX)) {
+                self.pending.timers.set(again, Timer::ForgetEndpoint(id, of));
             }
-            self.waiting.wake(of);
+            self.pending.mark_changed(of);
         }
     }
 
-    fn ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::Ended { message: id, attempt, outcome, last, report, .. } = *event else { return };
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let (Stage::Out(tried) | Stage::Over(tried)) = held.stage else { return };
+    fn attempt_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        let Event::AttemptEnded { message: id, attempt, outcome, completes: last, report, .. } = *event
+        else {
+            return;
+        };
+        let Some(held) = self.messages.get_mut(&id) else { return };
+        let (Phase::InFlight(tried) | Phase::Detached(tried)) = held.phase else { return };
         if attempt + 1 != held.attempts {
             return;
         }
-        let over = last || matches!(held.stage, Stage::Over(_));
-        held.stage = Stage::Waiting(self.now);
-        held.attempts -= u32::from(outcome == Outcome::Withheld);
+        let over = last || matches!(held.phase, Phase::Detached(_));
+        held.phase = Phase::Pending(self.now);
+        held.attempts -= u32::from(outcome == Outcome::Deferred);
         let may_run =
             matches!(outcome, Outcome::Failure | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         let zone = self.directory.endpoint(tried.endpoint).map_or(ZoneId(usize::MAX), |at| at.zone);
-        if may_run && held.ran.is_none() {
-            held.ran = Some(Ran { sent: self.calls.get(tried.call).map_or(Time(0), |c| c.sent), zone });
+        if may_run && held.first_uncertain_attempt.is_none() {
+            held.first_uncertain_attempt = Some(UncertainAttempt {
+                sent_at: self.calls.get(tried.call).map_or(Timestamp(0), |c| c.sent_at),
+                zone,
+            });
         }
         if let Some(key) = held.message.key.filter(|_| may_run && outcome != Outcome::Failure) {
-            self.rest(key);
+            self.hold_key(key);
         }
-        self.distrust(tried, outcome, actions);
-        self.call_ended(tried, outcome, report);
+        self.review_idle_connections(tried, outcome, actions);
+        self.record_call_end(tried, outcome, report);
         if over {
             self.forget(id);
         } else {
@@ -335,223 +359,253 @@
         }
     }
 
-    fn withdrawn(&mut self, id: MessageId) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        match held.stage {
-            Stage::Out(tried) => held.stage = Stage::Over(tried),
-            Stage::Waiting(_) => self.forget(id),
-            Stage::Over(_) => {}
+    fn cancelled(&mut self, id: MessageId) {
+        let Some(held) = self.messages.get_mut(&id) else { return };
+        match held.phase {
+            Phase::InFlight(tried) => held.phase = Phase::Detached(tried),
+            Phase::Pending(_) => self.forget(id),
+            Phase::Detached(_) => {}
         }
     }
 
     fn forget(&mut self, id: MessageId) {
         let Some(held) = self.remove(id) else { return };
         if let Some(key) = held.message.key {
-            self.leave_key(id, held.place, key);
+            self.release_key(id, held.sequence, key);
         }
     }
 
-    fn remove(&mut self, id: MessageId) -> Option<Box<Held>> {
-        let held = self.held.remove(&id)?;
-        if let Some(slip) = &held.slip {
-            self.waiting.unfile(id, slip);
+    fn remove(&mut self, id: MessageId) -> Option<Box<MessageState>> {
+        let held = self.messages.remove(&id)?;
+        if let Some(slip) = &held.entry {
+            self.pending.remove(id, slip);
         }
         Some(held)
     }
 
     /// Forgets a message that ended undelivered; its key is free once that is known to whom it concerns.
-    fn leave(&mut self, id: MessageId) {
-        let key = self.held.get(&id).and_then(|held| held.message.key.map(|key| (key, held.place)));
-        match key.filter(|_| self.settings.ends_noticed) {
+    fn forget_undelivered(&mut self, id: MessageId) {
+        let key = self.messages.get(&id).and_then(|held| held.message.key.map(|key| (key, held.sequence)));
+        match key.filter(|_| self.settings.completion_requires_acknowledgement) {
             Some(key) => {
                 self.remove(id);
-                self.unnoticed.insert(id, key);
+                self.unacknowledged.insert(id, key);
             }
             None => self.forget(id),
         }
     }
 
     /// Enters a message that waits into the books, anew if it was there.
-    fn file(&mut self, id: MessageId) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        if let Some(slip) = held.slip.take() {
-            self.waiting.unfile(id, &slip);
+    fn update_entry(&mut self, id: MessageId) {
+        let Some(held) = self.messages.get_mut(&id) else { return };
+        if let Some(slip) = held.entry.take() {
+            self.pending.remove(id, &slip);
         }
-        let Stage::Waiting(at) = held.stage else { return };
+        let Phase::Pending(at) = held.phase else { return };
         let Message { class, destination, key, .. } = held.message;
         let of_class = &self.settings.classes[class.0];
         let key = key.filter(|_| of_class.ordered);
         // What was found untried after a restart goes before what comes, and is never shed for it.
-        let found = held.found && held.attempts == 0;
-        let crowded = found || key.is_some_and(|key| self.keys.crowded(key));
-        let (first, rest) = match key.and_then(|key| self.keys.first(key)) {
+        let found = held.recovered_untried && held.attempts == 0;
+        let crowded = found || key.is_some_and(|key| self.keys.has_successors(key));
+        let (first, rest) = match key.and_then(|key| self.keys.head(key)) {
             Some((first, rest)) => (first == Some(id), rest),
-            None => (true, Time(0)),
+            None => (true, Timestamp(0)),
         };
         let ready = if held.attempts == 0 { at.max(rest) } else { at };
         let spent = held.attempts >= self.settings.max_attempts;
         let stand = match () {
-            () if !first || spent => Stand::Behind,
-            () if ready > self.now => Stand::Until(ready),
-            () => Stand::Ready,
+            () if !first || spent => Readiness::Blocked,
+            () if ready > self.now => Readiness::NotBefore(ready),
+            () => Readiness::Ready,
         };
-        let (zone, closes) = match (of_class.repeat, held.ran) {
-            (Repeat::Keyed { group, window }, Some(ran)) => {
-                let closes = Time((ran.sent.0 + window.0).saturating_sub(self.settings.period.0));
-                (Some(ran.zone).filter(|_| group == Group::Zone), Some(closes))
+        let (zone, closes) = match (of_class.idempotency, held.first_uncertain_attempt) {
+            (Idempotency::WithKey { scope: group, window }, Some(ran)) => {
+                let closes =
+                    Timestamp((ran.sent_at.0 + window.0).saturating_sub(self.settings.min_step_interval.0));
+                (Some(ran.zone).filter(|_| group == DeduplicationScope::Zone), Some(closes))
             }
-            (Repeat::Unsafe, Some(_)) => (None, Some(self.now)),
+            (Idempotency::NonIdempotent, Some(_)) => (None, Some(self.now)),
             _ => (None, None),
         };
         // Who may go only after its window has closed is over now, and who has had all attempts.
         let window = closes.filter(|closes| at.max(self.now) < *closes);
         if window != closes || spent {
-            self.closed.push(id);
-        }
-        let (deadline, ran) = (held.deadline, held.ran.is_some() || found);
-        let slip = Slip { class, destination, deadline, ran, zone, window, crowded, stand };
-        self.waiting.file(id, &slip);
-        held.slip = Some(slip);
+            self.closed_windows.push(id);
+        }
+        let (deadline, ran) = (held.deadline, held.first_uncertain_attempt.is_some() || found);
+        let slip = PendingEntry {
+            class,
+            destination,
+            deadline,
+            protected: ran,
+            required_zone: zone,
+            window_closes_at: window,
+            urgent: crowded,
+            readiness: stand,
+        };
+        self.pending.insert(id, &slip);
+        held.entry = Some(slip);
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
 
-    fn leave_key(&mut self, id: MessageId, place: u64, key: OrderKey) {
-        match self.keys.leave(key, place, id, self.now) {
-            Left::AsBefore => {}
-            Left::First(first) => self.file(first),
-            Left::Rests(until) => self.waiting.timers.set(until, Timer::Rest(key)),
+    fn release_key(&mut self, id: MessageId, place: u64, key: OrderKey) {
+        match self.keys.release(key, place, id, self.now) {
+            KeyRelease::Unchanged => {}
+            KeyRelease::NextMessage(first) => self.update_entry(first),
+            KeyRelease::HeldUntil(until) => self.pending.timers.set(until, Timer::OrderingHoldElapsed(key)),
         }
     }
 
     /// An attempt of this key may still run: newer messages wait until that has settled.
-    fn rest(&mut self, key: OrderKey) {
-        if let Some(first) = self.keys.rest(key, Time(self.now.0 + self.settings.rules.order_settle.0)) {
-            self.file(first);
+    fn hold_key(&mut self, key: OrderKey) {
+        if let Some(first) = self.keys.hold(key, Timestamp(self.now.0 + self.settings.rules.ordering_hold.0))
+        {
+            self.update_entry(first);
         }
     }
 
     /// A key is kept while messages queue for it, or until it has rested.
-    fn forget_rested(&mut self, key: OrderKey) {
+    fn forget_idle_key(&mut self, key: OrderKey) {
         if let Some(rests) = self.keys.forget(key, self.now) {
-            self.waiting.timers.set(rests, Timer::Rest(key));
+            self.pending.timers.set(rests, Timer::OrderingHoldElapsed(key));
         }
     }
 
-    fn flow(&self, line: &Line) -> Flow {
-        line.flow(self.now, &self.settings)
+    fn pacer(&self, line: &Route) -> Pacer {
+        line.pacer_at(self.now, &self.settings)
     }
 
     /// Idle connections can be dead without a word. After silence they are closed, and those idle for as long
     /// as the lost call's was are used nowhere, a span that grows again. They also fill small tables: while a
     /// kind's calls get no connection, who calls rarely keeps none. Both cost handshakes where a partner is
     /// merely slow or down.
-    fn distrust(&mut self, tried: Try, outcome: Outcome, actions: &mut Vec<Action>) {
+    fn review_idle_connections(&mut self, tried: ActiveAttempt, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(at) = self.directory.endpoint(tried.endpoint) else { return };
-        let line = self.directory.line(at.line);
-        let rare = self.flow(line).rate * seconds(self.settings.rules.fall.0) < 1.0;
-        let share = &mut self.crowded[at.kind.0];
+        let line = self.directory.route(at.route);
+        let rare = self.pacer(line).rate * seconds(self.settings.rules.overload_window.0) < 1.0;
+        let share = &mut self.connect_failure_shares[at.kind.0];
         let silent = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
         if !silent {
-            learn(share, outcome == Outcome::ConnectFailed, POOLED_LEARN);
+            update_mean_share(share, outcome == Outcome::ConnectFailed, POOLED_LEARNING_WEIGHT);
         }
-        if silent || (*share > CROWDED_SHARE && rare && line.out.len() <= 1) {
-            actions.push(Action::CloseIdle(tried.endpoint));
+        if silent || (*share > CONNECT_FAILURE_THRESHOLD && rare && line.in_flight.len() <= 1) {
+            actions.push(Action::CloseIdleConnections(tried.endpoint));
         }
-        let healthy = seconds(line.slowest(line::OVERDUE_DEVS) as u64);
-        if let Some(call) = self.calls.get(tried.call).filter(|call| silent && call.idle > healthy) {
-            self.trusted_idle = self.trusted_idle.min(call.idle);
+        let healthy = seconds(line.latency_bound(route::OVERDUE_DEVIATIONS) as u64);
+        if let Some(call) = self.calls.get(tried.call).filter(|call| silent && call.idle_seconds > healthy) {
+            self.trusted_idle_seconds = self.trusted_idle_seconds.min(call.idle_seconds);
         }
     }
 
     /// Books an outcome to the lines of its call; a batch shares one fate and counts once.
-    fn call_ended(&mut self, tried: Try, outcome: Outcome, report: Option<Report>) {
-        let Some(Ended { call: Call { sent, lines, .. }, first, done }) = self.calls.end(tried.call) else {
+    fn record_call_end(&mut self, tried: ActiveAttempt, outcome: Outcome, report: Option<LoadReport>) {
+        let Some(CallProgress {
+            call: Call { sent_at: sent, routes: lines, .. },
+            is_first: first,
+            is_complete: done,
+        }) = self.calls.end(tried.call)
+        else {
             return;
         };
         let Some(endpoint) = self.directory.endpoint(tried.endpoint) else { return };
-        let (destination, gone) = (endpoint.destination, endpoint.listing == Listing::Removed);
+        let (destination, gone) = (endpoint.destination, endpoint.state == EndpointState::Removed);
         if done {
-            self.directory.call_over(tried.endpoint);
+            self.directory.call_ended(tried.endpoint);
             if gone {
-                self.leaving.push((tried.endpoint, destination));
+                self.retiring.push((tried.endpoint, destination));
             }
         }
         let gate = lines[1].or(lines[0]);
         let (mut back, many) =
             (false, self.directory.destination(destination).map_or(1, |of| of.endpoints.len()));
         for place in lines.into_iter().flatten() {
-            let (gate, jitter) = (gate == Some(place), if first { self.chance() } else { 0.0 });
-            let line = self.directory.line_mut(place);
+            let (gate, jitter) = (gate == Some(place), if first { self.random_unit() } else { 0.0 });
+            let line = self.directory.route_mut(place);
             if done {
-                line.out.remove(&tried.call);
+                line.in_flight.remove(&tried.call);
             }
             if first {
                 let lines = if gate { 1 } else { many };
-                let seen = Seen { sent, outcome, report, lines, losses: self.lost > LOST_SHARE, jitter };
-                let was_down = matches!(line.flow.health, Health::Down(_));
-                if line.learn(self.now, &self.settings, &seen) {
-                    let Line { destination, endpoint, .. } = line;
+                let seen = ObservedOutcome {
+                    sent_at: sent,
+                    outcome,
+                    report,
+                    route_count: lines,
+                    answers_are_lost: self.lost_answer_share > LOST_ANSWER_THRESHOLD,
+                    jitter,
+                };
+                let was_down = matches!(line.pacer.health, Health::Ejected(_));
+                if line.record_outcome(self.now, &self.settings, &seen) {
+                    let Route { destination, endpoint, .. } = line;
                     let endpoint = endpoint.map_or(String::new(), |e| format!(" endpoint #{}", e.0));
                     self.log.push(format!("destination {}{endpoint} closed: {outcome:?}", destination.0));
                 }
-                back |= was_down && matches!(line.flow.health, Health::Returning(_));
+                back |= was_down && matches!(line.pacer.health, Health::SlowStart(_));
                 if line.endpoint.is_some() {
                     let lost = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
-                    learn(&mut self.lost, lost, POOLED_LEARN);
+                    update_mean_share(&mut self.lost_answer_share, lost, POOLED_LEARNING_WEIGHT);
                 }
             }
             // Each message of a batch may be told its own wait: the longest holds.
-            if let (Outcome::Full(Some(wait)), true) = (outcome, gate) {
-                self.wait(Some(place), wait);
+            if let (Outcome::Rejected { retry_after: Some(wait) }, true) = (outcome, gate) {
+                self.hold_route(Some(place), wait);
             }
         }
         if first
-            && !matches!(outcome, Outcome::Success | Outcome::Cancelled | Outcome::Void | Outcome::Withheld)
+            && !matches!(
+                outcome,
+                Outcome::Success | Outcome::Cancelled | Outcome::NotSent | Outcome::Deferred
+            )
         {
-            self.close_shared(destination);
+            self.eject_shared_route(destination);
         }
         if back {
-            self.try_others(destination);
+            self.retry_siblings(destination);
         }
-        self.waiting.wake(destination);
+        self.pending.mark_changed(destination);
     }
 
     /// An outage mostly takes all endpoints of a destination: where one is back, the others may be.
-    fn try_others(&mut self, destination: DestinationId) {
-        let Some(of) = self.directory.destination(destination).filter(|of| of.shared.is_some()) else {
+    fn retry_siblings(&mut self, destination: DestinationId) {
+        let Some(of) = self.directory.destination(destination).filter(|of| of.shared_route.is_some()) else {
             return;
         };
-        let lines = of.endpoints.iter().filter_map(|id| Some(self.directory.endpoint(*id)?.line));
+        let lines = of.endpoints.iter().filter_map(|id| Some(self.directory.endpoint(*id)?.route));
         for place in lines.collect::<Vec<_>>() {
-            let flow = self.flow(self.directory.line(place));
-            if matches!(flow.health, Health::Down(_)) {
-                self.directory.line_mut(place).flow = Flow { health: Health::Down(self.now), ..flow };
+            let flow = self.pacer(self.directory.route(place));
+            if matches!(flow.health, Health::Ejected(_)) {
+                self.directory.route_mut(place).pacer = Pacer { health: Health::Ejected(self.now), ..flow };
             }
         }
     }
 
     /// With the last endpoint that shares a limit the destination is out, and its return is paced as one; so
     /// it is with the last whose calls fail, where all of late did.
-    fn close_shared(&mut self, destination: DestinationId) {
-        let Some(shared) = self.directory.destination(destination).and_then(|d| d.shared) else { return };
-        let fails = self.directory.line(shared).fails.is_some();
+    fn eject_shared_route(&mut self, destination: DestinationId) {
+        let Some(shared) = self.directory.destination(destination).and_then(|d| d.shared_route) else {
+            return;
+        };
+        let fails = self.directory.route(shared).rate_before_failing.is_some();
         let next = |at: &Endpoint| {
-            let line = self.directory.line(at.line);
-            match self.flow(line).health {
-                Health::Down(next) => Some(next),
-                Health::Up if fails && (line.streak > 0 || line.stalled(self.now)) => Some(self.now),
-                Health::Up if at.listing == Listing::Active => Some(Time(0)), // serves
+            let line = self.directory.route(at.route);
+            match self.pacer(line).health {
+                Health::Ejected(next) => Some(next),
+                Health::Healthy if fails && (line.consecutive_failures > 0 || line.is_stalled(self.now)) => {
+                    Some(self.now)
+                }
+                Health::Healthy if at.state == EndpointState::Active => Some(Timestamp(0)), // serves
                 _ => None,
             }
         };
         let next = self.directory.endpoints_of(destination).filter_map(|(_, at)| next(at)).min();
-        let flow = self.flow(self.directory.line(shared));
-        let closed = matches!(flow.health, Health::Down(_));
-        if let Some(next) = next.filter(|next| *next > Time(0) && !closed) {
-            self.directory.line_mut(shared).flow = Flow { health: Health::Down(next), ..flow };
+        let flow = self.pacer(self.directory.route(shared));
+        let closed = matches!(flow.health, Health::Ejected(_));
+        if let Some(next) = next.filter(|next| *next > Timestamp(0) && !closed) {
+            self.directory.route_mut(shared).pacer = Pacer { health: Health::Ejected(next), ..flow };
         }
     }
 }
--- a/src/decision/slow.rs
+++ b/src/decision/tests/reference.rs
@@ -4,21 +4,21 @@
 use super::*;
 use std::collections::BTreeMap;
 
-impl Sender {
+impl DeliveryEngine {
     fn slow_ends(&mut self, actions: &mut Vec<Action>) {
         let mut late: Vec<MessageId> =
-            self.held.iter().filter(|(_, held)| self.is_due(held)).map(|(id, _)| *id).collect();
+            self.messages.iter().filter(|(_, held)| self.is_due(held)).map(|(id, _)| *id).collect();
         late.sort_unstable();
         late.into_iter().for_each(|id| self.end(id, actions));
-        self.closed.clear();
+        self.closed_windows.clear();
     }
 
     fn slow_shed(&mut self, actions: &mut Vec<Action>) {
-        while self.held.len() > self.room() {
-            let least = (self.held.iter())
-                .filter(|(_, h)| matches!(h.stage, Stage::Waiting(_)) && h.ran.is_none())
-                .filter(|(_, h)| !(h.found && h.attempts == 0))
-                .map(|(id, h)| (self.worth(h.message.class, h.deadline, 0.0), h.deadline, *id))
+        while self.messages.len() > self.capacity() {
+            let least = (self.messages.iter())
+                .filter(|(_, h)| matches!(h.phase, Phase::Pending(_)) && h.first_uncertain_attempt.is_none())
+                .filter(|(_, h)| !(h.recovered_untried && h.attempts == 0))
+                .map(|(id, h)| (self.weight_after(h.message.class, h.deadline, 0.0), h.deadline, *id))
                 .min_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
             let Some((.., id)) = least else { return };
             self.end(id, actions);
@@ -26,26 +26,26 @@
     }
 
     fn slow_turns(&mut self, actions: &mut Vec<Action>) {
-        let mut waiting: BTreeMap<DestinationId, Vec<(f64, Time, MessageId)>> = BTreeMap::new();
-        for (id, held) in &self.held {
+        let mut waiting: BTreeMap<DestinationId, Vec<(f64, Timestamp, MessageId)>> = BTreeMap::new();
+        for (id, held) in &self.messages {
             // A resumed message that has had all its attempts goes nowhere, and ranks its destination no more.
-            let goes = held.attempts < self.settings.max_attempts && self.rule_order(held);
-            if goes && matches!(held.stage, Stage::Waiting(at) if at <= self.now) {
+            let goes = held.attempts < self.settings.max_attempts && self.guard_order(held);
+            if goes && matches!(held.phase, Phase::Pending(at) if at <= self.now) {
                 let queue = waiting.entry(held.message.destination).or_default();
-                queue.push((self.worth(held.message.class, held.deadline, 0.0), held.deadline, *id));
+                queue.push((self.weight_after(held.message.class, held.deadline, 0.0), held.deadline, *id));
             }
         }
         for queue in waiting.values_mut() {
             queue.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
             // Those that others wait behind, and those found untried after a restart, come before all, each part in its order.
-            queue.sort_by_key(|(.., id)| !self.held[id].slip.is_some_and(|slip| slip.crowded));
+            queue.sort_by_key(|(.., id)| !self.messages[id].entry.is_some_and(|slip| slip.urgent));
         }
         waiting.retain(|destination, _| self.directory.destination(*destination).is_some());
-        while self.calls.len() < self.settings.slots {
+        while self.calls.len() < self.settings.max_concurrent_calls {
             let fewest = waiting.iter().min_by(|(a, x), (b, y)| {
                 let calls = |d: &DestinationId| self.directory.destination(*d).map_or(0, |d| d.calls);
-                let first = |queue: &[(f64, Time, MessageId)]| {
-                    let worth = |a: &(f64, Time, MessageId), b: &(f64, Time, MessageId)| {
+                let first = |queue: &[(f64, Timestamp, MessageId)]| {
+                    let worth = |a: &(f64, Timestamp, MessageId), b: &(f64, Timestamp, MessageId)| {
                         b.0.total_cmp(&a.0).then(a.1.cmp(&b.1))
                     };
                     queue.iter().copied().min_by(worth).unwrap()
@@ -64,18 +64,18 @@
             let mut queue = waiting.remove(&destination).unwrap();
             let (_, _, id) = queue.remove(place);
             let first = actions.len();
-            let room = self.directory.endpoint(endpoint).map_or(1, |at| self.batch(at));
-            let call = self.send(id, endpoint, None, actions);
+            let room = self.directory.endpoint(endpoint).map_or(1, |at| self.batch_size(at));
+            let call = self.send_in_call(id, endpoint, None, actions);
             let mut room = room - 1;
             queue.retain(|(_, _, id)| {
-                let joins = room > 0 && self.may_send(*id, endpoint, true);
+                let joins = room > 0 && self.is_send_allowed(*id, endpoint, true);
                 if joins {
                     room -= 1;
-                    self.send(*id, endpoint, call, actions);
+                    self.send_in_call(*id, endpoint, call, actions);
                 }
                 !joins
             });
-            if self.settings.calls_expire_whole {
+            if self.settings.batch_expires_together {
                 self.expire_together(&mut actions[first..]);
             }
             if !queue.is_empty() {
@@ -87,23 +87,24 @@
     /// Patience is asked again only now and then: in between, what it may hold is taken to be held. Nothing else
     /// that the books put off is believed here.
     fn slow_choice(&self, id: MessageId) -> Option<EndpointId> {
-        let held = &self.held[&id];
+        let held = &self.messages[&id];
         let (destination, class) = (held.message.destination, &self.settings.classes[held.message.class.0]);
-        let later = class.repeat == Repeat::Unsafe && self.waiting.looked_at_later(destination);
+        let later = class.idempotency == Idempotency::NonIdempotent && self.pending.is_deferred(destination);
         let all = self.directory.endpoints_of(destination);
-        let open = all.filter(|(_, at)| !later || self.directory.line(at.line).doubted.is_none());
-        self.choose(id, &open.map(|(id, _)| id).collect::<Vec<_>>())
+        let open =
+            all.filter(|(_, at)| !later || self.directory.route(at.route).last_repeated_failure.is_none());
+        self.choose_endpoint(id, &open.map(|(id, _)| id).collect::<Vec<_>>())
     }
 
     /// A step of both: the model's on a copy of this sender, whose actions must be the same.
-    fn checked_step(&mut self, now: Time, events: &[Event], seed: u64) -> Vec<Action> {
+    fn checked_step(&mut self, now: Timestamp, events: &[Event], seed: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         self.begin(now, events, &mut actions);
-        type Stage = fn(&mut Sender, &mut Vec<Action>);
+        type Stage = fn(&mut DeliveryEngine, &mut Vec<Action>);
         let stages: [(&str, Stage, Stage); 3] = [
-            ("ends", Sender::end_in_time, Sender::slow_ends),
-            ("shed", Sender::shed, Sender::slow_shed),
-            ("turns", Sender::give_turns, Sender::slow_turns),
+            ("ends", DeliveryEngine::end_expired, DeliveryEngine::slow_ends),
+            ("shed", DeliveryEngine::shed, DeliveryEngine::slow_shed),
+            ("turns", DeliveryEngine::schedule, DeliveryEngine::slow_turns),
         ];
         for (name, fast, slow) in stages {
             let (mut model, mut expected, from) = (self.clone(), Vec::new(), actions.len());
@@ -111,17 +112,20 @@
             fast(self, &mut actions);
             assert_eq!(actions[from..], expected, "seed {seed} at {now:?}: {name}");
         }
-        assert!(!self.unfinished, "seed {seed}: a day that is too large to compare");
+        assert!(!self.has_more_work, "seed {seed}: a day that is too large to compare");
         self.finish(&mut actions);
         // No wake-up comes later than what is due: nothing is to go, to be looked at or to end unnoticed.
-        let due = self.held.values().filter_map(|held| match held.slip?.stand {
-            Stand::Until(at) => Some(at.min(self.last_moment(held.deadline))),
-            Stand::Behind | Stand::Ready => Some(self.last_moment(held.deadline)),
+        let due = self.messages.values().filter_map(|held| match held.entry?.readiness {
+            Readiness::NotBefore(at) => Some(at.min(self.end_by(held.deadline))),
+            Readiness::Blocked | Readiness::Ready => Some(self.end_by(held.deadline)),
         });
-        let beat = HEARTBEAT * self.settings.period.0;
+        let beat = HEARTBEAT_STEPS * self.settings.min_step_interval.0;
         if let Some(due) = due.min() {
-            let alarm = self.woken_at.expect("an alarm, as something waits");
-            assert!(alarm <= due.max(Time(now.0 + beat)), "seed {seed} at {now:?}: {alarm:?} for {due:?}");
+            let alarm = self.timer_at.expect("an alarm, as something waits");
+            assert!(
+                alarm <= due.max(Timestamp(now.0 + beat)),
+                "seed {seed} at {now:?}: {alarm:?} for {due:?}"
+            );
         }
         actions
     }
@@ -147,52 +151,55 @@
 
 /// Settings with everything that can be drawn about them drawn.
 pub(crate) fn settings(draw: &mut Draw) -> Settings {
-    let window = Span(draw.one(&[SECOND, 5 * SECOND]));
-    let groups = [Group::All, Group::Zone];
+    let window = TimeDelta(draw.one(&[SECOND, 5 * SECOND]));
+    let groups = [DeduplicationScope::Destination, DeduplicationScope::Zone];
     let repeats = [
-        Repeat::Safe,
-        Repeat::Keyed { group: draw.one(&groups), window },
-        Repeat::Keyed { group: draw.one(&groups), window },
-        Repeat::Unsafe,
-        Repeat::Unsafe,
+        Idempotency::Idempotent,
+        Idempotency::WithKey { scope: draw.one(&groups), window },
+        Idempotency::WithKey { scope: draw.one(&groups), window },
+        Idempotency::NonIdempotent,
+        Idempotency::NonIdempotent,
     ];
     let classes = repeats.map(|repeat| Class {
-        aim: Span(SECOND * (1 + draw.below(3))),
-        deadline: Span(SECOND * (5 + draw.below(8))),
-        worth: draw.one(&[1.0, 2.0, 2.0, 0.0]),
-        late_worth: draw.one(&[0.0, 0.1, 0.5, 1.0]),
-        repeat,
+        latency_objective: TimeDelta(SECOND * (1 + draw.below(3))),
+        deadline: TimeDelta(SECOND * (5 + draw.below(8))),
+        priority_weight: draw.one(&[1.0, 2.0, 2.0, 0.0]),
+        late_weight: draw.one(&[0.0, 0.1, 0.5, 1.0]),
+        idempotency: repeat,
         ordered: draw.below(3) == 0,
     });
     Settings {
         classes: classes.to_vec(),
         kinds: [false, true]
-            .map(|routes_apart| Kind { routes_apart, batch: 1 + draw.below(4) as usize })
+            .map(|routes_apart| DestinationKind {
+                limits_per_endpoint: routes_apart,
+                max_batch_size: 1 + draw.below(4) as usize,
+            })
             .into(),
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         zone: ZoneId(0),
-        senders: 1 + draw.below(4) as usize,
-        slots: draw.one(&[2, 8, 30]),
-        most_held: draw.one(&[12, 60, 300]),
+        fleet_size: 1 + draw.below(4) as usize,
+        max_concurrent_calls: draw.one(&[2, 8, 30]),
+        max_pending_messages: draw.one(&[12, 60, 300]),
         max_attempts: 1 + draw.below(6) as u32,
-        period: Span(5_000),
-        connect_timeout: Span(SECOND),
-        decay: draw.one(&[Decay::Even, Decay::Halves]),
-        discovery: Discovery::Pushed,
-        hints: draw.one(&[Hints::None, Hints::CallsPerSecond]),
-        probes: false,
-        cancel: true,
-        ends_noticed: draw.below(2) == 0,
-        calls_expire_whole: draw.below(2) == 0,
+        min_step_interval: TimeDelta(5_000),
+        connect_timeout: TimeDelta(SECOND),
+        weight_decay: draw.one(&[WeightDecay::Linear, WeightDecay::Exponential]),
+        discovery: DiscoveryMode::Watch,
+        capacity_hints: draw.one(&[CapacityHints::None, CapacityHints::CallsPerSecond]),
+        health_checks: false,
+        cancellation: true,
+        completion_requires_acknowledgement: draw.below(2) == 0,
+        batch_expires_together: draw.below(2) == 0,
         rules: Rules {
-            drain_grace: Span(SECOND),
-            cold_share: 0.2,
-            ramp: Span(SECOND * (1 + draw.below(10))),
+            drain_grace: TimeDelta(SECOND),
+            slow_start_share: 0.2,
+            slow_start_duration: TimeDelta(SECOND * (1 + draw.below(10))),
             overload_factor: 2.0,
-            fall: Span(1_500_000),
-            order_settle: Span(draw.one(&[0, 300_000, 2 * SECOND])),
-            must_ask_in: Span(10 * SECOND),
+            overload_window: TimeDelta(1_500_000),
+            ordering_hold: TimeDelta(draw.one(&[0, 300_000, 2 * SECOND])),
+            discovery_staleness_limit: TimeDelta(10 * SECOND),
         },
     }
 }
@@ -201,68 +208,80 @@
 fn play(seed: u64) -> [usize; 2] {
     let mut draw = Draw::new(seed);
     let settings = settings(&mut draw);
-    let mut sender = Sender::new(settings.clone(), seed).unwrap();
-    let entry = |e: u32, listing| Entry {
+    let mut sender = DeliveryEngine::new(settings.clone(), seed).unwrap();
+    let entry = |e: u32, listing| EndpointEntry {
         endpoint: EndpointId(e),
         destination: DestinationId(u64::from(e) % 7),
         kind: KindId(e as usize % 7 % 2),
         zone: ZoneId(e as usize / 7 % 2),
-        listing,
-        hint: f64::from(e % 5) * 3.0,
+        state: listing,
+        capacity_hint: f64::from(e % 5) * 3.0,
     };
     let list = |draw: &mut Draw| {
-        let listings =
-            [Listing::Active, Listing::Active, Listing::Active, Listing::Draining, Listing::Removed];
-        let mut entries: Vec<Entry> = (0..20).map(|e| entry(e, draw.one(&listings))).collect();
+        let listings = [
+            EndpointState::Active,
+            EndpointState::Active,
+            EndpointState::Active,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ];
+        let mut entries: Vec<EndpointEntry> = (0..20).map(|e| entry(e, draw.one(&listings))).collect();
         entries.retain(|_| draw.below(8) > 0);
         entries
     };
     let (mut now, mut id, mut counts) = (100 * SECOND, 0, [0, 0]);
-    let mut out: Vec<(MessageId, u32, Time, u64)> = Vec::new();
+    let mut out: Vec<(MessageId, u32, Timestamp, u64)> = Vec::new();
     let mut attempts: BTreeMap<MessageId, u32> = BTreeMap::new();
     let mut unnoticed = Vec::new();
     // Now and then all is well, fails, or is slow; the share of good answers moves with it.
     let (mut good, mut pace) = (8, 2);
     let first = list(&mut draw);
-    sender.checked_step(Time(now), &[Event::FullList(first)], seed);
+    sender.checked_step(Timestamp(now), &[Event::EndpointSnapshot(first)], seed);
     for step in 0..1500 {
         if step % 150 == 0 {
             (good, pace) = (draw.below(11), draw.one(&[1, 4, 12]));
         }
         let mut events = vec![];
         match draw.below(400) {
-            0 => events.push(Event::FullList(list(&mut draw))),
+            0 => events.push(Event::EndpointSnapshot(list(&mut draw))),
             1..4 => {
-                let listing = draw.one(&[Listing::Active, Listing::Draining, Listing::Removed]);
-                events.push(Event::ListChanges(vec![entry(draw.below(20) as u32, listing)]));
+                let listing =
+                    draw.one(&[EndpointState::Active, EndpointState::Draining, EndpointState::Removed]);
+                events.push(Event::EndpointUpdates(vec![entry(draw.below(20) as u32, listing)]));
             }
             4 => {
-                let (endpoint, wait) = (EndpointId(draw.below(20) as u32), Span(draw.below(2 * SECOND)));
-                events.push(Event::Told { endpoint, wait });
+                let (endpoint, wait) = (EndpointId(draw.below(20) as u32), TimeDelta(draw.below(2 * SECOND)));
+                events.push(Event::RetryAfter { endpoint, wait });
             }
             5 if step > 1400 && sender.ends_at.is_none() => {
-                events.push(Event::WindDown(Time(now + 2 * SECOND)));
+                events.push(Event::Shutdown(Timestamp(now + 2 * SECOND)));
             }
-            6 if id > 0 => events.push(Event::Withdrawn(MessageId(draw.below(u64::from(id)) as u32))),
+            6 if id > 0 => events.push(Event::Cancelled(MessageId(draw.below(u64::from(id)) as u32))),
             _ => {}
         }
         while draw.below(pace + 1) > 0 && draw.below(3) > 0 {
             let class = ClassId(draw.below(5) as usize);
             let key = (draw.below(2) == 0).then(|| OrderKey(draw.below(9)));
-            let (destination, budget) = (DestinationId(draw.below(8)), Span(draw.below(12 * SECOND)));
-            let message = Message { id: MessageId(id), class, tenant: None, key, destination, budget };
+            let (destination, budget) = (DestinationId(draw.below(8)), TimeDelta(draw.below(12 * SECOND)));
+            let message =
+                Message { id: MessageId(id), class, tenant: None, key, destination, time_to_live: budget };
             id += 1;
             events.push(match draw.below(15) {
                 0 => {
                     let ran = (draw.below(2) == 0)
-                        .then(|| (Time(now - draw.below(6 * SECOND)), ZoneId(draw.below(3) as usize)));
+                        .then(|| (Timestamp(now - draw.below(6 * SECOND)), ZoneId(draw.below(3) as usize)));
                     let attempts_ = draw.below(4) as u32;
                     attempts.insert(message.id, attempts_);
-                    let ended = settings.ends_noticed && draw.below(3) == 0;
+                    let ended = settings.completion_requires_acknowledgement && draw.below(3) == 0;
                     if ended {
                         unnoticed.push(message.id);
                     }
-                    Event::Resumed(Resumed { message, attempts: attempts_, ran, ended })
+                    Event::Recovered(RecoveredMessage {
+                        message,
+                        attempts: attempts_,
+                        first_uncertain_attempt: ran,
+                        ended,
+                    })
                 }
                 _ => Event::Message(message),
             });
@@ -271,14 +290,14 @@
             if due > now && expires.0 > now {
                 return true;
             }
-            let (wait, told) = (Span(draw.below(3 * SECOND)), draw.below(2) == 0);
+            let (wait, told) = (TimeDelta(draw.below(3 * SECOND)), draw.below(2) == 0);
             let bad = [
                 Outcome::Failure,
                 Outcome::TimedOut,
                 Outcome::Reset,
                 Outcome::ConnectFailed,
-                Outcome::Full(told.then_some(wait)),
-                Outcome::Void,
+                Outcome::Rejected { retry_after: told.then_some(wait) },
+                Outcome::NotSent,
                 Outcome::Cancelled,
             ];
             let outcome = match () {
@@ -286,17 +305,25 @@
                 () if draw.below(10) < good => Outcome::Success,
                 () => draw.one(&bad),
             };
-            let report = (draw.below(4) == 0).then(|| Report { left: 0.5, limit: draw.below(20) as f64 });
+            let report = (draw.below(4) == 0)
+                .then(|| LoadReport { remaining_share: 0.5, limit_per_second: draw.below(20) as f64 });
             let last = outcome == Outcome::Success;
-            events.push(Event::Ended { message, attempt, outcome, elapsed: Span(1), last, report });
+            events.push(Event::AttemptEnded {
+                message,
+                attempt,
+                outcome,
+                elapsed: TimeDelta(1),
+                completes: last,
+                report,
+            });
             false
         });
         unnoticed.retain(|id| {
             let noticed = draw.below(20) == 0;
-            noticed.then(|| events.push(Event::Noticed(*id)));
+            noticed.then(|| events.push(Event::CompletionAcknowledged(*id)));
             !noticed
         });
-        for action in sender.checked_step(Time(now), &events, seed) {
+        for action in sender.checked_step(Timestamp(now), &events, seed) {
             match action {
                 Action::Send { message, expires, .. } => {
                     counts[0] += 1;
@@ -304,9 +331,9 @@
                     out.push((message, *attempt, expires, now + draw.below(400_000)));
                     *attempt += 1;
                 }
-                Action::Refuse { message, .. } | Action::Fail(message) => {
+                Action::Return { message, .. } | Action::Fail(message) => {
                     counts[1] += 1;
-                    if settings.ends_noticed {
+                    if settings.completion_requires_acknowledgement {
                         unnoticed.push(message);
                     }
                 }
--- a/src/index/calls.rs
+++ b/src/index/calls.rs
@@ -1,37 +1,37 @@
 //! Calls that are out, and what each carries.
-use crate::Time;
+use crate::Timestamp;
 use rustc_hash::FxHashMap;
 
 /// One call, carrying one message or a batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Timestamp,
     /// How long its endpoint had been without an answer then, in seconds.
-    pub idle: f64,
+    pub idle_seconds: f64,
     /// The places of the lines that it went by.
-    pub lines: [Option<usize>; 2],
+    pub routes: [Option<usize>; 2],
 }
 
 /// What the end of one message tells of its call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct CallProgress {
     /// The call.
     pub call: Call,
     /// Nothing was told of it before.
-    pub first: bool,
+    pub is_first: bool,
     /// All of its messages have ended.
-    pub done: bool,
+    pub is_complete: bool,
 }
 
 /// All of them, by numbers that are never used again.
 #[derive(Clone, Default)]
-pub struct Calls {
+pub struct InFlightCalls {
     out: FxHashMap<u64, (Call, usize, bool)>,
     next: u64,
 }
 
-impl Calls {
+impl InFlightCalls {
     /// How many are out.
     pub fn len(&self) -> usize {
         self.out.len()
@@ -57,11 +57,12 @@
     }
 
     /// One message of a call has ended.
-    pub fn end(&mut self, number: u64) -> Option<Ended> {
+    pub fn end(&mut self, number: u64) -> Option<CallProgress> {
         let (call, left, told) = self.out.get_mut(&number)?;
         *left -= 1;
-        let ended = Ended { call: *call, first: !std::mem::replace(told, true), done: *left == 0 };
-        if ended.done {
+        let ended =
+            CallProgress { call: *call, is_first: !std::mem::replace(told, true), is_complete: *left == 0 };
+        if ended.is_complete {
             self.out.remove(&number);
         }
         Some(ended)
@@ -69,20 +70,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a batch that counts more than once, or whose slot is free before its last message has ended.
-    #[test]
-    fn a_batch_is_told_of_once_and_done_with_its_last_message() {
-        let mut calls = Calls::default();
-        let call = Call { sent: Time(1), idle: 0.5, lines: [Some(1), None] };
-        let (one, batch) = (calls.begin(call), calls.begin(call));
-        calls.join(batch);
-        assert_eq!(calls.end(batch), Some(Ended { call, first: true, done: false }));
-        assert_eq!((calls.len(), calls.get(batch)), (2, Some(&call)));
-        assert_eq!(calls.end(batch), Some(Ended { call, first: false, done: true }));
-        assert_eq!(calls.end(one), Some(Ended { call, first: true, done: true }));
-        assert_eq!((calls.len(), calls.end(batch)), (0, None));
-    }
-}
+mod tests;
--- a/src/index/directory.rs
+++ b/src/index/directory.rs
@@ -1,5 +1,5 @@
 //! Endpoints and destinations as the list tells of them, with a place for what is learned of each line.
-use crate::{DestinationId, EndpointId, Entry, KindId, Listing, Time, ZoneId};
+use crate::{DestinationId, EndpointEntry, EndpointId, EndpointState, KindId, Timestamp, ZoneId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
@@ -13,11 +13,11 @@
     /// Its destination's kind.
     pub kind: KindId,
     /// What the list says of it.
-    pub listing: Listing,
+    pub state: EndpointState,
     /// Its line's place.
-    pub line: usize,
+    pub route: usize,
     /// When it went, if it has.
-    pub gone: Time,
+    pub removed_at: Timestamp,
 }
 
 /// A destination with endpoints.
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct Destination {
     /// The place of the line that its endpoints share, if they do.
-    pub shared: Option<usize>,
+    pub shared_route: Option<usize>,
     /// Its endpoints, in the order in which they were first listed.
     pub endpoints: Vec<EndpointId>,
     /// Calls that are out to it.
@@ -37,7 +37,7 @@
 pub struct Directory<L> {
     endpoints: FxHashMap<EndpointId, Endpoint>,
     destinations: FxHashMap<DestinationId, Destination>,
-    lines: Vec<L>,
+    routes: Vec<L>,
     free: Vec<usize>,
 }
 
@@ -47,7 +47,7 @@
         Self {
             endpoints: FxHashMap::default(),
             destinations: FxHashMap::default(),
-            lines: Vec::new(),
+            routes: Vec::new(),
             free: Vec::new(),
         }
     }
@@ -63,41 +63,41 @@
     }
 
     /// A call to a known endpoint has begun.
-    pub fn call_begun(&mut self, id: EndpointId) {
-        if let Some(of) = self.of_mut(id) {
+    pub fn call_started(&mut self, id: EndpointId) {
+        if let Some(of) = self.destination_of(id) {
             of.calls += 1;
         }
     }
 
     /// A call to a known endpoint is over.
-    pub fn call_over(&mut self, id: EndpointId) {
-        if let Some(of) = self.of_mut(id) {
+    pub fn call_ended(&mut self, id: EndpointId) {
+        if let Some(of) = self.destination_of(id) {
             of.calls -= 1;
         }
     }
 
-    fn of_mut(&mut self, id: EndpointId) -> Option<&mut Destination> {
+    fn destination_of(&mut self, id: EndpointId) -> Option<&mut Destination> {
         self.destinations.get_mut(&self.endpoints.get(&id)?.destination)
     }
 
     /// The line at a place.
-    pub fn line(&self, place: usize) -> &L {
-        &self.lines[place]
+    pub fn route(&self, place: usize) -> &L {
+        &self.routes[place]
     }
 
     /// The line at a place, to change it.
-    pub fn line_mut(&mut self, place: usize) -> &mut L {
-        &mut self.lines[place]
+    pub fn route_mut(&mut self, place: usize) -> &mut L {
+        &mut self.routes[place]
     }
 
     /// The places of an endpoint's own line and of the one that it shares.
-    pub fn places(&self, at: &Endpoint) -> [Option<usize>; 2] {
-        [Some(at.line), self.destinations.get(&at.destination).and_then(|d| d.shared)]
+    pub fn route_slots(&self, at: &Endpoint) -> [Option<usize>; 2] {
+        [Some(at.route), self.destinations.get(&at.destination).and_then(|d| d.shared_route)]
     }
 
     /// An endpoint's own line and the one that it shares.
-    pub fn lines(&self, at: &Endpoint) -> impl Iterator<Item = &L> {
-        self.places(at).into_iter().flatten().map(|place| &self.lines[place])
+    pub fn routes(&self, at: &Endpoint) -> impl Iterator<Item = &L> {
+        self.route_slots(at).into_iter().flatten().map(|place| &self.routes[place])
     }
 
     /// The known endpoints of a destination.
@@ -109,52 +109,54 @@
     /// Enters what a list says, all of it if it is `whole`: then what it does not name is gone. A new endpoint gets a
     /// line of its own by `line`, and so does a new destination whose endpoints share a limit, which `shares` tells.
     /// All endpoints that were told of, with since when they are gone, if they are, and what the list said before.
-    pub fn enter(
+    pub fn apply(
         &mut self,
-        entries: &[Entry],
+        entries: &[EndpointEntry],
         whole: bool,
-        now: Time,
+        now: Timestamp,
         shares: impl Fn(KindId) -> bool,
-        line: impl Fn(&Entry, Option<EndpointId>) -> L,
-    ) -> Vec<(EndpointId, DestinationId, Option<Time>, Listing)> {
+        line: impl Fn(&EndpointEntry, Option<EndpointId>) -> L,
+    ) -> Vec<(EndpointId, DestinationId, Option<Timestamp>, EndpointState)> {
         let mut told = Vec::with_capacity(entries.len());
         if whole {
-            let listed = self.endpoints.iter().filter(|(_, known)| known.listing != Listing::Removed);
+            let listed = self.endpoints.iter().filter(|(_, known)| known.state != EndpointState::Removed);
             let mut unlisted: BTreeSet<EndpointId> = listed.map(|(id, _)| *id).collect();
             for entry in entries {
                 unlisted.remove(&entry.endpoint);
             }
-            told.extend(unlisted.into_iter().filter_map(|id| self.relist(id, Listing::Removed, now)));
+            told.extend(
+                unlisted.into_iter().filter_map(|id| self.set_state(id, EndpointState::Removed, now)),
+            );
         }
         for entry in entries {
-            let Entry { endpoint, destination, zone, kind, listing, .. } = *entry;
+            let EndpointEntry { endpoint, destination, zone, kind, state: listing, .. } = *entry;
             if !self.endpoints.contains_key(&endpoint) {
-                let own = self.place(line(entry, Some(endpoint)));
-                let known = self.destinations.get(&destination).and_then(|d| d.shared);
-                let shared = known.or_else(|| shares(kind).then(|| self.place(line(entry, None))));
+                let own = self.allocate(line(entry, Some(endpoint)));
+                let known = self.destinations.get(&destination).and_then(|d| d.shared_route);
+                let shared = known.or_else(|| shares(kind).then(|| self.allocate(line(entry, None))));
                 let of = self.destinations.entry(destination).or_default();
-                of.shared = shared;
+                of.shared_route = shared;
                 of.endpoints.push(endpoint);
-                let new = Endpoint { destination, zone, kind, listing, line: own, gone: now };
+                let new = Endpoint { destination, zone, kind, state: listing, route: own, removed_at: now };
                 self.endpoints.insert(endpoint, new);
             }
-            told.extend(self.relist(endpoint, listing, now));
+            told.extend(self.set_state(endpoint, listing, now));
         }
         told
     }
 
-    fn relist(
+    fn set_state(
         &mut self,
         id: EndpointId,
-        listing: Listing,
-        now: Time,
-    ) -> Option<(EndpointId, DestinationId, Option<Time>, Listing)> {
+        listing: EndpointState,
+        now: Timestamp,
+    ) -> Option<(EndpointId, DestinationId, Option<Timestamp>, EndpointState)> {
         let known = self.endpoints.get_mut(&id)?;
-        if known.listing != Listing::Removed || listing != Listing::Removed {
-            known.gone = now;
+        if known.state != EndpointState::Removed || listing != EndpointState::Removed {
+            known.removed_at = now;
         }
-        let before = std::mem::replace(&mut known.listing, listing);
-        Some((id, known.destination, (listing == Listing::Removed).then_some(known.gone), before))
+        let before = std::mem::replace(&mut known.state, listing);
+        Some((id, known.destination, (listing == EndpointState::Removed).then_some(known.removed_at), before))
     }
 
     /// Forgets an endpoint that has been gone since `before` or longer, and its destination with the last one, as far
@@ -164,18 +166,18 @@
         &mut self,
         id: EndpointId,
         of: DestinationId,
-        before: Time,
-        wanted: impl Fn(&L) -> Option<Time>,
-    ) -> (bool, Option<Time>) {
+        before: Timestamp,
+        wanted: impl Fn(&L) -> Option<Timestamp>,
+    ) -> (bool, Option<Timestamp>) {
         let mut forgotten = false;
         if let Some(known) = self.endpoints.get(&id) {
-            if known.listing != Listing::Removed || known.gone > before {
+            if known.state != EndpointState::Removed || known.removed_at > before {
                 return (false, None);
             }
-            if let Some(until) = wanted(&self.lines[known.line]) {
+            if let Some(until) = wanted(&self.routes[known.route]) {
                 return (false, Some(until));
             }
-            self.free.push(known.line);
+            self.free.push(known.route);
             self.endpoints.remove(&id);
             forgotten = true;
             if let Some(destination) = self.destinations.get_mut(&of) {
@@ -184,10 +186,10 @@
         }
         let empty = |of: &&Destination| of.endpoints.is_empty() && of.calls == 0;
         let Some(destination) = self.destinations.get(&of).filter(empty) else { return (forgotten, None) };
-        if let Some(until) = destination.shared.and_then(|line| wanted(&self.lines[line])) {
+        if let Some(until) = destination.shared_route.and_then(|line| wanted(&self.routes[line])) {
             return (forgotten, Some(until));
         }
-        self.free.extend(destination.shared);
+        self.free.extend(destination.shared_route);
         self.destinations.remove(&of);
         (forgotten, None)
     }
@@ -196,9 +198,9 @@
     pub fn retire_all(
         &mut self,
         mut leaving: Vec<(EndpointId, DestinationId)>,
-        before: Time,
-        wanted: impl Fn(&L) -> Option<Time>,
-    ) -> Vec<(EndpointId, DestinationId, bool, Option<Time>)> {
+        before: Timestamp,
+        wanted: impl Fn(&L) -> Option<Timestamp>,
+    ) -> Vec<(EndpointId, DestinationId, bool, Option<Timestamp>)> {
         leaving.sort_unstable();
         leaving.dedup();
         let mut retire = |(id, of)| {
@@ -208,94 +210,19 @@
         leaving.into_iter().map(&mut retire).collect()
     }
 
-    fn place(&mut self, line: L) -> usize {
+    fn allocate(&mut self, line: L) -> usize {
         match self.free.pop() {
             Some(place) => {
-                self.lines[place] = line;
+                self.routes[place] = line;
                 place
             }
             None => {
-                self.lines.push(line);
-                self.lines.len() - 1
+                self.routes.push(line);
+                self.routes.len() - 1
             }
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn entry(endpoint: u32, destination: u64, listing: Listing) -> Entry {
-        let (endpoint, destination) = (EndpointId(endpoint), DestinationId(destination));
-        Entry { endpoint, destination, kind: KindId(0), zone: ZoneId(0), listing, hint: 0.0 }
-    }
-
-    fn list(
-        known: &mut Directory<Line>,
-        entries: &[Entry],
-        whole: bool,
-        now: u64,
-    ) -> Vec<(u32, Option<u64>)> {
-        let line = |entry: &Entry, own| (entry.destination, own);
-        let told = known.enter(entries, whole, Time(now), |_| true, line);
-        told.into_iter().map(|(id, _, gone, _)| (id.0, gone.map(|gone| gone.0))).collect()
-    }
-
-    type Line = (DestinationId, Option<EndpointId>);
-
-    /// Guards against lines that add up as endpoints come and go, and against two endpoints on one line.
-    #[test]
-    fn lines_are_used_again_and_never_shared_by_mistake() {
-        let mut known = Directory::new();
-        for round in 0..50_u32 {
-            let ids: Vec<u32> = (round * 4..round * 4 + 4).collect();
-            let entries: Vec<_> =
-                ids.iter().map(|e| entry(*e, u64::from(e % 4 / 2), Listing::Active)).collect();
-            list(&mut known, &entries, true, 1);
-            let mut places = BTreeSet::new();
-            for (id, at) in (0..2).flat_map(|d| known.endpoints_of(DestinationId(d))) {
-                let lines: Vec<_> = known.lines(at).copied().collect();
-                assert_eq!(lines, [(at.destination, Some(id)), (at.destination, None)]);
-                places.extend(known.places(at).into_iter().flatten());
-            }
-            assert_eq!((places.len(), known.lines.len()), (6, 6), "round {round}");
-            list(&mut known, &[], true, 2);
-            for e in &entries {
-                assert_eq!(known.retire(e.endpoint, e.destination, Time(2), |_| None), (true, None));
-            }
-        }
-    }
-
-    /// Guards against forgetting what is still of use: in service, gone a short while ago, or told to wait.
-    #[test]
-    fn what_is_still_wanted_stays() {
-        let mut known = Directory::new();
-        list(&mut known, &[entry(1, 7, Listing::Active)], false, 1);
-        let retire = |known: &mut Directory<Line>, before, own, shared| {
-            let wanted = |line: &Line| if line.1.is_some() { own } else { shared };
-            known.retire(EndpointId(1), DestinationId(7), Time(before), wanted)
-        };
-        assert_eq!(retire(&mut known, 9, None, None), (false, None), "in service");
-        list(&mut known, &[], true, 5);
-        assert_eq!(retire(&mut known, 4, None, None), (false, None), "gone since");
-        assert_eq!(retire(&mut known, 5, Some(Time(8)), None), (false, Some(Time(8))));
-        assert_eq!(retire(&mut known, 5, None, Some(Time(9))), (true, Some(Time(9))));
-        assert!(known.destination(DestinationId(7)).is_some());
-        assert_eq!(retire(&mut known, 5, None, None), (false, None));
-        assert!(known.destination(DestinationId(7)).is_none());
-    }
-
-    /// Guards against an endpoint whose time of leaving moves, and against a whole list that leaves it listed.
-    #[test]
-    fn an_endpoint_is_gone_since_it_was_last_listed() {
-        let mut known = Directory::new();
-        let gone = [entry(1, 1, Listing::Removed)];
-        let first = [entry(1, 1, Listing::Active), entry(2, 1, Listing::Removed)];
-        assert_eq!(list(&mut known, &first, false, 1), [(1, None), (2, Some(1))]);
-        assert_eq!(list(&mut known, &[entry(3, 1, Listing::Active)], true, 5), [(1, Some(5)), (3, None)]);
-        assert_eq!(list(&mut known, &gone, false, 9), [(1, Some(5))]);
-        assert_eq!(list(&mut known, &[entry(1, 1, Listing::Draining)], false, 11), [(1, None)]);
-        assert_eq!(list(&mut known, &gone, false, 12), [(1, Some(12))]);
-    }
-}
+mod tests;
--- a/src/index/held.rs
+++ b/src/index/message_state.rs
@@ -1,10 +1,10 @@
 //! A message that is held, and how far it has got.
-use super::waiting::Slip;
-use crate::{EndpointId, Message, Time, ZoneId};
+use super::pending::PendingEntry;
+use crate::{EndpointId, Message, Timestamp, ZoneId};
 
 /// An attempt that is out.
 #[derive(Clone, Copy)]
-pub struct Try {
+pub struct ActiveAttempt {
     /// Where to.
     pub endpoint: EndpointId,
     /// The call that carries it.
@@ -13,41 +13,41 @@
 
 /// Where a message stands.
 #[derive(Clone, Copy)]
-pub enum Stage {
+pub enum Phase {
     /// For its turn, not before this.
-    Waiting(Time),
+    Pending(Timestamp),
     /// For the outcome of an attempt.
-    Out(Try),
+    InFlight(ActiveAttempt),
     /// Ended, with an attempt still out: kept for the slot and for the order of its key.
-    Over(Try),
+    Detached(ActiveAttempt),
 }
 
 /// The first attempt that may have run.
 #[derive(Clone, Copy)]
-pub struct Ran {
+pub struct UncertainAttempt {
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Timestamp,
     /// To which zone.
     pub zone: ZoneId,
 }
 
 /// The message.
 #[derive(Clone)]
-pub struct Held {
+pub struct MessageState {
     /// As it was handed in.
     pub message: Message,
     /// When its time is up.
-    pub deadline: Time,
+    pub deadline: Timestamp,
     /// Its place among all that were taken on.
-    pub place: u64,
+    pub sequence: u64,
     /// Attempts begun so far.
     pub attempts: u32,
     /// Where it stands.
-    pub stage: Stage,
+    pub phase: Phase,
     /// The first attempt that may have run.
-    pub ran: Option<Ran>,
+    pub first_uncertain_attempt: Option<UncertainAttempt>,
     /// An earlier process took it on and did not try it: this one owes it a try.
-    pub found: bool,
+    pub recovered_untried: bool,
     /// How the books have it, while it waits.
-    pub slip: Option<Slip>,
+    pub entry: Option<PendingEntry>,
 }
--- a/src/index/mod.rs
+++ b/src/index/mod.rs
@@ -2,10 +2,10 @@
 //! taken and which endpoints are listed. They decide nothing, read no clock and do no I/O; every look costs the
 //! logarithm of what they hold, or what it returns.
 pub(crate) mod calls;
+pub(crate) mod deadline_index;
 pub(crate) mod directory;
-pub(crate) mod held;
 pub(crate) mod keys;
-pub(crate) mod shelf;
+pub(crate) mod message_state;
+pub(crate) mod pending;
 pub(crate) mod timers;
-pub(crate) mod waiting;
-pub(crate) mod worth;
+pub(crate) mod weight;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -5,11 +5,11 @@
 
 /// A point on the host's clock, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Time(pub u64);
+pub struct Timestamp(pub u64);
 
 /// A length of time, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Span(pub u64);
+pub struct TimeDelta(pub u64);
 
 /// Microseconds as seconds.
 pub(crate) fn seconds(span: u64) -> f64 {
@@ -17,12 +17,12 @@
 }
 
 /// So many microseconds after a time.
-pub(crate) fn after(time: Time, span: f64) -> Time {
-    Time(time.0 + span.max(0.0) as u64)
+pub(crate) fn after(time: Timestamp, span: f64) -> Timestamp {
+    Timestamp(time.0 + span.max(0.0) as u64)
 }
 
 /// Microseconds from one time to another, none where that comes first.
-pub(crate) fn since(now: Time, then: Time) -> u64 {
+pub(crate) fn since(now: Timestamp, then: Timestamp) -> u64 {
     now.0.saturating_sub(then.0)
 }
 
@@ -60,83 +60,92 @@
 
 /// Which endpoints of a destination drop a repeat of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
-    All,
+    #[serde(rename = "All")]
+    Destination,
     /// Those in the zone of the endpoint that had it first.
     Zone,
 }
 
 /// What a repeat of a message would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Nothing: it may be repeated freely.
-    Safe,
+    #[serde(rename = "Safe")]
+    Idempotent,
     /// It is dropped by the endpoints of `group`, for `window` from the first attempt that may have run.
-    Keyed {
+    #[serde(rename = "Keyed")]
+    WithKey {
         /// The endpoints that drop it.
-        group: Group,
+        #[serde(rename = "group")]
+        scope: DeduplicationScope,
         /// For how long they do.
-        window: Span,
+        window: TimeDelta,
     },
     /// A second effect: never repeated once it may have run.
-    Unsafe,
+    #[serde(rename = "Unsafe")]
+    NonIdempotent,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Delivered within this time, a message earns its full worth.
-    pub aim: Span,
+    #[serde(rename = "aim")]
+    pub latency_objective: TimeDelta,
     /// Time from first hand-in until the message is given up.
-    pub deadline: Span,
+    pub deadline: TimeDelta,
     /// Worth of one message.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Share of the worth that is left at the deadline.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight: f64,
     /// What a repeat does.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub idempotency: Idempotency,
     /// Messages of one key go one at a time, in the order taken.
     pub ordered: bool,
 }
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decay {
+pub enum WeightDecay {
     /// Evenly, down to the late worth at the deadline.
-    Even,
+    Linear,
     /// By half with each further aim, not below the late worth.
-    Halves,
+    Exponential,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct DestinationKind {
     /// Its endpoints are separate routes, each with its own limit, pace and outages.
-    pub routes_apart: bool,
+    pub limits_per_endpoint: bool,
     /// Messages that one call carries at most.
-    pub batch: usize,
+    pub max_batch_size: usize,
 }
 
 /// A tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
     /// Messages a second, over all senders, that count as within its share.
-    pub allowance_per_s: f64,
+    pub quota_per_second: f64,
 }
 
 /// How the list of endpoints reaches the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// By itself.
-    Pushed,
+    Watch,
     /// Only when asked for.
-    OnRequest,
+    Poll,
 }
 
 /// What the capacity hint of a list entry says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hints {
+pub enum CapacityHints {
     /// Nothing.
     None,
     /// Calls a second that the destination (or route) takes from all senders together.
@@ -147,19 +156,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
     /// Sends to a draining or removed endpoint stop within this.
-    pub drain_grace: Span,
+    pub drain_grace: TimeDelta,
     /// A destination returning from an outage has at least this share of its capacity.
-    pub cold_share: f64,
+    pub slow_start_share: f64,
     /// And all of it after this.
-    pub ramp: Span,
+    pub slow_start_duration: TimeDelta,
     /// Sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long, it falls over.
-    pub fall: Span,
+    pub overload_window: TimeDelta,
     /// An ordered key rests this long after an attempt that may still run.
-    pub order_settle: Span,
+    pub ordering_hold: TimeDelta,
     /// A sender that neither subscribes nor asks for this long counts as told.
-    pub must_ask_in: Span,
+    pub discovery_staleness_limit: TimeDelta,
 }
 
 /// Everything a sender is told at its start.
@@ -168,39 +177,39 @@
     /// Classes of messages.
     pub classes: Vec<Class>,
     /// Kinds of destination.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a message above its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Zone of this sender.
     pub zone: ZoneId,
     /// Senders that share the traffic.
-    pub senders: usize,
+    pub fleet_size: usize,
     /// Calls out at once at most.
-    pub slots: usize,
+    pub max_concurrent_calls: usize,
     /// Messages held at most.
-    pub most_held: usize,
+    pub max_pending_messages: usize,
     /// Attempts for one message at most.
     pub max_attempts: u32,
     /// Shortest time between two steps.
-    pub period: Span,
+    pub min_step_interval: TimeDelta,
     /// Connections not made within this are unreachable.
-    pub connect_timeout: Span,
+    pub connect_timeout: TimeDelta,
     /// How worth falls.
-    pub decay: Decay,
+    pub weight_decay: WeightDecay,
     /// How the list comes.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// What list hints say.
-    pub hints: Hints,
+    pub capacity_hints: CapacityHints,
     /// Health checks are allowed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// The end of a message that is not delivered is over only with [`Event::Noticed`], not at once.
-    pub ends_noticed: bool,
+    pub completion_requires_acknowledgement: bool,
     /// The host can give up a call only with all of its messages, not one by one.
-    pub calls_expire_whole: bool,
+    pub batch_expires_together: bool,
     /// Figures of the rules.
     pub rules: Rules,
 }
@@ -214,8 +223,8 @@
         let check = |ok: bool, what| if ok { Ok(()) } else { Err(SettingsError(what)) };
         check(!self.classes.is_empty() && !self.kinds.is_empty(), "classes or kinds: none given")?;
         check(self.classes.iter().all(|class| class.deadline.0 > 0), "a class's deadline: 0")?;
-        check(self.slots > 0, "slots: 0 calls may be out")?;
-        check(self.senders > 0 && self.max_attempts > 0, "senders or max_attempts: 0")
+        check(self.max_concurrent_calls > 0, "slots: 0 calls may be out")?;
+        check(self.fleet_size > 0 && self.max_attempts > 0, "senders or max_attempts: 0")
     }
 }
 
@@ -245,26 +254,26 @@
     /// Where it goes.
     pub destination: DestinationId,
     /// Time left until it is given up.
-    pub budget: Span,
+    pub time_to_live: TimeDelta,
 }
 
 /// A message that an earlier process of this sender took on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Resumed {
+pub struct RecoveredMessage {
     /// The message, with the time that is left to it now.
     pub message: Message,
     /// Attempts that earlier processes made.
     pub attempts: u32,
     /// The first attempt that may have run, such as one that was out when its process ended: when it was sent
     /// on the host's clock, and to which zone.
-    pub ran: Option<(Time, ZoneId)>,
+    pub first_uncertain_attempt: Option<(Timestamp, ZoneId)>,
     /// It has ended, and only [`Event::Noticed`] is to come.
     pub ended: bool,
 }
 
 /// What the list says of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listing {
+pub enum EndpointState {
     /// In service, as far as the list knows.
     Active,
     /// Draining.
@@ -275,7 +284,7 @@
 
 /// One line of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
@@ -285,9 +294,9 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its state.
-    pub listing: Listing,
+    pub state: EndpointState,
     /// Capacity hint, see [`Hints`].
-    pub hint: f64,
+    pub capacity_hint: f64,
 }
 
 /// How an attempt ended.
@@ -298,7 +307,10 @@
     /// The destination answered with an error; may have run.
     Failure,
     /// Turned away; never ran. The wait it told, if any.
-    Full(Option<Span>),
+    Rejected {
+        /// The delay that the answer asked for, if it named one.
+        retry_after: Option<TimeDelta>,
+    },
     /// No answer in time; may have run.
     TimedOut,
     /// No connection; never ran.
@@ -308,18 +320,18 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Void,
+    NotSent,
     /// Held back by this sender itself, before anything was written: it counts as no attempt.
-    Withheld,
+    Deferred,
 }
 
 /// What an answer tells of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of the limit that is left.
-    pub left: f64,
+    pub remaining_share: f64,
     /// The limit, in calls a second; 0 for none.
-    pub limit: f64,
+    pub limit_per_second: f64,
 }
 
 /// What has happened.
@@ -328,25 +340,25 @@
     /// A message was handed in.
     Message(Message),
     /// A message goes on after a restart; these come in the order in which they were first taken.
-    Resumed(Resumed),
+    Recovered(RecoveredMessage),
     /// An answer told a wait without turning a message away.
-    Told {
+    RetryAfter {
         /// The endpoint that told it.
         endpoint: EndpointId,
         /// How long.
-        wait: Span,
+        wait: TimeDelta,
     },
     /// The end of a message is known to whom it concerns; see [`Settings::ends_noticed`].
-    Noticed(MessageId),
+    CompletionAcknowledged(MessageId),
     /// The process ends then: what cannot end before is left for the next one.
-    WindDown(Time),
+    Shutdown(Timestamp),
     /// The next process takes this one's place then, and all that is held: no call outlasts it, and messages go on being
     /// taken on.
-    HandOver(Time),
+    Handover(Timestamp),
     /// From now on these settings hold. Classes keep their numbers; kinds, zones and the sender's own are as before.
     Settings(Box<Settings>),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// The message.
         message: MessageId,
         /// The number of the attempt, from 0.
@@ -354,29 +366,29 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        elapsed: Span,
+        elapsed: TimeDelta,
         /// Whether the message is over, through this or before.
-        last: bool,
+        completes: bool,
         /// The endpoint's report, if any.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Nobody wants this message any more.
-    Withdrawn(MessageId),
+    Cancelled(MessageId),
     /// The whole list, replacing the one before.
-    FullList(Vec<Entry>),
+    EndpointSnapshot(Vec<EndpointEntry>),
     /// Changed lines of the list.
-    ListChanges(Vec<Entry>),
+    EndpointUpdates(Vec<EndpointEntry>),
     /// Asking for the list failed, or the subscription broke.
-    ListFailed,
+    DiscoveryFailed,
     /// A health check has ended.
-    Checked {
+    HealthCheckEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
     },
     /// A wake-up that was asked for.
-    Woken,
+    TimerFired,
 }
 
 /// What the host is to do.
@@ -389,7 +401,7 @@
         /// Where to.
         endpoint: EndpointId,
         /// When the attempt is given up.
-        expires: Time,
+        expires: Timestamp,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -399,26 +411,26 @@
         attempt: u32,
     },
     /// End a message undelivered; the client may safely come again.
-    Refuse {
+    Return {
         /// The message.
         message: MessageId,
         /// When coming again may help; none where nothing is known.
-        after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     /// End a message undelivered, with no promise about its effect.
     Fail(MessageId),
     /// Step again after this, even if nothing happens.
-    WakeIn(Span),
+    SetTimer(TimeDelta),
     /// Ask for all further changes of the list.
-    Subscribe,
+    WatchEndpoints,
     /// Ask for the whole list once.
-    FetchList,
+    PollEndpoints,
     /// Check an endpoint's health.
-    Probe(EndpointId),
+    CheckHealth(EndpointId),
     /// Close this sender's idle connections to an endpoint.
-    CloseIdle(EndpointId),
+    CloseIdleConnections(EndpointId),
     /// Nothing of an endpoint that has gone matters any more; listed again, it may have another number.
-    Forget(EndpointId),
+    ForgetEndpoint(EndpointId),
     /// A line for people on call.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -43,8 +43,8 @@
 mod observe;
 mod pacing;
 pub mod profile;
-mod recall;
+mod restore;
 
-pub use decision::Sender;
+pub use decision::DeliveryEngine;
 pub use interface::*;
-pub use observe::Learned;
+pub use observe::RouteSnapshot;
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,10 +4,10 @@
 use clap::Parser;
 use command::What;
 use micadrum::daemon::config::Config;
-use micadrum::daemon::ports::{Ports, Succession, Traces};
+use micadrum::daemon::ports::{HandoverConfig, Ports, Traces};
 use micadrum::daemon::system::{Folder, StandardError, SystemClock, Tcp};
 use micadrum::daemon::{self, Signal};
-use micadrum_config::Operator;
+use micadrum_config::OperatorConfig;
 use micadrum_recovery::Boot;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -63,9 +63,9 @@
 }
 
 /// The operator's file for the sender of that name.
-fn operator(path: &Path, own: &str) -> Result<Operator, StartError> {
+fn operator(path: &Path, own: &str) -> Result<OperatorConfig, StartError> {
     let text = String::from_utf8_lossy(&read("operator's file", path)?).into_owned();
-    Ok(Operator::parse(&path.display().to_string(), &text, own)?)
+    Ok(OperatorConfig::parse(&path.display().to_string(), &text, own)?)
 }
 
 /// The platform's configuration with what the operators turn on.
@@ -91,7 +91,7 @@
         (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     let config = config()?;
     let mut entropy = [0; 32];
-    if config.operator != Operator::default() {
+    if config.operator != OperatorConfig::default() {
         getrandom::fill(&mut entropy).map_err(|e| StartError::Runtime(std::io::Error::other(e)))?;
     }
     let boot = config.operator.recovery.as_ref().and_then(|recovery| {
@@ -104,7 +104,7 @@
         network: Rc::new(Tcp),
         storage: Rc::new(Folder(variable("PROXY_STATE")?)),
         log: Rc::new(StandardError),
-        handover: Some(Succession {
+        handover: Some(HandoverConfig {
             folder: variable("PROXY_STATE")?,
             reread: Rc::new(move || {
                 let _ = reread.send(());
@@ -119,10 +119,10 @@
     spawn_local(async move {
         loop {
             let signal = tokio::select! {
-                _ = terminated.recv() => Signal::WindDown,
-                _ = interrupted.recv() => Signal::WindDown,
+                _ = terminated.recv() => Signal::Shutdown,
+                _ = interrupted.recv() => Signal::Shutdown,
                 _ = reloads.recv() => Signal::Reload(read()),
-                Some(()) = rereads.recv() => Signal::Reread(read()),
+                Some(()) = rereads.recv() => Signal::ReloadIfChanged(read()),
             };
             if to_daemon.send(signal).is_err() {
                 return;
