--- a/src/profile.rs
+++ b/src/profile.rs
@@ -117,24 +117,24 @@
 impl Lane {
     fn class(&self) -> Result<Class, String> {
         let repeat = match self.repeat {
-            RepeatWord::Retryable => Repeat::Safe,
-            RepeatWord::Fragile => Repeat::Unsafe,
-            RepeatWord::Dedup => Repeat::Keyed {
-                group: match self.group.as_deref() {
-                    Some("all") => Group::All,
+            RepeatWord::Retryable => Idempotency::Idempotent,
+            RepeatWord::Fragile => Idempotency::NonIdempotent,
+            RepeatWord::Dedup => Idempotency::WithKey {
+                scope: match self.group.as_deref() {
+                    Some("all") => DeduplicationScope::Destination,
                     // A cell is one destination here, so its zone's part is always inside it.
-                    Some("zone" | "cell") => Group::Zone,
+                    Some("zone" | "cell") => DeduplicationScope::Zone,
                     other => return Err(format!("class {:?}: unknown group {other:?}", self.name)),
                 },
-                window: Span(self.key_ttl.ok_or("a keyed class lacks key_ttl")?),
+                window: TimeDelta(self.key_ttl.ok_or("a keyed class lacks key_ttl")?),
             },
         };
         Ok(Class {
-            aim: Span(self.aim),
-            deadline: Span(self.hard_limit),
-            worth: self.worth,
-            late_worth: self.late_value,
-            repeat,
+            latency_objective: TimeDelta(self.aim),
+            deadline: TimeDelta(self.hard_limit),
+            priority_weight: self.worth,
+            late_weight: self.late_value,
+            idempotency: repeat,
             ordered: self.fifo_by_key.unwrap_or(false),
         })
     }
@@ -171,54 +171,58 @@
 
     /// How long an endpoint keeps an idle connection open, at the most; no time at all where nothing is said of it, as a
     /// call that meets a closed one may be lost.
-    pub fn connection_idle(&self) -> Span {
-        Span(self.limits.conn_idle.unwrap_or(0))
+    pub fn connection_idle(&self) -> TimeDelta {
+        TimeDelta(self.limits.conn_idle.unwrap_or(0))
     }
 
     /// The settings of the decision module.
     pub fn settings(&self, names: &Names) -> Result<Settings, String> {
         let s = &self.specifics;
         let kinds = (0..self.kinds.len())
-            .map(|i| Kind {
-                routes_apart: s.kind_apart.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(false),
-                batch: s.bundle_max.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(1),
+            .map(|i| DestinationKind {
+                limits_per_endpoint: s.kind_apart.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(false),
+                max_batch_size: s.bundle_max.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(1),
             })
             .collect();
         let r = &self.invariants;
         Ok(Settings {
             classes: self.lanes.iter().map(Lane::class).collect::<Result<_, _>>()?,
             kinds,
-            tenants: self.tenants.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            tenants: self.tenants.iter().map(|t| Tenant { quota_per_second: t.allowance_per_s }).collect(),
+            over_quota_weight: self.over_share_worth.unwrap_or(1.0),
             zone: look(&names.zones, &self.zone, "zone")?,
-            senders: self.fleet_size,
-            slots: s.max_calls,
-            most_held: self.limits.most_held,
+            fleet_size: self.fleet_size,
+            max_concurrent_calls: s.max_calls,
+            max_pending_messages: self.limits.most_held,
             max_attempts: self.limits.max_attempts,
-            period: Span(self.period),
-            connect_timeout: Span(self.limits.connect_timeout),
-            decay: match s.decay.as_deref() {
-                None | Some("even") => Decay::Even,
-                Some("by_half") => Decay::Halves,
+            min_step_interval: TimeDelta(self.period),
+            connect_timeout: TimeDelta(self.limits.connect_timeout),
+            weight_decay: match s.decay.as_deref() {
+                None | Some("even") => WeightDecay::Linear,
+                Some("by_half") => WeightDecay::Exponential,
                 Some(other) => return Err(format!("specifics.decay: {other:?} is neither even nor by_half")),
             },
             discovery: match self.discovery {
-                Mode::Pushed => Discovery::Pushed,
-                Mode::OnRequest => Discovery::OnRequest,
+                Mode::Pushed => DiscoveryMode::Watch,
+                Mode::OnRequest => DiscoveryMode::Poll,
             },
-            hints: if self.weights == "none" { Hints::None } else { Hints::CallsPerSecond },
-            probes: self.limits.probes,
-            cancel: self.limits.cancel,
-            ends_noticed: false,
-            calls_expire_whole: false,
+            capacity_hints: if self.weights == "none" {
+                CapacityHints::None
+            } else {
+                CapacityHints::CallsPerSecond
+            },
+            health_checks: self.limits.probes,
+            cancellation: self.limits.cancel,
+            completion_requires_acknowledgement: false,
+            batch_expires_together: false,
             rules: Rules {
-                drain_grace: Span(r.drain_grace),
-                cold_share: r.cold_share,
-                ramp: Span(r.ramp_time),
+                drain_grace: TimeDelta(r.drain_grace),
+                slow_start_share: r.cold_share,
+                slow_start_duration: TimeDelta(r.ramp_time),
                 overload_factor: r.overload_factor,
-                fall: Span(r.fall),
-                order_settle: Span(r.order_settle.unwrap_or(0)),
-                must_ask_in: Span(r.must_ask_in.unwrap_or(0)),
+                overload_window: TimeDelta(r.fall),
+                ordering_hold: TimeDelta(r.order_settle.unwrap_or(0)),
+                discovery_staleness_limit: TimeDelta(r.must_ask_in.unwrap_or(0)),
             },
         })
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,81 +12,90 @@
 
 pub fn settings() -> Settings {
     let class = |repeat, ordered| Class {
-        aim: Span(2 * SECOND),
-        deadline: Span(16 * SECOND),
-        worth: 1.0,
-        late_worth: 0.5,
-        repeat,
+        latency_objective: TimeDelta(2 * SECOND),
+        deadline: TimeDelta(16 * SECOND),
+        priority_weight: 1.0,
+        late_weight: 0.5,
+        idempotency: repeat,
         ordered,
     };
-    let window = Span(5 * SECOND);
+    let window = TimeDelta(5 * SECOND);
     Settings {
         classes: vec![
-            class(Repeat::Safe, false),
-            class(Repeat::Keyed { group: Group::All, window }, false),
-            class(Repeat::Keyed { group: Group::Zone, window }, false),
-            class(Repeat::Unsafe, false),
-            class(Repeat::Keyed { group: Group::All, window }, true),
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::WithKey { scope: DeduplicationScope::Destination, window }, false),
+            class(Idempotency::WithKey { scope: DeduplicationScope::Zone, window }, false),
+            class(Idempotency::NonIdempotent, false),
+            class(Idempotency::WithKey { scope: DeduplicationScope::Destination, window }, true),
+        ],
+        kinds: vec![
+            DestinationKind { limits_per_endpoint: false, max_batch_size: 1 },
+            DestinationKind { limits_per_endpoint: true, max_batch_size: 1 },
         ],
-        kinds: vec![Kind { routes_apart: false, batch: 1 }, Kind { routes_apart: true, batch: 1 }],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         zone: ZoneId(0),
-        senders: 2,
-        slots: 8,
-        most_held: 100,
+        fleet_size: 2,
+        max_concurrent_calls: 8,
+        max_pending_messages: 100,
         max_attempts: 6,
-        period: Span(5_000),
-        connect_timeout: Span(SECOND),
-        decay: Decay::Even,
-        discovery: Discovery::Pushed,
-        hints: Hints::None,
-        probes: false,
-        cancel: true,
-        ends_noticed: false,
-        calls_expire_whole: false,
+        min_step_interval: TimeDelta(5_000),
+        connect_timeout: TimeDelta(SECOND),
+        weight_decay: WeightDecay::Linear,
+        discovery: DiscoveryMode::Watch,
+        capacity_hints: CapacityHints::None,
+        health_checks: false,
+        cancellation: true,
+        completion_requires_acknowledgement: false,
+        batch_expires_together: false,
         rules: Rules {
-            drain_grace: Span(SECOND),
-            cold_share: 0.2,
-            ramp: Span(10 * SECOND),
+            drain_grace: TimeDelta(SECOND),
+            slow_start_share: 0.2,
+            slow_start_duration: TimeDelta(10 * SECOND),
             overload_factor: 2.0,
-            fall: Span(1_500_000),
-            order_settle: Span(2 * SECOND),
-            must_ask_in: Span(10 * SECOND),
+            overload_window: TimeDelta(1_500_000),
+            ordering_hold: TimeDelta(2 * SECOND),
+            discovery_staleness_limit: TimeDelta(10 * SECOND),
         },
     }
 }
 
 /// An entry of destination `d`: endpoint number, kind and zone.
-pub fn entry(d: u64, endpoint: u32, kind: usize, zone: usize) -> Entry {
-    Entry {
+pub fn entry(d: u64, endpoint: u32, kind: usize, zone: usize) -> EndpointEntry {
+    EndpointEntry {
         endpoint: EndpointId(endpoint),
         destination: DestinationId(d),
         kind: KindId(kind),
         zone: ZoneId(zone),
-        listing: Listing::Active,
-        hint: 0.0,
+        state: EndpointState::Active,
+        capacity_hint: 0.0,
     }
 }
 
 /// A sender with a clock: each call is one step.
 pub struct Host {
-    pub sender: Sender,
+    pub sender: DeliveryEngine,
     pub now: u64,
 }
 
 impl Host {
-    pub fn new(settings: Settings, list: Vec<Entry>) -> Self {
-        let mut host = Host { sender: Sender::new(settings, 1).unwrap(), now: 100 * SECOND };
-        host.step(&[Event::FullList(list)]);
+    pub fn new(settings: Settings, list: Vec<EndpointEntry>) -> Self {
+        let mut host = Host { sender: DeliveryEngine::new(settings, 1).unwrap(), now: 100 * SECOND };
+        host.step(&[Event::EndpointSnapshot(list)]);
         host
     }
 
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.sender.step(Time(self.now), events, &mut actions);
+        self.sender.step(Timestamp(self.now), events, &mut actions);
         actions.retain(|a| {
-            !matches!(a, Action::WakeIn(_) | Action::Log(_) | Action::CloseIdle(_) | Action::Forget(_))
+            !matches!(
+                a,
+                Action::SetTimer(_)
+                    | Action::Log(_)
+                    | Action::CloseIdleConnections(_)
+                    | Action::ForgetEndpoint(_)
+            )
         });
         actions
     }
@@ -106,7 +115,7 @@
         while self.now < end {
             self.now += 20_000;
             let now = self.now;
-            all.extend(self.step(&[Event::Woken]).into_iter().map(|a| (now, a)));
+            all.extend(self.step(&[Event::TimerFired]).into_iter().map(|a| (now, a)));
         }
         all
     }
@@ -119,17 +128,17 @@
         tenant: None,
         key: key.map(OrderKey),
         destination: DestinationId(d),
-        budget: Span(16 * SECOND),
+        time_to_live: TimeDelta(16 * SECOND),
     })
 }
 
 pub fn ended(id: u32, attempt: u32, outcome: Outcome) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         message: MessageId(id),
         attempt,
         outcome,
-        elapsed: Span(100_000),
-        last: outcome == Outcome::Success,
+        elapsed: TimeDelta(100_000),
+        completes: outcome == Outcome::Success,
         report: None,
     }
 }
@@ -148,7 +157,7 @@
 }
 
 pub fn refused(run: &[(u64, Action)], id: u32) -> bool {
-    run.iter().any(|(_, a)| matches!(a, Action::Refuse { message, .. } if message.0 == id))
+    run.iter().any(|(_, a)| matches!(a, Action::Return { message, .. } if message.0 == id))
 }
 
 pub fn failed(run: &[(u64, Action)], id: u32) -> bool {
@@ -159,7 +168,7 @@
     /// One step with all its actions, closed connections too.
     pub fn raw(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.sender.step(Time(self.now), events, &mut actions);
+        self.sender.step(Timestamp(self.now), events, &mut actions);
         actions
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -44,7 +44,7 @@
     {
         host.message(id, KEYED_ALL, 1);
         host.now += 50_000;
-        host.step(&[ended(id, 0, outcome), Event::Withdrawn(MessageId(id))]);
+        host.step(&[ended(id, 0, outcome), Event::Cancelled(MessageId(id))]);
     }
     assert!(host.message(40, UNSAFE, 1).is_empty());
     assert_eq!(sent(&host.message(41, SAFE, 1), 41), Some(0));
@@ -133,7 +133,7 @@
         // It answers: a fifth of what a destination is known to take, and not the backlog.
         let mut out = called(host.ended(trial, 0, Outcome::Success));
         let mut sends = out.len();
-        let end = host.now + settings().rules.fall.0;
+        let end = host.now + settings().rules.overload_window.0;
         while host.now < end {
             host.now += 50_000;
             let answered: Vec<Event> = out.iter().map(|id| ended(*id, 0, Outcome::Success)).collect();
@@ -168,12 +168,13 @@
 fn a_refusal_paces_by_the_told_limit() {
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     host.message(1, SAFE, 1);
-    let report = Some(Report { left: 0.0, limit: 20.0 });
-    let Event::Ended { message, attempt, outcome, elapsed, last, .. } = ended(1, 0, Outcome::Full(None))
+    let report = Some(LoadReport { remaining_share: 0.0, limit_per_second: 20.0 });
+    let Event::AttemptEnded { message, attempt, outcome, elapsed, completes: last, .. } =
+        ended(1, 0, Outcome::Rejected { retry_after: None })
     else {
         unreachable!()
     };
-    host.step(&[Event::Ended { message, attempt, outcome, elapsed, last, report }]);
+    host.step(&[Event::AttemptEnded { message, attempt, outcome, elapsed, completes: last, report }]);
     let run = host.run(SECOND);
     assert!(sent_at(&run, 1).is_some(), "half an equal part of 20 a second is 5 a second");
 }
@@ -197,7 +198,7 @@
 #[test]
 fn idle_connections_are_not_trusted_after_a_lost_call() {
     let closes = |actions: &[Action], e: u32| {
-        let close = actions.iter().position(|a| *a == Action::CloseIdle(EndpointId(e)));
+        let close = actions.iter().position(|a| *a == Action::CloseIdleConnections(EndpointId(e)));
         let send = actions.iter().position(|a| matches!(a, Action::Send { .. }));
         close.is_some() && (send.is_none() || close < send)
     };
@@ -273,7 +274,7 @@
         });
         spans.push(expires.unwrap());
     }
-    let aim = settings().classes[UNSAFE.0].aim.0;
+    let aim = settings().classes[UNSAFE.0].latency_objective.0;
     assert!(spans[..6].iter().all(|span| *span > 2 * aim), "{spans:?}");
     assert!(spans[6..].iter().all(|span| *span < aim), "{spans:?}");
 }
@@ -286,9 +287,9 @@
         let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
         let Event::Message(message) = message(5, KEYED_ALL, 1, None) else { panic!("no message") };
         let began = host.now;
-        let ran = (attempts > 0).then_some((Time(began - 100_000), ZoneId(0)));
-        let resumed = Resumed { message, attempts, ran, ended: false };
-        let at_once = host.step(&[Event::Resumed(resumed)]);
+        let ran = (attempts > 0).then_some((Timestamp(began - 100_000), ZoneId(0)));
+        let resumed = RecoveredMessage { message, attempts, first_uncertain_attempt: ran, ended: false };
+        let at_once = host.step(&[Event::Recovered(resumed)]);
         let sent = match sent(&at_once, 5) {
             Some(_) => began,
             None => sent_at(&host.run(3 * SECOND), 5).expect("it goes again").0,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -28,14 +28,14 @@
         }
     }
 
-    fn called(&mut self) -> (Outcome, Option<Report>) {
+    fn called(&mut self) -> (Outcome, Option<LoadReport>) {
         if self.down {
             return (Outcome::ConnectFailed, None);
         }
-        let report = Some(Report { left: self.told.0.max(0.0), limit: self.limit });
+        let report = Some(LoadReport { remaining_share: self.told.0.max(0.0), limit_per_second: self.limit });
         let room = self.bucket >= 1.0;
         self.bucket = (self.bucket - 1.0).max(0.0);
-        (if room { Outcome::Success } else { Outcome::Full(None) }, report)
+        (if room { Outcome::Success } else { Outcome::Rejected { retry_after: None } }, report)
     }
 }
 
@@ -51,10 +51,13 @@
 /// partner each tick. By second: what the partner saw.
 fn day(seed: u64, length: u64, demand: f64, mut change: impl FnMut(u64, &mut Partner)) -> Vec<Count> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut senders: Vec<Sender> = (0..SENDERS)
+    let mut senders: Vec<DeliveryEngine> = (0..SENDERS)
         .map(|n| {
-            Sender::new(Settings { senders: SENDERS, slots: 4, ..settings() }, seed * 1000 + n as u64)
-                .unwrap()
+            DeliveryEngine::new(
+                Settings { fleet_size: SENDERS, max_concurrent_calls: 4, ..settings() },
+                seed * 1000 + n as u64,
+            )
+            .unwrap()
         })
         .collect();
     let mut partner = Partner { limit: 100.0, bucket: 100.0, down: false, told: (1.0, 0) };
@@ -64,7 +67,7 @@
     let mut next = 0;
     let start = 1000 * SECOND;
     for (n, sender) in senders.iter_mut().enumerate() {
-        sender.step(Time(start), &[Event::FullList(vec![entry(1, 0, 1, 0)])], &mut Vec::new());
+        sender.step(Timestamp(start), &[Event::EndpointSnapshot(vec![entry(1, 0, 1, 0)])], &mut Vec::new());
         pending[n].clear();
     }
     for tick in 1..length * SECOND / TICK {
@@ -83,9 +86,9 @@
             let (due, later) = pending[n].drain(..).partition(|(at, _)| *at <= now);
             pending[n] = later;
             let happened = Vec::into_iter(due).map(|(_, event)| event);
-            let happened: Vec<Event> = std::iter::once(Event::Woken).chain(happened).collect();
+            let happened: Vec<Event> = std::iter::once(Event::TimerFired).chain(happened).collect();
             let mut actions = Vec::new();
-            senders[n].step(Time(now), &happened, &mut actions);
+            senders[n].step(Timestamp(now), &happened, &mut actions);
             for action in actions {
                 let Action::Send { message, .. } = action else { continue };
                 let attempt = *tries.entry((n, message.0)).and_modify(|a| *a += 1).or_insert(0);
@@ -93,10 +96,12 @@
                 let count = &mut counts[(since / SECOND) as usize];
                 count.calls += 1;
                 count.delivered += usize::from(outcome == Outcome::Success);
-                count.refused += usize::from(matches!(outcome, Outcome::Full(_)));
-                let (elapsed, last) = (Span(CALL), outcome == Outcome::Success);
-                pending[n]
-                    .push((now + CALL, Event::Ended { message, attempt, outcome, elapsed, last, report }));
+                count.refused += usize::from(matches!(outcome, Outcome::Rejected { .. }));
+                let (elapsed, last) = (TimeDelta(CALL), outcome == Outcome::Success);
+                pending[n].push((
+                    now + CALL,
+                    Event::AttemptEnded { message, attempt, outcome, elapsed, completes: last, report },
+                ));
             }
         }
     }
@@ -154,10 +159,12 @@
     for seed in [1, 2, 3] {
         let mut sent = 0;
         for n in 0..SENDERS {
-            let settings = Settings { senders: SENDERS, slots: 8, ..settings() };
-            let mut host =
-                Host { sender: Sender::new(settings, seed * 1000 + n as u64).unwrap(), now: 100 * SECOND };
-            host.step(&[Event::FullList(vec![entry(1, 0, 1, 0), entry(1, 1, 1, 0)])]);
+            let settings = Settings { fleet_size: SENDERS, max_concurrent_calls: 8, ..settings() };
+            let mut host = Host {
+                sender: DeliveryEngine::new(settings, seed * 1000 + n as u64).unwrap(),
+                now: 100 * SECOND,
+            };
+            host.step(&[Event::EndpointSnapshot(vec![entry(1, 0, 1, 0), entry(1, 1, 1, 0)])]);
             let all: Vec<Event> = (0..5).map(|id| message(id, SAFE, 1, None)).collect();
             sent += host.step(&all).iter().filter(|action| matches!(action, Action::Send { .. })).count();
         }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -20,12 +20,12 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut draw = move |n: u64| random.next_u64() % n;
     let mut s = settings();
-    s.kinds[0].batch = 1 + draw(4) as usize;
+    s.kinds[0].max_batch_size = 1 + draw(4) as usize;
     s.max_attempts = 4;
     let classes = s.classes.clone();
     let apart = |d: u64| d % 2 == 1;
     let mut listing = BTreeMap::new();
-    let list: Vec<Entry> =
+    let list: Vec<EndpointEntry> =
         (0..12).map(|e| entry(u64::from(e) % 5, e, (e % 5 % 2) as usize, (e / 5 % 2) as usize)).collect();
     let mut host = Host::new(s.clone(), list.clone());
     let mut seen: BTreeMap<u32, Seen> = BTreeMap::new();
@@ -40,20 +40,27 @@
             break;
         }
         assert!(host.now < start + 80 * SECOND, "seed {seed}: a message never ended");
-        let mut events = vec![Event::Woken];
+        let mut events = vec![Event::TimerFired];
         if draw(400) == 0 {
             let e = list[draw(12) as usize];
-            let state = [Listing::Active, Listing::Draining, Listing::Removed][draw(3) as usize];
+            let state =
+                [EndpointState::Active, EndpointState::Draining, EndpointState::Removed][draw(3) as usize];
             listing.insert(e.endpoint.0, state);
-            events.push(Event::ListChanges(vec![Entry { listing: state, ..e }]));
+            events.push(Event::EndpointUpdates(vec![EndpointEntry { state: state, ..e }]));
         }
         while !quiet && draw(4) == 0 {
             id += 1;
             let class = draw(5) as usize;
             let key = (class == 4).then(|| OrderKey(draw(6)));
-            let (destination, budget) = (DestinationId(draw(6)), Span(SECOND + draw(15 * SECOND)));
-            let message =
-                Message { id: MessageId(id), class: ClassId(class), tenant: None, key, destination, budget };
+            let (destination, budget) = (DestinationId(draw(6)), TimeDelta(SECOND + draw(15 * SECOND)));
+            let message = Message {
+                id: MessageId(id),
+                class: ClassId(class),
+                tenant: None,
+                key,
+                destination,
+                time_to_live: budget,
+            };
             if let Some(key) = key {
                 keys.entry(key.0).or_insert((vec![], 0)).0.push(id);
             }
@@ -65,7 +72,7 @@
             let Some((expires, endpoint)) = m.out else {
                 if !m.ended && draw(20_000) == 0 {
                     m.ended = true;
-                    events.push(Event::Withdrawn(MessageId(*id)));
+                    events.push(Event::Cancelled(MessageId(*id)));
                 }
                 continue;
             };
@@ -80,8 +87,8 @@
                 2 => Outcome::TimedOut,
                 3 => Outcome::Reset,
                 4 => Outcome::ConnectFailed,
-                5 => Outcome::Full((draw(2) == 0).then(|| Span(draw(3 * SECOND)))),
-                6 => Outcome::Void,
+                5 => Outcome::Rejected { retry_after: (draw(2) == 0).then(|| TimeDelta(draw(3 * SECOND))) },
+                6 => Outcome::NotSent,
                 _ => Outcome::Cancelled,
             };
             let zone = list[endpoint as usize].zone.0;
@@ -94,7 +101,7 @@
                         keys.get_mut(&key.0).unwrap().1 = host.now + 2 * SECOND;
                     }
                 }
-                Outcome::Full(Some(wait)) => {
+                Outcome::Rejected { retry_after: Some(wait) } => {
                     let d = m.message.destination.0;
                     let at = (d, if apart(d) { endpoint } else { 0 });
                     let until = waits.entry(at).or_insert(0);
@@ -104,12 +111,12 @@
             }
             m.out = None;
             m.ended |= outcome == Outcome::Success;
-            events.push(Event::Ended {
+            events.push(Event::AttemptEnded {
                 message: MessageId(*id),
                 attempt: m.attempts - 1,
                 outcome,
-                elapsed: Span(1),
-                last: m.ended,
+                elapsed: TimeDelta(1),
+                completes: m.ended,
                 report: None,
             });
         }
@@ -125,15 +132,18 @@
                     let d = m.message.destination.0;
                     assert!(!m.ended && m.out.is_none() && m.attempts < 4, "seed {seed}: {message:?}");
                     assert_eq!(at.destination, m.message.destination);
-                    assert_eq!(*listing.get(&endpoint.0).unwrap_or(&Listing::Active), Listing::Active);
-                    assert!(expires.0 > host.now && expires.0 < m.taken + m.message.budget.0);
+                    assert_eq!(
+                        *listing.get(&endpoint.0).unwrap_or(&EndpointState::Active),
+                        EndpointState::Active
+                    );
+                    assert!(expires.0 > host.now && expires.0 < m.taken + m.message.time_to_live.0);
                     let wait = waits.get(&(d, if apart(d) { endpoint.0 } else { 0 })).copied().unwrap_or(0);
                     assert!(host.now >= wait, "seed {seed}: a told wait broken");
-                    match (classes[m.message.class.0].repeat, m.ran) {
-                        (Repeat::Unsafe, Some(_)) => panic!("seed {seed}: unsafe repeated"),
-                        (Repeat::Keyed { group, window }, Some((at_first, zone))) => {
+                    match (classes[m.message.class.0].idempotency, m.ran) {
+                        (Idempotency::NonIdempotent, Some(_)) => panic!("seed {seed}: unsafe repeated"),
+                        (Idempotency::WithKey { scope: group, window }, Some((at_first, zone))) => {
                             assert!(host.now < at_first + window.0);
-                            assert!(group == Group::All || zone == at.zone.0);
+                            assert!(group == DeduplicationScope::Destination || zone == at.zone.0);
                         }
                         _ => {}
                     }
@@ -145,12 +155,13 @@
                     m.out = Some((expires.0, endpoint.0));
                     m.attempts += 1;
                 }
-                Action::Refuse { message: id, .. } | Action::Fail(id) => {
+                Action::Return { message: id, .. } | Action::Fail(id) => {
                     let m = seen.get_mut(&id.0).unwrap();
                     assert!(!m.ended && m.out.is_none(), "seed {seed}: {id:?} ended twice");
-                    assert!(host.now <= m.taken + m.message.budget.0 + 20_000);
-                    let harmless = match classes[m.message.class.0].repeat {
-                        Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
+                    assert!(host.now <= m.taken + m.message.time_to_live.0 + 20_000);
+                    let harmless = match classes[m.message.class.0].idempotency {
+                        Idempotency::Idempotent
+                        | Idempotency::WithKey { scope: DeduplicationScope::Destination, .. } => true,
                         _ => m.ran.is_none(),
                     };
                     assert!(harmless || action == Action::Fail(id), "seed {seed}: refused what may have run");
@@ -163,7 +174,7 @@
             }
         }
         let calls: BTreeSet<_> = seen.iter().filter_map(|(id, m)| m.out.map(|o| (o.1, *id))).collect();
-        assert!(calls.len() <= s.slots * s.kinds[0].batch);
+        assert!(calls.len() <= s.max_concurrent_calls * s.kinds[0].max_batch_size);
         host.now += 5_000 * (1 + draw(2));
     }
     assert!(seen.len() > 100 && trace.len() > seen.len(), "something happened");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,8 +4,12 @@
 use micadrum::*;
 
 const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Failure, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
-const NEVER_RAN: [Outcome; 4] =
-    [Outcome::Full(None), Outcome::Full(Some(Span(300_000))), Outcome::ConnectFailed, Outcome::Void];
+const NEVER_RAN: [Outcome; 4] = [
+    Outcome::Rejected { retry_after: None },
+    Outcome::Rejected { retry_after: Some(TimeDelta(300_000)) },
+    Outcome::ConnectFailed,
+    Outcome::NotSent,
+];
 
 /// What follows one outcome of a first attempt: sent again (to which endpoint), refused, failed.
 fn after(class: ClassId, outcome: Outcome) -> (Option<u32>, bool, bool) {
@@ -44,7 +48,10 @@
     host.message(7, KEYED_ZONE, 1);
     host.now += 100_000;
     host.ended(7, 0, Outcome::Failure);
-    host.step(&[Event::ListChanges(vec![Entry { listing: Listing::Removed, ..entry(1, 0, 0, 0) }])]);
+    host.step(&[Event::EndpointUpdates(vec![EndpointEntry {
+        state: EndpointState::Removed,
+        ..entry(1, 0, 0, 0)
+    }])]);
     let run = host.run(6 * SECOND);
     assert!(sent_at(&run, 7).is_none() && failed(&run, 7) && !refused(&run, 7));
 }
@@ -67,7 +74,7 @@
                     last_sent = host.now;
                     pending = Some(ended(7, attempt, Outcome::Failure));
                 }
-                Action::Refuse { .. } => over = true,
+                Action::Return { .. } => over = true,
                 other => panic!("{other:?}"),
             }
         }
@@ -79,13 +86,13 @@
 
 #[test]
 fn a_message_is_ended_before_its_time_and_once() {
-    for list in [vec![], vec![Entry { listing: Listing::Draining, ..entry(1, 0, 0, 0) }]] {
+    for list in [vec![], vec![EndpointEntry { state: EndpointState::Draining, ..entry(1, 0, 0, 0) }]] {
         let mut host = Host::new(settings(), list);
         let taken = host.now;
         assert!(host.message(7, UNSAFE, 1).is_empty());
         let run = host.run(20 * SECOND);
         let ends: Vec<_> =
-            run.iter().filter(|(_, a)| matches!(a, Action::Refuse { message: MessageId(7), .. })).collect();
+            run.iter().filter(|(_, a)| matches!(a, Action::Return { message: MessageId(7), .. })).collect();
         assert_eq!(run.len(), ends.len());
         assert_eq!(ends.len(), 1);
         assert!(ends[0].0 < taken + 16 * SECOND && ends[0].0 > taken + 15 * SECOND);
@@ -100,7 +107,7 @@
         other => panic!("{other:?}"),
     };
     let Event::Message(message) = message(7, UNSAFE, 1, None) else { unreachable!() };
-    let short = Message { budget: Span(300_000), ..message };
+    let short = Message { time_to_live: TimeDelta(300_000), ..message };
     let at = expires(&host.step(&[Event::Message(short)]));
     assert!(at > host.now && at < host.now + 300_000);
     host.now += 295_000;
@@ -113,7 +120,7 @@
     for (kind, other_goes) in [(0, false), (1, true)] {
         let mut host = Host::new(settings(), vec![entry(1, 0, kind, 0), entry(1, 1, kind, 1)]);
         assert_eq!(sent(&host.message(7, SAFE, 1), 7), Some(0));
-        host.ended(7, 0, Outcome::Full(Some(Span(2 * SECOND))));
+        host.ended(7, 0, Outcome::Rejected { retry_after: Some(TimeDelta(2 * SECOND)) });
         let told = host.now;
         let mut run: Vec<_> = host.message(8, SAFE, 1).into_iter().map(|a| (host.now, a)).collect();
         run.extend(host.run(4 * SECOND));
@@ -128,14 +135,14 @@
 #[test]
 fn each_message_of_a_batch_may_be_told_a_wait_and_the_longest_holds() {
     let mut s = settings();
-    s.kinds[0].batch = 2;
+    s.kinds[0].max_batch_size = 2;
     let mut host = Host::new(s, vec![entry(1, 0, 0, 0)]);
     let sends = host.step(&[message(1, SAFE, 1, None), message(2, SAFE, 1, None)]);
     assert_eq!(sends.len(), 2);
     let told = host.now;
     host.step(&[
-        ended(1, 0, Outcome::Full(Some(Span(300_000)))),
-        ended(2, 0, Outcome::Full(Some(Span(400_000)))),
+        ended(1, 0, Outcome::Rejected { retry_after: Some(TimeDelta(300_000)) }),
+        ended(2, 0, Outcome::Rejected { retry_after: Some(TimeDelta(400_000)) }),
     ]);
     let run = host.run(8 * SECOND);
     assert!(sent_at(&run, 1).unwrap().0 >= told + 400_000);
@@ -143,14 +150,14 @@
 
 #[test]
 fn nothing_new_goes_to_what_drains_or_is_gone() {
-    for listing in [Listing::Draining, Listing::Removed] {
+    for listing in [EndpointState::Draining, EndpointState::Removed] {
         let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0), entry(1, 1, 0, 1)]);
-        host.step(&[Event::ListChanges(vec![Entry { listing, ..entry(1, 0, 0, 0) }])]);
+        host.step(&[Event::EndpointUpdates(vec![EndpointEntry { state: listing, ..entry(1, 0, 0, 0) }])]);
         assert_eq!(sent(&host.message(7, SAFE, 1), 7), Some(1), "at once, inside the grace already");
         host.now += 2 * SECOND;
         assert_eq!(sent(&host.message(8, SAFE, 1), 8), Some(1));
         // A whole list without it says the same.
-        host.step(&[Event::FullList(vec![entry(1, 0, 0, 0)])]);
+        host.step(&[Event::EndpointSnapshot(vec![entry(1, 0, 0, 0)])]);
         assert_eq!(sent(&host.message(9, SAFE, 1), 9), Some(0));
     }
 }
@@ -183,7 +190,7 @@
     host.step(&[message(1, ORDERED, 9, Some(5)), message(2, ORDERED, 2, Some(5))]);
     let run = host.run(17 * SECOND);
     assert!(refused(&run, 1) && refused(&run, 2), "both end in time");
-    host.step(&[Event::Withdrawn(MessageId(77))]);
+    host.step(&[Event::Cancelled(MessageId(77))]);
     assert!(sent(&host.step(&[message(3, ORDERED, 2, Some(5))]), 3).is_some());
 }
 
@@ -191,7 +198,7 @@
 fn a_withdrawn_head_keeps_its_key_while_its_attempt_is_out() {
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     host.step(&[message(1, ORDERED, 1, Some(5)), message(2, ORDERED, 1, Some(5))]);
-    assert!(host.step(&[Event::Withdrawn(MessageId(1))]).is_empty());
+    assert!(host.step(&[Event::Cancelled(MessageId(1))]).is_empty());
     let next = host.ended(1, 0, Outcome::Success);
     assert!(sent(&next, 2).is_some());
 }
@@ -245,7 +252,7 @@
 #[test]
 fn slots_and_turns() {
     let mut s = settings();
-    s.slots = 4;
+    s.max_concurrent_calls = 4;
     let mut host = Host::new(s, vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)]);
     let mut events: Vec<Event> = (0..6).map(|id| message(id, SAFE, 1, None)).collect();
     events.push(message(10, SAFE, 2, None));
@@ -257,13 +264,13 @@
 #[test]
 fn the_list_is_asked_for_again_after_a_failure() {
     let mut s = settings();
-    s.discovery = Discovery::OnRequest;
-    let mut host = Host { sender: Sender::new(s, 1).unwrap(), now: SECOND };
-    assert_eq!(host.step(&[Event::FullList(vec![])]), vec![Action::Subscribe]);
+    s.discovery = DiscoveryMode::Poll;
+    let mut host = Host { sender: DeliveryEngine::new(s, 1).unwrap(), now: SECOND };
+    assert_eq!(host.step(&[Event::EndpointSnapshot(vec![])]), vec![Action::WatchEndpoints]);
     assert!(host.run(SECOND).is_empty(), "once is enough while it holds");
-    assert!(host.step(&[Event::ListFailed]).is_empty(), "not at once");
+    assert!(host.step(&[Event::DiscoveryFailed]).is_empty(), "not at once");
     let run = host.run(5 * SECOND);
-    assert_eq!(run.iter().filter(|(_, a)| *a == Action::Subscribe).count(), 1);
+    assert_eq!(run.iter().filter(|(_, a)| *a == Action::WatchEndpoints).count(), 1);
 }
 
 #[test]
@@ -297,10 +304,10 @@
     let refuse = |change: fn(&mut Settings)| {
         let mut s = settings();
         change(&mut s);
-        Sender::new(s, 1).err().expect("refused").to_string()
+        DeliveryEngine::new(s, 1).err().expect("refused").to_string()
     };
     assert!(refuse(|s| s.classes.clear()).contains("classes"));
-    assert!(refuse(|s| s.slots = 0).contains("slots"));
+    assert!(refuse(|s| s.max_concurrent_calls = 0).contains("slots"));
     assert!(refuse(|s| s.kinds.clear()).contains("kinds"));
 }
 
@@ -310,20 +317,23 @@
     host.message(7, SAFE, 1);
     host.ended(7, 0, Outcome::Success);
     assert!(host.ended(7, 0, Outcome::Failure).is_empty());
-    assert!(host.step(&[Event::Withdrawn(MessageId(7))]).is_empty());
+    assert!(host.step(&[Event::Cancelled(MessageId(7))]).is_empty());
 }
 
 #[test]
 fn what_the_settings_do_not_name_is_no_panic() {
     let mut host = Host::new(settings(), vec![entry(1, 0, 9, 0)]);
-    assert_eq!(host.message(7, ClassId(99), 1), vec![Action::Refuse { message: MessageId(7), after: None }]);
+    assert_eq!(
+        host.message(7, ClassId(99), 1),
+        vec![Action::Return { message: MessageId(7), retry_after: None }]
+    );
     assert!(host.message(8, SAFE, 1).is_empty(), "an endpoint of an unknown kind is not used");
 }
 
 #[test]
 fn room_for_one_message_is_room() {
     let mut s = settings();
-    s.most_held = 1;
+    s.max_pending_messages = 1;
     let mut host = Host::new(s, vec![entry(1, 0, 0, 0)]);
     assert!(sent(&host.message(7, SAFE, 1), 7).is_some());
 }
@@ -335,32 +345,35 @@
     let mut host = Host::new(settings(), list);
     let first = sent(&host.message(1, KEYED_ALL, 1), 1).unwrap();
     let (id, to) = (MessageId(1), EndpointId(first));
-    assert!(host.sender.may_begin(Time(host.now), id, to));
-    host.step(&[Event::Told { endpoint: to, wait: Span(SECOND) }]);
-    assert!(!host.sender.may_begin(Time(host.now + SECOND - 1), id, to));
-    assert!(host.sender.may_begin(Time(host.now + SECOND), id, to));
-    let drains = Entry { listing: Listing::Draining, ..entry(1, first, 0, 0) };
-    host.step(&[Event::ListChanges(vec![drains])]);
-    assert!(!host.sender.may_begin(Time(host.now + SECOND), id, to));
+    assert!(host.sender.is_call_still_allowed(Timestamp(host.now), id, to));
+    host.step(&[Event::RetryAfter { endpoint: to, wait: TimeDelta(SECOND) }]);
+    assert!(!host.sender.is_call_still_allowed(Timestamp(host.now + SECOND - 1), id, to));
+    assert!(host.sender.is_call_still_allowed(Timestamp(host.now + SECOND), id, to));
+    let drains = EndpointEntry { state: EndpointState::Draining, ..entry(1, first, 0, 0) };
+    host.step(&[Event::EndpointUpdates(vec![drains])]);
+    assert!(!host.sender.is_call_still_allowed(Timestamp(host.now + SECOND), id, to));
     // After an attempt that may have run, only inside the window from its sending.
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     let start = host.now;
     host.message(1, KEYED_ALL, 1);
     host.ended(1, 0, Outcome::Reset);
     let (at, to) = sent_at(&host.run(4 * SECOND), 1).unwrap();
-    assert!(host.sender.may_begin(Time(at), id, EndpointId(to)));
-    assert!(!host.sender.may_begin(Time(start + 5 * SECOND), id, EndpointId(to)));
+    assert!(host.sender.is_call_still_allowed(Timestamp(at), id, EndpointId(to)));
+    assert!(!host.sender.is_call_still_allowed(Timestamp(start + 5 * SECOND), id, EndpointId(to)));
 }
 
 /// Guards against taking a restart for a new beginning: attempts, effects and keys of the process before.
 #[test]
 fn a_resumed_message_goes_on_where_it_was() {
-    let mut host = Host::new(Settings { ends_noticed: true, ..settings() }, vec![entry(1, 0, 0, 0)]);
+    let mut host = Host::new(
+        Settings { completion_requires_acknowledgement: true, ..settings() },
+        vec![entry(1, 0, 0, 0)],
+    );
     let now = host.now;
     let resumed = |id, class, key, attempts, ran: Option<u64>, ended| {
         let Event::Message(message) = message(id, class, 1, key) else { unreachable!() };
-        let ran = ran.map(|ago| (Time(now - ago), ZoneId(0)));
-        Event::Resumed(Resumed { message, attempts, ran, ended })
+        let ran = ran.map(|ago| (Timestamp(now - ago), ZoneId(0)));
+        Event::Recovered(RecoveredMessage { message, attempts, first_uncertain_attempt: ran, ended })
     };
     let actions = host.step(&[
         resumed(1, UNSAFE, None, 1, Some(SECOND), false),
@@ -378,7 +391,7 @@
     assert!(sent_at(&run, 4).is_none(), "the end before it on its key is not noticed yet");
     assert!(sent_at(&run, 5).is_none(), "it has had all its attempts");
     assert!(sent_at(&run, 6).is_some());
-    let mut run = host.step(&[Event::Noticed(MessageId(3))]);
+    let mut run = host.step(&[Event::CompletionAcknowledged(MessageId(3))]);
     run.extend(host.run(SECOND).into_iter().map(|(_, a)| a));
     assert!(sent(&run, 4).is_some());
 }
@@ -390,14 +403,16 @@
     host.message(1, SAFE, 1);
     host.now += SECOND;
     host.ended(1, 0, Outcome::Success);
-    let end = Time(host.now + 4 * SECOND);
-    host.step(&[Event::WindDown(end)]);
+    let end = Timestamp(host.now + 4 * SECOND);
+    host.step(&[Event::Shutdown(end)]);
     assert!(sent(&host.message(2, SAFE, 1), 2).is_some());
     let at = DestinationId(1);
-    assert!(host.sender.admits(Time(host.now), 0, at) && !host.sender.admits(Time(host.now), 100, at));
+    assert!(
+        host.sender.admits(Timestamp(host.now), 0, at) && !host.sender.admits(Timestamp(host.now), 100, at)
+    );
     host.now = end.0 - SECOND / 2;
     assert_eq!(host.message(3, SAFE, 1), vec![]);
-    assert!(!host.sender.admits(Time(host.now), 0, at));
+    assert!(!host.sender.admits(Timestamp(host.now), 0, at));
 }
 
 /// Guards against a key that is free too soon after a restart: what may still run of the process before is waited for.
@@ -407,14 +422,14 @@
     let begun = host.now;
     let resumed = |id, attempts, ran| {
         let Event::Message(message) = message(id, ORDERED, 1, Some(9)) else { unreachable!() };
-        Event::Resumed(Resumed { message, attempts, ran, ended: false })
+        Event::Recovered(RecoveredMessage { message, attempts, first_uncertain_attempt: ran, ended: false })
     };
-    let ran = Some((Time(begun - SECOND), ZoneId(0)));
+    let ran = Some((Timestamp(begun - SECOND), ZoneId(0)));
     let mut actions = host.step(&[resumed(1, 1, ran), resumed(2, 0, None)]);
     while sent(&actions, 1).is_none() {
         assert!(host.now < begun + 2 * SECOND, "its own next attempt need not wait");
         host.now += 20_000;
-        actions = host.step(&[Event::Woken]);
+        actions = host.step(&[Event::TimerFired]);
     }
     host.ended(1, 1, Outcome::Success);
     let (at, _) = sent_at(&host.run(4 * SECOND), 2).expect("it goes on");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -4,17 +4,17 @@
 use micadrum::*;
 
 fn many_senders() -> Settings {
-    Settings { senders: 300, slots: 4, ..settings() }
+    Settings { fleet_size: 300, max_concurrent_calls: 4, ..settings() }
 }
 
 fn raw(host: &mut Host, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
-    host.sender.step(Time(host.now), events, &mut actions);
+    host.sender.step(Timestamp(host.now), events, &mut actions);
     actions
 }
 
 fn closes(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::CloseIdle(_)))
+    actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_)))
 }
 
 /// One failed connection that took `elapsed`, with the message withdrawn afterwards.
@@ -22,9 +22,10 @@
     host.message(id, SAFE, 1);
     host.now += elapsed;
     let outcome = Outcome::ConnectFailed;
-    let (message, elapsed) = (MessageId(id), Span(elapsed));
-    let failed = Event::Ended { message, attempt: 0, outcome, elapsed, last: false, report: None };
-    raw(host, &[failed, Event::Withdrawn(message)])
+    let (message, elapsed) = (MessageId(id), TimeDelta(elapsed));
+    let failed =
+        Event::AttemptEnded { message, attempt: 0, outcome, elapsed, completes: false, report: None };
+    raw(host, &[failed, Event::Cancelled(message)])
 }
 
 /// Hundreds of idle connections fill a small table (parkirni-later, half of all attempts without a connection).
@@ -65,7 +66,7 @@
     let tried = (2..20).find_map(|id| {
         host.message(id, SAFE, 1);
         let run = host.run(4 * SECOND);
-        host.step(&[Event::Withdrawn(MessageId(id))]);
+        host.step(&[Event::Cancelled(MessageId(id))]);
         sent_at(&run, id).map(|(at, _)| at - closed)
     });
     let tried = tried.expect("tried at all");
@@ -76,18 +77,18 @@
 #[test]
 fn senders_told_the_same_wait_come_back_apart() {
     let back = |seed| {
-        let mut s = Sender::new(many_senders(), seed).unwrap();
+        let mut s = DeliveryEngine::new(many_senders(), seed).unwrap();
         let mut now = 100 * SECOND;
         let mut step = |now: u64, events: &[Event]| {
             let mut actions = Vec::new();
-            s.step(Time(now), events, &mut actions);
+            s.step(Timestamp(now), events, &mut actions);
             actions
         };
-        step(now, &[Event::FullList(vec![entry(1, 0, 1, 0)])]);
+        step(now, &[Event::EndpointSnapshot(vec![entry(1, 0, 1, 0)])]);
         step(now, &[message(1, SAFE, 1, None)]);
         let told = now + 2 * SECOND;
-        step(now, &[ended(1, 0, Outcome::Full(Some(Span(2 * SECOND))))]);
-        while sent(&step(now, &[Event::Woken]), 1).is_none() {
+        step(now, &[ended(1, 0, Outcome::Rejected { retry_after: Some(TimeDelta(2 * SECOND)) })]);
+        while sent(&step(now, &[Event::TimerFired]), 1).is_none() {
             now += 20_000;
             assert!(now < told + 10 * SECOND);
         }
@@ -102,7 +103,7 @@
 /// While answers get lost, a repeatable message is tried again inside its aim; an unsafe one is not hurried.
 #[test]
 fn lost_answers_shorten_the_time_out_of_what_may_be_repeated() {
-    let list: Vec<Entry> = (0..6).map(|d| entry(u64::from(d), d, 1, 0)).collect();
+    let list: Vec<EndpointEntry> = (0..6).map(|d| entry(u64::from(d), d, 1, 0)).collect();
     let mut host = Host::new(many_senders(), list);
     let expiry = |host: &mut Host, id: u32, class: ClassId, d: u64| {
         let actions = host.message(id, class, d);
@@ -110,7 +111,7 @@
             Action::Send { expires, .. } => Some(expires.0 - host.now),
             _ => None,
         });
-        host.step(&[Event::Withdrawn(MessageId(id))]);
+        host.step(&[Event::Cancelled(MessageId(id))]);
         host.now += 100_000;
         span.unwrap()
     };
@@ -136,27 +137,34 @@
     let mut host = Host::new(many_senders(), vec![entry(1, 0, 1, 0)]);
     host.message(1, SAFE, 1);
     host.now += 5 * SECOND;
-    raw(&mut host, &[Event::Woken]);
-    let actions = raw(&mut host, &[ended(1, 0, Outcome::Full(Some(Span(2 * SECOND))))]);
+    raw(&mut host, &[Event::TimerFired]);
+    let actions =
+        raw(&mut host, &[ended(1, 0, Outcome::Rejected { retry_after: Some(TimeDelta(2 * SECOND)) })]);
     let sleeps = actions.iter().find_map(|a| match a {
-        Action::WakeIn(span) => Some(span.0),
+        Action::SetTimer(span) => Some(span.0),
         _ => None,
     });
     assert!(sleeps.is_some_and(|span| span >= 2 * SECOND), "{sleeps:?}");
     // A newcomer that something holds is looked at sooner.
     let actions = raw(&mut host, &[message(2, SAFE, 1, None)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::WakeIn(span) if span.0 < SECOND)), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::SetTimer(span) if span.0 < SECOND)), "{actions:?}");
 }
 
 /// Settings of 1 and 1,000 senders, one slot, a zone that no endpoint is in: every message ends once in time.
 #[test]
 fn odd_sizes_end_each_message_once() {
     for (senders, slots, zone) in [(1, 1, 0), (1_000, 1, 9), (1_000, 4, 0)] {
-        let s = Settings { senders, slots, zone: ZoneId(zone), most_held: 1, ..settings() };
+        let s = Settings {
+            fleet_size: senders,
+            max_concurrent_calls: slots,
+            zone: ZoneId(zone),
+            max_pending_messages: 1,
+            ..settings()
+        };
         let mut host = Host::new(s, vec![]);
         host.message(1, UNSAFE, 77);
         let run = host.run(20 * SECOND);
-        let ends = run.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count();
+        let ends = run.iter().filter(|(_, a)| matches!(a, Action::Return { .. } | Action::Fail(_))).count();
         assert_eq!(ends, 1);
     }
 }
@@ -179,51 +187,51 @@
 fn endpoints_that_have_gone_are_forgotten() {
     let forgotten = |actions: &[Action]| -> Vec<u32> {
         let ids = actions.iter().filter_map(|a| match a {
-            Action::Forget(id) => Some(id.0),
+            Action::ForgetEndpoint(id) => Some(id.0),
             _ => None,
         });
         ids.collect()
     };
-    let mut sender = Sender::new(settings(), 7).unwrap();
+    let mut sender = DeliveryEngine::new(settings(), 7).unwrap();
     let mut actions = Vec::new();
-    let gone = |e: u32| Entry { listing: Listing::Removed, ..entry(1, e, 0, 0) };
+    let gone = |e: u32| EndpointEntry { state: EndpointState::Removed, ..entry(1, e, 0, 0) };
     let message = |n: u32, deadline| Message {
         id: MessageId(n),
         class: UNSAFE,
         tenant: None,
         key: None,
         destination: DestinationId(1),
-        budget: Span(deadline),
+        time_to_live: TimeDelta(deadline),
     };
-    sender.step(Time(0), &[Event::FullList(vec![entry(1, 1, 0, 0)])], &mut actions);
-    sender.step(Time(10_000), &[Event::Message(message(1, 60 * SECOND))], &mut actions);
+    sender.step(Timestamp(0), &[Event::EndpointSnapshot(vec![entry(1, 1, 0, 0)])], &mut actions);
+    sender.step(Timestamp(10_000), &[Event::Message(message(1, 60 * SECOND))], &mut actions);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
     actions.clear();
     // The one with the call out stays; those that came and went since do not add up.
     let mut now = SECOND;
     for e in 2..40 {
-        let events = [Event::ListChanges(vec![gone(e - 1), entry(1, e, 0, 0)])];
-        sender.step(Time(now), &events, &mut actions);
+        let events = [Event::EndpointUpdates(vec![gone(e - 1), entry(1, e, 0, 0)])];
+        sender.step(Timestamp(now), &events, &mut actions);
         now += SECOND;
     }
-    let ramp = settings().rules.ramp.0 / SECOND;
+    let ramp = settings().rules.slow_start_duration.0 / SECOND;
     assert_eq!(forgotten(&actions), (2..39 - ramp as u32).collect::<Vec<_>>());
     actions.clear();
-    let outcome = Outcome::Full(Some(Span(20 * SECOND)));
-    let ended = Event::Ended {
+    let outcome = Outcome::Rejected { retry_after: Some(TimeDelta(20 * SECOND)) };
+    let ended = Event::AttemptEnded {
         message: MessageId(1),
         attempt: 0,
         outcome,
-        elapsed: Span(SECOND),
-        last: false,
+        elapsed: TimeDelta(SECOND),
+        completes: false,
         report: None,
     };
-    sender.step(Time(now), &[ended, Event::ListChanges(vec![gone(39)])], &mut actions);
+    sender.step(Timestamp(now), &[ended, Event::EndpointUpdates(vec![gone(39)])], &mut actions);
     // Without any endpoint the destination is still known, as long as it told a wait.
-    sender.step(Time(now + 19 * SECOND), &[], &mut actions);
+    sender.step(Timestamp(now + 19 * SECOND), &[], &mut actions);
     let destination = message(1, 0).destination;
-    assert!(sender.admits(Time(now), 0, destination));
-    sender.step(Time(now + 21 * SECOND), &[], &mut actions);
-    assert!(!sender.admits(Time(now), 0, destination));
+    assert!(sender.admits(Timestamp(now), 0, destination));
+    sender.step(Timestamp(now + 21 * SECOND), &[], &mut actions);
+    assert!(!sender.admits(Timestamp(now), 0, destination));
     assert_eq!(forgotten(&actions).len() as u64, ramp + 2);
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -3,8 +3,8 @@
 use common::*;
 use micadrum::*;
 
-fn relisted(listing: Listing) -> Event {
-    Event::ListChanges(vec![Entry { listing, ..entry(1, 0, 0, 0) }])
+fn relisted(listing: EndpointState) -> Event {
+    Event::EndpointUpdates(vec![EndpointEntry { state: listing, ..entry(1, 0, 0, 0) }])
 }
 
 /// Guards against a restarted endpoint that gets all at once what it had warm: after its drain it is on the ramp, and
@@ -23,12 +23,12 @@
             host.now += 100_000;
             while let Some(Action::Send { message, .. }) = actions.pop() {
                 sent += 1;
-                actions.extend(host.step(&[Event::Ended {
+                actions.extend(host.step(&[Event::AttemptEnded {
                     message,
                     attempt: 0,
                     outcome: Outcome::Success,
-                    elapsed: Span(100_000),
-                    last: true,
+                    elapsed: TimeDelta(100_000),
+                    completes: true,
                     report: None,
                 }]));
             }
@@ -38,8 +38,8 @@
     for _ in 0..5 {
         assert!(second(&mut host, None) >= 9, "warm");
     }
-    assert_eq!(second(&mut host, Some(relisted(Listing::Draining))), 0);
-    let cold = second(&mut host, Some(relisted(Listing::Active)));
+    assert_eq!(second(&mut host, Some(relisted(EndpointState::Draining))), 0);
+    let cold = second(&mut host, Some(relisted(EndpointState::Active)));
     assert!((1..=5).contains(&cold), "{cold} in the first second");
     let warm: Vec<u32> = (0..12).map(|_| second(&mut host, None)).collect();
     assert!(warm.last().is_some_and(|last| *last >= 9), "{warm:?}");
@@ -61,10 +61,10 @@
     }
     let before = settings();
     let mut classes = before.classes.clone();
-    classes.push(Class { repeat: Repeat::Unsafe, ..classes[0].clone() });
+    classes.push(Class { idempotency: Idempotency::NonIdempotent, ..classes[0].clone() });
     let fewer = Settings { max_attempts: 2, classes, ..before };
     let actions = host.step(&[Event::Settings(Box::new(fewer))]);
-    assert!(matches!(actions[..], [Action::Refuse { message: MessageId(7), .. }]), "{actions:?}");
+    assert!(matches!(actions[..], [Action::Return { message: MessageId(7), .. }]), "{actions:?}");
     assert!(host.run(4 * SECOND).is_empty());
     let new = ClassId(5);
     for (id, class) in [(8, SAFE), (9, new)] {
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -20,6 +20,6 @@
     assert!(lines <= 1200, "{lines} non-blank lines");
     for file in std::fs::read_dir(root.join("src/decision")).unwrap() {
         let name = format!("src/decision/{}", file.unwrap().file_name().to_string_lossy());
-        assert!(named.contains(&&*name) || name.ends_with("/slow.rs"), "{name} decides, and is not named");
+        assert!(named.contains(&&*name) || name.ends_with("/tests"), "{name} decides, and is not named");
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -10,12 +10,12 @@
 const ANSWER_AFTER: u64 = 20_000;
 
 fn large() -> Settings {
-    Settings { slots: 1_000, most_held: 1_000_000, ..settings() }
+    Settings { max_concurrent_calls: 1_000, max_pending_messages: 1_000_000, ..settings() }
 }
 
 fn to(id: u32, class: ClassId, d: u64, key: Option<u64>, budget: u64) -> Event {
     let Event::Message(message) = message(id, class, d, key) else { unreachable!() };
-    Event::Message(Message { budget: Span(budget), ..message })
+    Event::Message(Message { time_to_live: TimeDelta(budget), ..message })
 }
 
 /// A sender whose endpoints answer after 20 ms, but for the dead ones, which never do.
@@ -32,7 +32,7 @@
 }
 
 impl World {
-    fn new(settings: Settings, list: Vec<Entry>) -> Self {
+    fn new(settings: Settings, list: Vec<EndpointEntry>) -> Self {
         World {
             host: Host::new(settings, list),
             dead: BTreeSet::new(),
@@ -55,11 +55,18 @@
                 let attempt = self.attempts[&id] - 1;
                 let last = outcome == Outcome::Success;
                 self.delivered += usize::from(last);
-                let (message, elapsed) = (MessageId(id), Span(ANSWER_AFTER));
-                events.push(Event::Ended { message, attempt, outcome, elapsed, last, report: None });
+                let (message, elapsed) = (MessageId(id), TimeDelta(ANSWER_AFTER));
+                events.push(Event::AttemptEnded {
+                    message,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    completes: last,
+                    report: None,
+                });
             }
         }
-        events.push(Event::Woken);
+        events.push(Event::TimerFired);
         let actions = self.host.step(&events);
         for action in &actions {
             match action {
@@ -71,7 +78,7 @@
                         false => self.out.push_back((now + ANSWER_AFTER, message.0)),
                     }
                 }
-                Action::Refuse { message, .. } | Action::Fail(message) => {
+                Action::Return { message, .. } | Action::Fail(message) => {
                     assert!(self.ended.insert(message.0), "{message:?} ended twice");
                 }
                 _ => {}
@@ -89,7 +96,7 @@
 /// at the rate at which they are handed in.
 #[test]
 fn a_dead_destination_with_a_hundred_thousand_messages_holds_up_nobody() {
-    let list: Vec<Entry> = (0..1_000).map(|d| entry(u64::from(d), d, 1, 0)).collect();
+    let list: Vec<EndpointEntry> = (0..1_000).map(|d| entry(u64::from(d), d, 1, 0)).collect();
     let mut world = World::new(Settings { max_attempts: 60, ..large() }, list);
     world.dead.insert(0);
     world.step((0..100_000).map(|id| to(id, SAFE, 0, None, 600 * SECOND)).collect());
@@ -112,7 +119,7 @@
 /// of them with four messages each.
 #[test]
 fn fifty_thousand_keys_keep_their_order() {
-    let list: Vec<Entry> = (0..100).map(|d| entry(u64::from(d), d, 1, 0)).collect();
+    let list: Vec<EndpointEntry> = (0..100).map(|d| entry(u64::from(d), d, 1, 0)).collect();
     let mut world = World::new(large(), list);
     let (keys, each) = (50_000, 4);
     let all = (0..keys * each).map(|id| {
@@ -144,7 +151,7 @@
 /// with messages waiting for all. The old ones get nothing more, the new ones all; the old ones are forgotten.
 #[test]
 fn a_list_may_replace_ten_thousand_endpoints() {
-    let list = |from: u32| -> Vec<Entry> {
+    let list = |from: u32| -> Vec<EndpointEntry> {
         (0..10_000).map(|e| entry(u64::from(e / 2), from + e, (e / 2 % 2) as usize, 0)).collect()
     };
     let mut world = World::new(large(), list(0));
@@ -153,7 +160,7 @@
         world.step(vec![]);
     }
     let (old, replaced) = (world.attempts.len(), world.host.now);
-    world.step(vec![Event::FullList(list(10_000))]);
+    world.step(vec![Event::EndpointSnapshot(list(10_000))]);
     let mut forgotten = 0;
     for _ in 0..2_500 {
         assert!(world.step(vec![]) <= MOST_IN_STEP);
@@ -164,11 +171,11 @@
     }
     // A ramp after they went, in parts.
     let mut lost = World::new(large(), list(0));
-    lost.step(vec![Event::FullList(list(10_000))]);
+    lost.step(vec![Event::EndpointSnapshot(list(10_000))]);
     lost.host.now += 11 * SECOND;
     for _ in 0..40 {
-        let actions = lost.host.raw(&[Event::Woken]);
-        let gone = actions.iter().filter(|a| matches!(a, Action::Forget(e) if e.0 < 10_000)).count();
+        let actions = lost.host.raw(&[Event::TimerFired]);
+        let gone = actions.iter().filter(|a| matches!(a, Action::ForgetEndpoint(e) if e.0 < 10_000)).count();
         assert!(gone <= MOST_IN_STEP);
         forgotten += gone;
         lost.host.now += 5_000;
@@ -235,7 +242,7 @@
 /// a pause of seconds, a jump of a day, and a clock that steps back.
 #[test]
 fn pauses_and_jumps_of_the_clock_are_survived() {
-    let list: Vec<Entry> = (0..50).map(|d| entry(u64::from(d), d, 1, 0)).collect();
+    let list: Vec<EndpointEntry> = (0..50).map(|d| entry(u64::from(d), d, 1, 0)).collect();
     let mut world = World::new(large(), list);
     world.dead.extend(0..10);
     for id in 0..5_000 {
--- a/tests/untried.rs
+++ b/tests/untried.rs
@@ -2,18 +2,32 @@
 mod common;
 
 use common::*;
-use micadrum::{Entry, Event, Listing, MessageId, Outcome, Resumed, Settings, Span, Time, ZoneId};
+use micadrum::{
+    EndpointEntry, EndpointState, Event, MessageId, Outcome, RecoveredMessage, Settings, TimeDelta,
+    Timestamp, ZoneId,
+};
 
-fn resumed(id: u32, class: micadrum::ClassId, destination: u64, attempts: u32, ran: Option<Time>) -> Event {
+fn resumed(
+    id: u32,
+    class: micadrum::ClassId,
+    destination: u64,
+    attempts: u32,
+    ran: Option<Timestamp>,
+) -> Event {
     let Event::Message(message) = message(id, class, destination, None) else { unreachable!() };
-    Event::Resumed(Resumed { message, attempts, ran: ran.map(|sent| (sent, ZoneId(0))), ended: false })
+    Event::Recovered(RecoveredMessage {
+        message,
+        attempts,
+        first_uncertain_attempt: ran.map(|sent| (sent, ZoneId(0))),
+        ended: false,
+    })
 }
 
 /// Guards against a restart that gives up without a call what it found untried, as there is more of it than the settings
 /// now leave room for: what comes afterwards gives way instead.
 #[test]
 fn a_house_full_of_what_was_found_untried_is_not_shed() {
-    let small = Settings { most_held: 20, slots: 4, ..settings() };
+    let small = Settings { max_pending_messages: 20, max_concurrent_calls: 4, ..settings() };
     let mut host = Host::new(small, vec![entry(1, 0, 0, 0)]);
     let found: Vec<Event> = (0..60).map(|id| resumed(id, SAFE, 1, 0, None)).collect();
     let mut tried = vec![];
@@ -27,7 +41,7 @@
                     tried.push(message.0);
                     out.push((message.0, host.now + 20_000));
                 }
-                micadrum::Action::Refuse { message, .. } | micadrum::Action::Fail(message) => {
+                micadrum::Action::Return { message, .. } | micadrum::Action::Fail(message) => {
                     assert_eq!(message.0, 100, "given up without a call");
                 }
                 _ => {}
@@ -54,8 +68,13 @@
 fn what_was_found_untried_goes_before_what_comes() {
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     let Event::Message(mut late) = message(1, UNSAFE, 1, None) else { unreachable!() };
-    late.budget = Span(SECOND);
-    let late = Event::Resumed(Resumed { message: late, attempts: 0, ran: None, ended: false });
+    late.time_to_live = TimeDelta(SECOND);
+    let late = Event::Recovered(RecoveredMessage {
+        message: late,
+        attempts: 0,
+        first_uncertain_attempt: None,
+        ended: false,
+    });
     let actions = host.step(&[message(2, UNSAFE, 1, None), message(3, UNSAFE, 1, None), late]);
     let first = actions.iter().find_map(|action| match action {
         micadrum::Action::Send { message, .. } => Some(message.0),
@@ -70,10 +89,10 @@
 fn what_has_no_attempt_left_ends_at_once() {
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     let most = settings().max_attempts;
-    let ran = Some(Time(host.now - 100_000));
+    let ran = Some(Timestamp(host.now - 100_000));
     let actions = host.step(&[resumed(1, SAFE, 1, most, ran), resumed(2, UNSAFE, 1, most, None)]);
     for id in [1, 2] {
-        let ends = |action: &micadrum::Action| matches!(action, micadrum::Action::Refuse { message, .. } if *message == MessageId(id));
+        let ends = |action: &micadrum::Action| matches!(action, micadrum::Action::Return { message, .. } if *message == MessageId(id));
         assert!(actions.iter().any(ends), "{id}: {actions:?}");
     }
 }
@@ -87,15 +106,15 @@
     let mut actions = host.message(1, UNSAFE, 1);
     while host.now < start + 10 * SECOND {
         let gone = |action: &micadrum::Action| {
-            !matches!(action, micadrum::Action::Refuse { .. } | micadrum::Action::Fail(_))
+            !matches!(action, micadrum::Action::Return { .. } | micadrum::Action::Fail(_))
         };
         assert!(actions.iter().all(gone), "given up after {times} held back");
         if sent(&actions, 1).is_some() {
             times += 1;
-            actions = host.step(&[ended(1, 0, Outcome::Withheld)]);
+            actions = host.step(&[ended(1, 0, Outcome::Deferred)]);
         } else {
             host.now += 20_000;
-            actions = host.step(&[Event::Woken]);
+            actions = host.step(&[Event::TimerFired]);
         }
     }
     assert!(times > settings().max_attempts, "{times}");
@@ -104,11 +123,11 @@
 /// Guards against a drain that what was found untried goes by: it waits for an endpoint in service.
 #[test]
 fn what_was_found_untried_keeps_the_rules() {
-    let drains = Entry { listing: Listing::Draining, ..entry(1, 1, 0, 0) };
+    let drains = EndpointEntry { state: EndpointState::Draining, ..entry(1, 1, 0, 0) };
     let mut host = Host::new(settings(), vec![drains]);
     assert!(sent(&host.step(&[resumed(1, SAFE, 1, 0, None)]), 1).is_none());
-    let back = Entry { listing: Listing::Active, ..drains };
-    let mut run = host.step(&[Event::ListChanges(vec![back])]);
+    let back = EndpointEntry { state: EndpointState::Active, ..drains };
+    let mut run = host.step(&[Event::EndpointUpdates(vec![back])]);
     run.extend(host.run(SECOND).into_iter().map(|(_, action)| action));
     assert!(sent(&run, 1).is_some());
 }
