--- a/src/restore/tests.rs
+++ b/src/restore/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::decision::reference;
+use crate::pacing::Route;
 use crate::{DestinationId, EndpointId, Rules};
 
 const S: u64 = 1_000_000;
