--- a/src/decision/route.rs
+++ b/src/decision/route.rs
@@ -1,10 +1,9 @@
 //! What the outcome of a call says about its route: latency, pace, outages and the recovery from them.
 
 use super::*;
+use crate::pacing::route::{LEARNING_WEIGHT, ObservedOutcome};
 use crate::pacing::{PaceBounds, mean_trial_offset, min_trial_rate};
 
-/// Weight of one more observation in a learned mean.
-const LEARNING_WEIGHT: f64 = 0.2;
 /// A call is overdue this many mean deviations past the mean.
 pub(super) const OVERDUE_DEVIATIONS: f64 = 4.0;
 /// Failures in a row that count as an outage.
@@ -22,29 +21,6 @@
 /// Remaining share of a limit at which it explains no rejection.
 const UNEXPLAINED_REMAINING_SHARE: f64 = 0.3;
 
-/// How a call ended, as seen by one of its routes.
-pub(super) struct ObservedOutcome {
-    pub(super) sent_at: Timestamp,
-    pub(super) outcome: Outcome,
-    pub(super) report: Option<LoadReport>,
-    /// Routes over which the reported limit extends.
-    pub(super) route_count: usize,
-    /// Whether answers get lost more often than by chance.
-    pub(super) answers_are_lost: bool,
-    /// A random number from 0 to 1 that keeps senders apart.
-    pub(super) jitter: f64,
-}
-
-impl ObservedOutcome {
-    /// When the delay that a rejection asked for is over; `now` where none was named.
-    fn retry_after_end(&self, now: Timestamp) -> Timestamp {
-        match self.outcome {
-            Outcome::Rejected { retry_after: Some(delay) } => after(now, delay.0 as f64),
-            _ => now,
-        }
-    }
-}
-
 impl Route {
     /// Whether it has been silent for longer than a healthy answer takes, with a call in flight for as long.
     pub(super) fn is_stalled(&self, now: Timestamp) -> bool {
@@ -78,21 +54,6 @@
         before == Health::Healthy && self.pacer.health != Health::Healthy
     }
 
-    fn record_latency(&mut self, now: Timestamp, seen: &ObservedOutcome) {
-        let elapsed = since(now, seen.sent_at) as f64;
-        match seen.outcome {
-            Outcome::Success | Outcome::TimedOut if self.latency == 0.0 => {
-                (self.latency, self.deviation) = (elapsed, elapsed / 2.0);
-            }
-            Outcome::TimedOut if seen.answers_are_lost => {} // says nothing of the latency
-            Outcome::Success | Outcome::TimedOut => {
-                self.deviation += LEARNING_WEIGHT * ((elapsed - self.latency).abs() - self.deviation);
-                self.latency += LEARNING_WEIGHT * (elapsed - self.latency);
-            }
-            _ => {}
-        }
-    }
-
     fn record_success(&mut self, now: Timestamp, s: &Settings, bounds: &PaceBounds, jitter: f64) {
         (self.consecutive_failures, self.consecutive_rejections, self.last_success) = (0, 0, now);
         let pacer = &mut self.pacer;
@@ -149,8 +110,8 @@
             pacer.pace = (pacer.rate.min(pacer.pace) * REJECTION_PACE_FACTOR).max(least);
             pacer.tokens = if retry_after.is_some() { pacer.tokens.clamp(0.0, 1.0) } else { 0.0 };
         }
-        // Rejected and nothing else, or for longer than any limit takes: closed, not busy. A sender that knows
-        // when it opens begins its slow start then.
+        // Rejected and nothing else, or for longer than any limit takes: closed, not busy. A sender that
+        // knows when it opens begins its slow start then.
         let many = self.consecutive_rejections > OUTAGE_FAILURES && !explained;
         let closed =
             retry_after.is_some_and(|delay| delay.0 as f64 > CLOSED_OVERLOAD_WINDOWS * window) || many;
@@ -171,7 +132,8 @@
         // A full connection table refuses at once; a dial that times out tells of a dead endpoint.
         let dead_dial = seen.outcome == Outcome::ConnectFailed && elapsed > s.connect_timeout.0 as f64 / 2.0;
         let pacer = &mut self.pacer;
-        // Answers get lost by the dozen, errors seldom: where little is known one error says as much as all else.
+        // Answers get lost by the dozen, errors seldom: where little is known one error says as much as all
+        // else.
         let sample = 1.0 / (if dead_dial { 1.0 } else { 2.0 } + pacer.rate * RATE_WINDOW_SECONDS);
         let explicit = matches!(seen.outcome, Outcome::Failure | Outcome::ConnectFailed);
         let weight = if explicit { LEARNING_WEIGHT.max(sample) } else { LEARNING_WEIGHT };
--- a/src/decision/tests/reference.rs
+++ b/src/decision/tests/reference.rs
@@ -2,15 +2,16 @@
 //! it, in every step. Random days go through both; every action must be the same.
 
 use super::*;
+use crate::index::pending::Readiness;
 use std::collections::BTreeMap;
 
 impl DeliveryEngine {
     fn slow_ends(&mut self, actions: &mut Vec<Action>) {
         let mut late: Vec<MessageId> =
-            self.messages.iter().filter(|(_, held)| self.is_due(held)).map(|(id, _)| *id).collect();
+            self.messages.iter().filter(|(_, held)| self.must_end(held)).map(|(id, _)| id).collect();
         late.sort_unstable();
         late.into_iter().for_each(|id| self.end(id, actions));
-        self.closed_windows.clear();
+        self.messages.end_candidates.clear();
     }
 
     fn slow_shed(&mut self, actions: &mut Vec<Action>) {
@@ -18,7 +19,7 @@
             let least = (self.messages.iter())
                 .filter(|(_, h)| matches!(h.phase, Phase::Pending(_)) && h.first_uncertain_attempt.is_none())
                 .filter(|(_, h)| !(h.recovered_untried && h.attempts == 0))
-                .map(|(id, h)| (self.weight_after(h.message.class, h.deadline, 0.0), h.deadline, *id))
+                .map(|(id, h)| (self.weight_after(h.message.class, h.deadline, 0.0), h.deadline, id))
                 .min_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
             let Some((.., id)) = least else { return };
             self.end(id, actions);
@@ -27,18 +28,20 @@
 
     fn slow_turns(&mut self, actions: &mut Vec<Action>) {
         let mut waiting: BTreeMap<DestinationId, Vec<(f64, Timestamp, MessageId)>> = BTreeMap::new();
-        for (id, held) in &self.messages {
+        for (id, held) in self.messages.iter() {
             // A resumed message that has had all its attempts goes nowhere, and ranks its destination no more.
             let goes = held.attempts < self.settings.max_attempts && self.guard_order(held);
             if goes && matches!(held.phase, Phase::Pending(at) if at <= self.now) {
                 let queue = waiting.entry(held.message.destination).or_default();
-                queue.push((self.weight_after(held.message.class, held.deadline, 0.0), held.deadline, *id));
+                queue.push((self.weight_after(held.message.class, held.deadline, 0.0), held.deadline, id));
             }
         }
         for queue in waiting.values_mut() {
             queue.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
             // Those that others wait behind, and those found untried after a restart, come before all, each part in its order.
-            queue.sort_by_key(|(.., id)| !self.messages[id].entry.is_some_and(|slip| slip.urgent));
+            queue.sort_by_key(|(.., id)| {
+                !self.messages.get(*id).unwrap().entry.is_some_and(|slip| slip.urgent)
+            });
         }
         waiting.retain(|destination, _| self.directory.destination(*destination).is_some());
         while self.calls.len() < self.settings.max_concurrent_calls {
@@ -87,9 +90,10 @@
     /// Patience is asked again only now and then: in between, what it may hold is taken to be held. Nothing else
     /// that the books put off is believed here.
     fn slow_choice(&self, id: MessageId) -> Option<EndpointId> {
-        let held = &self.messages[&id];
+        let held = self.messages.get(id).unwrap();
         let (destination, class) = (held.message.destination, &self.settings.classes[held.message.class.0]);
-        let later = class.idempotency == Idempotency::NonIdempotent && self.pending.is_deferred(destination);
+        let later =
+            class.idempotency == Idempotency::NonIdempotent && self.messages.pending.is_deferred(destination);
         let all = self.directory.endpoints_of(destination);
         let open =
             all.filter(|(_, at)| !later || self.directory.route(at.route).last_repeated_failure.is_none());
@@ -115,7 +119,7 @@
         assert!(!self.has_more_work, "seed {seed}: a day that is too large to compare");
         self.finish(&mut actions);
         // No wake-up comes later than what is due: nothing is to go, to be looked at or to end unnoticed.
-        let due = self.messages.values().filter_map(|held| match held.entry?.readiness {
+        let due = self.messages.iter().filter_map(|(_, held)| match held.entry?.readiness {
             Readiness::NotBefore(at) => Some(at.min(self.end_by(held.deadline))),
             Readiness::Blocked | Readiness::Ready => Some(self.end_by(held.deadline)),
         });
@@ -253,7 +257,7 @@
                 let (endpoint, wait) = (EndpointId(draw.below(20) as u32), TimeDelta(draw.below(2 * SECOND)));
                 events.push(Event::RetryAfter { endpoint, wait });
             }
-            5 if step > 1400 && sender.ends_at.is_none() => {
+            5 if step > 1400 && sender.process_end.is_none() => {
                 events.push(Event::Shutdown(Timestamp(now + 2 * SECOND)));
             }
             6 if id > 0 => events.push(Event::Cancelled(MessageId(draw.below(u64::from(id)) as u32))),
--- a/src/index/calls.rs
+++ b/src/index/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are out, and what each carries.
+//! Calls in flight, and the messages that each carries.
 use crate::Timestamp;
 use rustc_hash::FxHashMap;
 
@@ -9,63 +9,75 @@
     pub sent_at: Timestamp,
     /// How long its endpoint had been without an answer then, in seconds.
     pub idle_seconds: f64,
-    /// The places of the lines that it went by.
+    /// The slots of its routes: the endpoint's own, and the one shared by its destination.
     pub routes: [Option<usize>; 2],
 }
 
-/// What the end of one message tells of its call.
+/// How far a call has got when one of its messages ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallProgress {
     /// The call.
     pub call: Call,
-    /// Nothing was told of it before.
+    /// Whether this is the first of its messages to end.
     pub is_first: bool,
-    /// All of its messages have ended.
+    /// Whether all of its messages have ended.
     pub is_complete: bool,
 }
 
-/// All of them, by numbers that are never used again.
+#[derive(Clone)]
+struct CallInFlight {
+    call: Call,
+    open_messages: usize,
+    has_ended_message: bool,
+}
+
+/// All calls in flight, by numbers that are never used again.
 #[derive(Clone, Default)]
 pub struct InFlightCalls {
-    out: FxHashMap<u64, (Call, usize, bool)>,
-    next: u64,
+    by_number: FxHashMap<u64, CallInFlight>,
+    last_number: u64,
 }
 
 impl InFlightCalls {
-    /// How many are out.
+    /// Returns how many calls are in flight.
     pub fn len(&self) -> usize {
-        self.out.len()
+        self.by_number.len()
     }
 
-    /// A call begins, with one message: its number.
+    /// Adds a call with one message; returns its number.
     pub fn begin(&mut self, call: Call) -> u64 {
-        self.next += 1;
-        self.out.insert(self.next, (call, 1, false));
-        self.next
+        self.last_number += 1;
+        let in_flight = CallInFlight { call, open_messages: 1, has_ended_message: false };
+        self.by_number.insert(self.last_number, in_flight);
+        self.last_number
     }
 
-    /// One more message goes with a call.
+    /// Adds one more message to a call.
     pub fn join(&mut self, number: u64) {
-        if let Some((_, left, _)) = self.out.get_mut(&number) {
-            *left += 1;
+        if let Some(in_flight) = self.by_number.get_mut(&number) {
+            in_flight.open_messages += 1;
         }
     }
 
-    /// A call that is out.
+    /// Returns a call in flight.
     pub fn get(&self, number: u64) -> Option<&Call> {
-        self.out.get(&number).map(|(call, ..)| call)
+        self.by_number.get(&number).map(|in_flight| &in_flight.call)
     }
 
-    /// One message of a call has ended.
+    /// Records that one message of a call has ended; the call goes with its last message.
     pub fn end(&mut self, number: u64) -> Option<CallProgress> {
-        let (call, left, told) = self.out.get_mut(&number)?;
-        *left -= 1;
-        let ended =
-            CallProgress { call: *call, is_first: !std::mem::replace(told, true), is_complete: *left == 0 };
-        if ended.is_complete {
-            self.out.remove(&number);
+        let in_flight = self.by_number.get_mut(&number)?;
+        in_flight.open_messages -= 1;
+        let progress = CallProgress {
+            call: in_flight.call,
+            is_first: !in_flight.has_ended_message,
+            is_complete: in_flight.open_messages == 0,
+        };
+        in_flight.has_ended_message = true;
+        if progress.is_complete {
+            self.by_number.remove(&number);
         }
-        Some(ended)
+        Some(progress)
     }
 }
 
--- a/src/index/directory.rs
+++ b/src/index/directory.rs
@@ -1,4 +1,4 @@
-//! Endpoints and destinations as the list tells of them, with a place for what is learned of each line.
+//! Endpoints and destinations as discovery names them, with a slot for what is learned of each route.
 use crate::{DestinationId, EndpointEntry, EndpointId, EndpointState, KindId, Timestamp, ZoneId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -10,13 +10,13 @@
     pub destination: DestinationId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its destination's kind.
+    /// The kind of its destination.
     pub kind: KindId,
-    /// What the list says of it.
+    /// Its state by discovery.
     pub state: EndpointState,
-    /// Its line's place.
+    /// The slot of its own route.
     pub route: usize,
-    /// When it went, if it has.
+    /// When it was removed, if it was.
     pub removed_at: Timestamp,
 }
 
@@ -24,55 +24,81 @@
 #[cfg_attr(test, derive(Clone))]
 #[derive(Default)]
 pub struct Destination {
-    /// The place of the line that its endpoints share, if they do.
+    /// The slot of the route that its endpoints share, if they share a limit.
     pub shared_route: Option<usize>,
     /// Its endpoints, in the order in which they were first listed.
     pub endpoints: Vec<EndpointId>,
-    /// Calls that are out to it.
+    /// Calls in flight to it.
     pub calls: usize,
 }
 
-/// All of them, and their lines; the place of a line that has gone is used again.
+/// An endpoint that discovery has named or left out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointChange {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// Its destination.
+    pub destination: DestinationId,
+    /// Since when it is removed, if it is.
+    pub removed_at: Option<Timestamp>,
+    /// Its state before the change.
+    pub previous: EndpointState,
+}
+
+/// What became of an endpoint that may be forgotten.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Retirement {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// Its destination.
+    pub destination: DestinationId,
+    /// Whether the endpoint was forgotten.
+    pub is_forgotten: bool,
+    /// Until when the endpoint, or its destination, is still needed.
+    pub needed_until: Option<Timestamp>,
+}
+
+/// All endpoints and destinations, and their routes; the slot of a route that is gone is used again.
 #[cfg_attr(test, derive(Clone))]
-pub struct Directory<L> {
+pub struct Directory<R> {
     endpoints: FxHashMap<EndpointId, Endpoint>,
     destinations: FxHashMap<DestinationId, Destination>,
-    routes: Vec<L>,
-    free: Vec<usize>,
+    routes: Vec<R>,
+    free_slots: Vec<usize>,
 }
 
-impl<L> Directory<L> {
-    /// Nothing is listed.
+impl<R> Directory<R> {
+    /// Creates a directory with nothing in it.
     pub fn new() -> Self {
         Self {
             endpoints: FxHashMap::default(),
             destinations: FxHashMap::default(),
             routes: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
         }
     }
 
-    /// An endpoint, if it is known.
+    /// Returns an endpoint, if it is known.
     pub fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// A destination, if it is known.
+    /// Returns a destination, if it is known.
     pub fn destination(&self, id: DestinationId) -> Option<&Destination> {
         self.destinations.get(&id)
     }
 
-    /// A call to a known endpoint has begun.
+    /// Records that a call to a known endpoint has started.
     pub fn call_started(&mut self, id: EndpointId) {
-        if let Some(of) = self.destination_of(id) {
-            of.calls += 1;
+        if let Some(destination) = self.destination_of(id) {
+            destination.calls += 1;
         }
     }
 
-    /// A call to a known endpoint is over.
+    /// Records that a call to a known endpoint has ended.
     pub fn call_ended(&mut self, id: EndpointId) {
-        if let Some(of) = self.destination_of(id) {
-            of.calls -= 1;
+        if let Some(destination) = self.destination_of(id) {
+            destination.calls -= 1;
         }
     }
 
@@ -80,144 +106,167 @@
         self.destinations.get_mut(&self.endpoints.get(&id)?.destination)
     }
 
-    /// The line at a place.
-    pub fn route(&self, place: usize) -> &L {
-        &self.routes[place]
+    /// Returns the route in a slot.
+    pub fn route(&self, slot: usize) -> &R {
+        &self.routes[slot]
     }
 
-    /// The line at a place, to change it.
-    pub fn route_mut(&mut self, place: usize) -> &mut L {
-        &mut self.routes[place]
+    /// Returns the route in a slot, to change it.
+    pub fn route_mut(&mut self, slot: usize) -> &mut R {
+        &mut self.routes[slot]
     }
 
-    /// The places of an endpoint's own line and of the one that it shares.
-    pub fn route_slots(&self, at: &Endpoint) -> [Option<usize>; 2] {
-        [Some(at.route), self.destinations.get(&at.destination).and_then(|d| d.shared_route)]
+    /// Returns the slots of an endpoint's own route and of the one that it shares.
+    pub fn route_slots(&self, endpoint: &Endpoint) -> [Option<usize>; 2] {
+        let destination = self.destinations.get(&endpoint.destination);
+        [Some(endpoint.route), destination.and_then(|destination| destination.shared_route)]
     }
 
-    /// An endpoint's own line and the one that it shares.
-    pub fn routes(&self, at: &Endpoint) -> impl Iterator<Item = &L> {
-        self.route_slots(at).into_iter().flatten().map(|place| &self.routes[place])
+    /// Returns an endpoint's own route and the one that it shares.
+    pub fn routes(&self, endpoint: &Endpoint) -> impl Iterator<Item = &R> {
+        self.route_slots(endpoint).into_iter().flatten().map(|slot| &self.routes[slot])
     }
 
-    /// The known endpoints of a destination.
+    /// Returns the known endpoints of a destination.
     pub fn endpoints_of(&self, id: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
-        let ids = self.destinations.get(&id).into_iter().flat_map(|d| &d.endpoints);
-        ids.filter_map(|id| self.endpoints.get(id).map(|at| (*id, at)))
+        let ids = self.destinations.get(&id).into_iter().flat_map(|destination| &destination.endpoints);
+        ids.filter_map(|id| self.endpoints.get(id).map(|endpoint| (*id, endpoint)))
     }
 
-    /// Enters what a list says, all of it if it is `whole`: then what it does not name is gone. A new endpoint gets a
-    /// line of its own by `line`, and so does a new destination whose endpoints share a limit, which `shares` tells.
-    /// All endpoints that were told of, with since when they are gone, if they are, and what the list said before.
+    /// Applies what discovery says; if it is `complete`, an endpoint that it does not name is removed.
+    ///
+    /// A new endpoint gets a route by `new_route`, and so does a new destination whose endpoints share a limit, which
+    /// `shares_limit` tells. Returns a change for each endpoint that was named or left out.
     pub fn apply(
         &mut self,
         entries: &[EndpointEntry],
-        whole: bool,
+        complete: bool,
         now: Timestamp,
-        shares: impl Fn(KindId) -> bool,
-        line: impl Fn(&EndpointEntry, Option<EndpointId>) -> L,
-    ) -> Vec<(EndpointId, DestinationId, Option<Timestamp>, EndpointState)> {
-        let mut told = Vec::with_capacity(entries.len());
-        if whole {
-            let listed = self.endpoints.iter().filter(|(_, known)| known.state != EndpointState::Removed);
-            let mut unlisted: BTreeSet<EndpointId> = listed.map(|(id, _)| *id).collect();
-            for entry in entries {
-                unlisted.remove(&entry.endpoint);
-            }
-            told.extend(
-                unlisted.into_iter().filter_map(|id| self.set_state(id, EndpointState::Removed, now)),
-            );
+        shares_limit: impl Fn(KindId) -> bool,
+        new_route: impl Fn(&EndpointEntry, Option<EndpointId>) -> R,
+    ) -> Vec<EndpointChange> {
+        let mut changes = Vec::with_capacity(entries.len());
+        if complete {
+            let unlisted = self.unlisted(entries).into_iter();
+            changes.extend(unlisted.filter_map(|id| self.set_state(id, EndpointState::Removed, now)));
         }
         for entry in entries {
-            let EndpointEntry { endpoint, destination, zone, kind, state: listing, .. } = *entry;
-            if !self.endpoints.contains_key(&endpoint) {
-                let own = self.allocate(line(entry, Some(endpoint)));
-                let known = self.destinations.get(&destination).and_then(|d| d.shared_route);
-                let shared = known.or_else(|| shares(kind).then(|| self.allocate(line(entry, None))));
-                let of = self.destinations.entry(destination).or_default();
-                of.shared_route = shared;
-                of.endpoints.push(endpoint);
-                let new = Endpoint { destination, zone, kind, state: listing, route: own, removed_at: now };
-                self.endpoints.insert(endpoint, new);
+            if !self.endpoints.contains_key(&entry.endpoint) {
+                self.add(entry, now, &shares_limit, &new_route);
             }
-            told.extend(self.set_state(endpoint, listing, now));
+            changes.extend(self.set_state(entry.endpoint, entry.state, now));
         }
-        told
+        changes
     }
 
-    fn set_state(
+    /// The endpoints in service or draining that a complete list does not name.
+    fn unlisted(&self, entries: &[EndpointEntry]) -> BTreeSet<EndpointId> {
+        let listed = self.endpoints.iter().filter(|(_, known)| known.state != EndpointState::Removed);
+        let mut unlisted: BTreeSet<EndpointId> = listed.map(|(id, _)| *id).collect();
+        for entry in entries {
+            unlisted.remove(&entry.endpoint);
+        }
+        unlisted
+    }
+
+    fn add(
         &mut self,
-        id: EndpointId,
-        listing: EndpointState,
+        entry: &EndpointEntry,
         now: Timestamp,
-    ) -> Option<(EndpointId, DestinationId, Option<Timestamp>, EndpointState)> {
+        shares_limit: &impl Fn(KindId) -> bool,
+        new_route: &impl Fn(&EndpointEntry, Option<EndpointId>) -> R,
+    ) {
+        let EndpointEntry { endpoint, destination, zone, kind, state, .. } = *entry;
+        let route = self.allocate(new_route(entry, Some(endpoint)));
+        let known = self.destinations.get(&destination).and_then(|known| known.shared_route);
+        let shared = known.or_else(|| shares_limit(kind).then(|| self.allocate(new_route(entry, None))));
+        let of = self.destinations.entry(destination).or_default();
+        of.shared_route = shared;
+        of.endpoints.push(endpoint);
+        self.endpoints.insert(endpoint, Endpoint { destination, zone, kind, state, route, removed_at: now });
+    }
+
+    fn set_state(&mut self, id: EndpointId, state: EndpointState, now: Timestamp) -> Option<EndpointChange> {
         let known = self.endpoints.get_mut(&id)?;
-        if known.state != EndpointState::Removed || listing != EndpointState::Removed {
+        if known.state != EndpointState::Removed || state != EndpointState::Removed {
             known.removed_at = now;
         }
-        let before = std::mem::replace(&mut known.state, listing);
-        Some((id, known.destination, (listing == EndpointState::Removed).then_some(known.removed_at), before))
+        let previous = std::mem::replace(&mut known.state, state);
+        Some(EndpointChange {
+            endpoint: id,
+            destination: known.destination,
+            removed_at: (state == EndpointState::Removed).then_some(known.removed_at),
+            previous,
+        })
     }
 
-    /// Forgets an endpoint that has been gone since `before` or longer, and its destination with the last one, as far
-    /// as nothing is out to them and `wanted` tells no moment up to which their lines are still of use: the first such
-    /// moment to come, if that keeps one of them. Whether the endpoint was forgotten.
+    /// Forgets an endpoint that was removed at `removed_before` or earlier, and its destination with the last one, as
+    /// far as no call is in flight to them and `needed_until` names no time up to which their routes are of use.
     pub fn retire(
         &mut self,
         id: EndpointId,
-        of: DestinationId,
-        before: Timestamp,
-        wanted: impl Fn(&L) -> Option<Timestamp>,
-    ) -> (bool, Option<Timestamp>) {
-        let mut forgotten = false;
+        destination: DestinationId,
+        removed_before: Timestamp,
+        needed_until: impl Fn(&R) -> Option<Timestamp>,
+    ) -> Retirement {
+        let mut retired = Retirement { endpoint: id, destination, is_forgotten: false, needed_until: None };
         if let Some(known) = self.endpoints.get(&id) {
-            if known.state != EndpointState::Removed || known.removed_at > before {
-                return (false, None);
+            if known.state != EndpointState::Removed || known.removed_at > removed_before {
+                return retired;
             }
-            if let Some(until) = wanted(&self.routes[known.route]) {
-                return (false, Some(until));
+            retired.needed_until = needed_until(&self.routes[known.route]);
+            if retired.needed_until.is_some() {
+                return retired;
             }
-            self.free.push(known.route);
+            self.free_slots.push(known.route);
             self.endpoints.remove(&id);
-            forgotten = true;
-            if let Some(destination) = self.destinations.get_mut(&of) {
-                destination.endpoints.retain(|other| *other != id);
+            retired.is_forgotten = true;
+            if let Some(of) = self.destinations.get_mut(&destination) {
+                of.endpoints.retain(|other| *other != id);
             }
         }
-        let empty = |of: &&Destination| of.endpoints.is_empty() && of.calls == 0;
-        let Some(destination) = self.destinations.get(&of).filter(empty) else { return (forgotten, None) };
-        if let Some(until) = destination.shared_route.and_then(|line| wanted(&self.routes[line])) {
-            return (forgotten, Some(until));
+        retired.needed_until = self.retire_destination(destination, needed_until);
+        retired
+    }
+
+    /// Forgets a destination without endpoints and calls; returns until when it is still needed.
+    fn retire_destination(
+        &mut self,
+        id: DestinationId,
+        needed_until: impl Fn(&R) -> Option<Timestamp>,
+    ) -> Option<Timestamp> {
+        let is_empty = |of: &&Destination| of.endpoints.is_empty() && of.calls == 0;
+        let destination = self.destinations.get(&id).filter(is_empty)?;
+        let until = destination.shared_route.and_then(|slot| needed_until(&self.routes[slot]));
+        if until.is_some() {
+            return until;
         }
-        self.free.extend(destination.shared_route);
-        self.destinations.remove(&of);
-        (forgotten, None)
+        self.free_slots.extend(destination.shared_route);
+        self.destinations.remove(&id);
+        None
     }
 
-    /// The same for several, each once, in order: what became of each.
+    /// Retires several endpoints, each once, in order.
     pub fn retire_all(
         &mut self,
-        mut leaving: Vec<(EndpointId, DestinationId)>,
-        before: Timestamp,
-        wanted: impl Fn(&L) -> Option<Timestamp>,
-    ) -> Vec<(EndpointId, DestinationId, bool, Option<Timestamp>)> {
-        leaving.sort_unstable();
-        leaving.dedup();
-        let mut retire = |(id, of)| {
-            let (forgotten, again) = self.retire(id, of, before, &wanted);
-            (id, of, forgotten, again)
-        };
-        leaving.into_iter().map(&mut retire).collect()
-    }
-
-    fn allocate(&mut self, line: L) -> usize {
-        match self.free.pop() {
-            Some(place) => {
-                self.routes[place] = line;
-                place
+        mut retiring: Vec<(EndpointId, DestinationId)>,
+        removed_before: Timestamp,
+        needed_until: impl Fn(&R) -> Option<Timestamp>,
+    ) -> Vec<Retirement> {
+        retiring.sort_unstable();
+        retiring.dedup();
+        let mut retire = |(id, destination)| self.retire(id, destination, removed_before, &needed_until);
+        retiring.into_iter().map(&mut retire).collect()
+    }
+
+    fn allocate(&mut self, route: R) -> usize {
+        match self.free_slots.pop() {
+            Some(slot) => {
+                self.routes[slot] = route;
+                slot
             }
             None => {
-                self.routes.push(line);
+                self.routes.push(route);
                 self.routes.len() - 1
             }
         }
--- a/src/index/directory/tests.rs
+++ b/src/index/directory/tests.rs
@@ -19,8 +19,13 @@
     now: u64,
 ) -> Vec<(u32, Option<u64>)> {
     let line = |entry: &EndpointEntry, own| (entry.destination, own);
-    let told = known.apply(entries, whole, Timestamp(now), |_| true, line);
-    told.into_iter().map(|(id, _, gone, _)| (id.0, gone.map(|gone| gone.0))).collect()
+    let changes = known.apply(entries, whole, Timestamp(now), |_| true, line);
+    changes.into_iter().map(|change| (change.endpoint.0, change.removed_at.map(|at| at.0))).collect()
+}
+
+/// Whether an endpoint was forgotten, and until when it or its destination is needed.
+fn outcome(retired: Retirement) -> (bool, Option<Timestamp>) {
+    (retired.is_forgotten, retired.needed_until)
 }
 
 type Line = (DestinationId, Option<EndpointId>);
@@ -43,7 +48,10 @@
         assert_eq!((places.len(), known.routes.len()), (6, 6), "round {round}");
         list(&mut known, &[], true, 2);
         for e in &entries {
-            assert_eq!(known.retire(e.endpoint, e.destination, Timestamp(2), |_| None), (true, None));
+            assert_eq!(
+                outcome(known.retire(e.endpoint, e.destination, Timestamp(2), |_| None)),
+                (true, None)
+            );
         }
     }
 }
@@ -55,7 +63,7 @@
     list(&mut known, &[entry(1, 7, EndpointState::Active)], false, 1);
     let retire = |known: &mut Directory<Line>, before, own, shared| {
         let wanted = |line: &Line| if line.1.is_some() { own } else { shared };
-        known.retire(EndpointId(1), DestinationId(7), Timestamp(before), wanted)
+        outcome(known.retire(EndpointId(1), DestinationId(7), Timestamp(before), wanted))
     };
     assert_eq!(retire(&mut known, 9, None, None), (false, None), "in service");
     list(&mut known, &[], true, 5);
--- a/src/index/mod.rs
+++ b/src/index/mod.rs
@@ -6,6 +6,7 @@
 pub(crate) mod directory;
 pub(crate) mod keys;
 pub(crate) mod message_state;
+pub(crate) mod message_table;
 pub(crate) mod pending;
 pub(crate) mod timers;
 pub(crate) mod weight;
--- a/src/index/weight.rs
+++ b/src/index/weight.rs
@@ -1,6 +1,6 @@
 //! What a message is worth as time passes: the curves that the settings give, and where they bend.
 use super::deadline_index::WeightCurve;
-use crate::{Class, Timestamp, WeightDecay};
+use crate::{Class, Settings, Timestamp, WeightDecay};
 
 /// Share of its worth that is left of a message that is so late, in microseconds.
 fn weight_share(class: &Class, decay: WeightDecay, late: f64) -> f64 {
@@ -37,7 +37,12 @@
     *share += weight * (f64::from(u8::from(seen)) - *share);
 }
 
-/// Where it begins to fall, and where it falls no more.
+/// Returns the weight curves of all classes, by class.
+pub fn weight_curves(settings: &Settings) -> Vec<WeightCurve> {
+    settings.classes.iter().map(|class| weight_curve(class, settings.weight_decay)).collect()
+}
+
+/// Returns when the weight of a class begins to fall, and when it falls no more.
 pub fn weight_curve(class: &Class, decay: WeightDecay) -> WeightCurve {
     let falls = class.priority_weight > 0.0 && class.late_weight < 1.0;
     // After 1100 aims nothing is left to halve; on an even slope the bottom is the deadline.
--- a/src/pacing/route.rs
+++ b/src/pacing/route.rs
@@ -4,10 +4,37 @@
 //! conclusions drawn from an observation are in `src/decision/route.rs`; here the state is only stored and advanced in
 //! time.
 use super::{Health, PaceBounds, Pacer};
-use crate::{DestinationId, EndpointId, Settings, Timestamp};
+use crate::interface::{after, since};
+use crate::{DestinationId, EndpointId, LoadReport, Outcome, Settings, Timestamp};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
+/// Weight of one more observation in a learned mean.
+pub(crate) const LEARNING_WEIGHT: f64 = 0.2;
+
+/// How a call ended, as seen by one of its routes.
+pub(crate) struct ObservedOutcome {
+    pub(crate) sent_at: Timestamp,
+    pub(crate) outcome: Outcome,
+    pub(crate) report: Option<LoadReport>,
+    /// Routes over which the reported limit extends.
+    pub(crate) route_count: usize,
+    /// Whether answers get lost more often than by chance.
+    pub(crate) answers_are_lost: bool,
+    /// A random number from 0 to 1 that keeps senders apart.
+    pub(crate) jitter: f64,
+}
+
+impl ObservedOutcome {
+    /// Returns when the delay that a rejection asked for is over; `now` where none was named.
+    pub(crate) fn retry_after_end(&self, now: Timestamp) -> Timestamp {
+        match self.outcome {
+            Outcome::Rejected { retry_after: Some(delay) } => after(now, delay.0 as f64),
+            _ => now,
+        }
+    }
+}
+
 /// The state of a route. It is stored in checkpoints and in the handover by position: fields keep their order.
 #[derive(Clone, Default, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Route {
@@ -90,6 +117,22 @@
         self.latency > 0.0 || self.endpoint.is_none()
     }
 
+    /// Adds the latency of a call to the learned mean, if its outcome says something of it.
+    pub(crate) fn record_latency(&mut self, now: Timestamp, seen: &ObservedOutcome) {
+        let elapsed = since(now, seen.sent_at) as f64;
+        match seen.outcome {
+            Outcome::Success | Outcome::TimedOut if self.latency == 0.0 => {
+                (self.latency, self.deviation) = (elapsed, elapsed / 2.0);
+            }
+            Outcome::TimedOut if seen.answers_are_lost => {} // says nothing of the latency
+            Outcome::Success | Outcome::TimedOut => {
+                self.deviation += LEARNING_WEIGHT * ((elapsed - self.latency).abs() - self.deviation);
+                self.latency += LEARNING_WEIGHT * (elapsed - self.latency);
+            }
+            _ => {}
+        }
+    }
+
     /// Records the start of a call and takes its token.
     pub(crate) fn start_call(&mut self, call: u64, now: Timestamp, settings: &Settings) {
         self.pacer = self.pacer_at(now, settings);
