--- a/src/bin/micadrum-adapter/world.rs
+++ b/src/bin/micadrum-adapter/world.rs
@@ -1,6 +1,6 @@
 //! All instances of one process, each with a sender and interning of its own.
 use crate::wire::{self, Input, ListKind, Output, Readiness, Status};
-use micadrum::profile::{Names, Profile, look};
+use micadrum::profile::{Names, Profile, look_up};
 use micadrum::*;
 use std::collections::HashMap;
 
@@ -67,8 +67,8 @@
             list.push(EndpointEntry {
                 endpoint,
                 destination: DestinationId(row.dest),
-                kind: look(&self.known.kinds, &row.flavor, "kind")?,
-                zone: look(&self.known.zones, &row.rack_zone, "zone")?,
+                kind: look_up(&self.known.kinds, &row.flavor, "kind")?,
+                zone: look_up(&self.known.zones, &row.rack_zone, "zone")?,
                 state: match row.readiness {
                     Readiness::Active => EndpointState::Active,
                     Readiness::Leaving => EndpointState::Draining,
@@ -93,9 +93,9 @@
                 }
             }
             Input::Ask { job, realm, subject, service, time_budget, dest } => {
-                let class = look(&self.known.classes, &service, "class")?;
+                let class = look_up(&self.known.classes, &service, "class")?;
                 let tenant = match realm {
-                    Some(wire::Name::Text(name)) => Some(look(&self.known.tenants, &name, "tenant")?),
+                    Some(wire::Name::Text(name)) => Some(look_up(&self.known.tenants, &name, "tenant")?),
                     Some(wire::Name::Number(0)) | None => None,
                     Some(wire::Name::Number(n)) => return Err(format!("unknown tenant {n}")),
                 };
@@ -136,7 +136,7 @@
             Input::Vanished { job } => Event::Cancelled(MessageId(job)),
             Input::Bell {} => Event::TimerFired,
             Input::Checked { endpoint, result } => Event::HealthCheckEnded {
-                endpoint: look(&self.endpoints, &endpoint, "endpoint")?,
+                endpoint: look_up(&self.endpoints, &endpoint, "endpoint")?,
                 outcome: outcome(result, None),
             },
             _ => return Ok(None),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -119,8 +119,11 @@
     mut signals: UnboundedReceiver<Signal>,
 ) -> Result<(), StartError> {
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
-    let mut budget =
-        ResourceBudget::new(&config.limits, config.settings.most_calls(), config.management.is_some());
+    let mut budget = ResourceBudget::new(
+        &config.limits,
+        config.settings.max_concurrent_calls(),
+        config.management.is_some(),
+    );
     if let Some(peers) = &config.operator.peers {
         budget.set_aside(membership::DESCRIPTORS, membership::room(peers.members.len()));
     }
--- a/src/index/deadline_index.rs
+++ b/src/index/deadline_index.rs
@@ -1,15 +1,15 @@
-//! What waits, in order of deadlines, found in the order of worth.
+//! Items by deadline, found in the order of their weight.
 //!
-//! Worth falls with time, but within one class it falls by one curve for all: full worth up to a moment (`late`),
-//! then less the earlier the deadline, then (`least`) the same low worth for all. So the order of deadlines never
-//! changes, and three looks into it, at bounds that move with the clock, give the exact order of worth at any time
-//! without anything being sorted anew.
+//! The weight of a message falls with time, but within one class it falls by one curve for all: full weight until little
+//! enough time is left, then less the earlier the deadline, then the same minimum for all. So the order of deadlines
+//! never changes, and three look-ups, at boundaries that move with the clock, give the exact order of weight at any time
+//! without sorting anything again.
 use crate::{DestinationId, MessageId, Timestamp};
 use std::collections::BTreeSet;
 
-/// The least value of a type, to begin a range with.
+/// A type with a least value, at which a range of it begins.
 pub trait MinValue {
-    /// It.
+    /// The least value.
     const MIN: Self;
 }
 
@@ -21,58 +21,61 @@
     const MIN: Self = DestinationId(0);
 }
 
-/// Where a class's curve of worth bends, told in deadlines. `dead <= least <= late` need not hold.
+/// Where the weight of a class changes its course, in deadlines. The three need not be in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WeightBoundaries {
-    /// Deadlines before this are not offered any more.
+    /// Items with earlier deadlines are not offered any more.
     pub expired_before: Timestamp,
-    /// Deadlines before this are worth the same, the least.
+    /// Items with earlier deadlines all have the minimum weight.
     pub minimum_before: Timestamp,
-    /// Deadlines before this, and not before `least`, are worth more the later they are; from here on all are worth
-    /// the same.
+    /// Items with this or a later deadline all have full weight; between the two, a later deadline weighs more.
     pub full_from: Timestamp,
 }
 
-/// Where the worth of a class bends, in microseconds.
+/// How the weight of a class falls, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightCurve {
-    /// A message with less than this left is late; none where worth does not fall.
+    /// The weight falls once less time than this remains; none where it never falls.
     full_until_remaining: Option<u64>,
-    /// So late nothing more is lost, if it comes to that.
+    /// The minimum is reached this long after that, if it is reached at all.
     minimum_after_late: Option<u64>,
 }
 
 impl WeightCurve {
-    /// Of worth that `falls` from the moment on at which less than `late` is left, and is at the bottom for a message
-    /// so late that `bottom` holds, at first at `most` microseconds at the latest, if it comes to that.
-    pub fn new(falls: bool, late: u64, most: u64, bottom: impl Fn(u64) -> bool) -> Self {
-        let (mut above, mut at) = (0, most);
-        while at - above > 1 {
-            let middle = above + (at - above) / 2;
-            *if bottom(middle) { &mut at } else { &mut above } = middle;
+    /// Creates the curve of a weight that `falls` once less than `remaining` is left.
+    ///
+    /// `is_minimum` tells whether a message so late has the minimum weight; it holds from some lateness on, at
+    /// `max_lateness` at the latest, or never.
+    pub fn new(falls: bool, remaining: u64, max_lateness: u64, is_minimum: impl Fn(u64) -> bool) -> Self {
+        let (mut above, mut minimum) = (0, max_lateness);
+        while minimum - above > 1 {
+            let middle = above + (minimum - above) / 2;
+            *if is_minimum(middle) { &mut minimum } else { &mut above } = middle;
         }
         Self {
-            full_until_remaining: falls.then_some(late),
-            minimum_after_late: Some(at).filter(|at| falls && bottom(*at)),
+            full_until_remaining: falls.then_some(remaining),
+            minimum_after_late: Some(minimum).filter(|lateness| falls && is_minimum(*lateness)),
         }
     }
 
-    /// The bends in deadlines, at `now`.
-    pub fn boundaries(&self, now: Timestamp, dead: Timestamp) -> WeightBoundaries {
-        let late = self.full_until_remaining.map_or(Timestamp(0), |late| Timestamp(now.0 + late));
-        let least = self
+    /// Returns the boundaries of the curve at `now`.
+    pub fn boundaries(&self, now: Timestamp, expired_before: Timestamp) -> WeightBoundaries {
+        let full_from =
+            self.full_until_remaining.map_or(Timestamp(0), |remaining| Timestamp(now.0 + remaining));
+        let minimum_before = self
             .minimum_after_late
-            .map_or(Timestamp(0), |least| Timestamp((late.0 + 1).saturating_sub(least)));
-        WeightBoundaries { expired_before: dead, minimum_before: least, full_from: late }
+            .map_or(Timestamp(0), |lateness| Timestamp((full_from.0 + 1).saturating_sub(lateness)));
+        WeightBoundaries { expired_before, minimum_before, full_from }
     }
 
-    /// When a first message of that deadline gives way to another, with no change but time's.
+    /// Returns when the item that comes first at `now`, with that deadline, stops doing so by the passing of time alone.
     pub fn overtaken_at(&self, now: Timestamp, deadline: Timestamp) -> Option<Timestamp> {
-        let late = Timestamp((deadline.0 + 1).saturating_sub(self.full_until_remaining?));
-        let least = self.minimum_after_late.map(|least| {
-            Timestamp((deadline.0 + least).saturating_sub(self.full_until_remaining.unwrap_or(0)))
-        });
-        [Some(late), least].into_iter().flatten().find(|at| *at > now)
+        let remaining = self.full_until_remaining?;
+        let late = Timestamp((deadline.0 + 1).saturating_sub(remaining));
+        let minimum = self
+            .minimum_after_late
+            .map(|lateness| Timestamp((deadline.0 + lateness).saturating_sub(remaining)));
+        [Some(late), minimum].into_iter().flatten().find(|at| *at > now)
     }
 }
 
@@ -81,61 +84,61 @@
 pub struct DeadlineIndex<G, T>(BTreeSet<(G, Timestamp, T)>);
 
 impl<G: Ord + Copy, T: Ord + Copy + MinValue> DeadlineIndex<G, T> {
-    /// An empty one.
+    /// Creates an empty index.
     pub fn new() -> Self {
         Self(BTreeSet::new())
     }
 
-    /// Puts an item in.
+    /// Adds an item.
     pub fn insert(&mut self, group: G, deadline: Timestamp, item: T) {
         self.0.insert((group, deadline, item));
     }
 
-    /// Takes an item out; it need not be there.
+    /// Removes an item; nothing happens if it is not there.
     pub fn remove(&mut self, group: G, deadline: Timestamp, item: T) {
         self.0.remove(&(group, deadline, item));
     }
 
-    /// Whether nothing is in it.
+    /// Returns whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The first in the order of groups, then deadlines, then items.
+    /// Returns the first item in the order of groups, then deadlines, then items.
     pub fn first(&self) -> Option<(G, Timestamp, T)> {
         self.0.first().copied()
     }
 
-    /// Items in that order.
+    /// Returns all items in that order.
     pub fn iter(&self) -> impl Iterator<Item = (G, Timestamp, T)> {
         self.0.iter().copied()
     }
 
-    /// The first of a group in the order of worth; of those worth the same, the earliest deadline, then the least
-    /// item.
-    pub fn heaviest(&self, group: G, cuts: &WeightBoundaries) -> Option<(Timestamp, T)> {
-        self.heaviest_where(group, cuts, |_| true)
+    /// Returns the item of most weight in a group; among equals the one with the earliest deadline, then the least item.
+    pub fn heaviest(&self, group: G, boundaries: &WeightBoundaries) -> Option<(Timestamp, T)> {
+        self.heaviest_where(group, boundaries, |_| true)
     }
 
-    /// The same among those whose deadlines `fits`.
+    /// Returns the item of most weight in a group among those whose deadlines `fits`.
     ///
-    /// Among items worth the same `fits` must hold up to some deadline and not after it, and among those whose worth
-    /// falls up to some deadline or for none but the latest ones: then a few looks find the exact one.
+    /// Among items of equal weight `fits` must hold up to some deadline and not after it, and among those whose weight
+    /// falls up to some deadline or for none but the latest ones: then a few look-ups find the exact item.
     pub fn heaviest_where(
         &self,
         group: G,
-        cuts: &WeightBoundaries,
+        boundaries: &WeightBoundaries,
         fits: impl Fn(Timestamp) -> bool,
     ) -> Option<(Timestamp, T)> {
-        let late = cuts.full_from.max(cuts.expired_before);
-        let least = cuts.minimum_before.max(cuts.expired_before).min(late);
-        let fresh = self.first_from(group, late).filter(|(at, _)| fits(*at));
-        fresh.or_else(|| self.latest_where(group, least, late, &fits)).or_else(|| {
-            self.first_from(group, cuts.expired_before).filter(|(at, _)| *at < least && fits(*at))
+        let full_from = boundaries.full_from.max(boundaries.expired_before);
+        let minimum_before = boundaries.minimum_before.max(boundaries.expired_before).min(full_from);
+        let full = self.first_from(group, full_from).filter(|(deadline, _)| fits(*deadline));
+        full.or_else(|| self.latest_where(group, minimum_before, full_from, &fits)).or_else(|| {
+            let least = self.first_from(group, boundaries.expired_before);
+            least.filter(|(deadline, _)| *deadline < minimum_before && fits(*deadline))
         })
     }
 
-    /// The first of the latest deadline that fits, from `from` to before `to`.
+    /// The first item of the latest deadline that fits, from `from` to before `to`.
     fn latest_where(
         &self,
         group: G,
@@ -143,29 +146,30 @@
         to: Timestamp,
         fits: impl Fn(Timestamp) -> bool,
     ) -> Option<(Timestamp, T)> {
-        let latest = |before: Timestamp| {
+        let latest_before = |before: Timestamp| {
             let range = (group, from, T::MIN)..(group, before, T::MIN);
-            (from < before).then(|| self.0.range(range).next_back()).flatten().map(|(_, at, _)| *at)
+            let last = (from < before).then(|| self.0.range(range).next_back()).flatten();
+            last.map(|(_, deadline, _)| *deadline)
         };
-        let mut at = latest(to)?;
-        if !fits(at) {
+        let mut deadline = latest_before(to)?;
+        if !fits(deadline) {
             if !fits(from) {
                 return None;
             }
-            // It fits at `from` and not at `at`: where it ends is found by halving, whatever lies between.
-            let (mut fitting, mut not) = (from.0, at.0);
-            while not - fitting > 1 {
-                let middle = fitting + (not - fitting) / 2;
-                *if fits(Timestamp(middle)) { &mut fitting } else { &mut not } = middle;
+            // It fits at `from` and not at `deadline`: bisection finds where that ends, whatever lies between.
+            let (mut fitting, mut unfit) = (from.0, deadline.0);
+            while unfit - fitting > 1 {
+                let middle = fitting + (unfit - fitting) / 2;
+                *if fits(Timestamp(middle)) { &mut fitting } else { &mut unfit } = middle;
             }
-            at = latest(Timestamp(not))?;
+            deadline = latest_before(Timestamp(unfit))?;
         }
-        self.first_from(group, at)
+        self.first_from(group, deadline)
     }
 
     fn first_from(&self, group: G, deadline: Timestamp) -> Option<(Timestamp, T)> {
-        let (found, at, item) = self.0.range((group, deadline, T::MIN)..).next()?;
-        (*found == group).then_some((*at, *item))
+        let (found, deadline, item) = self.0.range((group, deadline, T::MIN)..).next()?;
+        (*found == group).then_some((*deadline, *item))
     }
 }
 
--- a/src/index/message_state.rs
+++ b/src/index/message_state.rs
@@ -1,53 +1,53 @@
-//! A message that is held, and how far it has got.
+//! The state of one message that the engine holds.
 use super::pending::PendingEntry;
 use crate::{EndpointId, Message, Timestamp, ZoneId};
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
 pub struct ActiveAttempt {
-    /// Where to.
+    /// The endpoint called.
     pub endpoint: EndpointId,
-    /// The call that carries it.
+    /// The number of the call that carries the attempt.
     pub call: u64,
 }
 
-/// Where a message stands.
+/// How far a message has got.
 #[derive(Clone, Copy)]
 pub enum Phase {
-    /// For its turn, not before this.
+    /// It waits to be sent, not before this time.
     Pending(Timestamp),
-    /// For the outcome of an attempt.
+    /// It waits for the outcome of an attempt.
     InFlight(ActiveAttempt),
-    /// Ended, with an attempt still out: kept for the slot and for the order of its key.
+    /// It has ended with an attempt in flight: kept for the count of calls and for the order of its key.
     Detached(ActiveAttempt),
 }
 
-/// The first attempt that may have run.
+/// An attempt that may have had an effect.
 #[derive(Clone, Copy)]
 pub struct UncertainAttempt {
     /// When it was sent.
     pub sent_at: Timestamp,
-    /// To which zone.
+    /// The zone of its endpoint.
     pub zone: ZoneId,
 }
 
-/// The message.
+/// A message and what was done about it.
 #[derive(Clone)]
 pub struct MessageState {
-    /// As it was handed in.
+    /// The message as it was submitted.
     pub message: Message,
     /// When its time is up.
     pub deadline: Timestamp,
-    /// Its place among all that were taken on.
+    /// Its number in the order of acceptance.
     pub sequence: u64,
-    /// Attempts begun so far.
+    /// Attempts started so far.
     pub attempts: u32,
-    /// Where it stands.
+    /// How far it has got.
     pub phase: Phase,
-    /// The first attempt that may have run.
+    /// The first attempt that may have had an effect.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
-    /// An earlier process took it on and did not try it: this one owes it a try.
+    /// Whether an earlier process accepted it and made no attempt: this process owes it one.
     pub recovered_untried: bool,
-    /// How the books have it, while it waits.
+    /// How the indices hold it, while it is pending.
     pub entry: Option<PendingEntry>,
 }
--- a/src/index/mod.rs
+++ b/src/index/mod.rs
@@ -1,6 +1,7 @@
-//! What the decision module looks things up in: ordered containers and the books of who waits, which keys are
-//! taken and which endpoints are listed. They decide nothing, read no clock and do no I/O; every look costs the
-//! logarithm of what they hold, or what it returns.
+//! The data structures under the policy: messages by key, deadline and readiness; calls in flight; endpoints.
+//!
+//! They decide nothing, read no clock and do no I/O. Each operation costs the logarithm of what is held, or what it
+//! returns.
 pub(crate) mod calls;
 pub(crate) mod deadline_index;
 pub(crate) mod directory;
--- a/src/index/pending.rs
+++ b/src/index/pending.rs
@@ -1,251 +1,273 @@
-//! The books of messages that wait: whose time is up first, who is to be looked at when, who only wants an
-//! endpoint, and which destinations those are for.
+//! The indices of pending messages: which deadline comes first, what a timer waits for, which messages only lack an
+//! endpoint, and which destinations have such messages.
+//!
+//! Destinations with ready messages are ranked by their calls in flight and the weight of their first message. A
+//! destination that changes is marked and ranked again before the next choice; one that cannot be sent to is taken off
+//! the ranking until a time or an event may have opened it.
 use super::deadline_index::{DeadlineIndex, WeightBoundaries, WeightCurve};
 use super::timers::Timers;
 use crate::{ClassId, DestinationId, EndpointId, MessageId, OrderKey, Timestamp, ZoneId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// What comes with time alone.
+/// What happens by the passing of time alone.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Timer {
-    /// A backoff, told wait or key's rest is over.
+    /// The backoff, Retry-After or ordering hold of a message is over.
     BackoffElapsed(MessageId),
-    /// The window of a message's key closes.
+    /// The deduplication window of a message closes.
     DeduplicationWindowClosed(MessageId),
-    /// A key without messages has rested.
+    /// The hold of an ordering key without messages is over.
     OrderingHoldElapsed(OrderKey),
-    /// A destination may be sent to, or its first message is another by now.
+    /// A destination may be sent to again, or another of its messages comes first by now.
     RecheckDestination(DestinationId),
     /// An endpoint may be forgotten, and its destination with it.
     ForgetEndpoint(EndpointId, DestinationId),
 }
 
-/// Where a message stands among those that wait.
+/// What a pending message waits for.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Readiness {
-    /// Behind others of its key, or out of attempts: only its end is due.
+    /// For another message of its key, or only for its end, as its attempts are used up.
     Blocked,
-    /// It may go no sooner than this.
+    /// For this time.
     NotBefore(Timestamp),
-    /// It only wants an endpoint.
+    /// For an endpoint.
     Ready,
 }
 
-/// A message as the books have it.
+/// A pending message as the indices hold it.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingEntry {
     /// Its class.
     pub class: ClassId,
-    /// Where it goes.
+    /// Its destination.
     pub destination: DestinationId,
     /// When its time is up.
     pub deadline: Timestamp,
-    /// Whether an attempt may have run, or it is owed a first one: it cannot be shed for others.
+    /// Whether it is never shed for others: an attempt may have run, or a restart found it untried.
     pub protected: bool,
-    /// The only zone that it may go to.
+    /// The only zone that it may be sent to.
     pub required_zone: Option<ZoneId>,
-    /// When the window of its key closes.
+    /// When its deduplication window closes.
     pub window_closes_at: Option<Timestamp>,
-    /// Whether it goes first: others wait behind it, or it was found untried after a restart.
+    /// Whether it goes first: others of its key wait behind it, or a restart found it untried.
     pub urgent: bool,
-    /// Where it stands.
+    /// What it waits for.
     pub readiness: Readiness,
 }
 
-/// Ready messages of a class that may go anywhere, or to one zone only, with others behind them or with none.
+/// Ready messages of one class, required zone and urgency.
 #[cfg_attr(test, derive(Clone))]
 pub struct ReadyQueue {
     /// Their class.
     pub class: ClassId,
-    /// The zone.
+    /// The only zone that they may be sent to.
     pub required_zone: Option<ZoneId>,
-    /// Whether others wait behind each of them.
+    /// Whether they go before others.
     pub urgent: bool,
-    /// They.
+    /// The messages by deadline.
     pub messages: DeadlineIndex<(), MessageId>,
 }
 
 impl ReadyQueue {
-    fn takes(&self, slip: &PendingEntry) -> bool {
-        (self.class, self.required_zone, self.urgent) == (slip.class, slip.required_zone, slip.urgent)
+    fn accepts(&self, entry: &PendingEntry) -> bool {
+        let own = (self.class, self.required_zone, self.urgent);
+        own == (entry.class, entry.required_zone, entry.urgent)
     }
 }
 
+/// The first message of a ready queue, as a destination is ranked by it.
+type QueueHead = (ClassId, Timestamp);
+
 /// The ready messages of one destination.
 #[cfg_attr(test, derive(Clone))]
 #[derive(Default)]
 struct DestinationQueue {
     ready: Vec<ReadyQueue>,
-    /// Its entries among the ranked, and the calls out that they were made by.
-    ranked_as: Vec<(ClassId, Timestamp)>,
+    /// The entries of the destination in the ranking, and the calls in flight they were made by.
+    ranked_as: Vec<QueueHead>,
     ranked_calls: usize,
-    /// When it is to be looked at with no other cause.
+    /// When the destination is checked again without an event.
     recheck_at: Option<Timestamp>,
+    /// Whether it waits to be ranked again.
     changed: bool,
 }
 
-/// All books.
+impl DestinationQueue {
+    fn insert(&mut self, id: MessageId, entry: &PendingEntry) {
+        let position = self.ready.iter().position(|queue| queue.accepts(entry));
+        let position = position.unwrap_or_else(|| {
+            let PendingEntry { class, required_zone, urgent, .. } = *entry;
+            self.ready.push(ReadyQueue { class, required_zone, urgent, messages: DeadlineIndex::new() });
+            self.ready.len() - 1
+        });
+        self.ready[position].messages.insert((), entry.deadline, id);
+    }
+
+    fn remove(&mut self, id: MessageId, entry: &PendingEntry) {
+        let Some(position) = self.ready.iter().position(|queue| queue.accepts(entry)) else { return };
+        let messages = &mut self.ready[position].messages;
+        messages.remove((), entry.deadline, id);
+        if messages.is_empty() {
+            self.ready.swap_remove(position);
+        }
+    }
+}
+
+/// The messages of one class by deadline, those apart that are never shed.
+#[cfg_attr(test, derive(Clone))]
+struct ClassDeadlines {
+    sheddable: DeadlineIndex<(), MessageId>,
+    protected: DeadlineIndex<(), MessageId>,
+}
+
+impl ClassDeadlines {
+    fn new() -> Self {
+        Self { sheddable: DeadlineIndex::new(), protected: DeadlineIndex::new() }
+    }
+
+    fn of(&mut self, entry: &PendingEntry) -> &mut DeadlineIndex<(), MessageId> {
+        if entry.protected { &mut self.protected } else { &mut self.sheddable }
+    }
+
+    fn both(&self) -> [&DeadlineIndex<(), MessageId>; 2] {
+        [&self.sheddable, &self.protected]
+    }
+}
+
+/// All indices of pending messages.
 #[cfg_attr(test, derive(Clone))]
 pub struct PendingMessages {
-    /// Moments to come, of all kinds in one order.
+    /// All timers, in one order.
     pub timers: Timers<Timer>,
+    /// By class: how its weight falls.
     curves: Vec<WeightCurve>,
-    /// By class, those that may have run apart.
-    by_deadline: Vec<[DeadlineIndex<(), MessageId>; 2]>,
+    /// By class: its messages by deadline.
+    by_deadline: Vec<ClassDeadlines>,
     queues: FxHashMap<DestinationId, DestinationQueue>,
-    /// Destinations that may be sent to, by class of a first message and by calls out.
+    /// By class of the first message: destinations that may be sent to, by calls in flight.
     ranked: Vec<DeadlineIndex<usize, DestinationId>>,
     changed: VecDeque<DestinationId>,
     /// How many messages are ready.
     ready_count: usize,
-    /// Room to work in.
-    scratch_heads: Vec<(ClassId, Timestamp)>,
-    /// Moment of the present look, and the deadlines that are over by then.
+    /// Reused by [`PendingMessages::rank`], which would otherwise allocate each time.
+    scratch_heads: Vec<QueueHead>,
     now: Timestamp,
+    /// Messages of earlier deadlines are not offered any more.
     expired_before: Timestamp,
 }
 
 impl PendingMessages {
-    /// Empty books for classes whose worth bends so.
-    pub fn new(bends: Vec<WeightCurve>) -> Self {
-        let mut waiting = Self {
+    /// Creates empty indices for classes with these weight curves.
+    pub fn new(curves: Vec<WeightCurve>) -> Self {
+        let mut pending = Self {
             timers: Timers::new(),
-            by_deadline: Vec::new(),
-            ranked: Vec::new(),
             curves: Vec::new(),
+            by_deadline: Vec::new(),
             queues: FxHashMap::default(),
+            ranked: Vec::new(),
             changed: VecDeque::new(),
             ready_count: 0,
             scratch_heads: Vec::new(),
             now: Timestamp(0),
             expired_before: Timestamp(0),
         };
-        waiting.set_curves(bends);
-        waiting
+        pending.set_curves(curves);
+        pending
     }
 
-    /// From here on there are these classes, the earlier ones among them under their numbers.
-    pub fn set_curves(&mut self, bends: Vec<WeightCurve>) {
-        self.by_deadline.resize_with(bends.len(), || [DeadlineIndex::new(), DeadlineIndex::new()]);
-        self.ranked.resize_with(bends.len(), DeadlineIndex::new);
-        self.curves = bends;
+    /// Replaces the weight curves; earlier classes keep their numbers.
+    pub fn set_curves(&mut self, curves: Vec<WeightCurve>) {
+        self.by_deadline.resize_with(curves.len(), ClassDeadlines::new);
+        self.ranked.resize_with(curves.len(), DeadlineIndex::new);
+        self.curves = curves;
     }
 
-    /// From here on it is `now`, and messages of deadlines before `dead` are not offered.
-    pub fn advance(&mut self, now: Timestamp, dead: Timestamp) {
-        (self.now, self.expired_before) = (now, dead);
+    /// Sets the time; messages with deadlines before `expired_before` are not offered from here on.
+    pub fn advance(&mut self, now: Timestamp, expired_before: Timestamp) {
+        (self.now, self.expired_before) = (now, expired_before);
     }
 
-    /// Enters a message that waits.
-    pub fn insert(&mut self, id: MessageId, slip: &PendingEntry) {
-        self.by_deadline[slip.class.0][usize::from(slip.protected)].insert((), slip.deadline, id);
-        if let Some(window) = slip.window_closes_at {
-            self.timers.set(window, Timer::DeduplicationWindowClosed(id));
+    /// Adds a pending message.
+    pub fn insert(&mut self, id: MessageId, entry: &PendingEntry) {
+        self.by_deadline[entry.class.0].of(entry).insert((), entry.deadline, id);
+        if let Some(closes_at) = entry.window_closes_at {
+            self.timers.set(closes_at, Timer::DeduplicationWindowClosed(id));
         }
-        match slip.readiness {
+        match entry.readiness {
             Readiness::Blocked => {}
             Readiness::NotBefore(at) => self.timers.set(at, Timer::BackoffElapsed(id)),
             Readiness::Ready => {
-                let lanes = &mut self.queues.entry(slip.destination).or_default().ready;
-                let lane = lanes.iter().position(|lane| lane.takes(slip));
-                let lane = lane.unwrap_or_else(|| {
-                    let PendingEntry { class, required_zone: zone, urgent: crowded, .. } = *slip;
-                    lanes.push(ReadyQueue {
-                        class,
-                        required_zone: zone,
-                        urgent: crowded,
-                        messages: DeadlineIndex::new(),
-                    });
-                    lanes.len() - 1
-                });
-                lanes[lane].messages.insert((), slip.deadline, id);
+                self.queues.entry(entry.destination).or_default().insert(id, entry);
                 self.ready_count += 1;
-                self.mark_changed(slip.destination);
+                self.mark_changed(entry.destination);
             }
         }
     }
 
-    /// Strikes a message that was entered by that slip.
-    pub fn remove(&mut self, id: MessageId, slip: &PendingEntry) {
-        self.by_deadline[slip.class.0][usize::from(slip.protected)].remove((), slip.deadline, id);
-        if let Some(window) = slip.window_closes_at {
-            self.timers.unset(window, Timer::DeduplicationWindowClosed(id));
+    /// Removes a message that was added with that entry.
+    pub fn remove(&mut self, id: MessageId, entry: &PendingEntry) {
+        self.by_deadline[entry.class.0].of(entry).remove((), entry.deadline, id);
+        if let Some(closes_at) = entry.window_closes_at {
+            self.timers.unset(closes_at, Timer::DeduplicationWindowClosed(id));
         }
-        match slip.readiness {
+        match entry.readiness {
             Readiness::Blocked => {}
             Readiness::NotBefore(at) => self.timers.unset(at, Timer::BackoffElapsed(id)),
             Readiness::Ready => {
                 self.ready_count -= 1;
-                let Some(queue) = self.queues.get_mut(&slip.destination) else { return };
-                let mut lanes = queue.ready.iter();
-                let lane = lanes.position(|lane| lane.takes(slip));
-                if let Some(lane) = lane {
-                    queue.ready[lane].messages.remove((), slip.deadline, id);
-                    if queue.ready[lane].messages.is_empty() {
-                        queue.ready.swap_remove(lane);
-                    }
-                }
-                self.mark_changed(slip.destination);
+                let Some(queue) = self.queues.get_mut(&entry.destination) else { return };
+                queue.remove(id, entry);
+                self.mark_changed(entry.destination);
             }
         }
     }
 
-    /// Whether some message only wants an endpoint.
+    /// Returns whether some message only lacks an endpoint.
     pub fn any_ready(&self) -> bool {
         self.ready_count > 0
     }
 
-    /// The earliest deadline of all that wait.
+    /// Returns the earliest deadline of all pending messages.
     pub fn first_deadline(&self) -> Option<Timestamp> {
-        self.by_deadline
-            .iter()
-            .flatten()
-            .filter_map(|shelf| shelf.first())
-            .map(|((), deadline, _)| deadline)
-            .min()
+        let indices = self.by_deadline.iter().flat_map(ClassDeadlines::both);
+        indices.filter_map(DeadlineIndex::first).map(|((), deadline, _)| deadline).min()
     }
 
-    /// Messages whose deadlines are over, earliest first within a class, at most so many.
-    pub fn expired(&self, most: usize) -> Vec<MessageId> {
-        let over = |shelf: &DeadlineIndex<(), MessageId>| {
-            shelf
-                .iter()
-                .take_while(|(_, at, _)| *at < self.expired_before)
-                .map(|(_, _, id)| id)
-                .take(most)
-                .collect()
-        };
-        let mut dead = Vec::new();
-        for shelf in self.by_deadline.iter().flatten().filter(|_| most > 0) {
-            let mut of_class: Vec<MessageId> = over(shelf);
-            dead.append(&mut of_class);
+    /// Returns at most `max` messages whose deadlines have passed, earliest first within a class.
+    pub fn expired(&self, max: usize) -> Vec<MessageId> {
+        let mut expired = Vec::new();
+        for index in self.by_deadline.iter().flat_map(ClassDeadlines::both).filter(|_| max > 0) {
+            let passed = index.iter().take_while(|(_, deadline, _)| *deadline < self.expired_before);
+            expired.extend(passed.map(|(_, _, id)| id).take(max));
         }
-        dead.truncate(most);
-        dead
+        expired.truncate(max);
+        expired
     }
 
-    /// By class, the message of the earliest deadline that has never run.
+    /// Returns by class the message of the earliest deadline that may be shed.
     pub fn sheddable(&self) -> impl Iterator<Item = (ClassId, Timestamp, MessageId)> {
-        let first = |(class, [shelf, _]): (usize, &[DeadlineIndex<(), MessageId>; 2])| {
-            shelf.first().map(|((), deadline, id)| (ClassId(class), deadline, id))
+        let first = |(class, deadlines): (usize, &ClassDeadlines)| {
+            let ((), deadline, id) = deadlines.sheddable.first()?;
+            Some((ClassId(class), deadline, id))
         };
         self.by_deadline.iter().enumerate().filter_map(first)
     }
 
-    /// Where the worth of a class bends now.
+    /// Returns where the weight of a class changes its course now.
     pub fn boundaries(&self, class: ClassId) -> WeightBoundaries {
         self.curves[class.0].boundaries(self.now, self.expired_before)
     }
 
-    /// The ready messages of a destination.
+    /// Returns the ready messages of a destination.
     pub fn ready_queues(&self, destination: DestinationId) -> &[ReadyQueue] {
         self.queues.get(&destination).map_or(&[], |queue| &queue.ready)
     }
 
-    // ---- ranks ---------------------------------------------------------------------------------------
+    // ---- Ranking of destinations -------------------------------------------------------------------------
 
-    /// Something about a destination has changed: it is to be ranked anew.
+    /// Marks a destination that has changed, so that it is ranked again.
     pub fn mark_changed(&mut self, destination: DestinationId) {
         if let Some(queue) = self.queues.get_mut(&destination)
             && !std::mem::replace(&mut queue.changed, true)
@@ -254,7 +276,7 @@
         }
     }
 
-    /// The next that is to be ranked anew.
+    /// Takes the next destination that has to be ranked again.
     pub fn next_changed(&mut self) -> Option<DestinationId> {
         while let Some(destination) = self.changed.pop_front() {
             if self.queues.get(&destination).is_some_and(|queue| queue.changed) {
@@ -264,22 +286,19 @@
         None
     }
 
-    /// Enters a destination among the ranked by its first message of each lane; without a count of `calls` out it is
-    /// not known, and cannot be sent to.
+    /// Ranks a destination by the first message of each of its queues. Without `calls`, the count of calls in flight to
+    /// it, the destination is not known and cannot be sent to.
     pub fn rank(&mut self, destination: DestinationId, calls: Option<usize>) {
         let Some(queue) = self.queues.get_mut(&destination) else { return };
         queue.changed = false;
-        let (bends, mut gives_way) = (&self.curves, None);
+        let mut overtaken_at = None;
         self.scratch_heads.clear();
-        for lane in queue.ready.iter().filter(|_| calls.is_some()) {
-            let bends = &bends[lane.class.0];
-            let Some((deadline, _)) =
-                lane.messages.heaviest((), &bends.boundaries(self.now, self.expired_before))
-            else {
-                continue;
-            };
-            self.scratch_heads.push((lane.class, deadline));
-            gives_way = gives_way.into_iter().chain(bends.overtaken_at(self.now, deadline)).min();
+        for ready in queue.ready.iter().filter(|_| calls.is_some()) {
+            let curve = &self.curves[ready.class.0];
+            let boundaries = curve.boundaries(self.now, self.expired_before);
+            let Some((deadline, _)) = ready.messages.heaviest((), &boundaries) else { continue };
+            self.scratch_heads.push((ready.class, deadline));
+            overtaken_at = overtaken_at.into_iter().chain(curve.overtaken_at(self.now, deadline)).min();
         }
         if queue.ranked_as != self.scratch_heads || calls.is_none_or(|calls| calls != queue.ranked_calls) {
             for (class, deadline) in queue.ranked_as.drain(..) {
@@ -291,26 +310,26 @@
             }
             queue.ranked_as.extend_from_slice(&self.scratch_heads);
         }
-        self.schedule_recheck(destination, gives_way);
+        self.schedule_recheck(destination, overtaken_at);
     }
 
-    /// Takes a destination off the ranked until `look`, or until it is woken.
-    pub fn unrank(&mut self, destination: DestinationId, look: Option<Timestamp>) {
+    /// Takes a destination off the ranking until `recheck_at`, or until it changes.
+    pub fn unrank(&mut self, destination: DestinationId, recheck_at: Option<Timestamp>) {
         let Some(queue) = self.queues.get_mut(&destination) else { return };
         queue.changed = false;
         for (class, deadline) in queue.ranked_as.drain(..) {
             self.ranked[class.0].remove(queue.ranked_calls, deadline, destination);
         }
-        self.schedule_recheck(destination, look);
+        self.schedule_recheck(destination, recheck_at);
     }
 
-    /// Sees to it that a destination is looked at by then. One that is looked at sooner already is put off when that
-    /// has come: a look too many, and far fewer moments to set and unset. A queue that is empty goes with its moment.
+    /// Sees to it that a destination is checked by then. An earlier check stays and sets the later one when it is due:
+    /// one check too many, and far fewer timers to set and unset. An empty queue goes with its timer.
     fn schedule_recheck(&mut self, destination: DestinationId, at: Option<Timestamp>) {
         let Some(queue) = self.queues.get_mut(&destination) else { return };
-        if let Some(at) = at.filter(|at| queue.recheck_at.is_none_or(|look| *at < look)) {
-            if let Some(look) = queue.recheck_at.replace(at) {
-                self.timers.unset(look, Timer::RecheckDestination(destination));
+        if let Some(at) = at.filter(|at| queue.recheck_at.is_none_or(|set| *at < set)) {
+            if let Some(set) = queue.recheck_at.replace(at) {
+                self.timers.unset(set, Timer::RecheckDestination(destination));
             }
             self.timers.set(at, Timer::RecheckDestination(destination));
         }
@@ -319,7 +338,7 @@
         }
     }
 
-    /// The moment has come that a destination was to be looked at.
+    /// Checks a destination whose timer has fired.
     pub fn recheck(&mut self, destination: DestinationId) {
         if let Some(queue) = self.queues.get_mut(&destination) {
             queue.recheck_at = None;
@@ -327,31 +346,32 @@
         }
     }
 
-    /// Of the ranked destinations with the fewest calls out, by class, the one whose first message is the first in the
-    /// order of worth.
+    /// Returns, among the ranked destinations with the fewest calls in flight, by class the one whose first message has
+    /// the most weight.
     pub fn best_ranked(&mut self) -> Vec<(ClassId, Timestamp, DestinationId)> {
         loop {
-            let ranked = self.ranked.iter().filter_map(|shelf| shelf.first());
-            let Some((calls, _, some)) = ranked.min_by_key(|(calls, ..)| *calls) else { return Vec::new() };
-            let firsts = self.ranked.iter().enumerate().filter_map(|(class, shelf)| {
-                let (deadline, destination) = shelf.heaviest(calls, &self.boundaries(ClassId(class)))?;
+            let first = self.ranked.iter().filter_map(|ranked| ranked.first());
+            let Some((calls, _, some)) = first.min_by_key(|(calls, ..)| *calls) else { return Vec::new() };
+            let best = self.ranked.iter().enumerate().filter_map(|(class, ranked)| {
+                let (deadline, destination) = ranked.heaviest(calls, &self.boundaries(ClassId(class)))?;
                 Some((ClassId(class), deadline, destination))
             });
-            let firsts: Vec<_> = firsts.collect();
-            if !firsts.is_empty() {
-                return firsts;
+            let best: Vec<_> = best.collect();
+            if !best.is_empty() {
+                return best;
             }
-            // The first messages of all of them are over, though not ended yet: those behind them count.
+            // The first messages of all of them have expired, though not ended yet: those behind them count.
             self.rank(some, Some(calls));
         }
     }
 
-    /// Whether a destination is off the ranked until a moment to come, with nothing changed since.
+    /// Returns whether a destination is off the ranking until a time to come, with no change since.
     #[cfg(test)]
     pub fn is_deferred(&self, destination: DestinationId) -> bool {
-        let later = |queue: &DestinationQueue| {
-            !queue.changed && queue.ranked_as.is_empty() && queue.recheck_at.is_some_and(|at| at > self.now)
+        let is_deferred = |queue: &DestinationQueue| {
+            let is_later = queue.recheck_at.is_some_and(|at| at > self.now);
+            !queue.changed && queue.ranked_as.is_empty() && is_later
         };
-        self.queues.get(&destination).is_some_and(later)
+        self.queues.get(&destination).is_some_and(is_deferred)
     }
 }
--- a/src/index/weight.rs
+++ b/src/index/weight.rs
@@ -1,17 +1,20 @@
-//! What a message is worth as time passes: the curves that the settings give, and where they bend.
+//! The weight of a message as time passes: the curves that the settings define, and where they change their course.
 use super::deadline_index::WeightCurve;
 use crate::{Class, Settings, Timestamp, WeightDecay};
 
-/// Share of its worth that is left of a message that is so late, in microseconds.
+/// In an exponential decay nothing is left to halve after this many latency objectives.
+const MAX_HALVINGS: u64 = 1100;
+
+/// The share of its weight that is left of a message that is `late` microseconds past its objective.
 fn weight_share(class: &Class, decay: WeightDecay, late: f64) -> f64 {
-    let (aim, end) = (class.latency_objective.0 as f64, class.deadline.0 as f64);
+    let (objective, deadline) = (class.latency_objective.0 as f64, class.deadline.0 as f64);
     match decay {
-        WeightDecay::Linear => 1.0 - (1.0 - class.late_weight) * late / (end - aim).max(1.0),
-        WeightDecay::Exponential => 0.5f64.powf(late / aim.max(1.0)).max(class.late_weight),
+        WeightDecay::Linear => 1.0 - (1.0 - class.late_weight) * late / (deadline - objective).max(1.0),
+        WeightDecay::Exponential => 0.5f64.powf(late / objective.max(1.0)).max(class.late_weight),
     }
 }
 
-/// What delivering a message of that deadline earns, `delay` microseconds after `now`.
+/// Returns the weight of a message of that deadline when it is delivered `delay` microseconds after `now`.
 pub fn remaining_weight(
     class: &Class,
     decay: WeightDecay,
@@ -19,12 +22,12 @@
     deadline: Timestamp,
     delay: f64,
 ) -> f64 {
-    let born = deadline.0 as f64 - class.deadline.0 as f64;
-    let late = (now.0 as f64 + delay - born - class.latency_objective.0 as f64).max(0.0);
+    let accepted = deadline.0 as f64 - class.deadline.0 as f64;
+    let late = (now.0 as f64 + delay - accepted - class.latency_objective.0 as f64).max(0.0);
     class.priority_weight * weight_share(class, decay, late)
 }
 
-/// The mean of a rate that grows evenly from `a` to `b` and is held under `most` and, before all, over `least`.
+/// Returns the mean of a rate that grows linearly from `a` to `b`, limited to `most` and, above all, at least `least`.
 pub fn mean_rate(a: f64, b: f64, least: f64, most: f64) -> f64 {
     let [x, y] = [a, b].map(|rate| rate.min(most).max(least));
     let below = least * (b.min(least) - a.min(least));
@@ -32,9 +35,9 @@
     if b > a { (below + (y * y - x * x) / 2.0 + above) / (b - a) } else { x }
 }
 
-/// Moves a learned share by one more observation of that weight.
-pub fn update_mean_share(share: &mut f64, seen: bool, weight: f64) {
-    *share += weight * (f64::from(u8::from(seen)) - *share);
+/// Moves a learned share by one more observation of the given weight.
+pub fn update_mean_share(share: &mut f64, observed: bool, weight: f64) {
+    *share += weight * (f64::from(u8::from(observed)) - *share);
 }
 
 /// Returns the weight curves of all classes, by class.
@@ -45,14 +48,14 @@
 /// Returns when the weight of a class begins to fall, and when it falls no more.
 pub fn weight_curve(class: &Class, decay: WeightDecay) -> WeightCurve {
     let falls = class.priority_weight > 0.0 && class.late_weight < 1.0;
-    // After 1100 aims nothing is left to halve; on an even slope the bottom is the deadline.
-    let most = if decay == WeightDecay::Exponential {
-        class.latency_objective.0.max(1).saturating_mul(1100)
-    } else {
-        0
+    // A linear decay reaches its minimum at the deadline, where nothing is left to choose.
+    let max_lateness = match decay {
+        WeightDecay::Exponential => class.latency_objective.0.max(1).saturating_mul(MAX_HALVINGS),
+        WeightDecay::Linear => 0,
     };
-    let bottom = |late| most > 0 && weight_share(class, decay, late as f64) <= class.late_weight;
-    WeightCurve::new(falls, class.deadline.0.saturating_sub(class.latency_objective.0), most, bottom)
+    let is_minimum = |late| max_lateness > 0 && weight_share(class, decay, late as f64) <= class.late_weight;
+    let remaining = class.deadline.0.saturating_sub(class.latency_objective.0);
+    WeightCurve::new(falls, remaining, max_lateness, is_minimum)
 }
 
 #[cfg(test)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,37 +1,43 @@
-//! micadrum decides what a delivery service does with each outbound message: when to send it, where,
-//! whether to try again, and when to give up. It performs no I/O and reads no clock: a host feeds
-//! [`Event`]s to [`Sender::step`] and carries out the [`Action`]s.
+//! micadrum delivers outbound messages to other firms' systems, with operation-aware retries.
+//!
+//! The crate has two layers. The decision core decides when each message is sent, where, whether it is tried again, and
+//! when it is given up. It performs no I/O and reads no clock: a host feeds [`Event`]s to [`DeliveryEngine::step`] and
+//! carries out the [`Action`]s. The [`daemon`] is that host on real sockets: it accepts messages over HTTP, journals
+//! them, follows discovery and calls endpoints.
 //!
 //! ```
 //! use micadrum::*;
 //! let second = 1_000_000;
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: Span(2 * second), deadline: Span(16 * second), worth: 1.0, late_worth: 0.5,
-//!         repeat: Repeat::Safe, ordered: false,
+//!         latency_objective: TimeDelta(2 * second), deadline: TimeDelta(16 * second), priority_weight: 1.0,
+//!         late_weight: 0.5, idempotency: Idempotency::Idempotent, ordered: false,
 //!     }],
-//!     kinds: vec![Kind { routes_apart: false, batch: 1 }],
-//!     tenants: vec![], over_share_worth: 1.0, zone: ZoneId(0), senders: 1, slots: 4, most_held: 50,
-//!     max_attempts: 6, period: Span(5_000), connect_timeout: Span(second), decay: Decay::Even,
-//!     discovery: Discovery::Pushed, hints: Hints::None, probes: false, cancel: true,
-//!     ends_noticed: false, calls_expire_whole: false,
+//!     kinds: vec![DestinationKind { limits_per_endpoint: false, max_batch_size: 1 }],
+//!     tenants: vec![], over_quota_weight: 1.0, zone: ZoneId(0), fleet_size: 1, max_concurrent_calls: 4,
+//!     max_pending_messages: 50, max_attempts: 6, min_step_interval: TimeDelta(5_000),
+//!     connect_timeout: TimeDelta(second), weight_decay: WeightDecay::Linear, discovery: DiscoveryMode::Watch,
+//!     capacity_hints: CapacityHints::None, health_checks: false, cancellation: true,
+//!     completion_requires_acknowledgement: false, batch_expires_together: false,
 //!     rules: Rules {
-//!         drain_grace: Span(second), cold_share: 0.2, ramp: Span(10 * second), overload_factor: 2.0,
-//!         fall: Span(second), order_settle: Span(0), must_ask_in: Span(10 * second),
+//!         drain_grace: TimeDelta(second), slow_start_share: 0.2, slow_start_duration: TimeDelta(10 * second),
+//!         overload_factor: 2.0, overload_window: TimeDelta(second), ordering_hold: TimeDelta(0),
+//!         discovery_staleness_limit: TimeDelta(10 * second),
 //!     },
 //! };
-//! let mut sender = Sender::new(settings, 7)?;
-//! let entry = Entry {
+//! let mut engine = DeliveryEngine::new(settings, 7)?;
+//! let entry = EndpointEntry {
 //!     endpoint: EndpointId(0), destination: DestinationId(9), kind: KindId(0), zone: ZoneId(0),
-//!     listing: Listing::Active, hint: 1.0,
+//!     state: EndpointState::Active, capacity_hint: 1.0,
 //! };
 //! let message = Message {
 //!     id: MessageId(1), class: ClassId(0), tenant: None, key: None, destination: DestinationId(9),
-//!     budget: Span(16 * second),
+//!     time_to_live: TimeDelta(16 * second),
 //! };
 //! let mut actions = Vec::new();
-//! sender.step(Time(0), &[Event::FullList(vec![entry]), Event::Message(message)], &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { message: MessageId(1), .. })));
+//! let events = [Event::EndpointSnapshot(vec![entry]), Event::Message(message)];
+//! engine.step(Timestamp(0), &events, &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { message: MessageId(1), .. })));
 //! # Ok::<(), SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
