--- a/src/bin/micadrum-adapter/main.rs
+++ b/src/bin/micadrum-adapter/main.rs
@@ -1,40 +1,47 @@
-//! Adapter: speaks the simulator's wire on standard input and output, one `Sender` per instance.
+//! `micadrum-adapter` runs the decision core on the simulator's protocol: JSON lines on standard input and output, with
+//! one [`micadrum::DeliveryEngine`] for each sender that the simulator starts.
+mod error;
+mod instance;
 mod wire;
 mod world;
 
+use error::AdapterError;
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-fn run() -> Result<(), String> {
+/// Answers each line of standard input, until it ends or nobody reads the replies.
+fn run() -> Result<(), AdapterError> {
     let mut world = world::World::default();
-    let mut out = std::io::stdout().lock();
+    let mut output = std::io::stdout().lock();
     let mut input = std::io::stdin().lock();
     let mut line = Vec::new();
     let mut number = 0u64;
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("reading standard input: {e}"))?;
-        if read == 0 {
+        if input.read_until(b'\n', &mut line).map_err(AdapterError::Read)? == 0 {
             return Ok(());
         }
         number += 1;
-        let reply = serde_json::from_slice::<wire::Batch>(&line)
-            .map_err(|e| e.to_string())
-            .and_then(|batch| world.answer(batch))
-            .map_err(|e| format!("line {number}: {e}"))?;
-        let mut text = serde_json::to_vec(&reply).map_err(|e| format!("writing a reply: {e}"))?;
+        let reply = answer(&mut world, &line)
+            .map_err(|source| AdapterError::Line { number, source: Box::new(source) })?;
+        let mut text = serde_json::to_vec(&reply).map_err(AdapterError::Write)?;
         text.push(b'\n');
-        if out.write_all(&text).and_then(|()| out.flush()).is_err() {
+        if output.write_all(&text).and_then(|()| output.flush()).is_err() {
             return Ok(()); // the reader has gone: nothing is left to answer
         }
     }
 }
 
+fn answer(world: &mut world::World, line: &[u8]) -> Result<wire::Reply, AdapterError> {
+    let batch = serde_json::from_slice(line).map_err(AdapterError::Json)?;
+    world.answer(batch)
+}
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("micadrum-adapter: {}", what.replace('\n', " "));
+        Err(error) => {
+            eprintln!("micadrum-adapter: {}", error.to_string().replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/src/bin/micadrum-adapter/wire.rs
+++ b/src/bin/micadrum-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's own shapes, as serde types.
+//! The simulator's protocol as serde types. Names are those of the protocol, except where serde maps them.
 use micadrum::profile::Profile;
 use serde::{Deserialize, Serialize};
 
@@ -39,7 +39,8 @@
         time_budget: u64,
         dest: u64,
     },
-    Begun {},
+    #[serde(rename = "begun")]
+    Started {},
     ReportBack {
         job: u32,
         #[serde(rename = "try")]
@@ -73,7 +74,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum ListKind {
     Patch,
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
     StaleCopy,
     Broken,
 }
@@ -157,6 +159,7 @@
         endpoint: String,
     },
     WriteLog {
-        words: String,
+        #[serde(rename = "words")]
+        line: String,
     },
 }
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -1,118 +1,113 @@
-//! What an earlier process learned of a line, and what of it is still worth something. Free of I/O and clocks.
+//! What an earlier process learned of a route, and what of it still holds. Free of I/O and clocks.
 //!
-//! Two kinds of thing are remembered. What a rule follows from binds as long as it would have bound that process: a told
-//! wait, an outage that was seen, where the ramp of a return stands. Estimates are of the moment: what was left of a limit
-//! is worth nothing after a `fall`, limits, paces and answer times nothing after a `ramp`.
+//! Two kinds of knowledge are restored. What a rule depends on binds as long as it would have bound the earlier process: a
+//! Retry-After, an outage that was seen, the progress of a slow start. Estimates age: what was left of a limit is worth
+//! nothing after an overload window; limits, paces and latencies nothing after a slow start.
 use crate::interface::since;
 use crate::observe::RouteSnapshot;
-use crate::pacing::Health;
+use crate::pacing::{Health, Pacer};
 use crate::{DeliveryEngine, EndpointId, Settings, TimeDelta, Timestamp};
-use micadrum_recovery::words::ReportedHealth as Spoken;
+use micadrum_recovery::words::ReportedHealth;
 
 impl RouteSnapshot {
-    /// What it is worth `now`, to a process that starts now, if it was written down `written`. `chance`, from 0 to 1, sets
-    /// senders apart that start together: none has a turn saved up.
-    pub fn recalled(mut self, written: Timestamp, now: Timestamp, chance: f64, s: &Settings) -> Self {
-        // A clock that was set back, or a file from the future: as if it had been written just now.
-        self.earlier(TimeDelta(since(written, now)));
+    /// Returns what the snapshot is worth at `now`, to a process that starts now, if it was `written` then.
+    ///
+    /// `jitter`, from 0 to 1, keeps senders apart that start together: none has a token saved up.
+    pub fn recalled(mut self, written: Timestamp, now: Timestamp, jitter: f64, settings: &Settings) -> Self {
+        // The clock was set back, or the file is from the future: as if it had been written just now.
+        self.shift_back(TimeDelta(since(written, now)));
         let age = since(now, written);
-        let line = &mut self.0;
-        line.pacer = line.pacer_at(now, s);
-        line.pacer.health = match line.pacer.health {
-            // Trials that came due while nobody was there would all be made at once by those who start together: the time
-            // since is waited once more, so that they come as far apart as they were due.
-            Health::Ejected(due) => {
-                Health::Ejected(Timestamp(now.0 + since(now, due).min(s.rules.slow_start_duration.0)))
-            }
-            other => other,
-        };
-        if age >= s.rules.slow_start_duration.0 {
-            line.forget_estimates();
+        let rules = &settings.rules;
+        let route = &mut self.0;
+        route.pacer = route.pacer_at(now, settings);
+        if let Health::Ejected(due) = &mut route.pacer.health {
+            // Senders that start together would all make the trials that came due meanwhile at once: the time since is
+            // waited once more, so that the trials stay as far apart as they were due.
+            *due = Timestamp(now.0 + since(now, *due).min(rules.slow_start_duration.0));
+        }
+        if age >= rules.slow_start_duration.0 {
+            route.forget_estimates();
         }
-        line.remaining_share *= 1.0 - (age as f64 / s.rules.overload_window.0.max(1) as f64).min(1.0);
-        line.pacer.tokens = line.pacer.tokens.min(chance.clamp(0.0, 1.0));
+        route.remaining_share *= 1.0 - (age as f64 / rules.overload_window.0.max(1) as f64).min(1.0);
+        route.pacer.tokens = route.pacer.tokens.min(jitter.clamp(0.0, 1.0));
         self
     }
 
-    /// The same where nobody can tell how long ago it was written: what binds does so for all of its time from `now` on,
-    /// and estimates are worth nothing.
+    /// Returns the same where nobody can tell how long ago the snapshot was written: what binds does so for all of its
+    /// time from `now` on, and estimates are worth nothing.
     pub fn recalled_unclocked(
         mut self,
         written: Timestamp,
         now: Timestamp,
-        chance: f64,
-        s: &Settings,
+        jitter: f64,
+        settings: &Settings,
     ) -> Self {
-        let by = since(now, written);
-        let line = &mut self.0;
-        let told = line.retry_after_until > written;
-        let moved = |time: &mut Timestamp| time.0 = time.0.saturating_add(by);
-        if told {
-            moved(&mut line.retry_after_until);
+        let age = since(now, written);
+        let route = &mut self.0;
+        let shift = |time: &mut Timestamp| time.0 = time.0.saturating_add(age);
+        if route.retry_after_until > written {
+            shift(&mut route.retry_after_until);
         }
-        if let Health::Ejected(at) | Health::SlowStart(at) = &mut line.pacer.health {
-            moved(at);
+        if let Health::Ejected(at) | Health::SlowStart(at) = &mut route.pacer.health {
+            shift(at);
         }
-        moved(&mut line.pacer.updated_at);
-        line.forget_estimates();
-        line.remaining_share = 0.0;
-        self.recalled(now.max(written), now, chance, s)
+        shift(&mut route.pacer.updated_at);
+        route.forget_estimates();
+        route.remaining_share = 0.0;
+        self.recalled(now.max(written), now, jitter, settings)
     }
 
-    /// What another sender is told of it: how long a told wait goes on, and whether it answers.
-    pub fn word(&self, now: Timestamp) -> (TimeDelta, Spoken) {
-        let spoken = match self.0.pacer.health {
-            Health::Healthy => Spoken::Up,
-            Health::Ejected(_) => Spoken::Down,
-            Health::SlowStart(at) => Spoken::Returning(since(now, at)),
+    /// Returns what other senders are told of the route: how long a Retry-After goes on, and whether it answers.
+    pub fn word(&self, now: Timestamp) -> (TimeDelta, ReportedHealth) {
+        let health = match self.0.pacer.health {
+            Health::Healthy => ReportedHealth::Up,
+            Health::Ejected(_) => ReportedHealth::Down,
+            Health::SlowStart(began) => ReportedHealth::Returning(since(now, began)),
         };
-        (TimeDelta(since(self.0.retry_after_until, now)), spoken)
+        (TimeDelta(since(self.0.retry_after_until, now)), health)
     }
 
-    /// All of its moments, so much earlier.
-    fn earlier(&mut self, by: TimeDelta) {
-        if by.0 == 0 {
+    /// Shifts all times of the snapshot back.
+    fn shift_back(&mut self, delta: TimeDelta) {
+        if delta.0 == 0 {
             return;
         }
-        let line = &mut self.0;
-        let back = |time: &mut Timestamp| time.0 = time.0.saturating_sub(by.0);
-        let moments = [
-            &mut line.retry_after_until,
-            &mut line.backoff_until,
-            &mut line.last_answer,
-            &mut line.last_success,
-            &mut line.last_rejection,
-            &mut line.pacer.updated_at,
+        let route = &mut self.0;
+        let shift = |time: &mut Timestamp| time.0 = time.0.saturating_sub(delta.0);
+        let times = [
+            &mut route.retry_after_until,
+            &mut route.backoff_until,
+            &mut route.last_answer,
+            &mut route.last_success,
+            &mut route.last_rejection,
+            &mut route.pacer.updated_at,
         ];
-        moments.into_iter().for_each(back);
-        line.last_repeated_failure.as_mut().map(back);
-        if let Health::Ejected(at) | Health::SlowStart(at) = &mut line.pacer.health {
-            back(at);
+        times.into_iter().for_each(shift);
+        route.last_repeated_failure.as_mut().map(shift);
+        if let Health::Ejected(at) | Health::SlowStart(at) = &mut route.pacer.health {
+            shift(at);
         }
     }
 }
 
 impl DeliveryEngine {
-    /// Another sender's word on whether an endpoint answers: it may add caution, and takes none away.
-    pub fn warned(&mut self, now: Timestamp, endpoint: EndpointId, word: Spoken) {
-        let place = self.directory.endpoint(endpoint).and_then(|at| self.directory.route_slots(at)[0]);
-        let Some(place) = place else { return };
-        let flow = self.directory.route(place).pacer_at(now, &self.settings);
-        let health = match (flow.health, word) {
-            // A trial as soon as there is something to try it with.
-            (Health::Healthy | Health::SlowStart(_), Spoken::Down) => Health::Ejected(now),
-            (Health::Healthy, Spoken::Returning(since)) => {
-                Health::SlowStart(Timestamp(now.0.saturating_sub(since)))
-            }
-            (Health::SlowStart(own), Spoken::Returning(since)) => {
-                Health::SlowStart(own.max(Timestamp(now.0.saturating_sub(since))))
+    /// Applies another sender's report on an endpoint: it may add caution, and never takes it away.
+    pub fn warned(&mut self, now: Timestamp, endpoint: EndpointId, reported: ReportedHealth) {
+        let endpoint = self.directory.endpoint(endpoint);
+        let Some(slot) = endpoint.map(|endpoint| endpoint.route) else { return };
+        let pacer = self.directory.route(slot).pacer_at(now, &self.settings);
+        let began = |age| Timestamp(now.0.saturating_sub(age));
+        let health = match (pacer.health, reported) {
+            // A trial as soon as there is a message for it.
+            (Health::Healthy | Health::SlowStart(_), ReportedHealth::Down) => Health::Ejected(now),
+            (Health::Healthy, ReportedHealth::Returning(age)) => Health::SlowStart(began(age)),
+            (Health::SlowStart(own), ReportedHealth::Returning(age)) => {
+                Health::SlowStart(own.max(began(age)))
             }
             (own, _) => own,
         };
-        let line = self.directory.route_mut(place);
-        line.pacer = flow;
-        line.pacer.health = health;
-        line.pacer.tokens = if health == Health::Healthy { flow.tokens } else { flow.tokens.min(1.0) };
+        let tokens = if health == Health::Healthy { pacer.tokens } else { pacer.tokens.min(1.0) };
+        self.directory.route_mut(slot).pacer = Pacer { health, tokens, ..pacer };
     }
 }
 
