--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -12,7 +12,7 @@
 use crate::world::{World, play};
 use datagrams::Mail;
 use disk::{Disk, ProcessFolder};
-use micadrum::daemon::config::Config;
+use micadrum::daemon::config::{Config, ConfigReadError};
 use micadrum::daemon::ports::{LocalFuture, Log, Ports, Traces, WallClock};
 use micadrum::daemon::{self, Signal};
 use micadrum_config::OperatorConfig;
@@ -189,7 +189,7 @@
     fn reload(&self, sender: u32, config: serde_json::Value) {
         if let Some(running) = &*self.nodes[sender as usize].running.borrow() {
             let config = Config::parse(config.to_string().as_bytes()).map(Box::new);
-            let _ = running.signals.send(Signal::Reload(config.map_err(|e| e.to_string())));
+            let _ = running.signals.send(Signal::Reload(config.map_err(ConfigReadError::new)));
         }
     }
 
--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -1,10 +1,10 @@
 //! The door for operators: one call to a connection, beside the clients' and bounded for itself.
-use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent};
+use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent, MaintenanceChange};
 use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, collect, plain};
 use super::membership::{Gathering, Views};
 use super::ports::{Listener, Log, Stream};
 use super::recovery::RecoveryStatus;
-use super::resource_budget::OPERATORS;
+use super::resource_budget::MAX_OPERATOR_CONNECTIONS;
 use super::watch_cell::WatchCell;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -41,7 +41,7 @@
     returning: RecoveryStatus,
     log: Rc<dyn Log>,
 ) {
-    let house = ConnectionLimits::new(OPERATORS, BODIES);
+    let house = ConnectionLimits::new(MAX_OPERATOR_CONNECTIONS, BODIES);
     loop {
         match listener.accept().await {
             Ok(stream) => {
@@ -164,11 +164,12 @@
         return plain(StatusCode::BAD_REQUEST, "the body is to be the id of an endpoint\n");
     }
     let (done, answered) = oneshot::channel();
-    let ask = AdminRequest::SetMaintenance { endpoint: id.to_owned(), out, done };
+    let change = if out { MaintenanceChange::Enter } else { MaintenanceChange::Exit };
+    let ask = AdminRequest::SetMaintenance { endpoint: id.to_owned(), change, reply: done };
     let _ = host.send(LoopEvent::Admin(ask));
     match answered.await {
         Ok(Ok(())) => plain(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-        Ok(Err(e @ AdminError::Unknown(_))) => plain(StatusCode::NOT_FOUND, format!("{e}\n")),
+        Ok(Err(e @ AdminError::UnknownEndpoint(_))) => plain(StatusCode::NOT_FOUND, format!("{e}\n")),
         Ok(Err(e)) => plain(StatusCode::INSUFFICIENT_STORAGE, format!("{e}\n")),
         Err(_) => gone(),
     }
--- a/src/daemon/class_registry.rs
+++ b/src/daemon/class_registry.rs
@@ -1,30 +1,49 @@
 //! The classes of messages over changes of the settings. Free of I/O and clocks.
 //!
-//! A class keeps its number for the life of the process: messages that are under way keep their class, also when the
-//! settings no longer name it or give its name another meaning.
+//! A class keeps its number for the life of the process: messages in flight keep their class, also when the settings no
+//! longer name the class or give its name another meaning.
 //!
-//! A message of an earlier process tells its class by name, and may have been taken on under any meaning that the name has
-//! had: it goes by what is strictest in all of them. Of a name of which nothing is known it is sent once, as nobody knows
-//! what a repeat would do, and in the order of its key.
+//! A recovered message states its class by name, and may have been accepted under any meaning that the name has had: the
+//! strictest of these applies. A message whose class is unknown is sent once, as nobody knows what a retry would do, and
+//! in the order of its key.
 use crate::{Class, ClassId, DeduplicationScope, Idempotency, TimeDelta};
 use std::collections::{BTreeMap, HashMap};
 
-/// So many at the most over the life of a process.
-const MOST: usize = 1024;
+/// How many classes there may be over the life of a process.
+const MAX_CLASSES: usize = 1024;
 
 /// A class with its name.
 pub type NamedClass = (String, Class);
 
-/// All that there have been.
+/// Why classes cannot be registered; the registry stays as it was.
+#[derive(Debug, thiserror::Error)]
+pub enum ClassRegistryError {
+    /// There have been too many classes.
+    #[error("class {0:?}: there have been {MAX_CLASSES} classes since the start")]
+    TooMany(String),
+    /// Two classes have one name.
+    #[error("class {0:?} is named twice")]
+    Duplicate(String),
+}
+
+/// A class as recovered messages name it.
+type RecoveredClass = (String, Keyed);
+
+/// Whether a message came with an idempotency key.
+type Keyed = bool;
+
+/// All classes that there have been in this process.
 #[derive(Clone)]
 pub struct ClassRegistry {
-    known: Vec<NamedClass>,
+    /// All classes, by number.
+    classes: Vec<NamedClass>,
+    /// The classes in the settings, by name.
     current: HashMap<String, ClassId>,
-    /// Those of messages of earlier processes, by name and by whether an idempotency key came with them.
-    earlier: BTreeMap<(String, bool), ClassId>,
+    /// The classes of recovered messages.
+    recovered: BTreeMap<RecoveredClass, ClassId>,
 }
 
-/// How little may be done with a message of a class that may have run: the more, the stricter.
+/// Ranks a class by what may be done with a message that may have run: the higher the rank, the less.
 fn strictness(class: &Class) -> (u8, u64) {
     match class.idempotency {
         Idempotency::Idempotent => (0, 0),
@@ -35,34 +54,31 @@
 }
 
 impl ClassRegistry {
-    /// Those that the settings name, and those that messages of earlier processes may still be of.
+    /// Registers the classes in the settings, and those that recovered messages may belong to.
     ///
     /// # Errors
-    /// A name that stands there twice, or too many.
-    pub fn new(named: Vec<NamedClass>, retired: Vec<NamedClass>) -> Result<Self, String> {
-        let mut classes = Self { known: retired, current: HashMap::new(), earlier: BTreeMap::new() };
-        classes.change(named)?;
-        Ok(classes)
+    /// A name is used twice, or there are too many classes.
+    pub fn new(configured: Vec<NamedClass>, retired: Vec<NamedClass>) -> Result<Self, ClassRegistryError> {
+        let mut registry = Self { classes: retired, current: HashMap::new(), recovered: BTreeMap::new() };
+        registry.change(configured)?;
+        Ok(registry)
     }
 
-    /// From now on the settings name these.
+    /// Replaces the classes in the settings.
     ///
     /// # Errors
-    /// A name that stands there twice, or too many; nothing has changed then.
-    pub fn change(&mut self, named: Vec<NamedClass>) -> Result<(), String> {
-        let before = self.known.len();
+    /// A name is used twice, or there are too many classes; nothing has changed then.
+    pub fn change(&mut self, configured: Vec<NamedClass>) -> Result<(), ClassRegistryError> {
+        let count_before = self.classes.len();
         let mut current = HashMap::new();
-        for named in named {
-            let name = named.0.clone();
-            let number = self.known.iter().position(|known| *known == named).unwrap_or_else(|| {
-                self.known.push(named);
-                self.known.len() - 1
-            });
-            if current.insert(name.clone(), ClassId(number)).is_some() || self.known.len() > MOST {
-                self.known.truncate(before);
-                return Err(match self.known.len() >= MOST {
-                    true => format!("class {name:?}: there have been {MOST} classes since the start"),
-                    false => format!("class {name:?} is named twice"),
+        for class in configured {
+            let name = class.0.clone();
+            let id = self.register(class);
+            if current.insert(name.clone(), id).is_some() || self.classes.len() > MAX_CLASSES {
+                self.classes.truncate(count_before);
+                return Err(match self.classes.len() >= MAX_CLASSES {
+                    true => ClassRegistryError::TooMany(name),
+                    false => ClassRegistryError::Duplicate(name),
                 });
             }
         }
@@ -70,68 +86,74 @@
         Ok(())
     }
 
-    /// All, by number.
+    /// Returns the number of a class, and assigns one to a new class.
+    fn register(&mut self, class: NamedClass) -> ClassId {
+        let position = self.classes.iter().position(|known| *known == class);
+        ClassId(position.unwrap_or_else(|| {
+            self.classes.push(class);
+            self.classes.len() - 1
+        }))
+    }
+
+    /// Returns all classes, by number.
     pub fn all(&self) -> Vec<Class> {
-        self.known.iter().map(|(_, class)| class.clone()).collect()
+        self.classes.iter().map(|(_, class)| class.clone()).collect()
     }
 
-    /// The same with their names.
+    /// Returns all classes with their names, by number.
     pub fn named(&self) -> &[NamedClass] {
-        &self.known
+        &self.classes
     }
 
-    /// Names that the settings use now.
+    /// Returns the names of the classes in the settings.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.current.keys().map(String::as_str)
     }
 
-    /// The class that a newcomer names.
-    pub fn of_newcomer(&self, name: &str) -> Option<ClassId> {
+    /// Returns the class in the settings that a new message names.
+    pub fn current(&self, name: &str) -> Option<ClassId> {
         self.current.get(name).copied()
     }
 
-    /// Makes room for a message of an earlier process that names such a class, with an idempotency key or without one;
-    /// false if nothing is known of it.
-    pub fn take_up(&mut self, name: &str, keyed: bool) -> bool {
-        if self.earlier.contains_key(&(name.to_owned(), keyed)) {
+    /// Registers a class for recovered messages that name it, with an idempotency key or without; false if nothing is
+    /// known of the class.
+    pub fn register_recovered(&mut self, name: &str, keyed: bool) -> bool {
+        if self.recovered.contains_key(&(name.to_owned(), keyed)) {
             return true;
         }
-        let of_name = || self.known.iter().filter(|known| known.0 == name).map(|known| &known.1);
-        let meant = of_name().max_by_key(|class| strictness(class)).cloned();
-        let is_known = meant.is_some();
-        let mut class = meant.unwrap_or_else(|| self.unknown());
-        class.ordered |= of_name().any(|class| class.ordered);
+        let meanings = || self.classes.iter().filter(|known| known.0 == name).map(|known| &known.1);
+        let strictest = meanings().max_by_key(|class| strictness(class)).cloned();
+        let is_known = strictest.is_some();
+        let mut class = strictest.unwrap_or_else(|| self.unknown_class());
+        class.ordered |= meanings().any(|class| class.ordered);
         if matches!(class.idempotency, Idempotency::WithKey { .. }) && !keyed {
-            // Taken on under a meaning that asked for no key: nothing would tell a repeat.
+            // The message was accepted under a meaning that asked for no key: a retry could not be recognized.
             class.idempotency = Idempotency::NonIdempotent;
         }
-        let named = (name.to_owned(), class);
-        let number = self.known.iter().position(|known| *known == named).unwrap_or_else(|| {
-            self.known.push(named);
-            self.known.len() - 1
-        });
-        self.earlier.insert((name.to_owned(), keyed), ClassId(number));
+        let id = self.register((name.to_owned(), class));
+        self.recovered.insert((name.to_owned(), keyed), id);
         is_known
     }
 
-    /// A class of which nothing is known: no promise of it may be broken, and it takes nothing from others.
-    fn unknown(&self) -> Class {
-        let classes = || self.known.iter().map(|(_, class)| class);
-        let least =
-            |worth: fn(&Class) -> f64| classes().map(worth).min_by(f64::total_cmp).unwrap_or_default();
+    /// Returns a class for messages of which nothing is known: no promise towards them may be broken, and they take
+    /// nothing from others.
+    fn unknown_class(&self) -> Class {
+        let classes = || self.classes.iter().map(|(_, class)| class);
+        let lowest =
+            |weight: fn(&Class) -> f64| classes().map(weight).min_by(f64::total_cmp).unwrap_or_default();
         Class {
             latency_objective: classes().map(|class| class.latency_objective).max().unwrap_or(TimeDelta(1)),
             deadline: classes().map(|class| class.deadline).max().unwrap_or(TimeDelta(1)),
-            priority_weight: least(|class| class.priority_weight),
-            late_weight: least(|class| class.late_weight),
+            priority_weight: lowest(|class| class.priority_weight),
+            late_weight: lowest(|class| class.late_weight),
             idempotency: Idempotency::NonIdempotent,
             ordered: true,
         }
     }
 
-    /// The class of a message of an earlier process for which room was made.
-    pub fn of_earlier(&self, name: &str, keyed: bool) -> Option<ClassId> {
-        self.earlier.get(&(name.to_owned(), keyed)).copied()
+    /// Returns the class of a recovered message that [`ClassRegistry::register_recovered`] was called for.
+    pub fn recovered(&self, name: &str, keyed: bool) -> Option<ClassId> {
+        self.recovered.get(&(name.to_owned(), keyed)).copied()
     }
 }
 
--- a/src/daemon/class_registry/tests.rs
+++ b/src/daemon/class_registry/tests.rs
@@ -24,22 +24,19 @@
     let b = class("b", Idempotency::Idempotent);
     let mut classes = ClassRegistry::new(vec![safe.clone(), b.clone()], Vec::new()).unwrap();
     classes.change(vec![strict.clone()]).unwrap();
-    assert_eq!((classes.of_newcomer("a"), classes.of_newcomer("b")), (Some(ClassId(2)), None));
-    assert!(classes.take_up("b", false));
-    assert_eq!(classes.of_earlier("b", false), Some(ClassId(1)));
+    assert_eq!((classes.current("a"), classes.current("b")), (Some(ClassId(2)), None));
+    assert!(classes.register_recovered("b", false));
+    assert_eq!(classes.recovered("b", false), Some(ClassId(1)));
     assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()]);
     classes.change(vec![b.clone(), safe.clone()]).unwrap();
-    assert!(classes.take_up("a", true));
-    assert_eq!(
-        (classes.of_newcomer("a"), classes.of_earlier("a", true)),
-        (Some(ClassId(0)), Some(ClassId(2)))
-    );
+    assert!(classes.register_recovered("a", true));
+    assert_eq!((classes.current("a"), classes.recovered("a", true)), (Some(ClassId(0)), Some(ClassId(2))));
     assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()], "all meanings stay");
     assert!(classes.change(vec![b.clone(), class("c", Idempotency::Idempotent), b.clone()]).is_err());
-    assert_eq!((classes.all().len(), classes.of_newcomer("a")), (3, Some(ClassId(0))), "as before");
+    assert_eq!((classes.all().len(), classes.current("a")), (3, Some(ClassId(0))), "as before");
     let mut next = ClassRegistry::new(vec![safe], vec![strict]).unwrap();
-    assert!(next.take_up("a", true));
-    assert_eq!(next.of_earlier("a", true), Some(ClassId(0)));
+    assert!(next.register_recovered("a", true));
+    assert_eq!(next.recovered("a", true), Some(ClassId(0)));
     assert_eq!(next.all()[0].idempotency, Idempotency::NonIdempotent);
 }
 
@@ -52,12 +49,16 @@
     let retired = vec![in_order(class("a", Idempotency::Idempotent))];
     let mut classes =
         ClassRegistry::new(vec![class("a", keyed), class("b", Idempotency::Idempotent)], retired).unwrap();
-    assert!(classes.take_up("a", true) && classes.take_up("a", false) && classes.take_up("b", false));
-    assert!(!classes.take_up("gone", true), "nothing is known of it");
-    let of = |name, with_key| classes.all()[classes.of_earlier(name, with_key).unwrap().0].clone();
+    assert!(
+        classes.register_recovered("a", true)
+            && classes.register_recovered("a", false)
+            && classes.register_recovered("b", false)
+    );
+    assert!(!classes.register_recovered("gone", true), "nothing is known of it");
+    let of = |name, with_key| classes.all()[classes.recovered(name, with_key).unwrap().0].clone();
     assert_eq!((of("a", true).idempotency, of("a", true).ordered), (keyed, true));
     assert_eq!((of("a", false).idempotency, of("a", false).ordered), (Idempotency::NonIdempotent, true));
-    assert_eq!(classes.of_earlier("b", false), classes.of_newcomer("b"));
+    assert_eq!(classes.recovered("b", false), classes.current("b"));
     assert_eq!((of("gone", true).idempotency, of("gone", true).ordered), (Idempotency::NonIdempotent, true));
-    assert_eq!(classes.of_newcomer("gone"), None);
+    assert_eq!(classes.current("gone"), None);
 }
--- /dev/null
+++ b/src/daemon/client_listener.rs
@@ -0,0 +1,58 @@
+//! The listening socket for clients, and the task that serves it.
+use super::environment::{BoundListener, Environment};
+use super::events::LoopEvent;
+use super::ports::Listener;
+use super::{StartError, handover, ingress};
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{JoinHandle, spawn_local};
+
+/// How long responses on their way out may take once the event loop has ended.
+const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// The socket at which clients reach this sender.
+pub struct ClientListener {
+    pub listener: Rc<dyn Listener>,
+    /// Ends once the listener is closed or handed over, and every request has its response.
+    pub server: JoinHandle<()>,
+}
+
+impl ClientListener {
+    /// Serves clients at an address, or at the listening socket of the predecessor; and listens for a successor.
+    ///
+    /// # Errors
+    /// The address cannot be listened at.
+    pub async fn start(
+        environment: &Environment,
+        address: SocketAddr,
+        inherited: Option<OwnedFd>,
+    ) -> Result<Self, StartError> {
+        let BoundListener { listener, at } = environment.listen(address, inherited).await?;
+        environment.ports.log.line(&format!("listening on {at}"));
+        let listener = Rc::<dyn Listener>::from(listener);
+        let server = ingress::serve(
+            listener.clone(),
+            at,
+            environment.events.clone(),
+            environment.listener_state.clone(),
+            environment.budget,
+            &environment.ports,
+        );
+        listen_for_successor(environment);
+        Ok(Self { listener, server: spawn_local(server) })
+    }
+
+    /// Waits a short while for the last responses to clients.
+    pub async fn finish(self) {
+        let _ = tokio::time::timeout(LAST_RESPONSES_TIMEOUT, self.server).await;
+    }
+}
+
+fn listen_for_successor(environment: &Environment) {
+    let Some(settings) = &environment.ports.handover else { return };
+    let events = environment.events.clone();
+    let on_request = move |successor| drop(events.send(LoopEvent::Successor(successor)));
+    spawn_local(handover::listen(settings.folder.clone(), on_request, environment.ports.log.clone()));
+}
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -1,4 +1,4 @@
-//! The configuration as the platform hands it out.
+//! The configuration as the platform provides it. The field names are those of the configuration file.
 use super::config_schema::ConfigSchema;
 use super::endpoint_list::EndpointList;
 use super::resource_budget::ResourceLimits;
@@ -6,74 +6,88 @@
 use micadrum_config::OperatorConfig;
 use serde::Deserialize;
 use serde_json::Value;
+use std::error::Error;
 use std::net::SocketAddr;
 
-/// What a sender is told at its start, and again at a reload.
+/// What a sender is given at its start, and again at a reload.
 #[derive(Deserialize)]
 pub struct Config {
-    /// The sender's name, the same after a restart.
+    /// The name of the sender, which it keeps over restarts.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators call, if they do.
+    /// The address of the admin endpoint, if there is to be one.
     #[serde(default)]
     pub management: Option<SocketAddr>,
-    /// Where the list comes from and notices go.
+    /// The address of the discovery agent, which takes notifications, too.
     pub discovery: SocketAddr,
-    /// For random numbers, hexadecimal.
+    /// The seed for random numbers, hexadecimal.
     pub seed: String,
-    /// The machine's limits.
+    /// The limits of the machine.
     pub limits: ResourceLimits,
-    /// The list as this sender last had it.
+    /// The endpoint list as this sender last had it.
     pub known: EndpointList,
-    /// The settings of the decision module.
+    /// The settings of the decision engine.
     pub settings: Profile,
-    /// What the operator's file turns on; nothing where there is none.
+    /// What the operator's file turns on; nothing where there is no such file.
     #[serde(skip)]
     pub operator: OperatorConfig,
-    /// The secret that its `[peers]` names.
+    /// The secret that `[peers]` in the operator's file names.
     #[serde(skip)]
     pub secret: Option<[u8; 32]>,
-    /// The text that it was read from.
+    /// The text that the configuration was read from.
     #[serde(skip)]
     text: Vec<u8>,
 }
 
+/// Why the configuration, or a file that belongs to it, cannot be read.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct ConfigReadError(#[from] Box<dyn Error>);
+
+impl ConfigReadError {
+    /// Wraps the error of whoever reads the configuration.
+    pub fn new(error: impl Into<Box<dyn Error>>) -> Self {
+        Self(error.into())
+    }
+}
+
 impl Config {
-    /// Reads it from its JSON.
+    /// Parses the JSON of a configuration.
     ///
     /// # Errors
-    /// Where the text is no configuration, and why.
+    /// The text is not JSON, or not that of a configuration.
     pub fn parse(text: &[u8]) -> Result<Self, serde_json::Error> {
         Ok(Self { text: text.to_owned(), ..serde_json::from_slice(text)? })
     }
 
-    /// The same with what the operator's file turns on, and the secret that it names.
+    /// Adds what the operator's file turns on, and the secret that the file names.
     #[must_use]
     pub fn with_operator(self, operator: OperatorConfig, secret: Option<[u8; 32]>) -> Self {
         Self { operator, secret, ..self }
     }
 
-    /// Whether both were read from the same text, and go with the same file of the operator's.
+    /// Whether both were read from the same text, and belong to the same operator's file.
     pub(super) fn reads_as(&self, other: &Self) -> bool {
         (&self.text, &self.operator, self.secret) == (&other.text, &other.operator, other.secret)
     }
 
-    /// The keys that every later configuration has to hold. The list is no setting: it comes as it is.
-    pub(super) fn shape(&self) -> ConfigSchema {
-        let mut shape = ConfigSchema::of(&self.value());
-        shape.loosen("known");
-        shape
+    /// Returns the keys that every later configuration has to hold. The endpoint list is no setting, and may take any
+    /// form.
+    pub(super) fn schema(&self) -> ConfigSchema {
+        let mut schema = ConfigSchema::of(&self.value());
+        schema.allow_any_value("known");
+        schema
     }
 
-    /// The first key of an earlier one that this one lacks.
-    pub(super) fn lacks(&self, shape: &ConfigSchema) -> Option<String> {
-        shape.missing(&self.value())
+    /// Returns the path of the first key in `schema` that this configuration lacks.
+    pub(super) fn missing_key(&self, schema: &ConfigSchema) -> Option<String> {
+        schema.missing_key(&self.value())
     }
 
     fn value(&self) -> Value {
-        // It was read before.
+        // The text has been parsed before.
         serde_json::from_slice(&self.text).unwrap_or_default()
     }
 }
--- a/src/daemon/config_schema/tests.rs
+++ b/src/daemon/config_schema/tests.rs
@@ -6,9 +6,9 @@
 fn a_missing_key_is_named_at_any_depth() {
     let first = json!({"a": {"b": 1}, "known": {"x": 1},
         "lanes": [{"name": "l", "aim": 1, "fifo": true}, {"name": "m", "aim": 2}]});
-    let mut shape = ConfigSchema::of(&first);
-    shape.loosen("known");
-    let missing = |value: Value| shape.missing(&value);
+    let mut schema = ConfigSchema::of(&first);
+    schema.allow_any_value("known");
+    let missing = |value: Value| schema.missing_key(&value);
     let lanes = json!([{"name": "n", "aim": 3}, {"name": "l", "aim": 1, "fifo": false}]);
     assert_eq!(missing(json!({"a": {"b": "c", "d": 1}, "known": 1, "lanes": lanes, "e": 1})), None);
     assert_eq!(missing(json!({"a": {"b": 1}, "known": 1, "lanes": []})), None);
--- a/src/daemon/endpoint_list.rs
+++ b/src/daemon/endpoint_list.rs
@@ -1,52 +1,52 @@
-//! The list of endpoints in discovery's form.
+//! The endpoint list as the discovery agent sends it. The field names are those of the wire.
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A version of the list, or the changes that led to it.
+/// A version of the endpoint list, or the changes that led to a version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// Whose list it is: versions are counted by an agent.
+    /// The discovery agent that sent the list: each agent counts revisions of its own.
     #[serde(skip)]
     pub agent: Option<SocketAddr>,
-    /// Its version.
+    /// The version of the list.
     pub revision: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the whole list, and not only changes.
     pub complete: bool,
-    /// Its entries.
+    /// The endpoints.
     pub members: Vec<ListedEndpoint>,
 }
 
 /// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// The same at every sender.
+    /// The ID of the endpoint, which all senders share.
     pub id: String,
-    /// Where this sender reaches it.
+    /// The address at which this sender reaches the endpoint.
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// The name of the endpoint's zone.
     pub locality: String,
-    /// Its destination's kind.
+    /// The name of the destination's kind.
     pub flavor: String,
-    /// Its destination.
+    /// The number of the destination.
     pub cell: u64,
-    /// Its state.
+    /// The phase of the endpoint's life.
     pub phase: Phase,
-    /// Capacity hint.
+    /// The capacity hint of the endpoint.
     #[serde(default)]
     pub size: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When the endpoint last started, in milliseconds of Unix time; 0 for long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
 
-/// What the list says of an endpoint.
+/// The phase of an endpoint's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Phase {
-    /// In service.
+    /// The endpoint is in service.
     Serving,
-    /// Finishes what it has.
+    /// The endpoint finishes what it has, and takes nothing new.
     Draining,
-    /// Gone.
+    /// The endpoint is gone.
     Deleted,
 }
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -1,124 +1,153 @@
-//! What operators ask: other settings, figures.
-use super::endpoints::KnownEndpoint;
-use super::{EventLoop, settings, terms};
-use crate::daemon::class_registry::NamedClass;
-use crate::daemon::config::Config;
+//! Requests of operators: changed configurations, metrics.
+use super::EventLoop;
+use super::configuration::{PreparedReload, ReloadError, idle_timeout, polling_terms, report_fields};
+use crate::daemon::config::{Config, ConfigReadError};
 use crate::daemon::endpoint_list::Phase;
-use crate::daemon::maintenance::replace;
-use crate::daemon::membership;
+use crate::daemon::events::AdminRequest;
+use crate::daemon::membership::Members;
 use crate::daemon::metrics::Metrics;
-use crate::daemon::outbound_call::ReportFields;
-use crate::daemon::ports::Storage;
-use crate::profile::Profile;
+use crate::daemon::poll_schedule::PollingTerms;
+use crate::daemon::watch_cell::WatchCell;
 use crate::{EndpointId, Event};
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::atomic::Ordering;
 use std::time::Duration;
+use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-/// Classes that messages may be of, in the folder that lasts: the next process may be told of others.
-pub(super) const CLASSES: &str = "classes.json";
+/// A snapshot of the metrics serves all requests within this time.
+const SNAPSHOT_LIFETIME: Duration = Duration::from_millis(100);
 
-pub(super) const NEW_CLASSES: &str = "classes.json.new";
-
-/// A picture of the figures serves all who ask within this.
-pub(super) const PICTURE: Duration = Duration::from_millis(100);
+/// The parts of the configuration that other tasks follow.
+pub(super) struct PublishedConfiguration {
+    /// Where the discovery agent listens, which takes notifications, too.
+    pub(super) discovery: WatchCell<SocketAddr>,
+    /// The terms on which the endpoint list is polled.
+    pub(super) polling_terms: WatchCell<PollingTerms>,
+    /// Takes the members of the fleet, where membership is on.
+    pub(super) members: Option<UnboundedSender<Members>>,
+}
 
-pub(super) fn written_classes(folder: &dyn Storage) -> Result<Vec<NamedClass>, String> {
-    match folder.read(CLASSES).map_err(|e| e.to_string())? {
-        Some(bytes) => serde_json::from_slice(&bytes).map_err(|e| e.to_string()),
-        None => Ok(Vec::new()),
-    }
+/// The counts of this process, and the last snapshot that was made of them.
+pub(super) struct MetricsRecorder {
+    pub(super) counts: Metrics,
+    snapshot: Option<MetricsSnapshot>,
 }
 
-/// How long an idle connection stays open at its endpoint, by the settings.
-pub(super) fn idle_time(profile: &Profile) -> Duration {
-    Duration::from_micros(profile.connection_idle().0)
+struct MetricsSnapshot {
+    taken_at: Instant,
+    metrics: Rc<Metrics>,
 }
 
-/// What reports tell, by the settings.
-pub(super) fn report_fields(profile: &Profile) -> ReportFields {
-    let has = |name| profile.report_field(name).is_some();
-    ReportFields { left: has("x0"), limit: has("x1") }
+impl MetricsRecorder {
+    /// Continues from these counts.
+    pub(super) fn new(counts: Metrics) -> Self {
+        Self { counts, snapshot: None }
+    }
+
+    /// Has the next request make a new snapshot.
+    pub(super) fn discard_snapshot(&mut self) {
+        self.snapshot = None;
+    }
+
+    /// Returns the last snapshot if it is recent enough at `now`.
+    fn recent_snapshot(&self, now: Instant) -> Option<Rc<Metrics>> {
+        let snapshot = self.snapshot.as_ref().filter(|snapshot| now < snapshot.taken_at + SNAPSHOT_LIFETIME);
+        snapshot.map(|snapshot| snapshot.metrics.clone())
+    }
 }
 
 impl EventLoop {
-    /// Takes a configuration over whole, or leaves all as it was.
-    pub(super) fn reload(&mut self, config: &Config) -> Result<String, String> {
-        if let Some(key) = config.lacks(&self.shape) {
-            return Err(format!("{key} is missing"));
-        }
-        let (profile, names) = (&config.settings, config.settings.names());
-        self.config.operator.may_become(&config.operator).map_err(|e| e.to_string())?;
-        let members = membership::follow(&config.operator).map_err(|e| e.to_string())?;
-        if names.kinds != self.names.kinds || names.zones != self.names.zones {
-            return Err("kinds and zones cannot change while a sender runs".to_owned());
+    /// Answers a request of an operator or of a peer.
+    pub(super) fn handle_admin_request(&mut self, request: AdminRequest) {
+        match request {
+            AdminRequest::Metrics(reply) => drop(reply.send(self.metrics_snapshot())),
+            AdminRequest::PeerReport(reply) => drop(reply.send(self.endpoint_reports())),
+            AdminRequest::SetMaintenance { endpoint, change, reply } => {
+                let _ = reply.send(self.change_maintenance(&endpoint, change));
+            }
         }
-        let named = profile.classes()?;
-        let mut classes = self.classes.clone();
-        classes.change(named)?;
-        let settings = settings(profile, &names, &classes)?;
-        settings.check().map_err(|e| e.to_string())?;
-        // Before a message of a class that is new can be handed in.
-        if classes.named() != self.classes.named() {
-            let written = replace(&*self.outside.ports.storage, CLASSES, NEW_CLASSES, &classes.named());
-            written.map_err(|e| format!("writing {CLASSES}: {e}"))?;
-        }
-        if let (Some(peers), Some(members)) = (&self.peers, members) {
-            let _ = peers.send(members);
+    }
+
+    /// Follows a changed configuration. A file that cannot be used must not stop a sender at work.
+    pub(super) fn reload(&mut self, config: Result<Box<Config>, ConfigReadError>) {
+        let applied = config.map_err(ReloadError::from).and_then(|config| self.apply_configuration(config));
+        match applied {
+            Ok(discovery_changed) => {
+                self.metrics.counts.reconfig_ok += 1;
+                self.log(format_args!(
+                    "reload: applied discovery={} discovery_changed={discovery_changed} classes={}",
+                    self.configuration.config.discovery,
+                    self.configuration.classes.names().count()
+                ));
+            }
+            Err(error) => {
+                self.metrics.counts.reconfig_failed += 1;
+                self.log(format_args!("reload: rejected, the running configuration stays error={error}"));
+            }
         }
-        let as_before = if self.platform.set(config.discovery) { "" } else { " as before" };
-        (self.classes, self.names) = (classes, names);
-        self.show_classes();
-        self.pool.keep_for(idle_time(profile));
-        self.outside.fields = report_fields(profile);
-        if settings != self.settings {
-            self.settings = settings.clone();
-            self.terms.set(terms(&self.settings));
-            self.pending.push((self.now(), Event::Settings(Box::new(settings))));
+    }
+
+    /// Applies a configuration whole, or leaves everything as it was; true if the discovery agent has moved.
+    fn apply_configuration(&mut self, config: Box<Config>) -> Result<bool, ReloadError> {
+        let mut prepared = self.configuration.prepare(&config, &*self.ports.storage)?;
+        let members = prepared.members.take();
+        if let (Some(membership), Some(members)) = (&self.published.members, members) {
+            let _ = membership.send(members);
         }
-        Ok(format!("discovery at {}{as_before}, {} classes", config.discovery, self.classes.names().count()))
+        let discovery_changed = self.published.discovery.set(config.discovery);
+        self.apply_settings(prepared, &config);
+        self.configuration.config = config.into();
+        Ok(discovery_changed)
     }
 
-    /// Writes down what the classes mean, before anybody is served.
-    pub(super) fn keep_classes(&mut self) {
-        let storage = &*self.outside.ports.storage;
-        if written_classes(storage).is_ok_and(|written| written == self.classes.named()) {
-            return;
+    fn apply_settings(&mut self, prepared: PreparedReload, config: &Config) {
+        let has_changed = self.configuration.apply(prepared);
+        self.list_classes_in_metrics();
+        self.calls.pool.keep_for(idle_timeout(&config.settings));
+        self.calls.context.fields = report_fields(&config.settings);
+        if has_changed {
+            let settings = self.configuration.settings.clone();
+            self.published.polling_terms.set(polling_terms(&settings));
+            self.queue.push(self.clock.now(), Event::Settings(Box::new(settings)));
         }
-        if let Err(e) = replace(storage, CLASSES, NEW_CLASSES, &self.classes.named()) {
-            self.log(&format!(
-                "writing {CLASSES}: {e}; a next process goes by what its settings say of a class"
+    }
+
+    /// Writes down what the classes mean, before any client is served.
+    pub(super) fn store_classes(&self) {
+        if let Err(error) = self.configuration.store_classes(&*self.ports.storage) {
+            self.log(format_args!(
+                "classes: not written down, a next process goes by the classes in its settings error={error}"
             ));
         }
     }
 
-    pub(super) fn show_classes(&mut self) {
-        for class in self.classes.names() {
-            self.figures.show(class);
+    /// Lists all configured classes in the metrics, also those of which no message has ended.
+    pub(super) fn list_classes_in_metrics(&mut self) {
+        for class in self.configuration.classes.names() {
+            self.metrics.counts.add_class(class);
         }
     }
 
-    /// The figures as they are now, or were a moment ago.
-    pub(super) fn picture(&mut self) -> Rc<Metrics> {
-        let at = Instant::now();
-        if let Some((taken, picture)) = &self.picture
-            && at < *taken + PICTURE
-        {
-            return picture.clone();
+    /// Returns the metrics as they are now, or were a moment ago.
+    pub(super) fn metrics_snapshot(&mut self) -> Rc<Metrics> {
+        let now = Instant::now();
+        if let Some(metrics) = self.metrics.recent_snapshot(now) {
+            return metrics;
         }
-        let now = self.clock.at(at);
-        let listed = self.endpoints.iter().filter(|(_, known)| known.member.phase != Phase::Deleted);
-        let down =
-            |(id, known): &(&EndpointId, &KnownEndpoint)| !known.serving || self.sender.avoids(now, **id);
-        let picture = Rc::new(Metrics {
-            backend_calls: self.outside.written.load(Ordering::Relaxed),
-            inflight: self.numbers.len() - self.unnoticed,
+        let listed = self.endpoints.iter().filter(|(_, known)| known.listed.phase != Phase::Deleted);
+        let metrics = Rc::new(Metrics {
+            backend_calls: self.calls.messages_written(),
+            inflight: self.messages.unfinished(),
             hosts_listed: listed.clone().count(),
-            hosts_down: listed.filter(down).count(),
-            ..self.figures.clone()
+            hosts_down: listed.filter(|(id, known)| !known.is_serving || self.avoids(*id, now)).count(),
+            ..self.metrics.counts.clone()
         });
-        self.picture = Some((at, picture.clone()));
-        picture
+        self.metrics.snapshot = Some(MetricsSnapshot { taken_at: now, metrics: metrics.clone() });
+        metrics
+    }
+
+    fn avoids(&self, endpoint: EndpointId, now: Instant) -> bool {
+        self.engine.avoids(self.clock.timestamp(now), endpoint)
     }
 }
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -1,167 +1,256 @@
-//! Calls to partners: how they begin, how they end, and how messages end with them.
+//! Calls to endpoints: how they begin, how they end, and how messages end with them.
 use super::EventLoop;
 use super::durable_effects::DeferredEffect;
-use crate::daemon::events::{CallCompletion, LoopEvent};
+use crate::daemon::connection::Connection;
+use crate::daemon::connection_pool::ConnectionPool;
+use crate::daemon::events::{AttemptOutcome, CallCompletion, LoopEvent};
 use crate::daemon::journal::{Attempt, FinalOutcome, JournalError, SubmittedMessage};
 use crate::daemon::notifications::Notification;
-use crate::daemon::outbound_call::{BatchedMessage, Call};
+use crate::daemon::outbound_call::{BatchedMessage, Call, CallContext};
 use crate::daemon::trace;
 use crate::{EndpointId, Event, LoadReport, MessageId, Outcome, TimeDelta, Timestamp};
-use std::time::Duration;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use tokio::sync::oneshot;
+use tokio::task::JoinSet;
 use tokio::time::Instant;
 
+/// The calls in flight, and the idle connections that further calls may use.
+pub(super) struct CallTable {
+    /// When each call began, by its number.
+    started: BTreeMap<u64, Timestamp>,
+    next_number: u64,
+    pub(super) pool: ConnectionPool<Connection>,
+    pub(super) context: CallContext,
+}
+
+impl CallTable {
+    /// A table without calls.
+    pub(super) fn new(pool: ConnectionPool<Connection>, context: CallContext) -> Self {
+        Self { started: BTreeMap::new(), next_number: 0, pool, context }
+    }
+
+    /// Whether no call is in flight.
+    pub(super) fn is_empty(&self) -> bool {
+        self.started.is_empty()
+    }
+
+    /// Counts the messages that were written whole to endpoints.
+    pub(super) fn messages_written(&self) -> u64 {
+        self.context.written.load(Ordering::Relaxed)
+    }
+
+    /// Registers a call that begins at `now`, and returns its number.
+    fn register(&mut self, now: Timestamp) -> u64 {
+        let number = self.next_number;
+        self.next_number += 1;
+        self.started.insert(number, now);
+        number
+    }
+
+    /// Removes a call, and returns when it began.
+    pub(super) fn remove(&mut self, number: u64) -> Option<Timestamp> {
+        self.started.remove(&number)
+    }
+
+    /// Makes a call, on an idle connection if there is one.
+    fn spawn(&mut self, call: Call, tasks: &mut JoinSet<()>) {
+        let (endpoint, address) = (call.endpoint, call.address);
+        let idle = self.pool.take(endpoint, address, Instant::now());
+        let context = self.context.clone();
+        tasks.spawn_local(async move {
+            if let Some(connection) = call.run(idle, &context).await {
+                let _ = context.host.send(LoopEvent::ConnectionIdle { endpoint, address, connection });
+            }
+        });
+    }
+}
+
 impl EventLoop {
-    pub(super) fn call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Timestamp) {
-        let now = self.now();
-        // The module forgets no endpoint that it sends to.
-        let Some(at) = self.endpoints.get(&endpoint) else { return };
-        let (address, zone) = (at.member.host_port, at.member.locality.clone());
+    /// Begins a call with these messages, once their attempts are recorded.
+    pub(super) fn begin_call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Timestamp) {
+        let now = self.clock.now();
+        // The engine forgets no endpoint that it sends to.
+        let Some(known) = self.endpoints.get(endpoint) else { return };
+        let (address, zone) = (known.listed.host_port, known.listed.locality.clone());
         let mut parcels = Vec::with_capacity(messages.len());
-        let mut unsent = Vec::new();
+        let mut deferred = Vec::new();
         for MessageId(number) in messages {
-            let begun = self.store.begin(number, Attempt { at: now.0, zone: zone.clone() });
-            let Some(owed) = self.store.get(number) else { continue };
-            if let Err(e) = begun {
-                // An attempt that a restart would not know of must not go out. It is none, and waits for room.
-                let attempt = owed.attempts;
-                self.log(&format!("held back: {e}"));
-                unsent.push((MessageId(number), attempt));
+            let recorded = self.messages.journal.begin(number, Attempt { at: now.0, zone: zone.clone() });
+            let Some(pending) = self.messages.journal.get(number) else { continue };
+            if let Err(error) = recorded {
+                // An attempt that a restart would not know of must not go out. It counts as none, and the message waits
+                // for space.
+                deferred.push((MessageId(number), pending.attempts));
+                self.log(format_args!("calls: attempt deferred, it cannot be recorded error={error}"));
                 continue;
             }
             parcels.push(BatchedMessage {
                 number,
-                id: owed.message.id.clone(),
-                idempotency_key: owed.message.idempotency_key.clone(),
-                body: owed.message.body.clone(),
+                id: pending.message.id.clone(),
+                idempotency_key: pending.message.idempotency_key.clone(),
+                body: pending.message.body.clone(),
             });
         }
-        for (message, attempt) in unsent {
-            let (outcome, elapsed) = (Outcome::Deferred, TimeDelta(0));
-            let event =
-                Event::AttemptEnded { message, attempt, outcome, elapsed, completes: false, report: None };
-            self.pending.push((now, event));
+        for (message, attempt) in deferred {
+            self.queue.push(now, attempt_deferred(message, attempt));
         }
         if parcels.is_empty() {
             return;
         }
-        let number = self.next_call;
-        self.next_call += 1;
-        self.calls.insert(number, now);
-        let call = Call {
-            number,
-            endpoint,
-            address,
-            parcels,
-            expires: self.clock.instant(expires),
-            connect_timeout: Duration::from_micros(self.settings.connect_timeout.0),
-        };
-        self.act(DeferredEffect::Call(call));
+        let number = self.calls.register(now);
+        let expires = self.clock.instant(expires);
+        let connect_timeout = self.configuration.connect_timeout();
+        let call = Call { number, endpoint, address, parcels, expires, connect_timeout };
+        self.perform_when_durable(DeferredEffect::Call(call));
     }
 
-    /// Lets a call go out.
-    pub(super) fn go_out(&mut self, call: Call) {
-        let (endpoint, address) = (call.endpoint, call.address);
-        let (kept, outside) = (self.pool.take(endpoint, address, Instant::now()), self.outside.clone());
-        self.tasks.spawn_local(async move {
-            if let Some(connection) = call.run(kept, &outside).await {
-                let _ = outside.host.send(LoopEvent::ConnectionIdle(endpoint, address, connection));
-            }
-        });
+    /// Makes a call whose records are as durable as they have to be.
+    pub(super) fn start_call(&mut self, call: Call) {
+        self.calls.spawn(call, &mut self.tasks);
     }
 
-    pub(super) fn called(&mut self, called: CallCompletion) {
-        let at = self.clock.at(called.completed_at);
-        let sent = self.calls.remove(&called.number).unwrap_or(at);
-        if let (Some(at_end), Some((_, outcome, _))) =
-            (self.endpoints.get(&called.endpoint), called.ends.first())
-        {
-            let ended = trace::Ended {
-                destination: at_end.member.cell,
-                endpoint: &at_end.member.id,
-                messages: called.ends.len(),
-                outcome: *outcome,
-                elapsed: TimeDelta(at.0.saturating_sub(sent.0)),
-                report: called.report,
-            };
-            self.trace.call(at, &ended);
+    /// Answers a call that has a new connection: whether its messages may still be sent on it.
+    pub(super) fn confirm_call(
+        &mut self,
+        endpoint: EndpointId,
+        messages: &[u32],
+        is_allowed: oneshot::Sender<bool>,
+    ) {
+        let now = self.clock.now();
+        if let Some(known) = self.endpoints.get(endpoint) {
+            self.trace.connected(now, known.listed.cell, &known.listed.id);
+        }
+        let may_send = |number: &u32| self.engine.is_call_still_allowed(now, MessageId(*number), endpoint);
+        let _ = is_allowed.send(messages.iter().all(may_send));
+    }
+
+    /// Keeps an idle connection, unless its endpoint is draining, removed, or moved to another address.
+    pub(super) fn keep_connection(
+        &mut self,
+        endpoint: EndpointId,
+        address: SocketAddr,
+        connection: Connection,
+    ) {
+        let known = self.endpoints.get(endpoint);
+        if known.is_some_and(|known| known.is_serving && known.listed.host_port == address) {
+            self.calls.pool.put(endpoint, address, connection, Instant::now());
         }
-        self.slices.changed(called.endpoint);
-        let heeded = called
-            .ends
-            .iter()
-            .any(|(_, outcome, _)| matches!(outcome, Outcome::Rejected { retry_after: Some(_) }));
-        self.ended(sent, at, called.ends, called.report);
-        if let Some(wait) = called.retry_after.filter(|_| !heeded) {
-            self.pending.push((at, Event::RetryAfter { endpoint: called.endpoint, wait }));
+    }
+
+    /// Takes in how a call ended.
+    pub(super) fn complete_call(&mut self, completion: CallCompletion) {
+        let CallCompletion { number, endpoint, completed_at, outcomes, retry_after, report } = completion;
+        let ended = self.clock.timestamp(completed_at);
+        let started = self.calls.remove(number).unwrap_or(ended);
+        self.trace_call(endpoint, started, ended, &outcomes, report);
+        self.checkpointing.schedule.changed(endpoint);
+        let has_retry_after =
+            |attempt: &AttemptOutcome| matches!(attempt.outcome, Outcome::Rejected { retry_after: Some(_) });
+        let is_wait_known = outcomes.iter().any(has_retry_after);
+        self.record_outcomes(started, ended, outcomes, report);
+        if let Some(wait) = retry_after.filter(|_| !is_wait_known) {
+            self.queue.push(ended, Event::RetryAfter { endpoint, wait });
         }
     }
 
-    /// Books how the attempts of a call ended.
-    pub(super) fn ended(
+    fn trace_call(
+        &self,
+        endpoint: EndpointId,
+        started: Timestamp,
+        ended: Timestamp,
+        outcomes: &[AttemptOutcome],
+        report: Option<LoadReport>,
+    ) {
+        let (Some(known), Some(first)) = (self.endpoints.get(endpoint), outcomes.first()) else { return };
+        let completed = trace::CompletedCall {
+            destination: known.listed.cell,
+            endpoint: &known.listed.id,
+            messages: outcomes.len(),
+            outcome: first.outcome,
+            elapsed: TimeDelta(ended.0.saturating_sub(started.0)),
+            report,
+        };
+        self.trace.call(ended, &completed);
+    }
+
+    /// Records how the attempts of a call ended, and tells the engine.
+    pub(super) fn record_outcomes(
         &mut self,
-        sent: Timestamp,
-        at: Timestamp,
-        ends: Vec<(u32, Outcome, bool)>,
+        started: Timestamp,
+        ended: Timestamp,
+        outcomes: Vec<AttemptOutcome>,
         report: Option<LoadReport>,
     ) {
-        for (number, outcome, last) in ends {
-            let attempts = self.store.get(number).map_or(1, |owed| owed.attempts);
-            if last {
-                if let Some(owed) = self.store.get(number).filter(|_| outcome == Outcome::Success) {
-                    self.figures.delivered(&owed.message.class);
-                }
-                self.over(number);
+        for AttemptOutcome { message: number, outcome, completes } in outcomes {
+            let attempts = self.messages.journal.get(number).map_or(1, |pending| pending.attempts);
+            if completes {
+                self.complete_message(number, outcome);
             } else {
-                let may_have_run = matches!(outcome, Outcome::Failure | Outcome::TimedOut | Outcome::Reset);
-                let booked = match outcome {
-                    Outcome::Deferred => self.store.attempt_deferred(number),
-                    _ => self.store.outcome(number, may_have_run),
-                };
-                self.booked(booked);
+                self.record_attempt(number, outcome);
             }
             let event = Event::AttemptEnded {
                 message: MessageId(number),
                 attempt: attempts.saturating_sub(1),
                 outcome,
-                elapsed: TimeDelta(at.0.saturating_sub(sent.0)),
-                completes: last,
+                elapsed: TimeDelta(ended.0.saturating_sub(started.0)),
+                completes,
                 report,
             };
-            self.pending.push((at, event));
+            self.queue.push(ended, event);
         }
     }
 
-    pub(super) fn end(&mut self, number: u32, end: FinalOutcome) {
-        let Some(owed) = self.store.get(number) else { return };
-        let id = owed.message.id.clone();
-        self.figures.ended(&owed.message.class, end);
-        let how = if matches!(end, FinalOutcome::Failed) { "failed" } else { "returned" };
-        let SubmittedMessage { destination, class, .. } = &owed.message;
-        self.trace.ended(self.now(), *destination, how, class, owed.attempts);
-        let booked = self.store.end(number, end);
-        self.booked(booked);
-        self.unnoticed += 1;
-        self.act(DeferredEffect::Notice(Notification { number, id, end }));
-    }
-
-    /// Nothing more is owed.
-    pub(super) fn over(&mut self, number: u32) {
-        let Some(owed) = self.store.get(number) else { return };
-        self.numbers.remove(&owed.message.id);
-        if owed.end.is_some() {
-            self.unnoticed -= 1;
+    fn complete_message(&mut self, number: u32, outcome: Outcome) {
+        let pending = self.messages.journal.get(number);
+        if let Some(pending) = pending.filter(|_| outcome == Outcome::Success) {
+            self.metrics.counts.record_delivered(&pending.message.class);
         }
-        let booked = self.store.over(number, self.now().0);
-        self.booked(booked);
+        self.remove_message(number);
+    }
+
+    fn record_attempt(&mut self, number: u32, outcome: Outcome) {
+        let may_have_run = matches!(outcome, Outcome::Failure | Outcome::TimedOut | Outcome::Reset);
+        let journal = &mut self.messages.journal;
+        let recorded = match outcome {
+            Outcome::Deferred => journal.attempt_deferred(number),
+            _ => journal.outcome(number, may_have_run),
+        };
+        self.check_recorded(recorded);
     }
 
-    /// A record that cannot be written is made good by the next compaction; the sender goes on.
-    pub(super) fn booked(&mut self, written: Result<(), JournalError>) {
-        if let Err(e) = written {
-            self.log(&e.to_string());
+    /// Ends a message undelivered, and has the platform notified.
+    pub(super) fn finish_message(&mut self, number: u32, outcome: FinalOutcome) {
+        let Some(pending) = self.messages.journal.get(number) else { return };
+        let id = pending.message.id.clone();
+        let SubmittedMessage { destination, class, .. } = &pending.message;
+        self.metrics.counts.record_undelivered(class, outcome);
+        self.trace.message_ended(self.clock.now(), *destination, outcome.into(), class, pending.attempts);
+        let recorded = self.messages.finish(number, outcome);
+        self.check_recorded(recorded);
+        self.perform_when_durable(DeferredEffect::Notification(Notification { number, id, end: outcome }));
+    }
+
+    /// Removes a message for which nothing is left to do.
+    pub(super) fn remove_message(&mut self, number: u32) {
+        let Some(recorded) = self.messages.remove(number, self.clock.now().0) else { return };
+        self.check_recorded(recorded);
+    }
+
+    /// Logs a record that could not be written: the next compaction makes good for it, and the sender goes on.
+    pub(super) fn check_recorded(&mut self, recorded: Result<(), JournalError>) {
+        if let Err(error) = recorded {
+            self.log(format_args!("{error}"));
         }
-        if let Some(e) = self.store.failed_compaction() {
-            self.log(&format!("journal: compaction failed, the old file stays: {e}"));
+        if let Some(error) = self.messages.journal.failed_compaction() {
+            self.log(format_args!("journal: compaction failed, the old file stays error={error}"));
         }
     }
 }
+
+/// Returns the event for an attempt that was decided on and not made.
+fn attempt_deferred(message: MessageId, attempt: u32) -> Event {
+    let (outcome, elapsed) = (Outcome::Deferred, TimeDelta(0));
+    Event::AttemptEnded { message, attempt, outcome, elapsed, completes: false, report: None }
+}
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,162 +1,235 @@
-//! What outlasts the process beside the journal: what it starts from, and what it writes down as it goes.
+//! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and writes them down.
 use super::EventLoop;
-use super::endpoints::KnownEndpoint;
+use super::endpoint_table::KnownEndpoint;
+use crate::daemon::checkpoint::file::CheckpointFile;
 use crate::daemon::checkpoint::restore::{RestoredCheckpoint, restore};
-use crate::daemon::checkpoint::schedule::Next;
+use crate::daemon::checkpoint::schedule::{CheckpointSchedule, Next};
 use crate::daemon::checkpoint::{Checkpoint, DiscoveryVersion, EndpointCheckpoint};
-use crate::daemon::config::Config;
-use crate::daemon::endpoint_list::EndpointList;
+use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::{EndpointId, RouteSnapshot, Timestamp};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::RngCore;
 use std::io;
 use tokio::time::Instant;
 
+/// The checkpoint file, the schedule of writes to it, and the version of the list that it holds.
+pub(super) struct Checkpointing {
+    pub(super) file: CheckpointFile,
+    pub(super) schedule: CheckpointSchedule,
+    /// The version of the list that was heard last; `None` asks for the whole list.
+    pub(super) version: Option<DiscoveryVersion>,
+    /// Whether the discovery agent has begun to count its versions anew since other processes may have heard of them:
+    /// its versions compare with none of theirs.
+    has_version_restarted: bool,
+}
+
+impl Checkpointing {
+    /// Checkpointing to `file` in the order of `schedule`.
+    pub(super) fn new(file: CheckpointFile, schedule: CheckpointSchedule) -> Self {
+        Self { file, schedule, version: None, has_version_restarted: false }
+    }
+
+    /// Returns the version of the list, if other processes can compare theirs with it.
+    fn comparable_version(&self) -> Option<DiscoveryVersion> {
+        self.version.filter(|_| !self.has_version_restarted)
+    }
+
+    /// Sets the version of the list; false if the agent has begun to count anew, so that the file's version would be
+    /// taken for a newer one.
+    fn advance_version(&mut self, version: DiscoveryVersion) -> bool {
+        let before = self.version.replace(version);
+        if before.is_some_and(|before| version.anew_since(before)) {
+            self.has_version_restarted = true;
+            return false;
+        }
+        self.has_version_restarted &= before.is_none_or(|before| before.agent == version.agent);
+        true
+    }
+
+    fn finish_file(&mut self) -> io::Result<()> {
+        let is_complete = self.schedule.finished();
+        self.file.finish(self.comparable_version(), is_complete)
+    }
+}
+
+/// How old the restored checkpoint is.
+pub(super) enum CheckpointAge {
+    /// The predecessor handed the checkpoint over just now.
+    Current,
+    /// The checkpoint is that of a process that ended. What was learned has aged, and the random numbers spread the load
+    /// of senders that start together.
+    Restart(Box<ChaCha8Rng>),
+}
+
 impl EventLoop {
-    /// Goes by the configuration's list and what an earlier process left. With `chance` that was a restart: what was
-    /// learned has aged, and others start too; without, it is this very moment's.
-    pub(super) fn start_from(&mut self, memory: Checkpoint, config: &Config, mut chance: Option<ChaCha8Rng>) {
+    /// Starts from the configuration's endpoint list and the checkpoint of an earlier process.
+    pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut age: CheckpointAge) {
+        let config = self.configuration.config.clone();
         let known = EndpointList { agent: Some(config.discovery), ..config.known.clone() };
-        let now = self.now();
-        self.counts_anew = memory.version.is_none() && !memory.endpoints.is_empty();
+        let now = self.clock.now();
+        self.checkpointing.has_version_restarted =
+            checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
+        let is_current = matches!(age, CheckpointAge::Current);
         let RestoredCheckpoint { members, from, learned, held_out } =
-            restore(memory, &known, chance.is_none(), now);
+            restore(checkpoint, &known, is_current, now);
         if held_out > 0 {
-            self.log(&format!("{held_out} endpoints stay out: they were heard to drain or to be gone"));
+            self.log(format_args!(
+                "checkpoint: endpoints stay out of service, an earlier process heard that they drain or are removed \
+                 count={held_out}"
+            ));
         }
-        let (members, heard): (Vec<_>, Vec<_>) = members.into_iter().unzip();
+        self.restore_endpoints(known.revision, members);
+        self.checkpointing.version =
+            from.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
+        self.step();
+        for (name, routes, written_at) in learned {
+            let Some(id) = self.endpoints.id_of(&name) else { continue };
+            let routes =
+                routes.map(|route| route.map(|route| self.age_route(route, written_at, now, &mut age)));
+            self.engine.take_up(id, routes);
+        }
+    }
+
+    /// Takes in the restored endpoints, with when their phases were heard.
+    fn restore_endpoints(&mut self, revision: u64, members: Vec<(ListedEndpoint, Timestamp)>) {
+        let (members, heard_at): (Vec<_>, Vec<_>) = members.into_iter().unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
-        self.targets(EndpointList { agent: None, revision: known.revision, complete: true, members });
-        for (name, heard) in names.iter().zip(heard) {
-            if let Some(at) = self.endpoint_ids.get(name).and_then(|id| self.endpoints.get_mut(id)) {
-                at.heard = heard;
+        self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, members });
+        for (name, heard_at) in names.iter().zip(heard_at) {
+            let id = self.endpoints.id_of(name);
+            if let Some(known) = id.and_then(|id| self.endpoints.get_mut(id)) {
+                known.heard_at = heard_at;
             }
         }
-        self.version = from.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
-        self.step();
-        for (name, lines, written) in learned {
-            let Some(id) = self.endpoint_ids.get(&name) else { continue };
-            let mut worth = |line: RouteSnapshot| match &mut chance {
-                Some(random) => {
-                    let chance = f64::from(random.next_u32()) / f64::from(u32::MAX);
-                    if self.returning.believes_clock() {
-                        line.recalled(written, now, chance, &self.settings)
-                    } else {
-                        line.recalled_unclocked(written, now, chance, &self.settings)
-                    }
-                }
-                None => line,
-            };
-            let lines = lines.map(|line| line.map(&mut worth));
-            self.sender.take_up(*id, lines);
+    }
+
+    /// Returns what a route that was written down at `written_at` is worth at `now`.
+    fn age_route(
+        &self,
+        route: RouteSnapshot,
+        written_at: Timestamp,
+        now: Timestamp,
+        age: &mut CheckpointAge,
+    ) -> RouteSnapshot {
+        let CheckpointAge::Restart(random) = age else { return route };
+        let fraction = f64::from(random.next_u32()) / f64::from(u32::MAX);
+        let settings = &self.configuration.settings;
+        if self.recovery.status.believes_clock() {
+            route.recalled(written_at, now, fraction, settings)
+        } else {
+            route.recalled_unclocked(written_at, now, fraction, settings)
         }
     }
 
-    /// From where on the agent is asked at the start; none for the whole list.
-    pub fn asks_from(&self) -> Option<u64> {
-        self.version.map(|version| version.revision)
+    /// Returns the revision from which the discovery agent is asked first; `None` for the whole list.
+    pub fn known_revision(&self) -> Option<u64> {
+        self.checkpointing.version.map(|version| version.revision)
     }
 
-    /// The list has led to that version, with news of these endpoints: written down before anything follows from it.
-    pub(super) fn heard(&mut self, version: DiscoveryVersion, news: Vec<EndpointId>) {
-        if self.version == Some(version) && news.is_empty() {
+    /// Records that the list is at `version` and that these endpoints have changed, before anything follows from it.
+    pub(super) fn record_list_version(&mut self, version: DiscoveryVersion, changed: Vec<EndpointId>) {
+        if self.checkpointing.version == Some(version) && changed.is_empty() {
             return;
         }
-        let before = self.version.replace(version);
-        if before.is_some_and(|before| version.anew_since(before)) {
-            // What stands in the file tells of a version that would be taken for a newer one.
-            self.counts_anew = true;
-            return self.begin_memory();
+        if !self.checkpointing.advance_version(version) {
+            return self.write_whole_checkpoint();
         }
-        self.counts_anew &= before.is_none_or(|before| before.agent == version.agent);
-        if self.notebook.is_open() {
-            self.keep(|host| host.write_down(news, true));
+        if self.checkpointing.file.is_open() {
+            self.try_checkpoint(|event_loop| event_loop.write_endpoints(changed, WriteReason::ListChanged));
         }
     }
 
-    /// Writes all of it down in a file of its own, before anybody is served: news goes to a file that has all else.
-    pub(super) fn begin_memory(&mut self) {
-        self.keep(|host| {
-            let ids = host.begin_file()?;
-            host.write_down(ids, false)?;
-            host.finish_file()
+    /// Writes the whole checkpoint to a new file: later changes are appended to a file that holds everything else.
+    pub(super) fn write_whole_checkpoint(&mut self) {
+        self.try_checkpoint(|event_loop| {
+            let ids = event_loop.begin_checkpoint_file()?;
+            event_loop.write_endpoints(ids, WriteReason::Scheduled)?;
+            event_loop.checkpointing.finish_file()
         });
     }
 
-    /// When the next slice is due, if there is one: only with all that has happened learned from.
-    pub(super) fn memory_due(&self) -> Option<Timestamp> {
-        self.slices.due().filter(|_| self.pending.is_empty())
+    /// Returns when the next part of the checkpoint is due: only once the engine has learned from all that happened.
+    pub(super) fn checkpoint_due(&self) -> Option<Timestamp> {
+        self.checkpointing.schedule.due().filter(|_| self.queue.is_empty())
     }
 
-    /// A slice of what has changed, if it is time for one.
-    pub(super) fn remember(&mut self, at: Instant) {
-        let now = self.clock.at(at);
-        if self.memory_due().is_none() {
+    /// Writes the next part of the checkpoint, if one is due.
+    pub(super) fn advance_checkpoint(&mut self, at: Instant) {
+        let now = self.clock.timestamp(at);
+        if self.checkpoint_due().is_none() {
             return;
         }
-        let Some(next) = self.slices.next(now) else { return };
-        self.keep(|host| match next {
-            Next::Begin => host.begin_file().map(drop),
-            Next::Write(ids) => host.write_down(ids, false),
-            Next::Finish => host.finish_file(),
+        let Some(next) = self.checkpointing.schedule.next(now) else { return };
+        self.try_checkpoint(|event_loop| match next {
+            Next::Begin => event_loop.begin_checkpoint_file().map(drop),
+            Next::Write(ids) => event_loop.write_endpoints(ids, WriteReason::Scheduled),
+            Next::Finish => event_loop.checkpointing.finish_file(),
         });
     }
 
-    /// All of it, for a next process on this machine.
-    pub(super) fn memory(&self) -> Checkpoint {
-        let now = self.now();
-        let endpoints = self.endpoints.keys().filter_map(|id| self.known(*id, now));
-        let endpoints = endpoints.map(|known| (known.member.id.clone(), known)).collect();
-        Checkpoint { version: self.comparable(), whole: true, endpoints }
+    /// Returns the whole checkpoint, for a successor on this machine.
+    pub(super) fn checkpoint(&self) -> Checkpoint {
+        let now = self.clock.now();
+        let endpoints = self.endpoints.iter().map(|(id, known)| self.endpoint_checkpoint(id, known, now));
+        let endpoints = endpoints.map(|endpoint| (endpoint.member.id.clone(), endpoint)).collect();
+        Checkpoint { version: self.checkpointing.comparable_version(), whole: true, endpoints }
     }
 
-    fn known(&self, id: EndpointId, now: Timestamp) -> Option<EndpointCheckpoint> {
-        let at = self.endpoints.get(&id)?;
-        let learned = self.sender.learned(id);
-        Some(EndpointCheckpoint { member: at.member.clone(), heard: at.heard, learned, written: now })
+    fn endpoint_checkpoint(
+        &self,
+        id: EndpointId,
+        known: &KnownEndpoint,
+        now: Timestamp,
+    ) -> EndpointCheckpoint {
+        let learned = self.engine.learned(id);
+        EndpointCheckpoint { member: known.listed.clone(), heard: known.heard_at, learned, written: now }
     }
 
-    /// A new file, and what goes into it: first what binds.
-    fn begin_file(&mut self) -> io::Result<Vec<EndpointId>> {
-        let bytes = self.notebook.begin()?;
-        let now = self.now();
-        let binds = |(id, at): &(&EndpointId, &KnownEndpoint)| !at.serving || self.sender.binds(now, **id);
-        let (first, rest): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(binds);
-        let ids: Vec<EndpointId> = first.into_iter().chain(rest).map(|(id, _)| *id).collect();
-        self.slices.begun(bytes, ids.clone());
+    /// Begins a new file, and returns what goes into it: endpoints under restrictions first.
+    fn begin_checkpoint_file(&mut self) -> io::Result<Vec<EndpointId>> {
+        let bytes = self.checkpointing.file.begin()?;
+        let now = self.clock.now();
+        let is_restricted =
+            |(id, known): &(EndpointId, &KnownEndpoint)| !known.is_serving || self.engine.binds(now, *id);
+        let (restricted, others): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(is_restricted);
+        let ids: Vec<EndpointId> = restricted.into_iter().chain(others).map(|(id, _)| id).collect();
+        self.checkpointing.schedule.begun(bytes, ids.clone());
         Ok(ids)
     }
 
-    fn finish_file(&mut self) -> io::Result<()> {
-        let whole = self.slices.finished();
-        self.notebook.finish(self.comparable(), whole)
-    }
-
-    /// The version that others may compare theirs with.
-    fn comparable(&self) -> Option<DiscoveryVersion> {
-        self.version.filter(|_| !self.counts_anew)
-    }
-
-    fn write_down(&mut self, ids: Vec<EndpointId>, news: bool) -> io::Result<()> {
-        let now = self.now();
-        let version = self.comparable().filter(|_| news);
-        let known: Vec<EndpointCheckpoint> = ids.into_iter().filter_map(|id| self.known(id, now)).collect();
-        let slices = &mut self.slices;
-        let bytes = self.notebook.write(known.into_iter(), news, version, |bytes| slices.fits(bytes))?;
-        slices.wrote(bytes);
+    fn write_endpoints(&mut self, ids: Vec<EndpointId>, reason: WriteReason) -> io::Result<()> {
+        let now = self.clock.now();
+        let is_list_change = matches!(reason, WriteReason::ListChanged);
+        let version = self.checkpointing.comparable_version().filter(|_| is_list_change);
+        let known = ids.into_iter().filter_map(|id| Some((id, self.endpoints.get(id)?)));
+        let endpoints: Vec<EndpointCheckpoint> =
+            known.map(|(id, known)| self.endpoint_checkpoint(id, known, now)).collect();
+        let schedule = &mut self.checkpointing.schedule;
+        let fits = |bytes| schedule.fits(bytes);
+        let bytes = self.checkpointing.file.write(endpoints.into_iter(), is_list_change, version, fits)?;
+        schedule.wrote(bytes);
         Ok(())
     }
 
-    /// Writes something down, if the journal leaves room. Where it does not, or the disk, all of the room is the journal's:
-    /// nothing of it is owed to anybody.
-    fn keep(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) {
-        let done = match self.store.has_capacity() {
+    /// Writes to the checkpoint if the journal leaves space. Where the journal or the disk has none, the checkpoint is
+    /// abandoned for now: nothing of it is owed to anybody.
+    fn try_checkpoint(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) {
+        let written = match self.messages.journal.has_capacity() {
             true => write(self),
             false => Err(io::ErrorKind::StorageFull.into()),
         };
-        let Err(e) = done else { return };
-        self.notebook.give_up();
-        self.slices.given_up(self.now());
-        self.log(&format!("memory: given up for now: {e}"));
+        let Err(error) = written else { return };
+        self.checkpointing.file.give_up();
+        self.checkpointing.schedule.given_up(self.clock.now());
+        self.log(format_args!("checkpoint: abandoned for now error={error}"));
     }
 }
+
+/// Why endpoints are written to the checkpoint.
+#[derive(Clone, Copy)]
+enum WriteReason {
+    /// The list has changed: both the file in place and the one being written need to know.
+    ListChanged,
+    /// The schedule asks for these endpoints.
+    Scheduled,
+}
--- a/src/daemon/event_loop/clock.rs
+++ b/src/daemon/event_loop/clock.rs
@@ -1,31 +1,40 @@
-//! The module's clock, on the clocks of the machine.
+//! Converts between the timestamps of the decision engine and the clocks of the machine.
 use crate::Timestamp;
 use crate::daemon::ports::WallClock;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The module's clock: wall time at the start, so that deadlines hold across processes, carried on by the
-/// monotonic clock, so that nothing within one process jumps.
+/// The engine's clock: the wall time at the start of the process, so that deadlines hold across processes, advanced by
+/// the monotonic clock, so that nothing within one process jumps.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
-    start: Instant,
-    wall: u64,
+    started_at: Instant,
+    /// The wall time at `started_at`, in microseconds since the Unix epoch.
+    wall_at_start: u64,
 }
 
 impl Clock {
+    /// Starts the clock at the present wall time.
     pub(super) fn new(wall: &dyn WallClock) -> Self {
-        Self { start: Instant::now(), wall: micros(wall.now()) }
+        Self { started_at: Instant::now(), wall_at_start: micros(wall.now()) }
     }
 
-    pub(super) fn at(&self, instant: Instant) -> Timestamp {
-        Timestamp(self.wall + micros(instant.saturating_duration_since(self.start)))
+    /// Returns the present timestamp.
+    pub(super) fn now(&self) -> Timestamp {
+        self.timestamp(Instant::now())
     }
 
-    pub(super) fn instant(&self, time: Timestamp) -> Instant {
-        self.start + Duration::from_micros(time.0.saturating_sub(self.wall))
+    /// Converts a monotonic instant into the engine's timestamp.
+    pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
+        Timestamp(self.wall_at_start + micros(instant.saturating_duration_since(self.started_at)))
+    }
+
+    /// Converts the engine's timestamp into a monotonic instant; timestamps before the start give the start.
+    pub(super) fn instant(&self, timestamp: Timestamp) -> Instant {
+        self.started_at + Duration::from_micros(timestamp.0.saturating_sub(self.wall_at_start))
     }
 }
 
-pub(super) fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- /dev/null
+++ b/src/daemon/event_loop/construction.rs
@@ -0,0 +1,141 @@
+//! Sets up an event loop: from the configuration, the journal, and what an earlier process left.
+use super::admin::{MetricsRecorder, PublishedConfiguration};
+use super::calls::CallTable;
+use super::checkpointing::{CheckpointAge, Checkpointing};
+use super::clock::Clock;
+use super::configuration::{ActiveConfiguration, EventLoopError, idle_timeout, polling_terms, report_fields};
+use super::durable_effects::DurableEffects;
+use super::endpoint_table::EndpointTable;
+use super::message_table::MessageTable;
+use super::recovery::RecoveryProgress;
+use super::shutdown::Lifecycle;
+use super::step_queue::StepQueue;
+use super::{EventLoop, EventLoopChannels, EventLoopConfig};
+use crate::DeliveryEngine;
+use crate::daemon::checkpoint::Checkpoint;
+use crate::daemon::checkpoint::file::CheckpointFile;
+use crate::daemon::checkpoint::schedule::CheckpointSchedule;
+use crate::daemon::class_registry::NamedClass;
+use crate::daemon::connection_pool::ConnectionPool;
+use crate::daemon::handover::InheritedState;
+use crate::daemon::journal::Journal;
+use crate::daemon::maintenance::Maintenance;
+use crate::daemon::outbound_call::CallContext;
+use crate::daemon::ports::Ports;
+use crate::daemon::recovery::RecoveryStart;
+use crate::daemon::resource_budget::ResourceBudget;
+use crate::daemon::trace::Trace;
+use crate::daemon::watch_cell::WatchCell;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use tokio::sync::Semaphore;
+use tokio::task::JoinSet;
+use tokio::time::Instant;
+
+/// What an earlier process left to this one, beside the journal.
+struct EarlierState {
+    file: CheckpointFile,
+    checkpoint: Checkpoint,
+    classes: Vec<NamedClass>,
+    age: CheckpointAge,
+}
+
+impl EarlierState {
+    /// Prefers what a predecessor handed over to what stands in the state folder.
+    fn load(inheritance: Option<InheritedState>, name: &str, seed: u64, ports: &Ports) -> Self {
+        let (file, stored, unreadable) = CheckpointFile::open(ports.storage.clone(), name);
+        if let Some(unreadable) = unreadable {
+            ports.log.line(&format!("checkpoint: {unreadable}"));
+        }
+        match inheritance {
+            Some(InheritedState { memory, classes }) => {
+                Self { file, checkpoint: memory, classes, age: CheckpointAge::Current }
+            }
+            None => {
+                let age = CheckpointAge::Restart(Box::new(ChaCha8Rng::seed_from_u64(seed)));
+                Self { file, checkpoint: stored, classes: Vec::new(), age }
+            }
+        }
+    }
+}
+
+impl EventLoop {
+    /// Sets up an event loop that takes over the messages in `journal`.
+    ///
+    /// # Errors
+    /// The settings cannot be used, or the journal cannot be made durable.
+    pub fn new(
+        start: EventLoopConfig,
+        journal: Journal,
+        channels: EventLoopChannels,
+        budget: ResourceBudget,
+        ports: Ports,
+    ) -> Result<Self, EventLoopError> {
+        let EventLoopConfig { config, schema, seed, inheritance, metrics, recovery, recovery_start } = start;
+        let EarlierState { file, checkpoint, classes, age } =
+            EarlierState::load(inheritance, &config.name, seed, &ports);
+        let (storage, log) = (&*ports.storage, &*ports.log);
+        let configuration = ActiveConfiguration::new(config, schema, classes, &journal, storage, log)?;
+        let (maintenance, unreadable) = Maintenance::open(ports.storage.clone());
+        if let Some(unreadable) = unreadable {
+            log.line(&unreadable.to_string());
+        }
+        let EventLoopChannels { events, notifications, listener, discovery, members } = channels;
+        let settings = configuration.settings.clone();
+        let polling_terms = WatchCell::new(polling_terms(&settings));
+        let profile = &configuration.config.settings;
+        let context = CallContext {
+            ports: ports.clone(),
+            fields: report_fields(profile),
+            written: Arc::new(AtomicU64::new(metrics.backend_calls)),
+            unread: Arc::new(Semaphore::new(budget.unread_responses)),
+            host: events.clone(),
+        };
+        let pool = ConnectionPool::new(idle_timeout(profile), budget.idle_connections);
+        let mut event_loop = Self {
+            engine: DeliveryEngine::new(settings, seed)?,
+            published: PublishedConfiguration { discovery, polling_terms, members },
+            queue: StepQueue::new(Instant::now()),
+            endpoints: EndpointTable::new(maintenance),
+            calls: CallTable::new(pool, context),
+            recovery: RecoveryProgress::new(recovery, journal.latest()),
+            messages: MessageTable::new(journal),
+            notifications,
+            durable_effects: DurableEffects::new(&configuration.config.operator),
+            checkpointing: Checkpointing::new(file, CheckpointSchedule::new(budget.checkpoint_bytes)),
+            lifecycle: Lifecycle::new(listener),
+            metrics: MetricsRecorder::new(metrics),
+            trace: Trace::new(ports.traces.calls, ports.log.clone()),
+            clock: Clock::new(&*ports.wall),
+            tasks: JoinSet::new(),
+            events,
+            ports,
+            configuration,
+        };
+        event_loop.restore(checkpoint, age, recovery_start)?;
+        Ok(event_loop)
+    }
+
+    /// Takes over what an earlier process left, and decides on a first step.
+    fn restore(
+        &mut self,
+        checkpoint: Checkpoint,
+        age: CheckpointAge,
+        recovery_start: RecoveryStart,
+    ) -> Result<(), EventLoopError> {
+        self.list_classes_in_metrics();
+        if self.durable_effects.is_some() {
+            self.messages.journal.enable_durability()?;
+        }
+        self.restore_checkpoint(checkpoint, age);
+        self.apply_restrictions(recovery_start.caution);
+        self.recover_messages();
+        self.store_classes();
+        self.stamp_journal(recovery_start.stamp);
+        self.step();
+        self.write_whole_checkpoint();
+        Ok(())
+    }
+}
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -1,7 +1,7 @@
-//! What goes out only once the records before it outlast the machine: answers, calls, notices.
+//! Effects that wait until the journal's records before them are durable: responses, calls, notifications.
 use super::EventLoop;
 use crate::daemon::durability::{AGAIN, DeferredEffects, GroupCommit, NextStep};
-use crate::daemon::events::{LoopEvent, SubmitResponse};
+use crate::daemon::events::{AttemptOutcome, LoopEvent, SubmitResponse};
 use crate::daemon::notifications::Notification;
 use crate::daemon::outbound_call::Call;
 use crate::{MessageId, Outcome};
@@ -11,137 +11,166 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Something that a record must stand before.
+/// An effect that a record has to precede.
 pub(super) enum DeferredEffect {
-    Answer(oneshot::Sender<SubmitResponse>, SubmitResponse),
+    /// Accepts a message towards its client.
+    Accept(oneshot::Sender<SubmitResponse>),
+    /// Makes a call.
     Call(Call),
-    Notice(Notification),
+    /// Notifies the platform.
+    Notification(Notification),
 }
 
-/// What is held, and why.
+/// The group commit of the journal, and the effects that wait for it.
 pub(super) struct DurableEffects {
-    gate: GroupCommit,
-    held: DeferredEffects<DeferredEffect>,
-    new_files: u64,
+    group_commit: GroupCommit,
+    deferred: DeferredEffects<DeferredEffect>,
+    /// How many files the journal had begun when the group commit last heard of one.
+    known_files: u64,
+    /// The instant from which the group commit counts time.
     origin: Instant,
 }
 
 impl DurableEffects {
-    /// None where a record stands as soon as it is written.
-    pub fn new(operator: &OperatorConfig) -> Option<Self> {
+    /// Returns `None` where a record counts as soon as it is written.
+    pub(super) fn new(operator: &OperatorConfig) -> Option<Self> {
         let Durability::Machine { delay } = operator.durability else { return None };
-        let gate = GroupCommit::new(Duration::from_micros(delay.0));
-        Some(Self { gate, held: DeferredEffects::default(), new_files: 0, origin: Instant::now() })
+        let group_commit = GroupCommit::new(Duration::from_micros(delay.0));
+        let deferred = DeferredEffects::default();
+        Some(Self { group_commit, deferred, known_files: 0, origin: Instant::now() })
     }
 
-    /// When the gate wants to be asked again.
-    pub fn due(&self) -> Option<Instant> {
-        match self.gate.wanted(self.origin.elapsed()) {
+    /// Returns when the group commit has something to do.
+    pub(super) fn due(&self) -> Option<Instant> {
+        match self.group_commit.wanted(self.origin.elapsed()) {
             NextStep::Wait(at) => at.map(|at| self.origin + at),
             NextStep::Sync | NextStep::NewFile => Some(Instant::now()),
         }
     }
+
+    /// Takes note that the journal has begun so many files in all.
+    fn note_new_files(&mut self, files: u64) {
+        self.known_files = files;
+        self.group_commit.new_file();
+    }
+
+    /// Returns the next effect whose records are durable.
+    fn next_released(&mut self) -> Option<DeferredEffect> {
+        self.deferred.next(self.group_commit.standing())
+    }
 }
 
 impl EventLoop {
-    /// Does something once all records up to now stand.
-    pub(super) fn act(&mut self, act: DeferredEffect) {
-        match &mut self.durable {
-            Some(durable) => durable.held.hold(self.store.mark(), act),
-            None => self.do_now(act),
+    /// Performs an effect once all records up to now are durable.
+    pub(super) fn perform_when_durable(&mut self, effect: DeferredEffect) {
+        match &mut self.durable_effects {
+            Some(durable) => durable.deferred.hold(self.messages.journal.mark(), effect),
+            None => self.perform(effect),
         }
     }
 
-    /// Tells a client. Only a yes is a promise.
-    pub(super) fn answer(&mut self, to: oneshot::Sender<SubmitResponse>, said: SubmitResponse) {
-        match said {
-            SubmitResponse::Accepted => self.act(DeferredEffect::Answer(to, said)),
-            // A client that has gone comes again under a new id.
-            said => drop(to.send(said)),
+    /// Responds to a client. Only an acceptance is a promise, and waits for its record.
+    pub(super) fn respond(&mut self, client: oneshot::Sender<SubmitResponse>, response: SubmitResponse) {
+        match response {
+            SubmitResponse::Accepted => self.perform_when_durable(DeferredEffect::Accept(client)),
+            // A client that has gone submits again under a new ID.
+            response => drop(client.send(response)),
         }
     }
 
-    fn do_now(&mut self, act: DeferredEffect) {
-        match act {
-            DeferredEffect::Answer(to, said) => drop(to.send(said)),
-            DeferredEffect::Call(call) => self.go_out(call),
-            DeferredEffect::Notice(notice) => drop(self.notices.send(notice)),
+    fn perform(&mut self, effect: DeferredEffect) {
+        match effect {
+            DeferredEffect::Accept(client) => drop(client.send(SubmitResponse::Accepted)),
+            DeferredEffect::Call(call) => self.start_call(call),
+            DeferredEffect::Notification(notification) => drop(self.notifications.send(notification)),
         }
     }
 
-    /// Whether something waits for its records.
-    pub(super) fn holds_back(&self) -> bool {
-        self.durable.as_ref().is_some_and(|durable| !durable.held.is_empty())
+    /// Whether effects wait for their records.
+    pub(super) fn has_deferred_effects(&self) -> bool {
+        self.durable_effects.as_ref().is_some_and(|durable| !durable.deferred.is_empty())
     }
 
-    /// Whether nothing new can be promised: the journal's file is lost, and there is no other one yet.
-    pub(super) fn cannot_promise(&self) -> bool {
-        self.durable.as_ref().is_some_and(|durable| durable.gate.has_failed())
+    /// Whether the journal's file is lost and has no replacement yet: nothing can be promised then.
+    pub(super) fn is_journal_lost(&self) -> bool {
+        self.durable_effects.as_ref().is_some_and(|durable| durable.group_commit.has_failed())
     }
 
-    /// A sync has ended.
-    pub(super) fn synced(&mut self, file: u64, done: io::Result<()>) {
-        if let Err(e) = &done {
-            self.log(&format!(
-                "journal: syncing: {e}: what it held counts as unwritten, a new file is begun"
+    /// Takes in how a sync of one of the journal's files ended.
+    pub(super) fn journal_synced(&mut self, file: u64, result: io::Result<()>) {
+        if let Err(error) = &result {
+            self.log(format_args!(
+                "journal: sync failed, unsynced records count as unwritten and a new file is begun error={error}"
             ));
         }
-        if let Some(durable) = &mut self.durable {
-            durable.gate.sync_ended(file, done.is_ok(), durable.origin.elapsed());
+        if let Some(durable) = &mut self.durable_effects {
+            durable.group_commit.sync_ended(file, result.is_ok(), durable.origin.elapsed());
         }
     }
 
-    /// Syncs what waits to be, and does what waited for what stands by now.
-    pub(super) fn let_go(&mut self) {
-        let Some(durable) = &mut self.durable else { return };
+    /// Syncs the journal if that is due, and performs the effects whose records are durable by now.
+    pub(super) fn release_durable_effects(&mut self) {
+        let Some(durable) = &mut self.durable_effects else { return };
+        let journal = &mut self.messages.journal;
         let now = durable.origin.elapsed();
-        durable.gate.written(self.store.mark(), now);
-        if durable.new_files != self.store.new_files() {
-            durable.new_files = self.store.new_files();
-            durable.gate.new_file();
+        durable.group_commit.written(journal.mark(), now);
+        if durable.known_files != journal.new_files() {
+            durable.note_new_files(journal.new_files());
         }
-        match durable.gate.wanted(now) {
+        match durable.group_commit.wanted(now) {
             NextStep::Wait(_) => {}
-            NextStep::Sync => {
-                let (file, sync) = (durable.gate.sync_begins(), self.store.sync());
-                let host = self.outside.host.clone();
-                self.tasks.spawn_local(async move {
-                    let _ = host.send(LoopEvent::JournalSynced(file, sync.await));
-                });
+            NextStep::Sync => self.begin_sync(),
+            NextStep::NewFile => self.replace_lost_journal(now),
+        }
+        while let Some(effect) = self.durable_effects.as_mut().and_then(DurableEffects::next_released) {
+            match effect {
+                DeferredEffect::Call(call) => self.start_deferred_call(call),
+                effect => self.perform(effect),
             }
-            NextStep::NewFile => match self.store.rewrite() {
-                Ok(()) => {
-                    durable.new_files = self.store.new_files();
-                    durable.gate.new_file();
-                }
-                Err(e) => {
-                    durable.gate.no_new_file(now + AGAIN);
-                    self.outside.ports.log.line(&format!("{e}; newcomers are refused until there is one"));
-                }
-            },
         }
-        while let Some(act) = self.durable.as_mut().and_then(|d| d.held.next(d.gate.standing())) {
-            match act {
-                DeferredEffect::Call(call) => self.go_out_late(call),
-                act => self.do_now(act),
+    }
+
+    fn begin_sync(&mut self) {
+        let Some(durable) = &mut self.durable_effects else { return };
+        let (file, sync) = (durable.group_commit.sync_begins(), self.messages.journal.sync());
+        let events = self.events.clone();
+        self.tasks.spawn_local(async move {
+            let _ = events.send(LoopEvent::JournalSynced { file, result: sync.await });
+        });
+    }
+
+    /// Begins a new journal file at `now`, as the group commit counts time, or tries again later.
+    fn replace_lost_journal(&mut self, now: Duration) {
+        let rewritten = self.messages.journal.rewrite();
+        let Some(durable) = &mut self.durable_effects else { return };
+        match rewritten {
+            Ok(()) => durable.note_new_files(self.messages.journal.new_files()),
+            Err(error) => {
+                durable.group_commit.no_new_file(now + AGAIN);
+                self.log(format_args!(
+                    "journal: no new file, new messages are rejected until there is one error={error}"
+                ));
             }
         }
     }
 
-    /// A call that waited: what it was decided on may have changed meanwhile.
-    fn go_out_late(&mut self, call: Call) {
-        let now = self.now();
-        let may = call
+    /// Makes a call that waited for its records, unless what it was decided on has changed meanwhile.
+    fn start_deferred_call(&mut self, call: Call) {
+        let now = self.clock.now();
+        let is_allowed = call
             .parcels
             .iter()
-            .all(|parcel| self.sender.is_call_still_allowed(now, MessageId(parcel.number), call.endpoint));
-        let there = self.endpoints.get(&call.endpoint).is_some_and(|at| at.member.host_port == call.address);
-        if may && there && Instant::now() < call.expires {
-            self.go_out(call);
+            .all(|message| self.engine.is_call_still_allowed(now, MessageId(message.number), call.endpoint));
+        let known = self.endpoints.get(call.endpoint);
+        let is_reachable = known.is_some_and(|known| known.listed.host_port == call.address);
+        if is_allowed && is_reachable && Instant::now() < call.expires {
+            self.start_call(call);
             return;
         }
-        self.calls.remove(&call.number);
-        let unsent = call.parcels.iter().map(|parcel| (parcel.number, Outcome::Deferred, false)).collect();
-        self.ended(now, now, unsent, None);
+        self.calls.remove(call.number);
+        let deferred =
+            |message: u32| AttemptOutcome { message, outcome: Outcome::Deferred, completes: false };
+        let outcomes = call.parcels.iter().map(|message| deferred(message.number)).collect();
+        self.record_outcomes(now, now, outcomes, None);
     }
 }
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -1,108 +1,102 @@
-//! The list: what it tells of endpoints, and what operators say beside it.
+//! Applies endpoint lists from discovery, and the operators' maintenance requests beside them.
 use super::EventLoop;
 use crate::daemon::checkpoint::DiscoveryVersion;
 use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint, Phase};
-use crate::daemon::events::AdminError;
-use crate::{DestinationId, EndpointEntry, EndpointId, EndpointState, Event, Timestamp};
+use crate::daemon::events::{AdminError, MaintenanceChange};
+use crate::{EndpointEntry, EndpointId, Event, Timestamp};
 use micadrum_recovery::stages::Input;
 use std::collections::BTreeSet;
 
-/// One endpoint as the list last told of it.
-pub(super) struct KnownEndpoint {
-    pub(super) member: ListedEndpoint,
-    pub(super) batch: usize,
-    /// When its state was heard, wall clock.
-    pub(super) heard: Timestamp,
-    /// In service, and not taken out by hand.
-    pub(super) serving: bool,
-}
-
 impl EventLoop {
-    pub(super) fn targets(&mut self, targets: EndpointList) {
-        let now = self.now();
-        self.trace.list(now, &targets);
-        let version = targets.agent.map(|agent| DiscoveryVersion { agent, revision: targets.revision });
-        let mut news = Vec::new();
-        let mut entries = Vec::with_capacity(targets.members.len());
-        for member in targets.members {
-            let kind = self.names.kinds.get(&member.flavor);
-            let Some(kind) = kind.filter(|_| self.names.zones.contains_key(&member.locality)) else {
-                self.log(&format!("discovery: {} is of an unknown kind or zone", member.id));
-                continue;
-            };
-            let batch = self.settings.kinds[kind.0].max_batch_size.max(1);
-            let endpoint = *self.endpoint_ids.entry(member.id.clone()).or_insert_with(|| {
-                let id = EndpointId(self.next_endpoint);
-                self.next_endpoint += 1;
-                id
-            });
-            let before = self.endpoints.get(&endpoint);
-            let heard = before.filter(|at| at.member.phase == member.phase).map_or(now, |at| at.heard);
-            if before.is_none_or(|at| at.member != member) {
-                news.push(endpoint);
-            }
-            self.endpoints.insert(endpoint, KnownEndpoint { member, batch, heard, serving: true });
-            entries.extend(self.entry(endpoint));
+    /// Applies an endpoint list, or the changes to one.
+    pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
+        let now = self.clock.now();
+        self.trace.endpoint_list(now, &list);
+        let version = list.agent.map(|agent| DiscoveryVersion { agent, revision: list.revision });
+        let mut changed = Vec::new();
+        let mut entries = Vec::with_capacity(list.members.len());
+        for listed in list.members {
+            let Some(id) = self.update_endpoint(listed, now, &mut changed) else { continue };
+            entries.extend(self.endpoint_entry(id));
         }
-        if targets.complete {
-            let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
-            for (endpoint, known) in &mut self.endpoints {
-                if !listed.contains(endpoint) {
-                    if known.member.phase != Phase::Deleted {
-                        (known.member.phase, known.heard) = (Phase::Deleted, now);
-                        news.push(*endpoint);
-                    }
-                    if std::mem::take(&mut known.serving) {
-                        self.pool.close(*endpoint);
-                    }
-                }
-            }
-            self.pending.push((now, Event::EndpointSnapshot(entries)));
+        if list.complete {
+            changed.extend(self.delete_unlisted(&entries, now));
+            self.queue.push(now, Event::EndpointSnapshot(entries));
         } else if !entries.is_empty() {
-            self.pending.push((now, Event::EndpointUpdates(entries)));
+            self.queue.push(now, Event::EndpointUpdates(entries));
         }
         if let Some(version) = version {
-            self.returning.handle(Input::Listed);
-            self.heard(version, news);
+            self.recovery.status.handle(Input::Listed);
+            self.record_list_version(version, changed);
         }
     }
 
-    pub(super) fn maintain(&mut self, name: &str, out: bool) -> Result<(), AdminError> {
-        let listed = self.endpoint_ids.get(name).copied();
-        let listed = listed.filter(|id| self.endpoints[id].member.phase != Phase::Deleted);
-        if listed.is_none() && !self.maintenance.holds(name) {
-            return Err(AdminError::Unknown(name.to_owned()));
+    /// Takes in one entry of a list, and adds it to `changed` if it says something new; `None` if its kind or zone is
+    /// not in the settings.
+    fn update_endpoint(
+        &mut self,
+        listed: ListedEndpoint,
+        now: Timestamp,
+        changed: &mut Vec<EndpointId>,
+    ) -> Option<EndpointId> {
+        let Some(max_batch_size) = self.configuration.max_batch_size(&listed) else {
+            self.log(format_args!(
+                "discovery: endpoint of an unknown kind or zone endpoint={} kind={} zone={}",
+                listed.id, listed.flavor, listed.locality
+            ));
+            return None;
+        };
+        let id = self.endpoints.assign_id(&listed.id);
+        if self.endpoints.update(id, listed, max_batch_size, now) {
+            changed.push(id);
         }
-        let changed = if out { self.maintenance.take_out(name) } else { self.maintenance.put_back(name) }?;
-        if let Some(id) = listed.filter(|_| changed) {
-            self.log(&format!("{name} is {}", if out { "taken out by hand" } else { "put back" }));
-            let entries = self.entry(id).into_iter().collect();
-            self.pending.push((self.now(), Event::EndpointUpdates(entries)));
+        Some(id)
+    }
+
+    /// Marks the endpoints that are not among `entries` as deleted, and returns those that were not before.
+    fn delete_unlisted(&mut self, entries: &[EndpointEntry], now: Timestamp) -> Vec<EndpointId> {
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        let removals = self.endpoints.delete_unlisted(&listed, now);
+        for id in removals.out_of_service {
+            self.calls.pool.close(id);
         }
-        Ok(())
+        removals.deleted
     }
 
-    /// What the module is told of an endpoint: taken out by hand, it drains whatever the list says.
-    pub(super) fn entry(&mut self, id: EndpointId) -> Option<EndpointEntry> {
-        let known = self.endpoints.get_mut(&id)?;
-        let member = &known.member;
-        let listing = match member.phase {
-            Phase::Serving if self.maintenance.holds(&member.id) => EndpointState::Draining,
-            Phase::Serving => EndpointState::Active,
-            Phase::Draining => EndpointState::Draining,
-            Phase::Deleted => EndpointState::Removed,
+    /// Takes an endpoint out of service for an operator, or puts it back.
+    ///
+    /// # Errors
+    /// The endpoint is unknown, or the change cannot be written down.
+    pub(super) fn change_maintenance(
+        &mut self,
+        name: &str,
+        change: MaintenanceChange,
+    ) -> Result<(), AdminError> {
+        let is_listed = |id: &EndpointId| {
+            self.endpoints.get(*id).is_some_and(|known| known.listed.phase != Phase::Deleted)
         };
-        known.serving = listing == EndpointState::Active;
-        let entry = EndpointEntry {
-            endpoint: id,
-            destination: DestinationId(member.cell),
-            kind: *self.names.kinds.get(&member.flavor)?,
-            zone: *self.names.zones.get(&member.locality)?,
-            state: listing,
-            capacity_hint: member.size,
+        let listed = self.endpoints.id_of(name).filter(is_listed);
+        let maintenance = &mut self.endpoints.maintenance;
+        if listed.is_none() && !maintenance.contains(name) {
+            return Err(AdminError::UnknownEndpoint(name.to_owned()));
+        }
+        let (has_changed, what) = match change {
+            MaintenanceChange::Enter => (maintenance.enter(name)?, "endpoint taken out of service"),
+            MaintenanceChange::Exit => (maintenance.exit(name)?, "endpoint put back into service"),
         };
-        if !known.serving {
-            self.pool.close(id);
+        if let Some(id) = listed.filter(|_| has_changed) {
+            self.log(format_args!("maintenance: {what} endpoint={name}"));
+            let entries = self.endpoint_entry(id).into_iter().collect();
+            self.queue.push(self.clock.now(), Event::EndpointUpdates(entries));
+        }
+        Ok(())
+    }
+
+    /// Returns what the engine is told of an endpoint, and closes the idle connections to one that is not serving.
+    pub(super) fn endpoint_entry(&mut self, id: EndpointId) -> Option<EndpointEntry> {
+        let entry = self.endpoints.entry(id, &self.configuration.names)?;
+        if self.endpoints.get(id).is_some_and(|known| !known.is_serving) {
+            self.calls.pool.close(id);
         }
         Some(entry)
     }
--- /dev/null
+++ b/src/daemon/event_loop/peer_reports.rs
@@ -0,0 +1,68 @@
+//! What senders tell each other of endpoints when one of them recovers.
+use super::EventLoop;
+use crate::daemon::endpoint_list::Phase;
+use crate::{EndpointEntry, EndpointId, Event, TimeDelta, Timestamp};
+use micadrum_recovery::EndpointRestrictions;
+use micadrum_recovery::words::EndpointReport;
+use std::collections::BTreeMap;
+
+impl EventLoop {
+    /// Applies what peers warn of. What this sender knows itself stands beside that, and its own list overrides it.
+    pub(super) fn apply_restrictions(&mut self, restrictions: EndpointRestrictions) {
+        if !self.recovery.status.may_send() {
+            // Changes since a version come when there are some: only a request for the whole list is answered at once.
+            self.checkpointing.version = None;
+        }
+        let now = self.clock.now();
+        let mut entries = Vec::new();
+        for (name, report) in restrictions.endpoints {
+            let Some(id) = self.endpoints.id_of(&name) else { continue };
+            if report.out {
+                entries.extend(self.drain_restricted(id));
+            }
+            if report.told > 0 {
+                self.queue.push(now, Event::RetryAfter { endpoint: id, wait: TimeDelta(report.told) });
+            }
+            self.engine.warned(now, id, report.health);
+        }
+        if !entries.is_empty() {
+            self.log(format_args!(
+                "recovery: endpoints stay out of service, peers heard that they drain or are removed count={}",
+                entries.len()
+            ));
+            self.queue.push(now, Event::EndpointUpdates(entries));
+        }
+    }
+
+    /// Drains an endpoint that this sender has in service, until a whole list says otherwise.
+    fn drain_restricted(&mut self, id: EndpointId) -> Option<EndpointEntry> {
+        let known = self.endpoints.get_mut(id).filter(|known| known.listed.phase == Phase::Serving)?;
+        known.listed.phase = Phase::Draining;
+        let entry = self.endpoint_entry(id);
+        self.checkpointing.version = None;
+        entry
+    }
+
+    /// Returns what this sender reports of endpoints to a peer that recovers.
+    pub(super) fn endpoint_reports(&self) -> BTreeMap<String, EndpointReport> {
+        let now = self.clock.now();
+        let reports = self.endpoints.iter().map(|(id, known)| {
+            let is_out = known.listed.phase != Phase::Serving;
+            (known.listed.id.clone(), self.endpoint_report(id, is_out, now))
+        });
+        reports.filter(|(_, report)| !report.says_nothing()).collect()
+    }
+
+    fn endpoint_report(&self, id: EndpointId, is_out: bool, now: Timestamp) -> EndpointReport {
+        let [own, shared] = self.engine.learned(id).map(|learned| learned.map(|route| route.word(now)));
+        let mut report = EndpointReport { out: is_out, ..EndpointReport::default() };
+        for (wait, _) in own.iter().chain(&shared) {
+            report.told = report.told.max(wait.0);
+        }
+        // Only the endpoint's own route says whether it answers.
+        if let Some((_, health)) = own {
+            report.health = health;
+        }
+        report
+    }
+}
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -1,193 +1,244 @@
-//! How service returns after a restart: what is owed in which stage, what others warn of, what this one tells them.
+//! Recovery after a restart: which messages of the journal end at once, and which are sent in which phase.
 use super::EventLoop;
-use crate::daemon::endpoint_list::Phase;
-use crate::daemon::events::ListenerState;
+use crate::daemon::events::{InvalidMessage, ListenerState};
 use crate::daemon::journal::{Attempt, FinalOutcome, PendingMessage};
-use crate::{ClassId, Event, Idempotency, RecoveredMessage, TimeDelta, Timestamp};
+use crate::daemon::notifications::Notification;
+use crate::daemon::recovery::{Marks, RecoveryStatus};
+use crate::{ClassId, Event, Idempotency, Message, RecoveredMessage, TimeDelta, Timestamp, ZoneId};
+use micadrum_recovery::JournalStamp;
 use micadrum_recovery::owed::{LeftoverMessage, Repeats, Verdict};
 use micadrum_recovery::stages::Input;
-use micadrum_recovery::words::EndpointReport;
-use micadrum_recovery::{EndpointRestrictions, JournalStamp};
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
+/// Stands for a zone that the settings no longer name.
+const UNKNOWN_ZONE: ZoneId = ZoneId(usize::MAX);
+
+/// How far the recovery has come.
+pub(super) struct RecoveryProgress {
+    pub(super) status: RecoveryStatus,
+    pub(super) time_marks: Marks,
+    /// The latest moment that the journal mentioned when it was opened, in microseconds of wall time.
+    last_journal_time: u64,
+    /// Recovered messages that must not be sent yet, by deadline (in microseconds of wall time) and number.
+    held_messages: BTreeMap<(u64, u32), RecoveredMessage>,
+}
+
+impl RecoveryProgress {
+    /// The beginning of a recovery from a journal that mentions no later moment than `last_journal_time`.
+    pub(super) fn new(status: RecoveryStatus, last_journal_time: u64) -> Self {
+        Self { status, time_marks: Marks::default(), last_journal_time, held_messages: BTreeMap::new() }
+    }
+
+    /// Returns the earliest deadline among the messages that are held.
+    fn first_deadline(&self) -> Option<Timestamp> {
+        self.held_messages.first_key_value().map(|((deadline, _), _)| Timestamp(*deadline))
+    }
+
+    fn is_finished(&self) -> bool {
+        self.status.is_full() && self.held_messages.is_empty()
+    }
+}
+
 impl EventLoop {
+    /// Returns whether a message of that class may be sent twice.
     pub(super) fn repeats(&self, class: ClassId) -> Repeats {
-        match self.settings.classes[class.0].idempotency {
+        match self.configuration.settings.classes[class.0].idempotency {
             Idempotency::Idempotent => Repeats::Freely,
             Idempotency::WithKey { .. } => Repeats::Within,
             Idempotency::NonIdempotent => Repeats::Never,
         }
     }
 
-    /// What the journal has of a message, as far as that is to be believed; an end where it has to end at once.
-    pub(super) fn believed(
+    /// Takes over all messages that the journal holds from an earlier process.
+    pub(super) fn recover_messages(&mut self) {
+        let recovered: Vec<(u32, PendingMessage)> =
+            self.messages.journal.pending().map(|(number, pending)| (number, pending.clone())).collect();
+        if !recovered.is_empty() {
+            let count = |is_counted: fn(&PendingMessage) -> bool| {
+                recovered.iter().filter(|(_, pending)| is_counted(pending)).count()
+            };
+            let untried = count(|pending| pending.end.is_none() && pending.attempts == 0);
+            let ended = count(|pending| pending.end.is_some());
+            self.log(format_args!(
+                "recovery: resuming messages={} untried={untried} ended_unacknowledged={ended}",
+                recovered.len()
+            ));
+        }
+        for (number, pending) in recovered {
+            self.recover_message(number, pending);
+        }
+    }
+
+    /// Takes over one message: ends it at once, or hands it to the engine.
+    fn recover_message(&mut self, number: u32, mut pending: PendingMessage) {
+        self.messages.register(pending.message.id.clone(), number);
+        let class = self.recovered_class(&pending);
+        let verdict =
+            class.as_ref().ok().and_then(|class| self.judge_recovered(number, *class, &mut pending));
+        if let Some(outcome) = verdict {
+            self.finish_message(number, outcome);
+            return;
+        }
+        let message = match class.and_then(|class| self.engine_message(number, class, &pending)) {
+            Ok(message) => message,
+            Err(invalid) => {
+                self.log(format_args!("recovery: message failed id={} error={invalid}", pending.message.id));
+                self.finish_message(number, pending.end.unwrap_or(FinalOutcome::Failed));
+                return;
+            }
+        };
+        if pending.out.is_some() {
+            // The process ended during the call: nobody knows how far the call had come.
+            let recorded = self.messages.journal.outcome(number, true);
+            self.check_recorded(recorded);
+        }
+        let recovered = self.recovered_message(message, &pending);
+        self.hand_over_recovered(recovered);
+        if let Some(end) = pending.end {
+            self.messages.register_unacknowledged();
+            let _ = self.notifications.send(Notification { number, id: pending.message.id, end });
+        }
+    }
+
+    fn recovered_class(&self, pending: &PendingMessage) -> Result<ClassId, InvalidMessage> {
+        let (class, is_keyed) = (&pending.message.class, pending.message.idempotency_key.is_some());
+        let class_id = self.configuration.classes.recovered(class, is_keyed);
+        class_id.ok_or_else(|| InvalidMessage::UnknownClass(class.clone()))
+    }
+
+    fn recovered_message(&self, message: Message, pending: &PendingMessage) -> RecoveredMessage {
+        let first_uncertain_attempt = pending.ran.as_ref().or(pending.out.as_ref()).map(|attempt| {
+            let zone = self.configuration.names.zones.get(&attempt.zone).copied();
+            (Timestamp(attempt.at), zone.unwrap_or(UNKNOWN_ZONE))
+        });
+        let (attempts, ended) = (pending.attempts, pending.end.is_some());
+        RecoveredMessage { message, attempts, first_uncertain_attempt, ended }
+    }
+
+    /// Corrects what the journal says of a message as far as that cannot be trusted. Returns an outcome if the message
+    /// has to end at once.
+    fn judge_recovered(
         &mut self,
         number: u32,
         class: ClassId,
-        owed: &mut PendingMessage,
+        pending: &mut PendingMessage,
     ) -> Option<FinalOutcome> {
-        let repeats = self.repeats(class);
-        let first = owed.ran.as_ref().or(owed.out.as_ref()).cloned();
-        let begun = first.as_ref().map(|first| first.at);
-        let not_before = self.store.not_before(number);
-        match self.returning.judge(repeats, LeftoverMessage { ended: owed.end.is_some(), begun, not_before })
-        {
-            Verdict::AsWritten => {
-                self.reset_deadline(number, class, owed);
-                None
-            }
+        let first_attempt = pending.ran.as_ref().or(pending.out.as_ref()).cloned();
+        let leftover = LeftoverMessage {
+            ended: pending.end.is_some(),
+            begun: first_attempt.as_ref().map(|attempt| attempt.at),
+            not_before: self.messages.journal.not_before(number),
+        };
+        match self.recovery.status.judge(self.repeats(class), leftover) {
+            Verdict::AsWritten => {}
             Verdict::MayHaveRun(at) => {
-                let attempt = Attempt { at, zone: first.map(|first| first.zone).unwrap_or_default() };
-                owed.attempts = owed.attempts.max(1);
-                (owed.ran, owed.out) = (Some(attempt.clone()), None);
-                // A next process on this run of the machine takes the journal for all there is.
-                let booked = self.store.ran(number, attempt);
-                self.booked(booked);
-                self.reset_deadline(number, class, owed);
-                None
+                let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
+                self.record_uncertain_attempt(number, Attempt { at, zone }, pending);
             }
-            Verdict::Returns => Some(FinalOutcome::Returned(None)),
+            Verdict::Returns => return Some(FinalOutcome::Returned(None)),
             // The journal of another sender is set aside before it is read here.
-            Verdict::Fails | Verdict::NotOurs => Some(FinalOutcome::Failed),
+            Verdict::Fails | Verdict::NotOurs => return Some(FinalOutcome::Failed),
         }
+        self.reset_deadline(number, class, pending);
+        None
     }
 
-    /// Writes down who goes on with the journal. Only once all that follows from how it was found stands in it: a process
-    /// that ends before finds it the same way again.
-    pub(super) fn stamp(&mut self, stamp: Option<JournalStamp>) {
+    /// Records that a message may have run: a successor on this boot of the machine trusts the journal to be complete.
+    fn record_uncertain_attempt(&mut self, number: u32, attempt: Attempt, pending: &mut PendingMessage) {
+        pending.attempts = pending.attempts.max(1);
+        (pending.ran, pending.out) = (Some(attempt.clone()), None);
+        let recorded = self.messages.journal.ran(number, attempt);
+        self.check_recorded(recorded);
+    }
+
+    /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the machine trusts
+    /// its clock.
+    fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
+        if self.recovery.status.believes_clock() || pending.end.is_some() {
+            return;
+        }
+        let now = self.clock.now().0;
+        let max_time_left = self.configuration.settings.classes[class.0].deadline.0;
+        let last_journal_time = self.recovery.last_journal_time;
+        let time_left =
+            self.recovery.status.time_left(pending.deadline, last_journal_time, now, max_time_left);
+        pending.deadline = now + time_left;
+        let recorded = self.messages.journal.deadline(number, pending.deadline);
+        self.check_recorded(recorded);
+    }
+
+    /// Writes down who continues the journal, once all that follows from its state stands in it: a process that ends
+    /// before finds the journal in that state again.
+    pub(super) fn stamp_journal(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
-        if !self.returning.believes_clock() {
-            self.store.new_clock(self.now().0);
-            if let Err(e) = self.store.rewrite() {
-                self.log(&format!("{e}; ids of messages that are over may be forgotten early"));
+        if !self.recovery.status.believes_clock() {
+            self.messages.journal.new_clock(self.clock.now().0);
+            if let Err(error) = self.messages.journal.rewrite() {
+                self.log(format_args!(
+                    "journal: not rewritten on the new clock, IDs of completed messages may be forgotten early \
+                     error={error}"
+                ));
             }
         }
-        let stamped = self.store.stamp(stamp);
-        self.booked(stamped);
-        // The stamp outlasts the machine whatever the rest does: a folder that power has emptied is told from a new one.
-        if let Err(e) = self.store.enable_durability() {
-            self.log(&format!("{e}; after a loss of power the folder may look like that of a first start"));
+        let recorded = self.messages.journal.stamp(stamp);
+        self.check_recorded(recorded);
+        // The stamp is durable whatever the other records are: a state folder that a loss of power emptied is told from
+        // a new one.
+        if let Err(error) = self.messages.journal.enable_durability() {
+            self.log(format_args!(
+                "journal: stamp is not durable, after a loss of power this may look like a first start error={error}"
+            ));
         }
     }
 
-    /// Hands a message of before to the module, once such are sent; one whose time is up at once, as its end needs no call.
-    pub(super) fn take_up(&mut self, resumed: RecoveredMessage) {
-        if resumed.ended || resumed.message.time_to_live == TimeDelta(0) || self.sends_what_is_owed() {
-            self.pending.push((self.now(), Event::Recovered(resumed)));
+    /// Hands a recovered message to the engine if recovered messages are sent in this phase, or if its end needs no call.
+    fn hand_over_recovered(&mut self, recovered: RecoveredMessage) {
+        let needs_no_call = recovered.ended || recovered.message.time_to_live == TimeDelta(0);
+        if needs_no_call || self.sends_recovered() {
+            self.queue.push(self.clock.now(), Event::Recovered(recovered));
         } else {
-            let deadline = self.now().0 + resumed.message.time_to_live.0;
-            self.resting.insert((deadline, resumed.message.id.0), resumed);
+            let deadline = self.clock.now().0 + recovered.message.time_to_live.0;
+            self.recovery.held_messages.insert((deadline, recovered.message.id.0), recovered);
         }
     }
 
-    fn sends_what_is_owed(&self) -> bool {
-        self.returning.may_send() || self.winding_down.is_some()
+    fn sends_recovered(&self) -> bool {
+        self.recovery.status.may_send() || self.lifecycle.is_shutting_down()
     }
 
-    /// When the next thing happens to the return without anything from outside: its stage's time, or that of a message that
-    /// rests.
-    pub(super) fn return_due(&self) -> Option<Instant> {
-        let first =
-            self.resting.first_key_value().map(|((deadline, _), _)| self.clock.instant(Timestamp(*deadline)));
-        self.returning.due().into_iter().chain(first).min()
+    /// Returns when the recovery proceeds by time alone: at the end of a phase, or at the deadline of a held message.
+    pub(super) fn recovery_due(&self) -> Option<Instant> {
+        let first_deadline = self.recovery.first_deadline().map(|deadline| self.clock.instant(deadline));
+        self.recovery.status.due().into_iter().chain(first_deadline).min()
     }
 
-    /// The stage may have changed, or a message that rests run out.
-    pub(super) fn go_on_returning(&mut self) {
-        if self.returning.is_full() && self.resting.is_empty() {
+    /// Proceeds with the recovery if its phase has changed, or the deadline of a held message has passed.
+    pub(super) fn advance_recovery(&mut self) {
+        if self.recovery.is_finished() {
             return;
         }
-        let moved = self.returning.handle(Input::Left(self.numbers.len()));
-        self.wake_the_rested();
-        if moved && self.returning.is_open() && self.winding_down.is_none() {
-            self.doors.set(ListenerState::Accepting);
+        let has_moved = self.recovery.status.handle(Input::Left(self.messages.len()));
+        self.release_held_messages();
+        if has_moved && self.recovery.status.is_open() && !self.lifecycle.is_shutting_down() {
+            self.lifecycle.listener.set(ListenerState::Accepting);
         }
     }
 
-    /// Hands on what rests, if its stage has come, in the order in which it was taken on; and what has run out meanwhile.
-    fn wake_the_rested(&mut self) {
-        let now = self.now();
-        let later = match self.sends_what_is_owed() {
+    /// Hands held messages to the engine in the order in which they were accepted: all of them if their phase has come,
+    /// or else those whose deadline has passed.
+    fn release_held_messages(&mut self) {
+        let now = self.clock.now();
+        let still_held = match self.sends_recovered() {
             true => BTreeMap::new(),
-            false => self.resting.split_off(&(now.0 + 1, 0)),
+            false => self.recovery.held_messages.split_off(&(now.0 + 1, 0)),
         };
-        let woken = std::mem::replace(&mut self.resting, later);
-        let mut woken: Vec<((u64, u32), RecoveredMessage)> = woken.into_iter().collect();
-        woken.sort_by_key(|((_, number), _)| *number);
-        for ((deadline, _), mut resumed) in woken {
-            resumed.message.time_to_live = TimeDelta(deadline.saturating_sub(now.0));
-            self.pending.push((now, Event::Recovered(resumed)));
+        let released = std::mem::replace(&mut self.recovery.held_messages, still_held);
+        let mut released: Vec<((u64, u32), RecoveredMessage)> = released.into_iter().collect();
+        released.sort_by_key(|((_, number), _)| *number);
+        for ((deadline, _), mut recovered) in released {
+            recovered.message.time_to_live = TimeDelta(deadline.saturating_sub(now.0));
+            self.queue.push(now, Event::Recovered(recovered));
         }
     }
-
-    /// Puts a deadline of before on the clock of now, once and for all: a next process on this run of the machine believes its
-    /// clock.
-    fn reset_deadline(&mut self, number: u32, class: ClassId, owed: &mut PendingMessage) {
-        if self.returning.believes_clock() || owed.end.is_some() {
-            return;
-        }
-        let now = self.now().0;
-        let most = self.settings.classes[class.0].deadline.0;
-        owed.deadline = now + self.returning.time_left(owed.deadline, self.latest, now, most);
-        let booked = self.store.deadline(number, owed.deadline);
-        self.booked(booked);
-    }
-
-    /// Heeds what others warn of. What this sender knows itself stands beside it, and its own list counts before it.
-    pub(super) fn heed(&mut self, caution: EndpointRestrictions) {
-        if !self.returning.may_send() {
-            // Changes since a version come when there are some: only the whole list is an answer at once.
-            self.version = None;
-        }
-        let now = self.now();
-        let mut entries = Vec::new();
-        for (name, of) in caution.endpoints {
-            let Some(id) = self.endpoint_ids.get(&name).copied() else { continue };
-            if of.out
-                && let Some(at) = self.endpoints.get_mut(&id)
-                && at.member.phase == Phase::Serving
-            {
-                at.member.phase = Phase::Draining;
-                entries.extend(self.entry(id));
-                // Only the whole list can say that it is not so.
-                self.version = None;
-            }
-            if of.told > 0 {
-                self.pending.push((now, Event::RetryAfter { endpoint: id, wait: TimeDelta(of.told) }));
-            }
-            self.sender.warned(now, id, of.health);
-        }
-        if !entries.is_empty() {
-            self.log(&format!(
-                "{} endpoints stay out: other senders heard that they drain or are gone",
-                entries.len()
-            ));
-            self.pending.push((now, Event::EndpointUpdates(entries)));
-        }
-    }
-
-    /// What this sender has to say of endpoints to another that comes back.
-    pub(super) fn word(&self) -> BTreeMap<String, EndpointReport> {
-        let now = self.now();
-        let of = |id, out| {
-            let mut word = EndpointReport { out, ..EndpointReport::default() };
-            for (place, learned) in self.sender.learned(id).iter().enumerate() {
-                let Some((told, health)) = learned.as_ref().map(|learned| learned.word(now)) else {
-                    continue;
-                };
-                word.told = word.told.max(told.0);
-                // Whether it answers is of its own line.
-                if place == 0 {
-                    word.health = health;
-                }
-            }
-            word
-        };
-        let all = self
-            .endpoints
-            .iter()
-            .map(|(id, at)| (at.member.id.clone(), of(*id, at.member.phase != Phase::Serving)));
-        all.filter(|(_, word)| !word.says_nothing()).collect()
-    }
 }
--- a/src/daemon/event_loop/shutdown.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -1,94 +1,171 @@
-//! How a host ends: it winds down, or gives its place to the next process.
+//! How an event loop ends: by a graceful shutdown, or by a handover to a successor.
 use super::EventLoop;
 use crate::Event;
 use crate::daemon::config::Config;
 use crate::daemon::events::{ListenerState, LoopEvent};
 use crate::daemon::handover::{InheritedState, Successor};
 use crate::daemon::metrics::Metrics;
+use crate::daemon::watch_cell::WatchCell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep};
 
-/// From SIGTERM to the end of the process: the platform kills no sooner than 3.7 s after it.
-const WIND_DOWN: Duration = Duration::from_millis(3400);
-/// From SIGTERM on, clients still come for 0.4 s.
-const STILL_COMING: Duration = Duration::from_millis(600);
-/// How long a call that is given up may take to be closed: nobody may have a second copy while it is open.
-const CLOSING: Duration = Duration::from_millis(10);
+/// From SIGTERM to the end of the process: the platform kills the process no sooner than 3.7 s after SIGTERM.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3400);
+/// How long after SIGTERM the process serves even with nothing left to do: clients still come for 0.4 s.
+const MIN_SHUTDOWN_DURATION: Duration = Duration::from_millis(600);
+/// From a successor's request until the handover: calls that take longer are abandoned.
+const HANDOVER_SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long an abandoned call may take to be closed: nobody may send a second copy while its connection is open.
+const CONNECTION_CLOSE_DELAY: Duration = Duration::from_millis(10);
 
-/// When the process winds down.
+/// When a graceful shutdown ends.
 #[derive(Clone, Copy)]
-pub(super) struct ShutdownDeadlines {
-    /// From then on it ends as soon as nothing is owed.
-    pub(super) quiet: Instant,
-    pub(super) end: Instant,
+struct ShutdownDeadlines {
+    /// From then on the process ends as soon as nothing is left to do.
+    earliest: Instant,
+    /// Then the process ends with what it has.
+    latest: Instant,
 }
 
-/// What a host leaves behind that gave up its place.
+/// A successor that has asked to take over.
+struct RequestedHandover {
+    successor: Successor,
+    /// When the handover begins at the latest.
+    deadline: Instant,
+}
+
+/// Whether the event loop is to end, and what its listener does meanwhile.
+pub(super) struct Lifecycle {
+    pub(super) listener: WatchCell<ListenerState>,
+    shutdown: Option<ShutdownDeadlines>,
+    handover: Option<RequestedHandover>,
+}
+
+impl Lifecycle {
+    /// A loop that is to go on.
+    pub(super) fn new(listener: WatchCell<ListenerState>) -> Self {
+        Self { listener, shutdown: None, handover: None }
+    }
+
+    /// Whether a graceful shutdown has begun.
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_some()
+    }
+
+    /// Returns when the shutdown or the handover proceeds by time alone.
+    pub(super) fn due(&self) -> Option<Instant> {
+        let shutdown = self.shutdown.map(|deadlines| {
+            if Instant::now() < deadlines.earliest { deadlines.earliest } else { deadlines.latest }
+        });
+        let handover = self.handover.as_ref().map(|handover| handover.deadline);
+        shutdown.into_iter().chain(handover).min()
+    }
+
+    /// Whether the shutdown is over at `now`.
+    fn is_shutdown_over(&self, now: Instant, is_idle: impl FnOnce() -> bool) -> bool {
+        self.shutdown
+            .is_some_and(|deadlines| now >= deadlines.earliest && (now >= deadlines.latest || is_idle()))
+    }
+
+    /// Takes the successor if the handover begins at `now`: its time has come, or no call is in flight.
+    pub(super) fn take_successor(&mut self, now: Instant, has_calls: bool) -> Option<Successor> {
+        let handover = self.handover.take_if(|handover| now >= handover.deadline || !has_calls);
+        handover.map(|handover| handover.successor)
+    }
+}
+
+/// What an event loop leaves behind that gives way to a successor.
 pub struct HandoverState {
-    /// To whom.
+    /// The successor.
     pub successor: Successor,
-    /// What it leaves, beside the journal.
+    /// What the successor inherits, beside the journal.
     pub inheritance: InheritedState,
-    /// The configuration that it followed.
+    /// The configuration in force.
     pub config: Rc<Config>,
-    /// Its last picture.
-    pub figures: Rc<Metrics>,
+    /// The last snapshot of the metrics.
+    pub metrics: Rc<Metrics>,
 }
 
 impl EventLoop {
-    /// Begins to wind down, as it was `told` to.
-    pub(super) fn wind_down(&mut self, told: Instant) {
-        if self.winding_down.is_none() {
-            let wind_down = ShutdownDeadlines { quiet: told + STILL_COMING, end: told + WIND_DOWN };
-            self.winding_down = Some(wind_down);
-            self.doors.set(ListenerState::Draining);
-            self.pending.push((self.now(), Event::Shutdown(self.clock.at(wind_down.end))));
+    /// Begins the graceful shutdown that was requested at `requested_at`, unless one has begun.
+    pub(super) fn begin_shutdown(&mut self, requested_at: Instant) {
+        if self.lifecycle.is_shutting_down() {
+            return;
         }
+        let earliest = requested_at + MIN_SHUTDOWN_DURATION;
+        let latest = requested_at + SHUTDOWN_TIMEOUT;
+        self.lifecycle.shutdown = Some(ShutdownDeadlines { earliest, latest });
+        self.lifecycle.listener.set(ListenerState::Draining);
+        self.queue.push(self.clock.now(), Event::Shutdown(self.clock.timestamp(latest)));
     }
 
-    /// Ends with all calls closed and the journal as it is; from here on nothing is taken in.
-    pub(super) async fn give_up(
+    /// Whether the shutdown is over. The listener serves until the process ends: a client may use a connection for as
+    /// long as it is open, and a closed one sends the client to a new one.
+    pub(super) fn is_shutdown_over(&self, now: Instant) -> bool {
+        self.lifecycle.is_shutdown_over(now, || {
+            let has_messages = self.messages.journal.pending().next().is_some();
+            self.calls.is_empty() && !has_messages && !self.has_deferred_effects()
+        })
+    }
+
+    /// Begins to give way to a successor. A second request during a handover breaks the link of its sender.
+    pub(super) fn request_handover(&mut self, successor: Successor) {
+        if self.lifecycle.handover.is_some() {
+            return;
+        }
+        let deadline = Instant::now() + HANDOVER_SETTLE_TIMEOUT;
+        self.log(format_args!("handover: a successor asks to take over"));
+        self.lifecycle.handover = Some(RequestedHandover { successor, deadline });
+        self.queue.push(self.clock.now(), Event::Handover(self.clock.timestamp(deadline)));
+    }
+
+    /// Ends the loop with all calls closed and the journal as it is; nothing is accepted from here on.
+    pub(super) async fn hand_over(
         mut self,
         successor: Successor,
-        inputs: &mut UnboundedReceiver<LoopEvent>,
+        events: &mut UnboundedReceiver<LoopEvent>,
     ) -> HandoverState {
-        self.doors.set(ListenerState::HandingOver);
+        self.lifecycle.listener.set(ListenerState::HandingOver);
         self.tasks.shutdown().await;
-        sleep(CLOSING).await;
-        // What has come to its end by now is booked and learned from: a wait that was told binds the next process
-        // too. Who hands in a message is passed on; the rest is not this host's any more.
-        let mut left = Vec::new();
-        while let Ok(input) = inputs.try_recv() {
-            match input {
+        sleep(CONNECTION_CLOSE_DELAY).await;
+        self.handle_last_events(events);
+        // No call may begin that would end after now: none at all.
+        let now = self.clock.now();
+        self.queue.push(now, Event::Handover(now));
+        self.step();
+        self.metrics.discard_snapshot();
+        let metrics = Metrics { inflight: 0, ..(*self.metrics_snapshot()).clone() };
+        let classes = self.configuration.classes.named().to_vec();
+        let inheritance = InheritedState { memory: self.checkpoint(), classes };
+        let config = self.configuration.config;
+        HandoverState { successor, inheritance, config, metrics: Rc::new(metrics) }
+    }
+
+    /// Handles what has ended by now: a Retry-After binds the successor, too. Submitted messages are forwarded to the
+    /// successor by the listener, and orders wait for whoever has the listener at the end.
+    fn handle_last_events(&mut self, events: &mut UnboundedReceiver<LoopEvent>) {
+        let mut orders = Vec::new();
+        while let Ok(event) = events.try_recv() {
+            match event {
                 LoopEvent::CallCompleted(_)
                 | LoopEvent::NotificationsAcknowledged(_)
-                | LoopEvent::EndpointList(_) => self.take_in(input),
-                LoopEvent::Submit { .. }
-                | LoopEvent::Connected { .. }
-                | LoopEvent::ConnectionIdle(..)
-                | LoopEvent::Successor(_) => {}
+                | LoopEvent::EndpointList(_) => self.handle(event),
                 LoopEvent::Shutdown(_)
                 | LoopEvent::Reload(_)
                 | LoopEvent::ReloadIfChanged(_)
-                | LoopEvent::Admin(_) => {
-                    left.push(input);
-                }
-                // Of a file that this host has closed.
-                LoopEvent::JournalSynced(..) => {}
+                | LoopEvent::Admin(_) => orders.push(event),
+                LoopEvent::Submit { .. }
+                | LoopEvent::Connected { .. }
+                | LoopEvent::ConnectionIdle { .. }
+                | LoopEvent::Successor(_) => {}
+                // A sync of a file that this loop has closed.
+                LoopEvent::JournalSynced { .. } => {}
             }
         }
-        for input in left {
-            let _ = self.outside.host.send(input);
+        for order in orders {
+            let _ = self.events.send(order);
         }
-        // No call is begun that would end after now: none at all.
-        let now = self.now();
-        self.pending.push((now, Event::Handover(now)));
-        self.step();
-        self.picture = None;
-        let figures = Metrics { inflight: 0, ..(*self.picture()).clone() };
-        let inheritance = InheritedState { memory: self.memory(), classes: self.classes.named().to_vec() };
-        HandoverState { successor, inheritance, config: self.config, figures: Rc::new(figures) }
     }
 }
--- /dev/null
+++ b/src/daemon/event_loop/step.rs
@@ -0,0 +1,80 @@
+//! One step of the decision engine, and the actions that follow from it.
+use super::EventLoop;
+use crate::daemon::journal::FinalOutcome;
+use crate::{Action, EndpointId, MessageId, TimeDelta, Timestamp};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A call that the engine has decided on.
+struct PlannedCall {
+    endpoint: EndpointId,
+    messages: Vec<MessageId>,
+    expires: Timestamp,
+}
+
+impl EventLoop {
+    /// Gives the engine all that happened since the last step, and carries out what the engine decides.
+    pub(super) fn step(&mut self) {
+        let at = Instant::now();
+        let now = self.clock.timestamp(at);
+        let events = self.queue.take_step(at, now);
+        let mut actions = Vec::new();
+        self.engine.step(now, &events, &mut actions);
+        let mut calls = Vec::new();
+        for action in actions {
+            self.carry_out(action, at, &mut calls);
+        }
+        for PlannedCall { endpoint, messages, expires } in calls {
+            self.begin_call(endpoint, messages, expires);
+        }
+    }
+
+    /// Carries out an action of a step at `at`; sends are gathered in `calls`.
+    fn carry_out(&mut self, action: Action, at: Instant, calls: &mut Vec<PlannedCall>) {
+        match action {
+            Action::Send { message, endpoint, expires } => {
+                self.plan_send(calls, message, endpoint, expires);
+            }
+            Action::Return { message, retry_after } => {
+                self.finish_message(message.0, FinalOutcome::Returned(retry_after.map(milliseconds)));
+            }
+            Action::Fail(message) => self.finish_message(message.0, FinalOutcome::Failed),
+            Action::SetTimer(delay) => self.queue.set_timer(at + Duration::from_micros(delay.0)),
+            Action::CloseIdleConnections(endpoint) => self.calls.pool.close(endpoint),
+            Action::ForgetEndpoint(endpoint) => {
+                self.calls.pool.close(endpoint);
+                self.endpoints.remove(endpoint);
+            }
+            Action::Log(line) => self.log(format_args!("{line}")),
+            // The endpoint list is always watched; the engine is set up neither to cancel calls nor to check health.
+            Action::WatchEndpoints
+            | Action::PollEndpoints
+            | Action::Cancel { .. }
+            | Action::CheckHealth(_) => {}
+        }
+    }
+
+    /// Adds a message to the last call, or plans another one. The sends of a call come one after the other, and the
+    /// engine lets the messages of a batch expire together.
+    fn plan_send(
+        &self,
+        calls: &mut Vec<PlannedCall>,
+        message: MessageId,
+        endpoint: EndpointId,
+        expires: Timestamp,
+    ) {
+        let max_batch_size = self.endpoints.get(endpoint).map_or(1, |known| known.max_batch_size);
+        let open = calls.last_mut().filter(|call| {
+            call.endpoint == endpoint && call.expires == expires && call.messages.len() < max_batch_size
+        });
+        match open {
+            Some(call) => call.messages.push(message),
+            None => calls.push(PlannedCall { endpoint, messages: vec![message], expires }),
+        }
+    }
+}
+
+/// Rounds a time up to milliseconds, as notifications state it.
+fn milliseconds(time: TimeDelta) -> u64 {
+    time.0.div_ceil(1000)
+}
--- /dev/null
+++ b/src/daemon/event_loop/step_queue.rs
@@ -0,0 +1,68 @@
+//! The events that the decision engine has not seen yet, and when its next step is due.
+use crate::{Event, Outcome, Timestamp};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Events in the order in which they happened, with the engine's timer.
+pub(super) struct StepQueue {
+    events: Vec<(Timestamp, Event)>,
+    last_step: Instant,
+    timer: Option<Instant>,
+}
+
+impl StepQueue {
+    /// An empty queue; the first step comes no sooner than one interval after `now`.
+    pub(super) fn new(now: Instant) -> Self {
+        Self { events: Vec::new(), last_step: now, timer: None }
+    }
+
+    /// Queues an event that happened at `at` for the next step.
+    pub(super) fn push(&mut self, at: Timestamp, event: Event) {
+        self.events.push((at, event));
+    }
+
+    /// Whether the engine has seen all that happened.
+    pub(super) fn is_empty(&self) -> bool {
+        self.events.is_empty()
+    }
+
+    /// Returns when the next step is due: no sooner than `min_interval` after the last one.
+    pub(super) fn due(&self, min_interval: Duration) -> Option<Instant> {
+        let earliest = self.last_step + min_interval;
+        if self.events.is_empty() { self.timer.map(|timer| timer.max(earliest)) } else { Some(earliest) }
+    }
+
+    /// Sets the engine's timer, unless an earlier one is set.
+    pub(super) fn set_timer(&mut self, at: Instant) {
+        self.timer = Some(self.timer.map_or(at, |timer| timer.min(at)));
+    }
+
+    /// Takes all events for a step at `at`, which is `now` on the engine's clock.
+    pub(super) fn take_step(&mut self, at: Instant, now: Timestamp) -> Vec<Event> {
+        self.last_step = at;
+        let mut events = Vec::with_capacity(self.events.len() + 1);
+        for (happened, mut event) in self.events.drain(..) {
+            shorten_wait(&mut event, now.0.saturating_sub(happened.0));
+            events.push(event);
+        }
+        if self.timer.take_if(|timer| *timer <= at).is_some() {
+            events.push(Event::TimerFired);
+        }
+        events
+    }
+}
+
+/// Shortens the time left in an event by its age in microseconds: times left run from when something happened, not from
+/// the step that processes the event.
+fn shorten_wait(event: &mut Event, age: u64) {
+    match event {
+        Event::Message(message) => {
+            message.time_to_live.0 = message.time_to_live.0.saturating_sub(age);
+        }
+        Event::AttemptEnded { outcome: Outcome::Rejected { retry_after: Some(wait) }, .. }
+        | Event::RetryAfter { wait, .. } => {
+            wait.0 = wait.0.saturating_sub(age);
+        }
+        _ => {}
+    }
+}
--- a/src/daemon/events.rs
+++ b/src/daemon/events.rs
@@ -1,5 +1,5 @@
-//! What passes between the daemon's parts: below all of them, so that none needs to know another.
-use super::config::Config;
+//! The messages between the daemon's tasks. This module lies below all of them, so that none needs to know another.
+use super::config::{Config, ConfigReadError};
 use super::connection::Connection;
 use super::endpoint_list::EndpointList;
 use super::handover::Successor;
@@ -9,90 +9,126 @@
 use crate::{EndpointId, LoadReport, Outcome, TimeDelta};
 use micadrum_recovery::words::EndpointReport;
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What the client is told.
+/// How the event loop responds to a submitted message.
 pub enum SubmitResponse {
-    /// The journal holds it.
+    /// The journal holds the message.
     Accepted,
-    /// It cannot be understood; the text says why.
-    Malformed(String),
-    /// There is no room or no use for it now.
+    /// The message cannot be understood.
+    Malformed(InvalidMessage),
+    /// There is no capacity for the message now, or no use in it.
     Rejected,
-    /// The sender comes back, and lets newcomers in at a rate: it has room after this.
+    /// The sender recovers and accepts new messages at a limited rate: it has capacity after this time.
     RetryAfter(Duration),
 }
 
-/// What reaches the loop.
+/// Why a message cannot be understood.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidMessage {
+    /// The settings do not name the class.
+    #[error("unknown class {0:?}")]
+    UnknownClass(String),
+    /// The settings name tenants, and not this one.
+    #[error("unknown tenant {0:?}")]
+    UnknownTenant(String),
+    /// Messages of the class need an idempotency key, and this one has none.
+    #[error("class {0:?} needs an idempotency key")]
+    MissingIdempotencyKey(String),
+}
+
+/// An event for the event loop.
 pub enum LoopEvent {
-    /// A client's message.
+    /// A client submits a message.
     Submit {
         /// The message.
         message: SubmittedMessage,
-        /// By when it may still be delivered.
+        /// Until when the message may be delivered.
         deadline: Instant,
-        /// Takes what the client is told.
-        answer: oneshot::Sender<SubmitResponse>,
+        /// Takes the response to the client.
+        reply: oneshot::Sender<SubmitResponse>,
     },
-    /// A call's end.
+    /// A call has ended.
     CallCompleted(CallCompletion),
-    /// A call has a new connection, and asks whether its messages may still go out on it.
+    /// A call has a new connection, and asks whether its messages may still be sent.
     Connected {
-        /// Where to.
+        /// The endpoint of the call.
         endpoint: EndpointId,
-        /// The messages.
+        /// The numbers of the call's messages.
         messages: Vec<u32>,
-        /// Takes the word.
-        may_begin: oneshot::Sender<bool>,
+        /// Takes the answer.
+        is_allowed: oneshot::Sender<bool>,
     },
-    /// A connection that can carry another call.
-    ConnectionIdle(EndpointId, SocketAddr, Connection),
-    /// News of the list.
+    /// A connection can carry another call.
+    ConnectionIdle {
+        /// The endpoint that the connection was opened for.
+        endpoint: EndpointId,
+        /// The address that the connection leads to.
+        address: SocketAddr,
+        /// The connection.
+        connection: Connection,
+    },
+    /// The discovery agent has sent an endpoint list, or changes to one.
     EndpointList(EndpointList),
-    /// Notices that the platform has acknowledged.
+    /// The platform has acknowledged the notifications of these messages.
     NotificationsAcknowledged(Vec<u32>),
-    /// The process is to end; when it was told so.
+    /// The process is to shut down gracefully, since this instant.
     Shutdown(Instant),
-    /// The configuration as it now reads, or why it cannot be read.
-    Reload(Result<Box<Config>, String>),
-    /// The same, where it may read as before.
-    ReloadIfChanged(Result<Box<Config>, String>),
-    /// A sync of the journal has ended: of which of its files, and how.
-    JournalSynced(u64, std::io::Result<()>),
-    /// What an operator asks.
+    /// The configuration is to be read again: how it reads now.
+    Reload(Result<Box<Config>, ConfigReadError>),
+    /// The configuration may have changed: how it reads now.
+    ReloadIfChanged(Result<Box<Config>, ConfigReadError>),
+    /// A sync of the journal has ended.
+    JournalSynced {
+        /// Which of the journal's files was synced.
+        file: u64,
+        /// Whether the sync succeeded.
+        result: io::Result<()>,
+    },
+    /// A request through the admin endpoint, or of a peer.
     Admin(AdminRequest),
-    /// The next process asks for this one's place.
+    /// A successor asks to take over.
     Successor(Successor),
 }
 
-/// What operators ask of a sender.
+/// What operators and peers ask of a sender.
 pub enum AdminRequest {
-    /// For its figures.
+    /// Returns the metrics.
     Metrics(oneshot::Sender<Rc<Metrics>>),
-    /// For what it has to say of endpoints to another sender that comes back.
+    /// Returns what this sender reports of endpoints to a peer that recovers.
     PeerReport(oneshot::Sender<BTreeMap<String, EndpointReport>>),
-    /// To take an endpoint out by hand, or to put it back.
+    /// Takes an endpoint out of service, or puts it back.
     SetMaintenance {
-        /// Its id in the list.
+        /// The ID of the endpoint in the endpoint list.
         endpoint: String,
-        /// Out, or back.
-        out: bool,
-        /// Takes what came of it.
-        done: oneshot::Sender<Result<(), AdminError>>,
+        /// What is to change.
+        change: MaintenanceChange,
+        /// Takes the result.
+        reply: oneshot::Sender<Result<(), AdminError>>,
     },
 }
 
-/// Why an operator hears no.
+/// What an operator changes about an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MaintenanceChange {
+    /// The endpoint is taken out of service.
+    Enter,
+    /// The endpoint is put back into service.
+    Exit,
+}
+
+/// Why an operator's request fails.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
-    /// The list names no such endpoint.
+    /// The endpoint list names no such endpoint.
     #[error("no endpoint {0:?} in the list")]
-    Unknown(String),
-    /// It could not be done.
+    UnknownEndpoint(String),
+    /// The change could not be made.
     #[error(transparent)]
     Maintenance(#[from] MaintenanceError),
 }
@@ -100,34 +136,45 @@
 /// How a call ended.
 #[derive(Debug)]
 pub struct CallCompletion {
-    /// The call's number.
+    /// The number of the call.
     pub number: u64,
-    /// Where it went.
+    /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// When the end of the call was seen: waits run from here.
+    /// When the end of the call was seen: a Retry-After runs from here.
     pub completed_at: Instant,
-    /// What became of each message, in the call's order.
-    pub ends: Vec<(u32, Outcome, bool)>,
-    /// A wait that the answer told.
+    /// How each message fared, in the order in which the call carried them.
+    pub outcomes: Vec<AttemptOutcome>,
+    /// The Retry-After of the response.
     pub retry_after: Option<TimeDelta>,
-    /// The load report that came with it.
+    /// The load report of the response.
     pub report: Option<LoadReport>,
 }
 
-/// What winding down asks of the clients' connections.
+/// How one message fared in a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptOutcome {
+    /// The number of the message.
+    pub message: u32,
+    /// How the attempt ended.
+    pub outcome: Outcome,
+    /// Whether nothing is left to do for the message.
+    pub completes: bool,
+}
+
+/// What the listener does with the connections of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerState {
-    /// Not yet open.
+    /// Clients are not served yet.
     Starting,
-    /// All as usual.
+    /// Clients are served.
     Accepting,
-    /// The place is being given to the next process: nobody new is let in, and who is here is passed on to the address
-    /// that both share, with an end to the connection.
+    /// The handover to a successor is under way: nobody new is let in, and requests on open connections are forwarded to
+    /// the address that both processes share, with an end to the connection.
     HandingOver,
-    /// The same, and the place is the other's for good.
+    /// The successor has taken over for good; requests are forwarded as under `HandingOver`.
     HandedOver,
-    /// Each connection ends with its next answer, so that its client goes elsewhere; new ones are answered too.
+    /// Each connection ends with its next response, so that its client goes elsewhere; new ones are served, too.
     Draining,
-    /// The process is about to end: no new connections, and idle ones are closed.
+    /// The process is about to end: there are no new connections, and idle ones are closed.
     Closed,
 }
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -218,7 +218,7 @@
     log: Rc<dyn Log>,
 ) {
     let doors = &desk.doors;
-    let house = ConnectionLimits::new(budget.clients, budget.bodies);
+    let house = ConnectionLimits::new(budget.client_connections, budget.request_body_bytes);
     loop {
         let accepted = tokio::select! {
             biased;
@@ -383,7 +383,7 @@
         return plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n");
     }
     let (answer, answered) = oneshot::channel();
-    let _ = desk.host.send(LoopEvent::Submit { message, deadline: came + remaining, answer });
+    let _ = desk.host.send(LoopEvent::Submit { message, deadline: came + remaining, reply: answer });
     let answer = match answered.await {
         // A host that gave up its place took nothing on.
         Err(_) if matches!(desk.doors.get(), ListenerState::HandingOver | ListenerState::HandedOver) => {
--- a/src/daemon/metrics.rs
+++ b/src/daemon/metrics.rs
@@ -1,69 +1,70 @@
-//! What one process tells operators of itself, in figures. Free of I/O and clocks.
+//! The metrics of one process, as operators read them. Free of I/O and clocks.
 use super::journal::FinalOutcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How messages of one class ended.
+/// How the messages of one class ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassMetrics {
-    /// Delivered.
+    /// Messages that were delivered.
     pub success: u64,
-    /// Refused at the door, or handed back.
+    /// Messages that were rejected, or returned undelivered.
     pub busy: u64,
-    /// Failed.
+    /// Messages that failed.
     pub failure: u64,
 }
 
-/// One picture of a process; its counts begin at 0 with it.
+/// A snapshot of a process; its counts begin at 0 with the process. The field names are those of `/status/metrics`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Metrics {
-    /// By class.
+    /// Ended messages, by class.
     pub calls: BTreeMap<String, ClassMetrics>,
     /// Messages that were written whole to endpoints.
     pub backend_calls: u64,
-    /// Messages taken on that have not ended.
+    /// Accepted messages that have not ended.
     pub inflight: usize,
-    /// Endpoints in the list.
+    /// Endpoints in the endpoint list.
     pub hosts_listed: usize,
-    /// Those of them that nothing is sent to now, by hand or by choice.
+    /// Listed endpoints that no message is sent to now: drained, in maintenance, ejected, or asking for a pause.
     pub hosts_down: usize,
-    /// Configurations taken at a reload.
+    /// Reloaded configurations that were applied.
     pub reconfig_ok: u64,
-    /// Configurations turned down at a reload.
+    /// Reloaded configurations that were rejected.
     pub reconfig_failed: u64,
 }
 
 impl Metrics {
-    /// Shows a class, at 0 until something of it ends.
-    pub fn show(&mut self, class: &str) {
+    /// Lists a class, with counts of 0 until a message of the class ends.
+    pub fn add_class(&mut self, class: &str) {
         if !self.calls.contains_key(class) {
             self.calls.insert(class.to_owned(), ClassMetrics::default());
         }
     }
 
-    /// A message was delivered.
-    pub fn delivered(&mut self, class: &str) {
-        self.count(class, |of| &mut of.success);
+    /// Counts a message that was delivered.
+    pub fn record_delivered(&mut self, class: &str) {
+        self.count(class, |counts| &mut counts.success);
     }
 
-    /// A message was turned away at the door.
-    pub fn refused(&mut self, class: &str) {
-        self.count(class, |of| &mut of.busy);
+    /// Counts a message that was not accepted.
+    pub fn record_rejected(&mut self, class: &str) {
+        self.count(class, |counts| &mut counts.busy);
     }
 
-    /// A message that was taken on ended undelivered.
-    pub fn ended(&mut self, class: &str, end: FinalOutcome) {
-        match end {
-            FinalOutcome::Failed => self.count(class, |of| &mut of.failure),
-            FinalOutcome::Returned(_) => self.refused(class),
+    /// Counts an accepted message that ended undelivered.
+    pub fn record_undelivered(&mut self, class: &str, outcome: FinalOutcome) {
+        match outcome {
+            FinalOutcome::Failed => self.count(class, |counts| &mut counts.failure),
+            FinalOutcome::Returned(_) => self.record_rejected(class),
         }
     }
 
-    /// Classes are those of the settings, of now or before: whoever comes with another has not been taken on.
-    fn count(&mut self, class: &str, which: impl Fn(&mut ClassMetrics) -> &mut u64) {
-        self.show(class);
-        if let Some(of) = self.calls.get_mut(class) {
-            *which(of) += 1;
+    /// Counts a message under its class. The classes are bounded: they are those of the settings, present or former, as
+    /// messages of other classes are malformed.
+    fn count(&mut self, class: &str, counter: impl Fn(&mut ClassMetrics) -> &mut u64) {
+        self.add_class(class);
+        if let Some(counts) = self.calls.get_mut(class) {
+            *counter(counts) += 1;
         }
     }
 }
--- a/src/daemon/outbound_call.rs
+++ b/src/daemon/outbound_call.rs
@@ -1,6 +1,6 @@
 //! One call: what is sent, and what came back as an [`Outcome`].
 use super::connection::{ANSWER_PATIENCE, CallError, Connection, MOST_ANSWER, Tally, request};
-use super::events::{CallCompletion, LoopEvent};
+use super::events::{AttemptOutcome, CallCompletion, LoopEvent};
 use super::ports::{Log, Ports};
 use crate::{EndpointId, LoadReport, Outcome, TimeDelta};
 use base64::Engine;
@@ -107,7 +107,11 @@
             }
             Err(outcome) => {
                 let over = outcome == Outcome::Success;
-                let ends = self.parcels.iter().map(|p| (p.number, outcome, over)).collect();
+                let ends = self
+                    .parcels
+                    .iter()
+                    .map(|p| AttemptOutcome { message: p.number, outcome, completes: over })
+                    .collect();
                 done(self.called(ends, None, None));
                 return None;
             }
@@ -117,7 +121,11 @@
         let mut called = self.called(Vec::new(), told, report);
         if head.status == StatusCode::OK && self.parcels.len() == 1 {
             // Delivered, whatever the body holds: it is read only for the sake of the next call.
-            called.ends = self.parcels.iter().map(|p| (p.number, Outcome::Success, true)).collect();
+            called.outcomes = self
+                .parcels
+                .iter()
+                .map(|p| AttemptOutcome { message: p.number, outcome: Outcome::Success, completes: true })
+                .collect();
             done(called);
             let _room = outside.unread.try_acquire().ok()?;
             return whole(body).await.is_some().then_some(connection);
@@ -125,11 +133,14 @@
         // Only a whole answer is believed: one that turns out spoilt may have run, whatever its head says. A
         // batch is answered with its whole body, and until then its messages' fates are open.
         let body = timeout_at(self.expires, whole(body)).await.ok().flatten();
-        called.ends = match &body {
+        called.outcomes = match &body {
             Some(body) if head.status == StatusCode::OK => self.batch_ends(body, told, &*outside.ports.log),
             Some(_) => {
                 let (outcome, over) = outcome(head.status, &head.headers, told);
-                self.parcels.iter().map(|p| (p.number, outcome, over)).collect()
+                self.parcels
+                    .iter()
+                    .map(|p| AttemptOutcome { message: p.number, outcome, completes: over })
+                    .collect()
             }
             None => self.all(Outcome::Failure),
         };
@@ -207,7 +218,11 @@
         let new = new.map_err(|_| Outcome::ConnectFailed)?;
         let (may_begin, allowed) = oneshot::channel();
         let messages = self.parcels.iter().map(|p| p.number).collect();
-        let _ = outside.host.send(LoopEvent::Connected { endpoint: self.endpoint, messages, may_begin });
+        let _ = outside.host.send(LoopEvent::Connected {
+            endpoint: self.endpoint,
+            messages,
+            is_allowed: may_begin,
+        });
         // A host that has ended has no more calls to make.
         Ok(allowed.await.unwrap_or(false).then_some(new))
     }
@@ -231,11 +246,11 @@
         (head.header(CONTENT_TYPE, "application/json"), body.into())
     }
 
-    fn all(&self, outcome: Outcome) -> Vec<(u32, Outcome, bool)> {
-        self.parcels.iter().map(|p| (p.number, outcome, false)).collect()
+    fn all(&self, outcome: Outcome) -> Vec<AttemptOutcome> {
+        self.parcels.iter().map(|p| AttemptOutcome { message: p.number, outcome, completes: false }).collect()
     }
 
-    fn batch_ends(&self, body: &[u8], told: Option<TimeDelta>, log: &dyn Log) -> Vec<(u32, Outcome, bool)> {
+    fn batch_ends(&self, body: &[u8], told: Option<TimeDelta>, log: &dyn Log) -> Vec<AttemptOutcome> {
         let states: BTreeMap<String, State> = match serde_json::from_slice::<Vec<BatchEnd>>(body) {
             Ok(ends) => ends.into_iter().map(|end| (end.id, end.state)).collect(),
             Err(e) => {
@@ -251,12 +266,16 @@
             // What the answer does not tell of may have run.
             Some(State::Error) | None => (Outcome::Failure, false),
         };
-        self.parcels.iter().map(|p| (p.number, end(p).0, end(p).1)).collect()
+        let ended = |p: &BatchedMessage| {
+            let (outcome, completes) = end(p);
+            AttemptOutcome { message: p.number, outcome, completes }
+        };
+        self.parcels.iter().map(ended).collect()
     }
 
     fn called(
         &self,
-        ends: Vec<(u32, Outcome, bool)>,
+        ends: Vec<AttemptOutcome>,
         wait: Option<TimeDelta>,
         report: Option<LoadReport>,
     ) -> CallCompletion {
@@ -264,7 +283,7 @@
             number: self.number,
             endpoint: self.endpoint,
             completed_at: Instant::now(),
-            ends,
+            outcomes: ends,
             retry_after: wait,
             report,
         }
--- /dev/null
+++ b/src/daemon/peer_reporting.rs
@@ -0,0 +1,34 @@
+//! What this sender reports to peers that recover.
+use super::events::{AdminRequest, LoopEvent};
+use super::membership::PeerReportSource;
+use super::ports::WallClock;
+use super::recovery::RecoveryStatus;
+use micadrum_recovery::PeerReport;
+use std::rc::Rc;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// Returns a source of reports. The reports of a sender that recovers itself are empty.
+pub fn source(
+    recovery: RecoveryStatus,
+    events: UnboundedSender<LoopEvent>,
+    wall: Rc<dyn WallClock>,
+) -> PeerReportSource {
+    let started_at = Instant::now();
+    Rc::new(move || {
+        let (recovery, events, wall) = (recovery.clone(), events.clone(), wall.clone());
+        Box::pin(async move {
+            let mut report = PeerReport::default();
+            // Once it may send, this sender knows the endpoints.
+            if recovery.may_send() {
+                let (reply, replied) = oneshot::channel();
+                let _ = events.send(LoopEvent::Admin(AdminRequest::PeerReport(reply)));
+                report.endpoints = replied.await.unwrap_or_default();
+                report.steady_for = recovery.steady_for(started_at.elapsed());
+            }
+            report.wall = wall.now().as_micros() as u64;
+            report.bounded()
+        })
+    })
+}
--- a/src/daemon/resource_budget/tests.rs
+++ b/src/daemon/resource_budget/tests.rs
@@ -8,9 +8,22 @@
         for calls in [4, 40] {
             let limits = ResourceLimits { memory_mb: 32.0, sockets, disk_mb: 3.0 };
             let budget = ResourceBudget::new(&limits, calls, true);
-            let all = budget.clients + budget.idle + calls + budget.unread + OWN_SOCKETS + OPERATORS + 1;
-            assert!(all <= sockets && budget.clients * CLIENT_MEMORY + budget.bodies < 16_000_000);
-            assert!(budget.clients * 3 >= sockets.min(768) && budget.idle > calls, "{budget:?}");
+            let all = budget.client_connections
+                + budget.idle_connections
+                + calls
+                + budget.unread_responses
+                + OWN_DESCRIPTORS
+                + MAX_OPERATOR_CONNECTIONS
+                + 1;
+            assert!(
+                all <= sockets
+                    && budget.client_connections * CLIENT_CONNECTION_BYTES + budget.request_body_bytes
+                        < 16_000_000
+            );
+            assert!(
+                budget.client_connections * 3 >= sockets.min(768) && budget.idle_connections > calls,
+                "{budget:?}"
+            );
         }
     }
 }
--- /dev/null
+++ b/src/daemon/standby.rs
@@ -0,0 +1,126 @@
+//! What a process does between the end of its event loop and that of the handover: a successor is taking over or has done
+//! so, and nobody is at work here.
+use super::client_listener::ClientListener;
+use super::events::{AdminRequest, LoopEvent};
+use super::handover::{InheritedState, Successor};
+use super::metrics::Metrics;
+use super::ports::{Listener, Log};
+use super::state_lock::StateLock;
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use tokio::sync::mpsc::UnboundedReceiver;
+
+/// A process that waits for its successor.
+pub struct Standby<'a> {
+    pub events: &'a mut UnboundedReceiver<LoopEvent>,
+    pub log: &'a dyn Log,
+    pub successor: Successor,
+    /// The last metrics of this process.
+    pub metrics: Rc<Metrics>,
+}
+
+/// Signals that came during a handover: they are for whichever process is at work at its end.
+#[derive(Default)]
+pub struct PendingSignals {
+    reload: Option<LoopEvent>,
+    shutdown: Option<LoopEvent>,
+}
+
+/// How an offer to a successor ended.
+pub struct OfferOutcome {
+    /// Whether the successor has taken over.
+    pub is_accepted: bool,
+    /// The signals that came meanwhile.
+    pub signals: PendingSignals,
+}
+
+/// What ended a wait.
+enum Wakeup<T> {
+    /// The awaited future is ready.
+    Ready(T),
+    /// A signal came: to shut down, or to read the configuration again.
+    Signal(LoopEvent),
+}
+
+impl PendingSignals {
+    /// Keeps the last reload and the first shutdown.
+    fn add(&mut self, signal: LoopEvent) {
+        match signal {
+            LoopEvent::Shutdown(_) => self.shutdown = self.shutdown.take().or(Some(signal)),
+            reload => self.reload = Some(reload),
+        }
+    }
+
+    /// Returns the signals for the event loop that goes on.
+    pub fn into_events(self) -> impl Iterator<Item = LoopEvent> {
+        self.reload.into_iter().chain(self.shutdown)
+    }
+}
+
+impl Standby<'_> {
+    /// Offers everything to the successor, and waits until it has taken over or has ended.
+    pub async fn offer(
+        &mut self,
+        listener: &dyn Listener,
+        lock: Option<&StateLock>,
+        inheritance: &InheritedState,
+    ) -> OfferOutcome {
+        let mut signals = PendingSignals::default();
+        let (successor, log) = (&mut self.successor, self.log);
+        let mut offer = pin!(async {
+            let given = successor.give(listener, lock, inheritance).await;
+            if let Err(error) = &given {
+                log.line(&format!("handover: cannot hand over error={error}"));
+            }
+            given.is_ok() && successor.taken().await
+        });
+        loop {
+            match wait(self.events, &self.metrics, offer.as_mut()).await {
+                Wakeup::Ready(is_accepted) => return OfferOutcome { is_accepted, signals },
+                Wakeup::Signal(signal) => signals.add(signal),
+            }
+        }
+    }
+
+    /// Has the successor read its configuration again if `signals` or later ones ask for that, until the last client that
+    /// is still here has been forwarded.
+    pub async fn forward_reloads(mut self, signals: PendingSignals, clients: ClientListener) {
+        if signals.reload.is_some() {
+            self.successor.reload().await;
+        }
+        // The listening socket stays open until the server ends.
+        let ClientListener { listener: _listener, server } = clients;
+        let mut server = pin!(server);
+        loop {
+            match wait(self.events, &self.metrics, server.as_mut()).await {
+                Wakeup::Ready(_) => return,
+                Wakeup::Signal(LoopEvent::Shutdown(_)) => {}
+                Wakeup::Signal(_) => self.successor.reload().await,
+            }
+        }
+    }
+}
+
+/// Waits for a future. Operators get the last metrics meanwhile; all other requests are dropped, which tells those who
+/// made them that nobody is at work here.
+async fn wait<T>(
+    events: &mut UnboundedReceiver<LoopEvent>,
+    metrics: &Rc<Metrics>,
+    mut until: Pin<&mut impl Future<Output = T>>,
+) -> Wakeup<T> {
+    loop {
+        let event = tokio::select! {
+            biased;
+            ready = &mut until => return Wakeup::Ready(ready),
+            event = events.recv() => event,
+        };
+        match event {
+            Some(LoopEvent::Admin(AdminRequest::Metrics(reply))) => drop(reply.send(metrics.clone())),
+            Some(
+                signal @ (LoopEvent::Shutdown(_) | LoopEvent::Reload(_) | LoopEvent::ReloadIfChanged(_)),
+            ) => return Wakeup::Signal(signal),
+            Some(_) => {}
+            None => return Wakeup::Ready(until.await),
+        }
+    }
+}
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -1,90 +1,140 @@
-//! What passes between a sender and its partners, a line an event, for counts over a whole fleet.
+//! Trace lines of what passes between a sender and its endpoints, for counts over a whole fleet.
 //!
-//! Off unless it is asked for: a line a call is much on a busy day. `micadrum-testkit count` adds the lines up.
+//! Traces are off by default: a line for each call is much on a busy day. `micadrum-testkit count` adds the lines up.
 use super::endpoint_list::EndpointList;
+use super::journal::FinalOutcome;
 use super::ports::Log;
 use crate::{LoadReport, Outcome, TimeDelta, Timestamp};
+use std::fmt;
 use std::rc::Rc;
 
-/// Writes the lines, if it is on.
+/// Writes trace lines to the log, if traces are on.
 pub struct Trace(Option<Rc<dyn Log>>);
 
 /// A call that has ended.
-pub struct Ended<'a> {
-    /// The destination's number.
+pub struct CompletedCall<'a> {
+    /// The number of the destination.
     pub destination: u64,
-    /// The endpoint's name.
+    /// The name of the endpoint.
     pub endpoint: &'a str,
-    /// Messages that it carried.
+    /// How many messages the call carried.
     pub messages: usize,
-    /// How the first of them fared.
+    /// How the first of the messages fared.
     pub outcome: Outcome,
-    /// How long it was out.
+    /// The time from the begin of the call to its end.
     pub elapsed: TimeDelta,
-    /// What its answer told.
+    /// The load report of the response.
     pub report: Option<LoadReport>,
 }
 
+/// How a message ended undelivered.
+#[derive(Clone, Copy)]
+pub enum MessageEnd {
+    /// The message was not accepted.
+    Rejected,
+    /// The message was accepted, and returned.
+    Returned,
+    /// The message was accepted, and failed.
+    Failed,
+}
+
+impl From<FinalOutcome> for MessageEnd {
+    fn from(outcome: FinalOutcome) -> Self {
+        match outcome {
+            FinalOutcome::Failed => Self::Failed,
+            FinalOutcome::Returned(_) => Self::Returned,
+        }
+    }
+}
+
+impl fmt::Display for MessageEnd {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::Rejected => "door",
+            Self::Returned => "returned",
+            Self::Failed => "failed",
+        })
+    }
+}
+
 impl Trace {
-    /// Lines go to `log` if it is `on`.
-    pub fn new(on: bool, log: Rc<dyn Log>) -> Self {
-        Self(on.then_some(log))
+    /// Writes lines to `log` if traces are `enabled`.
+    pub fn new(enabled: bool, log: Rc<dyn Log>) -> Self {
+        Self(enabled.then_some(log))
     }
 
-    /// A call has ended.
-    pub fn call(&self, at: Timestamp, ended: &Ended<'_>) {
-        let Some(log) = &self.0 else { return };
-        let Ended { destination, endpoint, messages, outcome, elapsed, report } = ended;
-        let (outcome, wait) = match outcome {
-            Outcome::Success => ("success", None),
-            Outcome::Failure => ("failure", None),
-            Outcome::Rejected { retry_after: wait } => ("full", *wait),
-            Outcome::TimedOut => ("timeout", None),
-            Outcome::ConnectFailed => ("unreachable", None),
-            Outcome::Reset => ("reset", None),
-            Outcome::Cancelled => ("cancelled", None),
-            Outcome::NotSent => ("void", None),
-            Outcome::Deferred => ("withheld", None),
-        };
+    /// Traces a call that has ended.
+    pub fn call(&self, at: Timestamp, call: &CompletedCall<'_>) {
+        let CompletedCall { destination, endpoint, messages, outcome, elapsed, report } = call;
+        let (outcome, wait) = (outcome_name(*outcome), retry_after(*outcome));
         let wait = wait.map_or(String::new(), |wait| format!(" wait_us={}", wait.0));
-        let report = report
-            .map_or(String::new(), |r| format!(" left={} limit={}", r.remaining_share, r.limit_per_second));
-        log.line(&format!(
+        let report = report.map_or(String::new(), |report| {
+            format!(" left={} limit={}", report.remaining_share, report.limit_per_second)
+        });
+        self.line(format_args!(
             "trace call at={} destination={destination} endpoint={endpoint} messages={messages} \
              outcome={outcome} elapsed_us={}{wait}{report}",
             at.0, elapsed.0
         ));
     }
 
-    /// A connection to an endpoint was opened, or was not to be had.
-    pub fn connect(&self, at: Timestamp, destination: u64, endpoint: &str) {
-        let Some(log) = &self.0 else { return };
-        log.line(&format!("trace connect at={} destination={destination} endpoint={endpoint}", at.0));
+    /// Traces that a connection to an endpoint was opened, or could not be had.
+    pub fn connected(&self, at: Timestamp, destination: u64, endpoint: &str) {
+        let at = at.0;
+        self.line(format_args!("trace connect at={at} destination={destination} endpoint={endpoint}"));
     }
 
-    /// News of the list.
-    pub fn list(&self, at: Timestamp, targets: &EndpointList) {
-        let Some(log) = &self.0 else { return };
-        let EndpointList { revision, complete, members, .. } = targets;
-        log.line(&format!(
-            "trace list at={} revision={revision} whole={complete} entries={}",
-            at.0,
-            members.len()
-        ));
+    /// Traces an endpoint list, or changes to one.
+    pub fn endpoint_list(&self, at: Timestamp, list: &EndpointList) {
+        let EndpointList { revision, complete, members, .. } = list;
+        let (at, entries) = (at.0, members.len());
+        self.line(format_args!("trace list at={at} revision={revision} whole={complete} entries={entries}"));
     }
 
-    /// A message was taken on.
-    pub fn taken(&self, at: Timestamp, destination: u64) {
-        let Some(log) = &self.0 else { return };
-        log.line(&format!("trace taken at={} destination={destination}", at.0));
+    /// Traces that a message was accepted.
+    pub fn message_accepted(&self, at: Timestamp, destination: u64) {
+        self.line(format_args!("trace taken at={} destination={destination}", at.0));
     }
 
-    /// A message was turned away at the door, or has ended undelivered.
-    pub fn ended(&self, at: Timestamp, destination: u64, how: &str, class: &str, attempts: u32) {
-        let Some(log) = &self.0 else { return };
+    /// Traces that a message was rejected, or has ended undelivered.
+    pub fn message_ended(
+        &self,
+        at: Timestamp,
+        destination: u64,
+        end: MessageEnd,
+        class: &str,
+        attempts: u32,
+    ) {
         let at = at.0;
-        log.line(&format!(
-            "trace ended at={at} destination={destination} how={how} class={class} attempts={attempts}"
+        self.line(format_args!(
+            "trace ended at={at} destination={destination} how={end} class={class} attempts={attempts}"
         ));
     }
+
+    fn line(&self, line: fmt::Arguments<'_>) {
+        if let Some(log) = &self.0 {
+            log.line(&line.to_string());
+        }
+    }
+}
+
+fn outcome_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Success => "success",
+        Outcome::Failure => "failure",
+        Outcome::Rejected { .. } => "full",
+        Outcome::TimedOut => "timeout",
+        Outcome::ConnectFailed => "unreachable",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::NotSent => "void",
+        Outcome::Deferred => "withheld",
+    }
+}
+
+fn retry_after(outcome: Outcome) -> Option<TimeDelta> {
+    match outcome {
+        Outcome::Rejected { retry_after } => retry_after,
+        _ => None,
+    }
 }
--- a/src/daemon/watch_cell.rs
+++ b/src/daemon/watch_cell.rs
@@ -1,5 +1,5 @@
-//! One value that many tasks follow. Unlike `tokio::sync::watch` it wakes them in the order in which they began
-//! to wait, never by chance, so that a simulated run can be played again.
+//! A value that many tasks follow. Unlike `tokio::sync::watch` it wakes the tasks in the order in which they began to
+//! wait, never at random, so that a simulated run can be reproduced.
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -9,7 +9,7 @@
     changed: Notify,
 }
 
-/// A handle to the value; all handles are alike.
+/// A handle to the value. Every clone of a handle reads, changes and follows one value.
 pub struct WatchCell<T>(Rc<Shared<T>>);
 
 impl<T> Clone for WatchCell<T> {
@@ -19,30 +19,31 @@
 }
 
 impl<T: Copy + PartialEq> WatchCell<T> {
-    /// A value to follow.
+    /// Creates a cell that holds `value`.
     pub fn new(value: T) -> Self {
         Self(Rc::new(Shared { value: Cell::new(value), changed: Notify::new() }))
     }
 
-    /// What it is now.
+    /// Returns the present value.
     pub fn get(&self) -> T {
         self.0.value.get()
     }
 
-    /// Puts another in its place; whether that is a change.
+    /// Replaces the value and wakes those who wait; true if the new value differs from the one before.
     pub fn set(&self, value: T) -> bool {
-        let moved = self.0.value.replace(value) != value;
-        if moved {
+        let has_changed = self.0.value.replace(value) != value;
+        if has_changed {
             self.0.changed.notify_waiters();
         }
-        moved
+        has_changed
     }
 
-    /// Waits until it is one that `wanted` tells.
-    pub async fn wait_for(&self, wanted: impl Fn(T) -> bool) {
+    /// Waits until the value satisfies `predicate`.
+    pub async fn wait_for(&self, predicate: impl Fn(T) -> bool) {
         loop {
+            // Registered before the look at the value, so that no change in between is missed.
             let changed = self.0.changed.notified();
-            if wanted(self.get()) {
+            if predicate(self.get()) {
                 return;
             }
             changed.await;
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::Parser;
 use command::What;
-use micadrum::daemon::config::Config;
+use micadrum::daemon::config::{Config, ConfigReadError};
 use micadrum::daemon::ports::{HandoverConfig, Ports, Traces};
 use micadrum::daemon::system::{Folder, StandardError, SystemClock, Tcp};
 use micadrum::daemon::{self, Signal};
@@ -115,7 +115,7 @@
         entropy,
     };
     let (to_daemon, signals) = unbounded_channel();
-    let read = || self::config().map(Box::new).map_err(|e| e.to_string());
+    let read = || self::config().map(Box::new).map_err(ConfigReadError::new);
     spawn_local(async move {
         loop {
             let signal = tokio::select! {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -46,7 +46,7 @@
             let state =
                 [EndpointState::Active, EndpointState::Draining, EndpointState::Removed][draw(3) as usize];
             listing.insert(e.endpoint.0, state);
-            events.push(Event::EndpointUpdates(vec![EndpointEntry { state: state, ..e }]));
+            events.push(Event::EndpointUpdates(vec![EndpointEntry { state, ..e }]));
         }
         while !quiet && draw(4) == 0 {
             id += 1;
