--- a/src/profile.rs
+++ b/src/profile.rs
@@ -305,9 +305,3 @@
         })
     }
 }
-
-impl From<ProfileError> for String {
-    fn from(error: ProfileError) -> Self {
-        error.to_string()
-    }
-}
