--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -2,10 +2,12 @@
 //!
 //! Each record is framed by its length and a checksum over both. `write` is enough, without a sync: the
 //! folder is lost only with the machine, and then its messages are handed to others.
-use super::completed_ids::CompletedIds;
+mod completed_ids;
+
 use super::frame::{frame, unframe};
 use super::ports::{AppendFile, LocalFuture, Storage};
 use bytes::Bytes;
+use completed_ids::CompletedIds;
 use micadrum_recovery::JournalStamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -5,7 +5,6 @@
 mod admin_server;
 mod checkpoint;
 mod class_registry;
-mod completed_ids;
 pub mod config;
 mod config_schema;
 mod connection;
