--- a/src/daemon/checkpoint/file.rs
+++ b/src/daemon/checkpoint/file.rs
@@ -3,7 +3,7 @@
 //! It ends anywhere: what stands before the first record that cannot be read counts. A file of another sender or another
 //! form counts for nothing. Neither ever stops a start.
 use super::{Checkpoint, DiscoveryVersion, EndpointCheckpoint};
-use crate::daemon::frame::{frame, unframe};
+use crate::daemon::frame::{append_frame, read_frame};
 use crate::daemon::ports::{AppendFile, Storage};
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -69,7 +69,7 @@
     /// # Errors
     /// What the system says.
     pub fn begin(&mut self) -> io::Result<u64> {
-        let head = frame(&Record::Head { form: FORM, sender: self.sender.clone() }, Vec::new())?;
+        let head = append_frame(&Record::Head { form: FORM, sender: self.sender.clone() }, Vec::new())?;
         let mut file = self.folder.create(NEW)?;
         file.append(&head)?;
         self.new = Some(file);
@@ -92,14 +92,14 @@
         let (mut bytes, mut all) = (Vec::new(), true);
         for known in known {
             let before = bytes.len();
-            bytes = frame(&Record::Known(Box::new(known)), bytes)?;
+            bytes = append_frame(&Record::Known(Box::new(known)), bytes)?;
             if !fits(bytes.len() as u64) {
                 bytes.truncate(before);
                 all = false;
             }
         }
         if let Some(version) = version.filter(|_| all) {
-            bytes = frame(&Record::Heard(version), bytes)?;
+            bytes = append_frame(&Record::Heard(version), bytes)?;
         }
         self.append(&bytes, news)?;
         Ok(bytes.len() as u64)
@@ -123,9 +123,9 @@
         let Some(mut new) = self.new.take() else { return Ok(()) };
         let mut bytes = Vec::new();
         if let Some(version) = version {
-            bytes = frame(&Record::Heard(version), bytes)?;
+            bytes = append_frame(&Record::Heard(version), bytes)?;
         }
-        new.append(&frame(&Record::Whole(whole), bytes)?)?;
+        new.append(&append_frame(&Record::Whole(whole), bytes)?)?;
         self.folder.rename(NEW, NAME)?;
         self.file = Some(new);
         Ok(())
@@ -148,13 +148,13 @@
 /// What the file tells, and what is wrong with it.
 fn read(bytes: &[u8], sender: &str) -> (Checkpoint, Option<Unread>) {
     let mut memory = Checkpoint::default();
-    let Some((Record::Head { form: FORM, sender: of }, mut at)) = unframe(bytes) else {
+    let Some((Record::Head { form: FORM, sender: of }, mut at)) = read_frame(bytes) else {
         return (memory, Some(Unread::Form));
     };
     if of != sender {
         return (memory, Some(Unread::Foreign(of)));
     }
-    while let Some((record, size)) = unframe(&bytes[at..]) {
+    while let Some((record, size)) = read_frame(&bytes[at..]) {
         at += size;
         match record {
             Record::Head { .. } => {}
--- a/src/daemon/checkpoint/file/tests.rs
+++ b/src/daemon/checkpoint/file/tests.rs
@@ -81,7 +81,7 @@
     let (_, memory, wrong) = open(folder.path(), "n2");
     assert_eq!((memory.endpoints.len(), wrong), (0, Some(Unread::Foreign("n1".to_owned()))));
     let head = Record::Head { form: FORM + 1, sender: "n1".to_owned() };
-    let other = frame(&Record::Whole(true), frame(&head, Vec::new()).unwrap()).unwrap();
+    let other = append_frame(&Record::Whole(true), append_frame(&head, Vec::new()).unwrap()).unwrap();
     for bytes in [&other[..], b"", b"{\"json\": true}"] {
         std::fs::write(folder.path().join(NAME), bytes).unwrap();
         let (_, memory, wrong) = open(folder.path(), "n1");
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -1,7 +1,7 @@
 //! Messages that are taken on, or taken up from an earlier process.
 use super::EventLoop;
 use crate::daemon::events::SubmitResponse;
-use crate::daemon::journal::{FinalOutcome, PendingMessage, SubmittedMessage};
+use crate::daemon::journal::{AttemptEffect, FinalOutcome, PendingMessage, SubmittedMessage};
 use crate::daemon::notifications::Notification;
 use crate::{
     ClassId, DestinationId, Event, Idempotency, Message, MessageId, OrderKey, RecoveredMessage, TimeDelta,
@@ -12,7 +12,7 @@
 
 impl EventLoop {
     pub(super) fn submit(&mut self, message: SubmittedMessage, deadline: Instant) -> SubmitResponse {
-        if self.numbers.contains_key(&message.id) || self.store.was_over(&message.id) {
+        if self.numbers.contains_key(&message.id) || self.store.is_completed(&message.id) {
             return SubmitResponse::Accepted;
         }
         let owed = PendingMessage::new(message, self.clock.at(deadline).0);
@@ -94,14 +94,14 @@
 
     /// Takes up what an earlier process left.
     pub(super) fn resume(&mut self) {
-        self.latest = self.store.latest();
+        self.latest = self.store.latest_time();
         let owed: Vec<(u32, PendingMessage)> =
             self.store.pending().map(|(number, owed)| (number, owed.clone())).collect();
         if !owed.is_empty() {
             let count =
                 |which: fn(&PendingMessage) -> bool| owed.iter().filter(|(_, owed)| which(owed)).count();
-            let untried = count(|owed| owed.end.is_none() && owed.attempts == 0);
-            let ended = count(|owed| owed.end.is_some());
+            let untried = count(|owed| owed.final_outcome.is_none() && owed.attempts_started == 0);
+            let ended = count(|owed| owed.final_outcome.is_some());
             let all = owed.len();
             self.log(&format!(
                 "resuming: {all} messages, {untried} untried, {ended} ended and not yet noticed"
@@ -120,24 +120,28 @@
                 Ok(message) => message,
                 Err(what) => {
                     self.log(&format!("resuming {}: {what}", owed.message.id));
-                    self.end(number, owed.end.unwrap_or(FinalOutcome::Failed));
+                    self.end(number, owed.final_outcome.unwrap_or(FinalOutcome::Failed));
                     continue;
                 }
             };
-            if owed.out.is_some() {
+            if owed.active_attempt.is_some() {
                 // The process ended during the call: nobody knows how far that had come.
-                let booked = self.store.outcome(number, true);
+                let booked = self.store.end_attempt(number, AttemptEffect::Uncertain);
                 self.booked(booked);
             }
-            let ran = owed.ran.as_ref().or(owed.out.as_ref()).map(|first| {
+            let ran = owed.first_uncertain_attempt.as_ref().or(owed.active_attempt.as_ref()).map(|first| {
                 let zone = self.names.zones.get(&first.zone).copied();
-                (Timestamp(first.at), zone.unwrap_or(ZoneId(usize::MAX)))
+                (Timestamp(first.started_at), zone.unwrap_or(ZoneId(usize::MAX)))
             });
-            let ended = owed.end.is_some();
-            let resumed =
-                RecoveredMessage { message, attempts: owed.attempts, first_uncertain_attempt: ran, ended };
+            let ended = owed.final_outcome.is_some();
+            let resumed = RecoveredMessage {
+                message,
+                attempts: owed.attempts_started,
+                first_uncertain_attempt: ran,
+                ended,
+            };
             self.take_up(resumed);
-            if let Some(end) = owed.end {
+            if let Some(end) = owed.final_outcome {
                 self.unnoticed += 1;
                 let _ = self.notices.send(Notification { number, id: owed.message.id, end });
             }
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -2,7 +2,7 @@
 use super::EventLoop;
 use super::durable_effects::DeferredEffect;
 use crate::daemon::events::{CallCompletion, LoopEvent};
-use crate::daemon::journal::{Attempt, FinalOutcome, JournalError, SubmittedMessage};
+use crate::daemon::journal::{Attempt, AttemptEffect, FinalOutcome, JournalError, SubmittedMessage};
 use crate::daemon::notifications::Notification;
 use crate::daemon::outbound_call::{BatchedMessage, Call};
 use crate::daemon::trace;
@@ -19,11 +19,11 @@
         let mut parcels = Vec::with_capacity(messages.len());
         let mut unsent = Vec::new();
         for MessageId(number) in messages {
-            let begun = self.store.begin(number, Attempt { at: now.0, zone: zone.clone() });
+            let begun = self.store.start_attempt(number, Attempt { started_at: now.0, zone: zone.clone() });
             let Some(owed) = self.store.get(number) else { continue };
             if let Err(e) = begun {
                 // An attempt that a restart would not know of must not go out. It is none, and waits for room.
-                let attempt = owed.attempts;
+                let attempt = owed.attempts_started;
                 self.log(&format!("held back: {e}"));
                 unsent.push((MessageId(number), attempt));
                 continue;
@@ -105,17 +105,20 @@
         report: Option<LoadReport>,
     ) {
         for (number, outcome, last) in ends {
-            let attempts = self.store.get(number).map_or(1, |owed| owed.attempts);
+            let attempts = self.store.get(number).map_or(1, |owed| owed.attempts_started);
             if last {
                 if let Some(owed) = self.store.get(number).filter(|_| outcome == Outcome::Success) {
                     self.figures.delivered(&owed.message.class);
                 }
                 self.over(number);
             } else {
-                let may_have_run = matches!(outcome, Outcome::Failure | Outcome::TimedOut | Outcome::Reset);
+                let effect = match outcome {
+                    Outcome::Failure | Outcome::TimedOut | Outcome::Reset => AttemptEffect::Uncertain,
+                    _ => AttemptEffect::None,
+                };
                 let booked = match outcome {
-                    Outcome::Deferred => self.store.attempt_deferred(number),
-                    _ => self.store.outcome(number, may_have_run),
+                    Outcome::Deferred => self.store.defer_attempt(number),
+                    _ => self.store.end_attempt(number, effect),
                 };
                 self.booked(booked);
             }
@@ -137,8 +140,8 @@
         self.figures.ended(&owed.message.class, end);
         let how = if matches!(end, FinalOutcome::Failed) { "failed" } else { "returned" };
         let SubmittedMessage { destination, class, .. } = &owed.message;
-        self.trace.ended(self.now(), *destination, how, class, owed.attempts);
-        let booked = self.store.end(number, end);
+        self.trace.ended(self.now(), *destination, how, class, owed.attempts_started);
+        let booked = self.store.finish(number, end);
         self.booked(booked);
         self.unnoticed += 1;
         self.act(DeferredEffect::Notice(Notification { number, id, end }));
@@ -148,10 +151,10 @@
     pub(super) fn over(&mut self, number: u32) {
         let Some(owed) = self.store.get(number) else { return };
         self.numbers.remove(&owed.message.id);
-        if owed.end.is_some() {
+        if owed.final_outcome.is_some() {
             self.unnoticed -= 1;
         }
-        let booked = self.store.over(number, self.now().0);
+        let booked = self.store.complete(number, self.now().0);
         self.booked(booked);
     }
 
@@ -160,7 +163,7 @@
         if let Err(e) = written {
             self.log(&e.to_string());
         }
-        if let Some(e) = self.store.failed_compaction() {
+        if let Some(e) = self.store.take_compaction_error() {
             self.log(&format!("journal: compaction failed, the old file stays: {e}"));
         }
     }
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -47,7 +47,7 @@
     /// Does something once all records up to now stand.
     pub(super) fn act(&mut self, act: DeferredEffect) {
         match &mut self.durable {
-            Some(durable) => durable.held.hold(self.store.mark(), act),
+            Some(durable) => durable.held.hold(self.store.last_sequence(), act),
             None => self.do_now(act),
         }
     }
@@ -95,9 +95,9 @@
     pub(super) fn let_go(&mut self) {
         let Some(durable) = &mut self.durable else { return };
         let now = durable.origin.elapsed();
-        durable.gate.written(self.store.mark(), now);
-        if durable.new_files != self.store.new_files() {
-            durable.new_files = self.store.new_files();
+        durable.gate.written(self.store.last_sequence(), now);
+        if durable.new_files != self.store.compactions() {
+            durable.new_files = self.store.compactions();
             durable.gate.new_file();
         }
         match durable.gate.wanted(now) {
@@ -111,7 +111,7 @@
             }
             NextStep::NewFile => match self.store.rewrite() {
                 Ok(()) => {
-                    durable.new_files = self.store.new_files();
+                    durable.new_files = self.store.compactions();
                     durable.gate.new_file();
                 }
                 Err(e) => {
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -28,21 +28,24 @@
         owed: &mut PendingMessage,
     ) -> Option<FinalOutcome> {
         let repeats = self.repeats(class);
-        let first = owed.ran.as_ref().or(owed.out.as_ref()).cloned();
-        let begun = first.as_ref().map(|first| first.at);
-        let not_before = self.store.not_before(number);
-        match self.returning.judge(repeats, LeftoverMessage { ended: owed.end.is_some(), begun, not_before })
+        let first = owed.first_uncertain_attempt.as_ref().or(owed.active_attempt.as_ref()).cloned();
+        let begun = first.as_ref().map(|first| first.started_at);
+        let not_before = self.store.accepted_not_before(number);
+        match self
+            .returning
+            .judge(repeats, LeftoverMessage { ended: owed.final_outcome.is_some(), begun, not_before })
         {
             Verdict::AsWritten => {
                 self.reset_deadline(number, class, owed);
                 None
             }
             Verdict::MayHaveRun(at) => {
-                let attempt = Attempt { at, zone: first.map(|first| first.zone).unwrap_or_default() };
-                owed.attempts = owed.attempts.max(1);
-                (owed.ran, owed.out) = (Some(attempt.clone()), None);
+                let attempt =
+                    Attempt { started_at: at, zone: first.map(|first| first.zone).unwrap_or_default() };
+                owed.attempts_started = owed.attempts_started.max(1);
+                (owed.first_uncertain_attempt, owed.active_attempt) = (Some(attempt.clone()), None);
                 // A next process on this run of the machine takes the journal for all there is.
-                let booked = self.store.ran(number, attempt);
+                let booked = self.store.set_uncertain_attempt(number, attempt);
                 self.booked(booked);
                 self.reset_deadline(number, class, owed);
                 None
@@ -58,7 +61,7 @@
     pub(super) fn stamp(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
         if !self.returning.believes_clock() {
-            self.store.new_clock(self.now().0);
+            self.store.reset_clock(self.now().0);
             if let Err(e) = self.store.rewrite() {
                 self.log(&format!("{e}; ids of messages that are over may be forgotten early"));
             }
@@ -124,13 +127,13 @@
     /// Puts a deadline of before on the clock of now, once and for all: a next process on this run of the machine believes its
     /// clock.
     fn reset_deadline(&mut self, number: u32, class: ClassId, owed: &mut PendingMessage) {
-        if self.returning.believes_clock() || owed.end.is_some() {
+        if self.returning.believes_clock() || owed.final_outcome.is_some() {
             return;
         }
         let now = self.now().0;
         let most = self.settings.classes[class.0].deadline.0;
         owed.deadline = now + self.returning.time_left(owed.deadline, self.latest, now, most);
-        let booked = self.store.deadline(number, owed.deadline);
+        let booked = self.store.set_deadline(number, owed.deadline);
         self.booked(booked);
     }
 
--- a/src/daemon/frame.rs
+++ b/src/daemon/frame.rs
@@ -1,43 +1,50 @@
-//! Records in files that end anywhere: framed by their length and a checksum over both.
+//! Framing of the records in append-only files: a length, a checksum over length and payload, and the payload.
+//!
+//! A file can end within a record when its process is killed. The checksum tells a complete record from a partial or a
+//! damaged one, so that a reader can stop at the first, or search for the next, without trusting what it cannot verify.
+//!
+//! A frame is `length: u32 le`, `crc32: u32 le`, then `length` bytes of `postcard`.
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io;
 
-const HEADER: usize = 8;
-/// No record is longer: a message's body is 64 KiB at most, its headers are bounded by the server.
-const MOST_RECORD: usize = 256 * 1024;
+/// Length and checksum together.
+const HEADER_BYTES: usize = 8;
+/// A reader rejects longer payloads. A message's body has at most 64 KiB, and the ingress server bounds its headers.
+const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Adds a framed record to `bytes`.
+/// Appends `record` as one frame to `buffer`, and returns the buffer.
 ///
 /// # Errors
-/// The record cannot be written down, or is longer than a length can tell.
-pub fn frame(record: &impl Serialize, mut bytes: Vec<u8>) -> io::Result<Vec<u8>> {
-    let start = bytes.len();
-    bytes.extend([0; HEADER]);
-    let mut bytes = postcard::to_extend(record, bytes).map_err(io::Error::other)?;
-    let frame = &mut bytes[start..];
-    let length = u32::try_from(frame.len() - HEADER).map_err(io::Error::other)?;
+/// The record cannot be serialized, or its length does not fit in the header.
+pub fn append_frame(record: &impl Serialize, mut buffer: Vec<u8>) -> io::Result<Vec<u8>> {
+    let start = buffer.len();
+    buffer.extend([0; HEADER_BYTES]);
+    let mut buffer = postcard::to_extend(record, buffer).map_err(io::Error::other)?;
+    let frame = &mut buffer[start..];
+    let length = u32::try_from(frame.len() - HEADER_BYTES).map_err(io::Error::other)?;
     frame[..4].copy_from_slice(&length.to_le_bytes());
-    let sum = checksum(&frame[..4], &frame[HEADER..]);
-    frame[4..HEADER].copy_from_slice(&sum.to_le_bytes());
-    Ok(bytes)
+    let sum = checksum(&frame[..4], &frame[HEADER_BYTES..]);
+    frame[4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
+    Ok(buffer)
 }
 
-fn checksum(length: &[u8], payload: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(length);
-    sum.update(payload);
-    sum.finalize()
-}
-
-/// The record at the start of `bytes` and its framed length, if a whole and sound one stands there.
-pub fn unframe<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
+/// Returns the record at the start of `bytes` and the length of its frame; none unless the frame is complete and its
+/// checksum matches.
+pub fn read_frame<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sum, rest) = rest.split_first_chunk::<4>()?;
-    let size = u32::from_le_bytes(*length) as usize;
-    let payload = rest.get(..size).filter(|_| size <= MOST_RECORD)?;
+    let payload_bytes = u32::from_le_bytes(*length) as usize;
+    let payload = rest.get(..payload_bytes).filter(|_| payload_bytes <= MAX_RECORD_BYTES)?;
     if checksum(length, payload) != u32::from_le_bytes(*sum) {
         return None;
     }
-    Some((postcard::from_bytes(payload).ok()?, HEADER + size))
+    Some((postcard::from_bytes(payload).ok()?, HEADER_BYTES + payload_bytes))
+}
+
+fn checksum(length: &[u8], payload: &[u8]) -> u32 {
+    let mut sum = crc32fast::Hasher::new();
+    sum.update(length);
+    sum.update(payload);
+    sum.finalize()
 }
--- /dev/null
+++ b/src/daemon/journal/compaction.rs
@@ -0,0 +1,90 @@
+//! Compaction: the state is written to a new file, which then replaces the old one by a rename.
+//!
+//! A process that ends in between leaves the old file in place, with all that it holds. With durability enabled the new
+//! file is synced before the rename, and the name after it.
+use super::record::{CompletedId, Record};
+use super::{Journal, NAME, NEW_NAME};
+use crate::daemon::frame::append_frame;
+use crate::daemon::ports::AppendFile;
+use std::io;
+
+/// The new file is written in pieces of about this size.
+const WRITE_BYTES: usize = 64 * 1024;
+/// Ids in one record: each has at most 1 KiB, and a record must not exceed what a reader accepts.
+const MAX_IDS_IN_RECORD: usize = 200;
+
+/// A file, and its length in bytes.
+struct NewFile {
+    file: Box<dyn AppendFile>,
+    length: u64,
+}
+
+impl NewFile {
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.length += bytes.len() as u64;
+        self.file.append(bytes)
+    }
+}
+
+impl Journal {
+    /// Rewrites the journal. On an error the old file stays in use, and [`Journal::take_compaction_error`] has the error.
+    pub(super) fn compact(&mut self) {
+        match self.write_new_file() {
+            Ok(NewFile { file, length }) => {
+                (self.file, self.length) = (file, length);
+                self.compactions += 1;
+                self.compact_at = self.limits.next_compaction_bytes(length);
+                self.acquire_reserve();
+            }
+            Err(error) => {
+                let _ = self.folder.remove(NEW_NAME);
+                self.compact_at = self.limits.retry_compaction_bytes(self.length);
+                self.compaction_error = Some(error);
+            }
+        }
+    }
+
+    fn write_new_file(&self) -> io::Result<NewFile> {
+        let mut new = NewFile { file: self.folder.create(NEW_NAME)?, length: 0 };
+        let mut buffer = Vec::new();
+        for record in self.state_as_records() {
+            buffer = append_frame(&record, buffer)?;
+            if buffer.len() > WRITE_BYTES {
+                new.append(&buffer)?;
+                buffer.clear();
+            }
+        }
+        new.append(&buffer)?;
+        if self.is_durable {
+            new.file.sync_now()?;
+        }
+        self.folder.rename(NEW_NAME, NAME)?;
+        if self.is_durable {
+            self.folder.sync_names()?;
+        }
+        Ok(new)
+    }
+
+    /// Returns records that add up to the present state.
+    fn state_as_records(&self) -> impl Iterator<Item = Record> {
+        let state = &self.state;
+        let stamp = state.stamp.iter().map(|stamp| Record::Stamped(stamp.clone()));
+        let bounds = state.times.iter().map(|bound| Record::AcceptedNotBefore {
+            first_number: bound.first_number,
+            not_before: bound.not_before,
+        });
+        // No other record of a rewritten file mentions the latest time.
+        let latest = state.stamp.iter().map(|_| Record::AcceptedNotBefore {
+            first_number: state.next_number,
+            not_before: state.times.latest(),
+        });
+        let pending = state
+            .pending
+            .iter()
+            .map(|(number, pending)| Record::Accepted { number, pending: Box::new(pending.clone()) });
+        let ids: Vec<CompletedId> = state.completed.iter().collect();
+        let ids: Vec<Record> =
+            ids.chunks(MAX_IDS_IN_RECORD).map(|ids| Record::CompletedIds(ids.to_vec())).collect();
+        stamp.chain(bounds).chain(latest).chain(pending).chain(ids)
+    }
+}
--- a/src/daemon/journal/completed_ids.rs
+++ b/src/daemon/journal/completed_ids.rs
@@ -1,87 +1,99 @@
-//! Ids of messages that are over, for as long as a client may still come with one: it must not be delivered once
-//! more. Free of I/O and clocks; times are wall time in microseconds, as they outlast the process.
+//! Ids of completed messages, remembered for as long as a client may still submit one of them again: the message must not
+//! be delivered a second time.
+//!
+//! No I/O and no clock; times are wall clock, microseconds, as they are valid across processes. The set is bounded in
+//! number and in bytes. Beyond either bound it forgets those ids first that expire first.
+use super::record::CompletedId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An id is known for at least so long after its message was over.
-const KEEP: u64 = 30_000_000;
-/// And so long past its message's deadline: a client does not come with it later.
-const PAST_DEADLINE: u64 = 1_000_000;
-/// Room that an id takes besides its text, in a file as in memory.
-const OVERHEAD: u64 = 24;
+/// An id is remembered for at least this long after its message was completed, in microseconds.
+const MIN_RETENTION_US: u64 = 30_000_000;
+/// An id is remembered for this long past its message's deadline, in microseconds: a client submits it no later.
+const RETENTION_PAST_DEADLINE_US: u64 = 1_000_000;
+/// Space that an id takes beside its text, in a file and in memory.
+const ID_OVERHEAD_BYTES: u64 = 24;
 
-/// Such ids, bounded in number and in bytes: past either, those go first that are wanted the shortest.
+/// Bounds of the set.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct CompletedIdLimits {
+    pub max_ids: usize,
+    pub max_bytes: u64,
+}
+
+/// The set of remembered ids.
 #[derive(Debug)]
-pub struct CompletedIds {
-    until: BTreeMap<Arc<str>, u64>,
-    order: BTreeSet<(u64, Arc<str>)>,
+pub(super) struct CompletedIds {
+    expiry_by_id: BTreeMap<Arc<str>, u64>,
+    by_expiry: BTreeSet<(u64, Arc<str>)>,
     bytes: u64,
-    most: usize,
-    most_bytes: u64,
+    limits: CompletedIdLimits,
 }
 
 impl CompletedIds {
-    /// None yet; at most so many, and so many bytes, are kept.
-    pub fn new(most: usize, most_bytes: u64) -> Self {
-        Self { until: BTreeMap::new(), order: BTreeSet::new(), bytes: 0, most, most_bytes }
+    /// Creates an empty set.
+    pub fn new(limits: CompletedIdLimits) -> Self {
+        Self { expiry_by_id: BTreeMap::new(), by_expiry: BTreeSet::new(), bytes: 0, limits }
     }
 
-    /// Whether a message of that id is over, as far as is still known.
-    pub fn holds(&self, id: &str) -> bool {
-        self.until.contains_key(id)
+    /// Whether the message of that id is completed, as far as the set remembers.
+    pub fn contains(&self, id: &str) -> bool {
+        self.expiry_by_id.contains_key(id)
     }
 
-    /// The message of that id, which had time until `deadline`, is over since `at`.
-    pub fn add(&mut self, id: &str, at: u64, deadline: u64) {
-        self.keep(id.into(), (at + KEEP).max(deadline.saturating_add(PAST_DEADLINE)), at);
+    /// Adds the id of a message with that `deadline` which was completed at `completed_at`.
+    pub fn complete(&mut self, id: &str, completed_at: u64, deadline: u64) {
+        let past_deadline = deadline.saturating_add(RETENTION_PAST_DEADLINE_US);
+        self.insert(id.into(), (completed_at + MIN_RETENTION_US).max(past_deadline), completed_at);
     }
 
-    /// Keeps an id until then, and forgets those whose time is up `now`.
-    pub fn keep(&mut self, id: Arc<str>, until: u64, now: u64) {
-        if let Some(before) = self.until.insert(id.clone(), until) {
-            self.order.remove(&(before, id.clone()));
+    /// Remembers an id until `expires_at`, and forgets ids that have expired `now`.
+    pub fn insert(&mut self, id: Arc<str>, expires_at: u64, now: u64) {
+        if let Some(replaced) = self.expiry_by_id.insert(id.clone(), expires_at) {
+            self.by_expiry.remove(&(replaced, id.clone()));
         } else {
-            self.bytes += size(&id);
+            self.bytes += stored_bytes(&id);
         }
-        self.order.insert((until, id));
-        while self.order.len() > self.most
-            || self.bytes > self.most_bytes
-            || self.order.first().is_some_and(|(until, _)| *until < now)
-        {
-            let Some((_, id)) = self.order.pop_first() else { return };
-            self.until.remove(&id);
-            self.bytes -= size(&id);
+        self.by_expiry.insert((expires_at, id));
+        while self.is_over_limit() || self.first_has_expired(now) {
+            let Some((_, id)) = self.by_expiry.pop_first() else { return };
+            self.expiry_by_id.remove(&id);
+            self.bytes -= stored_bytes(&id);
         }
     }
 
-    /// Keeps all of them for at least as long as if they were over `now`.
-    pub fn all_from(&mut self, now: u64) {
-        let until = now + KEEP;
-        let early = self.order.iter().take_while(|(end, _)| *end < until).map(|(_, id)| id.clone());
-        for id in early.collect::<Vec<_>>() {
-            self.keep(id, until, 0);
+    fn is_over_limit(&self) -> bool {
+        self.by_expiry.len() > self.limits.max_ids || self.bytes > self.limits.max_bytes
+    }
+
+    fn first_has_expired(&self, now: u64) -> bool {
+        self.by_expiry.first().is_some_and(|(expires_at, _)| *expires_at < now)
+    }
+
+    /// Remembers every id for at least as long as if its message were completed `now`.
+    pub fn extend_all(&mut self, now: u64) {
+        let expires_at = now + MIN_RETENTION_US;
+        let earlier = self.by_expiry.iter().take_while(|(expiry, _)| *expiry < expires_at);
+        for id in earlier.map(|(_, id)| id.clone()).collect::<Vec<_>>() {
+            self.insert(id, expires_at, 0);
         }
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.by_expiry.is_empty()
     }
 
-    /// All of them, with until when they are kept.
-    pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
-        self.order.iter().map(|(until, id)| (id, *until))
+    /// Returns the ids, the one that expires first before the others.
+    pub fn iter(&self) -> impl Iterator<Item = CompletedId> {
+        self.by_expiry.iter().map(|(expires_at, id)| CompletedId { id: id.clone(), expires_at: *expires_at })
     }
 
-    /// Room that they take in a file, at the most.
+    /// Returns the bytes that the ids take at most in a file.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 }
 
-fn size(id: &str) -> u64 {
-    id.len() as u64 + OVERHEAD
+fn stored_bytes(id: &str) -> u64 {
+    id.len() as u64 + ID_OVERHEAD_BYTES
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/src/daemon/journal/error.rs
@@ -0,0 +1,46 @@
+//! Errors of the journal: the operation that failed, and what the system said.
+use std::fmt;
+use std::io;
+
+/// A journal operation failed.
+#[derive(Debug, thiserror::Error)]
+#[error("journal: {operation}: {source}")]
+pub struct JournalError {
+    pub(super) operation: Operation,
+    pub(super) source: io::Error,
+}
+
+/// What the journal was doing when it failed.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Operation {
+    Open,
+    MoveUnreadable,
+    MoveForeign,
+    TruncateTornTail,
+    Accept,
+    Append,
+    Sync,
+    Rewrite,
+}
+
+impl Operation {
+    /// Returns a function that attaches this operation to an I/O error.
+    pub(super) fn failed(self) -> impl Fn(io::Error) -> JournalError {
+        move |source| JournalError { operation: self, source }
+    }
+}
+
+impl fmt::Display for Operation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Open => "opening",
+            Self::MoveUnreadable => "putting an unreadable one aside",
+            Self::MoveForeign => "setting another sender's aside",
+            Self::TruncateTornTail => "cutting off a torn tail",
+            Self::Accept => "taking on",
+            Self::Append => "writing",
+            Self::Sync => "syncing",
+            Self::Rewrite => "beginning a new file",
+        })
+    }
+}
--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -1,624 +1,367 @@
-//! The write-ahead journal in the folder that outlasts the process: what was taken on, and how far it got.
+//! The write-ahead journal in the state folder: which messages were accepted, and how far each of them got.
 //!
-//! Each record is framed by its length and a checksum over both. `write` is enough, without a sync: the
-//! folder is lost only with the machine, and then its messages are handed to others.
+//! # Guarantees
+//! - A message is accepted, and an attempt is started, only if the record of it was written: a process after a restart
+//!   knows every message that a client was promised, and every attempt that may have been processed.
+//! - A record of an end (of an attempt, of a message) that cannot be written is applied in memory all the same. It becomes
+//!   part of the file at the next compaction; until then a restart would repeat what it ended. The [`reserve`] makes
+//!   that rare.
+//! - Damage never keeps a sender from starting: the records that can be read count, and [`CorruptionReport`] says what
+//!   was lost.
+//! - The folder stays within the disk space that the journal was given.
+//!
+//! # Mechanism
+//! Records ([`record`]) are appended to one file and applied to a state in memory ([`replay`]); opening the journal applies
+//! the records in the file to an empty state. When the file has grown too long, its state is written to a new file, which
+//! replaces the old one ([`compaction`]). A `write` without a sync survives the process, but not the machine; with
+//! durability enabled, records are synced in groups (see [`crate::daemon::durability`]).
+mod acceptance_times;
+mod compaction;
 mod completed_ids;
+mod error;
+mod pending;
+mod record;
+mod replay;
+mod reserve;
 
-use super::frame::{frame, unframe};
+use super::frame::append_frame;
 use super::ports::{AppendFile, LocalFuture, Storage};
-use bytes::Bytes;
-use completed_ids::CompletedIds;
+pub use error::JournalError;
+use error::Operation;
 use micadrum_recovery::JournalStamp;
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, VecDeque};
-use std::fmt;
+pub use pending::PendingMessage;
+use record::Record;
+pub use record::{Attempt, FinalOutcome, SubmittedMessage};
+pub use replay::CorruptionReport;
+use replay::JournalState;
+use reserve::{CapacityLimits, Reserve};
 use std::io;
 use std::rc::Rc;
-use std::sync::Arc;
 
-/// The journal's name in the folder, and that of its successor while it is written.
+/// The journal's file.
 const NAME: &str = "messages.wal";
-const NEW: &str = "messages.wal.new";
-/// A file that only takes up room, given up where a full disk would keep an end from being written down: a
-/// message whose end is not in the journal would go out once more after a restart.
-const RESERVE: &str = "messages.reserve";
-/// Where the journal of another sender is put.
-const SET_ASIDE: &str = "messages.wal.foreign";
-/// And one that the system does not let this process read.
-const UNREADABLE: &str = "messages.wal.unreadable";
-/// A successor is written in pieces of about this size.
-const SLICE: usize = 64 * 1024;
-/// Ids that one record holds at the most: they are 1 KiB at the longest.
-const OVER_IN_RECORD: usize = 200;
-/// Room that a message takes in a compact file besides its text and body: frame, numbers, two attempts.
-const OVERHEAD: u64 = 256;
-/// What is owed may fill this share of the disk. While the file is written anew, old and new stand side by side:
-/// twice this share and what is appended in between stay under the limit.
-const OWED_MOST: f64 = 0.4;
-/// The file is written anew past this share of the disk ...
-const COMPACT_AT: f64 = 0.3;
-/// ... and, where more than that is owed, once so much has been appended since.
-const COMPACT_AFTER: f64 = 0.06;
-/// Share of the disk that the reserve takes up.
-const RESERVE_SHARE: f64 = 0.02;
-/// Ids of messages that are over may fill this share, as a part of the first one, and be so many.
-const OVER_MOST: f64 = 0.05;
-const MOST_OVER: usize = 8192;
-/// With the file past this share, writing it anew has failed: nothing more is taken on.
-const FILE_MOST: f64 = 0.55;
-
-/// With the file and what it would be written anew past this share, the folder holds nothing else.
-const ROOM_BESIDE: f64 = 0.8;
-
-/// How a message ended that was not delivered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FinalOutcome {
-    /// No promise about its effect.
-    Failed,
-    /// The client may safely come again, perhaps after so many milliseconds.
-    Returned(Option<u64>),
-}
-
-/// An attempt: when its call began (wall clock, microseconds) and the zone it went to.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Attempt {
-    pub at: u64,
-    pub zone: String,
-}
-
-/// A message as a client handed it in.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SubmittedMessage {
-    pub id: String,
-    pub class: String,
-    pub tenant: Option<String>,
-    pub key: Option<String>,
-    pub idempotency_key: Option<String>,
-    pub destination: u64,
-    pub body: Bytes,
-}
-
-/// A message that this sender owes its end, or the notice of it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PendingMessage {
-    pub message: SubmittedMessage,
-    /// Wall clock, microseconds: it binds across processes.
-    pub deadline: u64,
-    pub attempts: u32,
-    /// The first attempt that may have run.
-    pub ran: Option<Attempt>,
-    /// The attempt that is out, or was when the process ended.
-    pub out: Option<Attempt>,
-    /// Set once it is over and only the notice is owed.
-    pub end: Option<FinalOutcome>,
-}
-
-impl PendingMessage {
-    /// A message that nobody has tried to deliver yet.
-    pub fn new(message: SubmittedMessage, deadline: u64) -> Self {
-        Self { message, deadline, attempts: 0, ran: None, out: None, end: None }
-    }
-
-    fn size(&self) -> u64 {
-        let SubmittedMessage { id, class, tenant, key, idempotency_key, body, .. } = &self.message;
-        let optional = [tenant, key, idempotency_key].map(|text| text.as_ref().map_or(0, String::len));
-        (id.len() + class.len() + optional.iter().sum::<usize>() + body.len()) as u64 + OVERHEAD
-    }
-}
-
-/// Only ever grows at its end: files of before are read by the same numbers.
-#[derive(Serialize, Deserialize)]
-enum Record {
-    Taken(u32, Box<PendingMessage>),
-    Begun(u32, Attempt),
-    Outcome {
-        number: u32,
-        may_have_run: bool,
-    },
-    Ended(u32, FinalOutcome),
-    /// As files of before had it: over, nobody knows when.
-    Over(u32),
-    /// Over since then.
-    OverSince(u32, u64),
-    /// Ids of messages that are over, with until when they are kept.
-    OverIds(Vec<(Arc<str>, u64)>),
-    /// Who writes from here on, and where.
-    Stamped(JournalStamp),
-    /// Messages from that number on were not taken on before that moment.
-    NotBefore(u32, u64),
-    /// It may have run, first in that attempt: the journal may be missing it.
-    Ran(u32, Attempt),
-    /// It has time until then by the clock of now.
-    Deadline(u32, u64),
-    /// The attempt that was begun was held back before anything of it was written: it never was.
-    Withheld(u32),
-}
-
-/// What the journal held when it was opened, besides the messages.
-#[derive(Debug, Default, PartialEq, Eq)]
-pub struct CorruptionReport {
-    /// Bytes cut off at the end: a record whose writing the process's end broke off.
-    pub torn: usize,
-    /// Bytes passed over before a record that could be read.
-    pub skipped: usize,
-    /// Why it could not be read at all; it was put aside, and an empty one begun.
-    pub unreadable: Option<String>,
-}
-
-impl fmt::Display for CorruptionReport {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { torn, skipped, unreadable } = self;
-        if let Some(why) = unreadable {
-            return write!(
-                f,
-                "{NAME} cannot be read: {why}: put aside as {UNREADABLE}, what it holds is not taken up"
-            );
-        }
-        write!(f, "{torn} bytes cut off at the end, {skipped} passed over")
-    }
-}
-
-#[derive(Debug, thiserror::Error)]
-#[error("journal: {doing}: {source}")]
-pub struct JournalError {
-    doing: &'static str,
-    source: io::Error,
+/// The file that replaces the journal's when it is rewritten.
+const NEW_NAME: &str = "messages.wal.new";
+/// The journal of another sender, renamed.
+const FOREIGN_NAME: &str = "messages.wal.foreign";
+/// A journal that the system does not let this process read, renamed.
+const UNREADABLE_NAME: &str = "messages.wal.unreadable";
+
+/// What an attempt that ended without completing its message may have done.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptEffect {
+    /// The endpoint did not process the message.
+    None,
+    /// The endpoint may have processed the message.
+    Uncertain,
 }
 
 /// The open journal, with the state that its records add up to.
 pub struct Journal {
     folder: Rc<dyn Storage>,
     file: Box<dyn AppendFile>,
+    /// Bytes in the file up to the end of the last complete record.
     length: u64,
+    state: JournalState,
+    limits: CapacityLimits,
+    reserve: Reserve,
+    /// The file is rewritten when it is longer than this.
     compact_at: u64,
-    disk: u64,
-    owed: BTreeMap<u32, PendingMessage>,
-    owed_bytes: u64,
-    over: CompletedIds,
-    next: u32,
-    /// Who wrote last, and where.
-    stamp: Option<JournalStamp>,
-    /// Moments, with the first number that was not taken on before each; none that nothing owed needs any more.
-    not_before: VecDeque<(u32, u64)>,
-    /// The latest wall time that any record tells of.
-    latest: u64,
-    failed_compaction: Option<io::Error>,
-    reserved: bool,
-    /// A new file is synced before it takes the old one's place.
-    synced: bool,
-    /// Counts records, and new files in which all of them stand.
-    mark: u64,
-    new_files: u64,
-    /// A record on its way to the file.
-    room: Vec<u8>,
+    /// How often the file was rewritten since it was opened.
+    compactions: u64,
+    compaction_error: Option<io::Error>,
+    /// Whether a new file is synced before it replaces the old one.
+    is_durable: bool,
+    /// How many records were appended since the journal was opened.
+    last_sequence: u64,
+    /// Holds a record on its way to the file: allocating a new buffer for each cost more than the checksum.
+    buffer: Vec<u8>,
 }
 
 impl Journal {
-    /// Opens the journal in `folder`, or begins one, and brings back what it holds. Damage is reported, and
-    /// never keeps a sender from starting: what can still be read is still owed.
-    pub fn open(folder: Rc<dyn Storage>, disk: u64) -> Result<(Self, CorruptionReport), JournalError> {
-        let error = |doing| move |source| JournalError { doing, source };
-        let mut damage = CorruptionReport::default();
+    /// Opens the journal in `folder`, or creates one, and restores its state. The journal may take `disk_bytes`.
+    ///
+    /// # Errors
+    /// The file cannot be opened, or its damaged end cannot be cut off. Damage itself is reported, and no error.
+    pub fn open(folder: Rc<dyn Storage>, disk_bytes: u64) -> Result<(Self, CorruptionReport), JournalError> {
+        let mut report = CorruptionReport::default();
         let bytes = match folder.read(NAME) {
             Ok(bytes) => bytes.unwrap_or_default(),
-            Err(e) => {
-                folder.rename(NAME, UNREADABLE).map_err(error("putting an unreadable one aside"))?;
-                damage.unreadable = Some(e.to_string());
+            Err(error) => {
+                folder.rename(NAME, UNREADABLE_NAME).map_err(Operation::MoveUnreadable.failed())?;
+                report.read_error = Some(error.to_string());
                 Vec::new()
             }
         };
-        let file = folder.open(NAME).map_err(error("opening"))?;
-        let mut store = Journal {
+        let mut file = folder.open(NAME).map_err(Operation::Open.failed())?;
+        let limits = CapacityLimits::new(disk_bytes);
+        let mut state = JournalState::new(&limits);
+        let length = state.replay(&bytes, &mut report);
+        if report.truncated_bytes > 0 {
+            file.truncate(length).map_err(Operation::TruncateTornTail.failed())?;
+        }
+        // A new file that did not replace the old one only takes up space.
+        let _ = folder.remove(NEW_NAME);
+        let mut journal = Journal {
             folder,
             file,
-            length: 0,
-            compact_at: (disk as f64 * COMPACT_AT) as u64,
-            disk,
-            owed: BTreeMap::new(),
-            owed_bytes: 0,
-            over: CompletedIds::new(MOST_OVER, (disk as f64 * OVER_MOST) as u64),
-            next: 0,
-            stamp: None,
-            not_before: VecDeque::new(),
-            latest: 0,
-            failed_compaction: None,
-            reserved: false,
-            synced: false,
-            mark: 0,
-            new_files: 0,
-            room: Vec::new(),
+            length,
+            state,
+            compact_at: limits.compaction_bytes(),
+            limits,
+            reserve: Reserve::default(),
+            compactions: 0,
+            compaction_error: None,
+            is_durable: false,
+            last_sequence: 0,
+            buffer: Vec::new(),
         };
-        let (mut at, mut sound) = (0, 0);
-        while at < bytes.len() {
-            match unframe(&bytes[at..]) {
-                Some((record, size)) => {
-                    damage.skipped += at - sound;
-                    at += size;
-                    sound = at;
-                    store.apply(record);
-                }
-                None => at += 1,
-            }
-        }
-        damage.torn = bytes.len() - sound;
-        store.length = sound as u64;
-        if damage.torn > 0 {
-            store.file.truncate(store.length).map_err(error("cutting off a torn tail"))?;
+        journal.acquire_reserve();
+        Ok((journal, report))
+    }
+
+    /// Renames the journal of another sender; opening the journal then creates an empty one.
+    ///
+    /// # Errors
+    /// The file cannot be renamed, or the new name cannot be synced.
+    pub fn set_aside(folder: &dyn Storage) -> Result<(), JournalError> {
+        let renamed = folder.rename(NAME, FOREIGN_NAME).and_then(|()| folder.sync_names());
+        renamed.map_err(Operation::MoveForeign.failed())
+    }
+
+    /// Accepts a message under a new number, which is returned.
+    ///
+    /// # Errors
+    /// The disk has no space for the message: it is not accepted.
+    pub fn accept(&mut self, pending: PendingMessage) -> Result<u32, JournalError> {
+        let state_bytes = self.state.stored_bytes() + pending.stored_bytes();
+        if state_bytes > self.limits.max_state_bytes() || self.length > self.limits.max_file_bytes() {
+            return Err(Operation::Accept.failed()(io::ErrorKind::StorageFull.into()));
         }
-        // A new file that was never moved into place only takes up room.
-        let _ = store.folder.remove(NEW);
-        store.reserve();
-        Ok((store, damage))
+        let number = self.state.next_number;
+        self.append(Record::Accepted { number, pending: Box::new(pending) })?;
+        Ok(number)
     }
 
-    /// From now on a new file is synced before it takes the old one's place, and what is held is made to stand now. What is
-    /// written from here on outlasts the machine only once [`Store::sync`] says so.
+    /// Records that an attempt is about to start.
     ///
     /// # Errors
-    /// Why it cannot be.
-    pub fn enable_durability(&mut self) -> Result<(), JournalError> {
-        self.synced = true;
-        let done = self.file.sync_now().and_then(|()| self.folder.sync_names());
-        done.map_err(|e| self.error("syncing", e))
+    /// The record cannot be written: the attempt does not count, and must not be started.
+    pub fn start_attempt(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
+        self.append(Record::AttemptStarted { number, attempt })
     }
 
-    /// The number of the last record.
-    pub fn mark(&self) -> u64 {
-        self.mark
+    /// Records that the attempt in flight ended without completing its message.
+    ///
+    /// # Errors
+    /// The record cannot be written; the state in memory has it all the same.
+    pub fn end_attempt(&mut self, number: u32, effect: AttemptEffect) -> Result<(), JournalError> {
+        self.append(Record::AttemptEnded { number, uncertain: effect == AttemptEffect::Uncertain })
     }
 
-    /// How often all of it was written anew, which makes all records stand.
-    pub fn new_files(&self) -> u64 {
-        self.new_files
+    /// Records that the attempt that was recorded as started was held back, and no byte of it sent.
+    ///
+    /// # Errors
+    /// As for [`Journal::end_attempt`].
+    pub fn defer_attempt(&mut self, number: u32) -> Result<(), JournalError> {
+        self.append(Record::AttemptDeferred { number })
     }
 
-    /// Lets what is written outlast the machine.
-    pub fn sync(&self) -> LocalFuture<'static, io::Result<()>> {
-        self.file.sync()
+    /// Records that a message may have been processed, first by an attempt that has ended.
+    ///
+    /// # Errors
+    /// As for [`Journal::end_attempt`].
+    pub fn set_uncertain_attempt(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
+        self.append(Record::UncertainAttempt { number, attempt })
     }
 
-    /// Begins a new file, as the old one cannot be relied on.
+    /// Records a new deadline of a message, by the clock of this process (wall clock, microseconds).
     ///
     /// # Errors
-    /// Why there is none.
-    pub fn rewrite(&mut self) -> Result<(), JournalError> {
-        self.compact();
-        match self.failed_compaction.take() {
-            Some(e) => Err(self.error("beginning a new file", e)),
-            None => Ok(()),
-        }
+    /// As for [`Journal::end_attempt`].
+    pub fn set_deadline(&mut self, number: u32, deadline: u64) -> Result<(), JournalError> {
+        self.append(Record::DeadlineChanged { number, deadline })
     }
 
-    /// Puts the journal of another sender aside: it is opened as an empty one next.
+    /// Records the final outcome of a message, whose notification is pending from now on.
     ///
     /// # Errors
-    /// What the system says.
-    pub fn set_aside(folder: &dyn Storage) -> Result<(), JournalError> {
-        let error = |source| JournalError { doing: "setting another sender's aside", source };
-        folder.rename(NAME, SET_ASIDE).and_then(|()| folder.sync_names()).map_err(error)
+    /// As for [`Journal::end_attempt`].
+    pub fn finish(&mut self, number: u32, outcome: FinalOutcome) -> Result<(), JournalError> {
+        self.append(Record::Finished { number, outcome })
     }
 
-    /// Writes down who writes from here on, and where.
+    /// Records that a message is completed `now` and no longer pending: delivered, cancelled, or its notification
+    /// acknowledged.
     ///
     /// # Errors
-    /// What the system says; this process goes on by it all the same.
-    pub fn stamp(&mut self, stamp: JournalStamp) -> Result<(), JournalError> {
-        self.append(Record::Stamped(stamp))
+    /// As for [`Journal::end_attempt`].
+    pub fn complete(&mut self, number: u32, now: u64) -> Result<(), JournalError> {
+        self.append(Record::Completed { number, completed_at: now })
     }
 
-    /// Who wrote last, and where.
-    pub fn stamped(&self) -> Option<&JournalStamp> {
-        self.stamp.as_ref()
+    /// Records who appends from here on, and where.
+    ///
+    /// # Errors
+    /// As for [`Journal::end_attempt`].
+    pub fn stamp(&mut self, stamp: JournalStamp) -> Result<(), JournalError> {
+        self.append(Record::Stamped(stamp))
     }
 
-    /// Writes down that what is taken on from now on was not taken on before `now`.
+    /// Records that messages accepted from now on were not accepted before `now`.
     ///
     /// # Errors
-    /// What the system says; nothing rests on it but caution.
-    pub fn mark_time(&mut self, now: u64) -> Result<(), JournalError> {
-        self.append(Record::NotBefore(self.next, now))
+    /// As for [`Journal::end_attempt`]: recovery is only more cautious without the record.
+    pub fn record_time(&mut self, now: u64) -> Result<(), JournalError> {
+        self.append(Record::AcceptedNotBefore { first_number: self.state.next_number, not_before: now })
     }
 
-    /// The latest moment before which a message was not taken on, as far as was written down.
-    pub fn not_before(&self, number: u32) -> Option<u64> {
-        let after = self.not_before.partition_point(|(first, _)| *first <= number);
-        after.checked_sub(1).map(|place| self.not_before[place].1)
+    /// Returns who appended last, and where.
+    pub fn last_stamp(&self) -> Option<&JournalStamp> {
+        self.state.stamp.as_ref()
     }
 
-    /// The latest wall time that it tells of.
-    pub fn latest(&self) -> u64 {
-        self.latest
+    /// Returns the latest recorded time before which the message was not accepted.
+    pub fn accepted_not_before(&self, number: u32) -> Option<u64> {
+        self.state.times.not_before(number)
     }
 
-    /// Whether it has never held anything.
-    pub fn is_empty(&self) -> bool {
-        self.stamp.is_none() && self.next == 0 && self.over.is_empty()
+    /// Returns the latest wall time that a record mentions.
+    pub fn latest_time(&self) -> u64 {
+        self.state.times.latest()
     }
 
-    /// The clock is another one from `now` on: ids of messages that are over are kept for as long as if they were over now,
-    /// and moments by the one before mean nothing any more.
-    pub fn new_clock(&mut self, now: u64) {
-        self.over.all_from(now);
-        self.not_before.clear();
-        self.latest = now;
+    /// Whether the journal has never held anything.
+    pub fn is_empty(&self) -> bool {
+        self.state.is_empty()
     }
 
-    /// All that is owed, in the order in which it was taken on.
+    /// Returns the pending messages in the order in which they were accepted.
     pub fn pending(&self) -> impl Iterator<Item = (u32, &PendingMessage)> {
-        self.owed.iter().map(|(number, owed)| (*number, owed))
+        self.state.pending.iter()
     }
 
-    /// The message of that number.
+    /// Returns the pending message of that number.
     pub fn get(&self, number: u32) -> Option<&PendingMessage> {
-        self.owed.get(&number)
+        self.state.pending.get(number)
     }
 
-    /// Records a message as taken on, under a new number; an error means that the disk has no room for it.
-    pub fn accept(&mut self, owed: PendingMessage) -> Result<u32, JournalError> {
-        let after = self.owed_bytes + self.over.bytes() + owed.size();
-        if after > self.share(OWED_MOST) || self.length > self.share(FILE_MOST) {
-            return Err(self.error("taking on", io::ErrorKind::StorageFull.into()));
-        }
-        let number = self.next;
-        self.append(Record::Taken(number, Box::new(owed)))?;
-        Ok(number)
+    /// Whether the message of that id is completed, as far as the journal remembers.
+    pub fn is_completed(&self, id: &str) -> bool {
+        self.state.completed.contains(id)
     }
 
-    /// Records that an attempt is about to begin; on an error it has not begun.
-    pub fn begin(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
-        self.append(Record::Begun(number, attempt))
+    /// Adapts the state to another clock, by which it is `now`: ids of completed messages are remembered as if the messages
+    /// were completed now, and times by the previous clock are forgotten. Nothing is written.
+    pub fn reset_clock(&mut self, now: u64) {
+        self.state.completed.extend_all(now);
+        self.state.times.clear_bounds();
+        self.state.times.reset_latest(now);
     }
 
-    /// Records that a message may have run, first in that attempt, which is over.
-    pub fn ran(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
-        self.append(Record::Ran(number, attempt))
+    /// Syncs the file and its name, and lets each rewritten file be synced before it replaces the old one. A record
+    /// appended from now on is durable once a [`Journal::sync`] that started after it succeeds.
+    ///
+    /// # Errors
+    /// The system cannot sync.
+    pub fn enable_durability(&mut self) -> Result<(), JournalError> {
+        self.is_durable = true;
+        let synced = self.file.sync_now().and_then(|()| self.folder.sync_names());
+        synced.map_err(Operation::Sync.failed())
     }
 
-    /// Records that a message has time until then, by the clock of now.
-    pub fn deadline(&mut self, number: u32, deadline: u64) -> Result<(), JournalError> {
-        self.append(Record::Deadline(number, deadline))
+    /// Makes what was written so far survive a crash of the machine.
+    pub fn sync(&self) -> LocalFuture<'static, io::Result<()>> {
+        self.file.sync()
     }
 
-    /// Records how the attempt that is out ended.
-    pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
-        self.append(Record::Outcome { number, may_have_run })
+    /// Returns the sequence number of the last record: how many were appended since the journal was opened.
+    pub fn last_sequence(&self) -> u64 {
+        self.last_sequence
     }
 
-    /// Records that the attempt that was begun was held back, with nothing written of it.
-    pub fn attempt_deferred(&mut self, number: u32) -> Result<(), JournalError> {
-        self.append(Record::Withheld(number))
+    /// Returns how often the file was rewritten, which makes all records durable.
+    pub fn compactions(&self) -> u64 {
+        self.compactions
     }
 
-    /// Records that a message is over and its notice owed.
-    pub fn end(&mut self, number: u32, end: FinalOutcome) -> Result<(), JournalError> {
-        self.append(Record::Ended(number, end))
+    /// Rewrites the file, because the old one cannot be relied on.
+    ///
+    /// # Errors
+    /// The new file cannot be written; the old one stays in use.
+    pub fn rewrite(&mut self) -> Result<(), JournalError> {
+        self.compact();
+        match self.compaction_error.take() {
+            Some(error) => Err(Operation::Rewrite.failed()(error)),
+            None => Ok(()),
+        }
     }
 
-    /// Records that nothing more is owed `now`: delivered, withdrawn, or its notice acknowledged.
-    pub fn over(&mut self, number: u32, now: u64) -> Result<(), JournalError> {
-        self.append(Record::OverSince(number, now))
+    /// Returns the error of the last compaction, if it failed, and forgets the error.
+    pub fn take_compaction_error(&mut self) -> Option<io::Error> {
+        self.compaction_error.take()
     }
 
-    /// Whether a message of that id is over, as far as is still known.
-    pub fn was_over(&self, id: &str) -> bool {
-        self.over.holds(id)
+    /// Whether there is space beside the journal for files that are merely useful: the reserve is held, and the file would
+    /// fit beside its rewritten form.
+    pub fn has_capacity(&self) -> bool {
+        let with_rewritten_file = self.length + self.state.stored_bytes();
+        self.reserve.is_held() && with_rewritten_file < self.limits.max_bytes_with_other_files()
     }
 
-    /// A record that cannot be written is applied all the same, but for what must not happen without it, a message that
-    /// is taken on or an attempt that begins: this process goes on by what it knows, and the next compaction writes it
-    /// down.
+    /// Writes a record and applies it. A record that cannot be written is applied all the same, except for what must not
+    /// happen without it: the next compaction, which is tried at once, writes the state.
     fn append(&mut self, record: Record) -> Result<(), JournalError> {
-        let needed = matches!(
-            record,
-            Record::Outcome { .. }
-                | Record::Ended(..)
-                | Record::OverSince(..)
-                | Record::Ran(..)
-                | Record::Withheld(..)
-        );
-        // The room of a reserve that was given up is for ends alone: what is begun meanwhile would take it from them.
-        if !needed {
-            self.reserve();
+        // What may not use the space of the reserve must not be written while the reserve is released, either.
+        if !record.may_use_reserve() {
+            self.acquire_reserve();
         }
-        // One buffer for all records: growing a new one for each cost more than the checksum.
-        let mut room = std::mem::take(&mut self.room);
-        room.clear();
-        let written = frame(&record, room).and_then(|frame| {
-            if !needed && !self.reserved {
-                return Err(io::ErrorKind::StorageFull.into());
-            }
-            let done = match self.write(&frame) {
-                Err(_) if needed && std::mem::take(&mut self.reserved) => {
-                    self.folder.remove(RESERVE)?;
-                    self.write(&frame)
-                }
-                done => done,
-            };
-            self.room = frame;
-            done
-        });
-        self.mark += 1;
-        let refused = written.is_err() && matches!(record, Record::Taken(..) | Record::Begun(..));
-        if !refused {
-            self.apply(record);
+        let written = self.write_record(&record);
+        self.last_sequence += 1;
+        if written.is_ok() || !record.must_be_written() {
+            self.state.apply(record);
         }
         if self.length > self.compact_at || written.is_err() {
             self.compact();
         }
-        written.map_err(|e| self.error("writing", e))
-    }
-
-    fn write(&mut self, frame: &[u8]) -> io::Result<()> {
-        let done = self.file.append(frame);
-        if done.is_err() {
-            // Half a record must not stand between whole ones.
-            self.file.truncate(self.length)?;
-        }
-        done.map(|()| self.length += frame.len() as u64)
-    }
-
-    /// Sets room aside, if there is any.
-    fn reserve(&mut self) {
-        if !self.reserved {
-            let room = vec![0; self.share(RESERVE_SHARE) as usize];
-            let made = self.folder.create(RESERVE).and_then(|mut file| file.append(&room));
-            self.reserved = made.is_ok();
-            if !self.reserved {
-                let _ = self.folder.remove(RESERVE);
-            }
-        }
-    }
-
-    fn apply(&mut self, record: Record) {
-        match record {
-            Record::Taken(number, owed) => {
-                self.next = self.next.max(number + 1);
-                self.owed_bytes += owed.size();
-                if let Some(before) = self.owed.insert(number, *owed) {
-                    self.owed_bytes -= before.size();
-                }
-            }
-            Record::Begun(number, attempt) => {
-                self.latest = self.latest.max(attempt.at);
-                if let Some(owed) = self.owed.get_mut(&number) {
-                    owed.attempts += 1;
-                    owed.out = Some(attempt);
-                }
-            }
-            Record::Outcome { number, may_have_run } => {
-                if let Some(owed) = self.owed.get_mut(&number) {
-                    let out = owed.out.take();
-                    if may_have_run && owed.ran.is_none() {
-                        owed.ran = out;
-                    }
-                }
-            }
-            Record::Ran(number, attempt) => {
-                if let Some(owed) = self.owed.get_mut(&number) {
-                    owed.attempts = owed.attempts.max(1);
-                    (owed.ran, owed.out) = (Some(attempt), None);
-                }
-            }
-            Record::Deadline(number, deadline) => {
-                if let Some(owed) = self.owed.get_mut(&number) {
-                    owed.deadline = deadline;
-                }
-            }
-            Record::Withheld(number) => {
-                // Only what stands here as begun: the record of that may not have been written.
-                if let Some(owed) = self.owed.get_mut(&number)
-                    && owed.out.take().is_some()
-                {
-                    owed.attempts = owed.attempts.saturating_sub(1);
-                }
-            }
-            Record::Ended(number, end) => {
-                if let Some(owed) = self.owed.get_mut(&number) {
-                    owed.end = Some(end);
-                    self.owed_bytes -= std::mem::take(&mut owed.message.body).len() as u64;
-                }
-            }
-            Record::Over(number) => self.leave(number, 0),
-            Record::OverSince(number, at) => self.leave(number, at),
-            Record::OverIds(ids) => {
-                for (id, until) in ids {
-                    self.over.keep(id, until, 0);
-                }
-            }
-            Record::Stamped(stamp) => {
-                // Another process may have had another clock.
-                self.latest = stamp.wall;
-                self.stamp = Some(stamp);
-            }
-            Record::NotBefore(first, at) => {
-                self.latest = self.latest.max(at);
-                // Numbers begin anew where a file held no messages.
-                while self.not_before.back().is_some_and(|(before, _)| *before >= first) {
-                    self.not_before.pop_back();
-                }
-                self.not_before.push_back((first, at));
-            }
-        }
-    }
-
-    fn leave(&mut self, number: u32, at: u64) {
-        self.latest = self.latest.max(at);
-        if let Some(owed) = self.owed.remove(&number) {
-            self.owed_bytes -= owed.size();
-            self.over.add(&owed.message.id, at, owed.deadline);
-        }
-        let oldest = self.owed.first_key_value().map_or(self.next, |(number, _)| *number);
-        while self.not_before.get(1).is_some_and(|(first, _)| *first <= oldest) {
-            self.not_before.pop_front();
-        }
-    }
-
-    /// Whether there is room beside the journal for what is only of use: it has its reserve, and would fit beside itself
-    /// written anew.
-    pub fn has_capacity(&self) -> bool {
-        self.reserved && self.length + self.owed_bytes + self.over.bytes() < self.share(ROOM_BESIDE)
-    }
-
-    /// What went wrong when the file was last to be written anew, told once: the old one stays.
-    pub fn failed_compaction(&mut self) -> Option<io::Error> {
-        self.failed_compaction.take()
-    }
-
-    fn share(&self, share: f64) -> u64 {
-        (self.disk as f64 * share) as u64
+        written.map_err(Operation::Append.failed())
+    }
+
+    fn write_record(&mut self, record: &Record) -> io::Result<()> {
+        let mut buffer = std::mem::take(&mut self.buffer);
+        buffer.clear();
+        let frame = append_frame(record, buffer)?;
+        let written = if record.may_use_reserve() {
+            self.write_with_reserve(&frame)
+        } else if self.reserve.is_held() {
+            self.write(&frame)
+        } else {
+            Err(io::ErrorKind::StorageFull.into())
+        };
+        self.buffer = frame;
+        written
     }
 
-    /// Writes what is owed into a new file and puts it in the old one's place in one move.
-    fn compact(&mut self) {
-        match self.rewritten() {
-            Ok((file, length)) => {
-                (self.file, self.length) = (file, length);
-                self.new_files += 1;
-                self.compact_at = self.share(COMPACT_AT).max(length + self.share(COMPACT_AFTER));
-                self.reserve();
-            }
-            Err(e) => {
-                let _ = self.folder.remove(NEW);
-                self.compact_at = self.length + self.share(COMPACT_AFTER);
-                self.failed_compaction = Some(e);
-            }
+    /// Writes a frame; if that fails, releases the reserve and tries once more.
+    fn write_with_reserve(&mut self, frame: &[u8]) -> io::Result<()> {
+        let written = self.write(frame);
+        if written.is_err() && self.reserve.release(&*self.folder)? {
+            return self.write(frame);
         }
+        written
     }
 
-    fn rewritten(&self) -> io::Result<(Box<dyn AppendFile>, u64)> {
-        let mut file = self.folder.create(NEW)?;
-        let mut length = 0;
-        let mut slice = Vec::new();
-        let stamp = self.stamp.iter().map(|stamp| Record::Stamped(stamp.clone()));
-        let moments = self.not_before.iter().map(|(first, at)| Record::NotBefore(*first, *at));
-        // Nothing else in a new file tells of the latest moment.
-        let latest = self.stamp.iter().map(|_| Record::NotBefore(self.next, self.latest));
-        let owed = (self.owed.iter()).map(|(number, owed)| Record::Taken(*number, Box::new(owed.clone())));
-        let ids: Vec<_> = self.over.iter().map(|(id, until)| (id.clone(), until)).collect();
-        // In parts, as no record may be longer than any is read.
-        let ids = ids.chunks(OVER_IN_RECORD).map(|part| Record::OverIds(part.to_vec()));
-        for record in stamp.chain(moments).chain(latest).chain(owed).chain(ids) {
-            slice = frame(&record, slice)?;
-            if slice.len() > SLICE {
-                length += slice.len() as u64;
-                file.append(&slice)?;
-                slice.clear();
-            }
-        }
-        length += slice.len() as u64;
-        file.append(&slice)?;
-        if self.synced {
-            file.sync_now()?;
-        }
-        self.folder.rename(NEW, NAME)?;
-        if self.synced {
-            self.folder.sync_names()?;
+    fn write(&mut self, frame: &[u8]) -> io::Result<()> {
+        let written = self.file.append(frame);
+        if written.is_err() {
+            // A part of a record must not remain between complete ones.
+            self.file.truncate(self.length)?;
         }
-        Ok((file, length))
+        written.map(|()| self.length += frame.len() as u64)
     }
 
-    fn error(&self, doing: &'static str, source: io::Error) -> JournalError {
-        JournalError { doing, source }
+    fn acquire_reserve(&mut self) {
+        self.reserve.acquire(&*self.folder, &self.limits);
     }
 }
 
--- /dev/null
+++ b/src/daemon/journal/replay.rs
@@ -0,0 +1,140 @@
+//! The state that the records of a journal add up to, and its reconstruction from a file.
+//!
+//! The same [`JournalState::apply`] runs when a record is appended and when it is replayed, so that a process after a
+//! restart has the state that the process before it had.
+use super::UNREADABLE_NAME;
+use super::acceptance_times::{AcceptanceBound, AcceptanceTimes};
+use super::completed_ids::CompletedIds;
+use super::pending::PendingTable;
+use super::record::Record;
+use super::reserve::CapacityLimits;
+use crate::daemon::frame::read_frame;
+use micadrum_recovery::JournalStamp;
+use std::fmt;
+
+/// What could not be read of the journal when it was opened.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub struct CorruptionReport {
+    /// Bytes that were cut off at the end: a record that the end of its process left incomplete.
+    pub truncated_bytes: usize,
+    /// Bytes that were skipped before a record that could be read.
+    pub skipped_bytes: usize,
+    /// Why the whole file could not be read. The file was renamed, and an empty one opened.
+    pub read_error: Option<String>,
+}
+
+impl fmt::Display for CorruptionReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Self { truncated_bytes, skipped_bytes, read_error } = self;
+        if let Some(error) = read_error {
+            return write!(
+                f,
+                "{} cannot be read: {error}: put aside as {UNREADABLE_NAME}, what it holds is not taken up",
+                super::NAME
+            );
+        }
+        write!(f, "{truncated_bytes} bytes cut off at the end, {skipped_bytes} passed over")
+    }
+}
+
+/// The state of the journal in memory.
+pub(super) struct JournalState {
+    pub pending: PendingTable,
+    pub completed: CompletedIds,
+    /// The number of the next message to be accepted.
+    pub next_number: u32,
+    /// The process that appended last, and where it ran.
+    pub stamp: Option<JournalStamp>,
+    pub times: AcceptanceTimes,
+}
+
+impl JournalState {
+    pub fn new(limits: &CapacityLimits) -> Self {
+        Self {
+            pending: PendingTable::default(),
+            completed: CompletedIds::new(limits.completed_ids()),
+            next_number: 0,
+            stamp: None,
+            times: AcceptanceTimes::default(),
+        }
+    }
+
+    /// Applies the records in `bytes`, skipping what cannot be read. Adds to `report` what was skipped, and returns the
+    /// length up to the end of the last record that could be read.
+    pub fn replay(&mut self, bytes: &[u8], report: &mut CorruptionReport) -> u64 {
+        let (mut position, mut end_of_last) = (0, 0);
+        while position < bytes.len() {
+            match read_frame(&bytes[position..]) {
+                Some((record, frame_bytes)) => {
+                    report.skipped_bytes += position - end_of_last;
+                    position += frame_bytes;
+                    end_of_last = position;
+                    self.apply(record);
+                }
+                None => position += 1,
+            }
+        }
+        report.truncated_bytes = bytes.len() - end_of_last;
+        end_of_last as u64
+    }
+
+    /// Applies one record. A record of a message that is not pending changes nothing: its accepting record may be damaged.
+    pub fn apply(&mut self, record: Record) {
+        match record {
+            Record::Accepted { number, pending } => {
+                self.next_number = self.next_number.max(number + 1);
+                self.pending.insert(number, *pending);
+            }
+            Record::AttemptStarted { number, attempt } => {
+                self.times.observe(attempt.started_at);
+                self.pending.update(number, |pending| pending.start_attempt(attempt));
+            }
+            Record::AttemptEnded { number, uncertain } => {
+                self.pending.update(number, |pending| pending.end_attempt(uncertain));
+            }
+            Record::UncertainAttempt { number, attempt } => {
+                self.pending.update(number, |pending| pending.set_uncertain_attempt(attempt));
+            }
+            Record::DeadlineChanged { number, deadline } => {
+                self.pending.update(number, |pending| pending.deadline = deadline);
+            }
+            Record::AttemptDeferred { number } => {
+                self.pending.update(number, |pending| pending.defer_attempt());
+            }
+            Record::Finished { number, outcome } => self.pending.finish(number, outcome),
+            Record::CompletedAtUnknownTime { number } => self.complete(number, 0),
+            Record::Completed { number, completed_at } => self.complete(number, completed_at),
+            Record::CompletedIds(ids) => {
+                for completed in ids {
+                    self.completed.insert(completed.id, completed.expires_at, 0);
+                }
+            }
+            Record::Stamped(stamp) => {
+                // Another process may have had another clock.
+                self.times.reset_latest(stamp.wall);
+                self.stamp = Some(stamp);
+            }
+            Record::AcceptedNotBefore { first_number, not_before } => {
+                self.times.push(AcceptanceBound { first_number, not_before });
+            }
+        }
+    }
+
+    fn complete(&mut self, number: u32, completed_at: u64) {
+        self.times.observe(completed_at);
+        if let Some(pending) = self.pending.remove(number) {
+            self.completed.complete(&pending.message.id, completed_at, pending.deadline);
+        }
+        self.times.prune(self.pending.first_number().unwrap_or(self.next_number));
+    }
+
+    /// Returns the bytes that the state takes at most in a compact file.
+    pub fn stored_bytes(&self) -> u64 {
+        self.pending.bytes() + self.completed.bytes()
+    }
+
+    /// Whether no record was ever applied.
+    pub fn is_empty(&self) -> bool {
+        self.stamp.is_none() && self.next_number == 0 && self.completed.is_empty()
+    }
+}
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -207,11 +207,11 @@
         boot: ports.boot,
         wall: wall(),
         clock_vouched: set.clock_vouched,
-        stamp: store.stamped(),
-        latest: store.latest(),
+        stamp: store.last_stamp(),
+        latest: store.latest_time(),
         empty: store.is_empty(),
-        skipped: damage.skipped,
-        torn: damage.torn,
+        skipped: damage.skipped_bytes,
+        torn: damage.truncated_bytes,
     });
     if trust.journal == JournalTrust::Void {
         drop(store);
@@ -296,6 +296,6 @@
         }
         self.last = Some(now);
         // Without it a later process is more careful than it need be.
-        let _ = store.mark_time(now);
+        let _ = store.record_time(now);
     }
 }
