--- /dev/null
+++ b/src/daemon/durability/deferred_effects.rs
@@ -0,0 +1,34 @@
+//! Effects that wait for records to become durable.
+use std::collections::VecDeque;
+
+/// A queue of effects, each of which waits for the records up to a sequence number.
+pub struct DeferredEffects<T> {
+    /// By sequence number, ascending.
+    effects: VecDeque<(u64, T)>,
+}
+
+impl<T> Default for DeferredEffects<T> {
+    fn default() -> Self {
+        Self { effects: VecDeque::new() }
+    }
+}
+
+impl<T> DeferredEffects<T> {
+    /// Defers an effect until the records up to `sequence` are durable.
+    pub fn push(&mut self, sequence: u64, effect: T) {
+        self.effects.push_back((sequence, effect));
+    }
+
+    /// Removes the next effect if all records that it waits for are among those up to `durable_sequence`.
+    pub fn pop_ready(&mut self, durable_sequence: u64) -> Option<T> {
+        if self.effects.front().is_some_and(|(sequence, _)| *sequence <= durable_sequence) {
+            return self.effects.pop_front().map(|(_, effect)| effect);
+        }
+        None
+    }
+
+    /// Whether no effect is waiting.
+    pub fn is_empty(&self) -> bool {
+        self.effects.is_empty()
+    }
+}
--- a/src/daemon/durability/durable_storage.rs
+++ b/src/daemon/durability/durable_storage.rs
@@ -1,9 +1,12 @@
-//! A folder in which a file that takes another's place outlasts the machine: lives, maintenance, classes.
+//! Durable replacement of whole files: incarnations, maintenance, classes.
+//!
+//! Such a file is written under another name and renamed. A rename may become durable before the content does, so that a
+//! crash would leave an empty file under the final name. Here the file is synced before its rename, and the folder after.
 use crate::daemon::ports::{AppendFile, Storage};
 use std::io;
 use std::rc::Rc;
 
-/// A folder whose renames are synced, the file before and the name after.
+/// A folder whose renames are durable when they return.
 pub struct DurableStorage(pub Rc<dyn Storage>);
 
 impl Storage for DurableStorage {
--- a/src/daemon/durability/group_commit.rs
+++ b/src/daemon/durability/group_commit.rs
@@ -1,109 +1,133 @@
-//! Which records stand, and when to sync: a group commit, free of I/O and clocks.
+//! Group commit: when to sync the journal, and which of its records are durable. No I/O and no clock.
 //!
-//! One sync is out at a time; what is written meanwhile goes with the next. A sync that fails is final for its file (the
-//! system may have thrown the pages away, and a second sync would say yes): nothing of it counts as written until all
-//! that is owed stands in a new file.
+//! At most one sync runs at a time; records written meanwhile are covered by the next one. A failed sync is final for its
+//! file: the system may have dropped the pages, and a second sync would report success. No record of that file counts as
+//! durable until the journal's state has been written to a new file.
+//!
+//! Times are durations since an origin that the caller chooses.
 use std::time::Duration;
 
-/// What the gate wants done.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing, or not before then.
+    /// Nothing; ask again at that time, or after the next change if none is given.
     Wait(Option<Duration>),
-    /// A sync, of all that is written now.
+    /// Sync all that is written now.
     Sync,
-    /// A new file.
-    NewFile,
+    /// Replace the file by a new one.
+    ReplaceFile,
+}
+
+/// How a sync ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SyncResult {
+    /// The records that were written when the sync started are durable.
+    Durable,
+    /// The file is lost.
+    Failed,
 }
 
-/// The state of one journal's file.
+impl<T, E> From<&Result<T, E>> for SyncResult {
+    fn from(result: &Result<T, E>) -> Self {
+        if result.is_ok() { Self::Durable } else { Self::Failed }
+    }
+}
+
+/// The state of one journal.
 #[derive(Debug)]
 pub struct GroupCommit {
-    /// So long a record waits for others before it is synced.
+    /// How long a record waits for others before it is synced.
     delay: Duration,
-    written: u64,
-    standing: u64,
-    /// What the sync that is out will have made stand.
-    syncing: Option<u64>,
-    /// When the oldest record that is not on its way was written.
-    since: Option<Duration>,
-    /// The file is lost: when to try a new one.
-    failed: Option<Duration>,
-    /// Counts files: a sync of one before says nothing of this one.
-    file: u64,
+    /// Sequence number of the last record that was written.
+    written_sequence: u64,
+    /// Sequence number up to which all records are durable.
+    durable_sequence: u64,
+    /// Sequence number up to which the running sync covers the records.
+    syncing_sequence: Option<u64>,
+    /// When the oldest record was written that no sync covers yet.
+    oldest_unsynced_at: Option<Duration>,
+    /// Set while the file is lost: when to try to replace it.
+    replace_at: Option<Duration>,
+    /// Counts the files of the journal: a sync of an earlier one says nothing about this one.
+    generation: u64,
 }
 
 impl GroupCommit {
-    /// Of a file all of which stands.
+    /// Creates the state of a journal all of whose records are durable.
     pub fn new(delay: Duration) -> Self {
-        Self { delay, written: 0, standing: 0, syncing: None, since: None, failed: None, file: 0 }
+        Self {
+            delay,
+            written_sequence: 0,
+            durable_sequence: 0,
+            syncing_sequence: None,
+            oldest_unsynced_at: None,
+            replace_at: None,
+            generation: 0,
+        }
     }
 
-    /// Records up to `mark` are written.
-    pub fn written(&mut self, mark: u64, now: Duration) {
-        if mark > self.written {
-            self.written = mark;
-            self.since.get_or_insert(now);
+    /// Notes that the records up to `sequence` are written.
+    pub fn records_written(&mut self, sequence: u64, now: Duration) {
+        if sequence > self.written_sequence {
+            self.written_sequence = sequence;
+            self.oldest_unsynced_at.get_or_insert(now);
         }
     }
 
-    /// What is to be done now.
-    pub fn wanted(&self, now: Duration) -> NextStep {
-        if let Some(at) = self.failed {
-            return if now >= at { NextStep::NewFile } else { NextStep::Wait(Some(at)) };
+    /// Returns what has to be done now.
+    pub fn next_step(&self, now: Duration) -> NextStep {
+        if let Some(at) = self.replace_at {
+            return if now >= at { NextStep::ReplaceFile } else { NextStep::Wait(Some(at)) };
         }
-        match self.since.map(|since| since + self.delay) {
-            Some(due) if self.syncing.is_none() => {
-                if now >= due {
-                    NextStep::Sync
-                } else {
-                    NextStep::Wait(Some(due))
-                }
-            }
-            _ => NextStep::Wait(None),
+        let sync_at = self.oldest_unsynced_at.map(|since| since + self.delay);
+        match sync_at.filter(|_| self.syncing_sequence.is_none()) {
+            None => NextStep::Wait(None),
+            Some(at) if now >= at => NextStep::Sync,
+            Some(at) => NextStep::Wait(Some(at)),
         }
     }
 
-    /// A sync of all that is written goes out; which file it is of.
-    pub fn sync_begins(&mut self) -> u64 {
-        self.syncing = Some(self.written);
-        self.since = None;
-        self.file
+    /// Notes that a sync of all that is written starts, and returns the generation of its file.
+    pub fn sync_started(&mut self) -> u64 {
+        self.syncing_sequence = Some(self.written_sequence);
+        self.oldest_unsynced_at = None;
+        self.generation
     }
 
-    /// It has ended.
-    pub fn sync_ended(&mut self, file: u64, done: bool, now: Duration) {
-        if file != self.file {
+    /// Notes that the sync of that generation has ended.
+    pub fn sync_ended(&mut self, generation: u64, result: SyncResult, now: Duration) {
+        if generation != self.generation {
             return;
         }
-        let Some(mark) = self.syncing.take() else { return };
-        if done {
-            self.standing = self.standing.max(mark);
-        } else {
-            self.failed = Some(now);
+        let Some(sequence) = self.syncing_sequence.take() else { return };
+        match result {
+            SyncResult::Durable => self.durable_sequence = self.durable_sequence.max(sequence),
+            SyncResult::Failed => self.replace_at = Some(now),
         }
     }
 
-    /// All that is owed stands in a new file.
-    pub fn new_file(&mut self) {
-        self.file += 1;
-        self.standing = self.written;
-        (self.syncing, self.since, self.failed) = (None, None, None);
+    /// Notes that the journal's state is durable in a new file.
+    pub fn file_replaced(&mut self) {
+        self.generation += 1;
+        self.durable_sequence = self.written_sequence;
+        self.syncing_sequence = None;
+        self.oldest_unsynced_at = None;
+        self.replace_at = None;
     }
 
-    /// A new file could not be had.
-    pub fn no_new_file(&mut self, again: Duration) {
-        self.failed = Some(again);
+    /// Notes that the file could not be replaced, and is to be replaced at `retry_at`.
+    pub fn replacement_failed(&mut self, retry_at: Duration) {
+        self.replace_at = Some(retry_at);
     }
 
-    /// The last record up to which all stand.
-    pub fn standing(&self) -> u64 {
-        self.standing
+    /// Returns the sequence number up to which all records are durable.
+    pub fn durable_sequence(&self) -> u64 {
+        self.durable_sequence
     }
 
-    /// Whether the file is lost and no other one there yet: nothing new can be promised.
+    /// Whether the file is lost and not replaced yet: nothing new can be promised.
     pub fn has_failed(&self) -> bool {
-        self.failed.is_some()
+        self.replace_at.is_some()
     }
 }
 
--- a/src/daemon/durability/mod.rs
+++ b/src/daemon/durability/mod.rs
@@ -1,47 +1,28 @@
-//! What is promised of the journal, and what waits until the promise holds.
+//! When a record is durable, and what waits until it is.
 //!
-//! Under `process` a record stands once it is written: it outlasts the process and not the machine. Under `machine` it
-//! stands once it is synced, and what a record must stand before, an answer, a call, a notice, is held until then.
+//! # Problem
+//! An answer, a call or a notification must not leave the sender before the record that it rests on is durable: after a
+//! crash the record would be missing, and the promise broken or the call repeated.
+//!
+//! # Guarantees
+//! Under the setting `process` a record is durable once it is written: it survives the process, but not the machine. Under
+//! `machine` it is durable once it is synced. An effect is released only when all records before it are durable, and
+//! effects are released in the order in which they were deferred.
+//!
+//! # Mechanism
+//! [`GroupCommit`] decides when to sync, and which records are durable; [`DeferredEffects`] holds the effects. Both are
+//! state machines without I/O, which the event loop drives. [`DurableStorage`] makes replaced files durable that are not
+//! part of the journal, and [`TracedStorage`] logs what is durable, for tests that simulate a loss of power.
+mod deferred_effects;
 mod durable_storage;
 mod group_commit;
 mod traced_storage;
 
+pub use deferred_effects::DeferredEffects;
 pub use durable_storage::DurableStorage;
-pub use group_commit::{GroupCommit, NextStep};
-use std::collections::VecDeque;
+pub use group_commit::{GroupCommit, NextStep, SyncResult};
 use std::time::Duration;
 pub use traced_storage::TracedStorage;
 
-/// Acts that wait for the records before them, in the order of those records.
-pub struct DeferredEffects<T> {
-    acts: VecDeque<(u64, T)>,
-}
-
-impl<T> Default for DeferredEffects<T> {
-    fn default() -> Self {
-        Self { acts: VecDeque::new() }
-    }
-}
-
-impl<T> DeferredEffects<T> {
-    /// Holds an act until the records up to `mark` stand.
-    pub fn hold(&mut self, mark: u64, act: T) {
-        self.acts.push_back((mark, act));
-    }
-
-    /// The next act of which all records up to `standing` are enough.
-    pub fn next(&mut self, standing: u64) -> Option<T> {
-        if self.acts.front().is_some_and(|(mark, _)| *mark <= standing) {
-            return self.acts.pop_front().map(|(_, act)| act);
-        }
-        None
-    }
-
-    /// Whether none waits.
-    pub fn is_empty(&self) -> bool {
-        self.acts.is_empty()
-    }
-}
-
-/// After a new file that could not be begun, another is tried.
-pub const AGAIN: Duration = Duration::from_secs(1);
+/// How long after a failed attempt to replace the journal's file the next one follows.
+pub const REPLACEMENT_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/src/daemon/durability/traced_storage.rs
+++ b/src/daemon/durability/traced_storage.rs
@@ -1,44 +1,49 @@
-//! A folder that tells the log what of it outlasts the machine, for rehearsals that cut it back to that.
+//! Logs what of a folder is durable, for tests that simulate a loss of power.
+//!
+//! The test kit reads these lines, and cuts each file back to its durable length when it ends the machine. A line names the
+//! file as it is called when the sync ends: a file that is renamed during a sync is durable under its new name.
 use crate::daemon::ports::{AppendFile, LocalFuture, Log, Storage};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
-/// One file, under whatever name it has by now.
-struct Named {
+/// A file, under its current name.
+struct TrackedFile {
     name: RefCell<String>,
+    /// Bytes written.
     length: Cell<u64>,
 }
 
-/// A folder of which each file that is begun, synced or renamed is told in a line.
+/// A folder that logs a line for each file that is created, synced or renamed.
 pub struct TracedStorage {
     folder: Rc<dyn Storage>,
     log: Rc<dyn Log>,
-    files: RefCell<BTreeMap<String, Rc<Named>>>,
+    /// By current name.
+    files: RefCell<BTreeMap<String, Rc<TrackedFile>>>,
 }
 
-struct Handle {
+/// An open file; all handles of one file share its name and length.
+struct TracedFile {
     file: Box<dyn AppendFile>,
-    named: Rc<Named>,
+    tracked: Rc<TrackedFile>,
     log: Rc<dyn Log>,
 }
 
 impl TracedStorage {
-    /// That folder, told of in that log.
+    /// Wraps a folder.
     pub fn new(folder: Rc<dyn Storage>, log: Rc<dyn Log>) -> Self {
         Self { folder, log, files: RefCell::default() }
     }
 
-    /// A handle of a file, all of which move with its name.
-    fn handle(&self, file: Box<dyn AppendFile>, named: Rc<Named>) -> Box<dyn AppendFile> {
-        Box::new(Handle { file, named, log: self.log.clone() })
+    fn handle(&self, file: Box<dyn AppendFile>, tracked: Rc<TrackedFile>) -> Box<dyn AppendFile> {
+        Box::new(TracedFile { file, tracked, log: self.log.clone() })
     }
 
-    fn named(&self, name: &str, length: u64) -> Rc<Named> {
-        let named = Rc::new(Named { name: RefCell::new(name.to_owned()), length: Cell::new(length) });
-        self.files.borrow_mut().insert(name.to_owned(), named.clone());
-        named
+    fn track(&self, name: &str, length: u64) -> Rc<TrackedFile> {
+        let tracked = Rc::new(TrackedFile { name: RefCell::new(name.to_owned()), length: Cell::new(length) });
+        self.files.borrow_mut().insert(name.to_owned(), tracked.clone());
+        tracked
     }
 }
 
@@ -48,18 +53,18 @@
     }
 
     fn open(&self, name: &str) -> io::Result<Box<dyn AppendFile>> {
-        let known = self.files.borrow().get(name).cloned();
-        let named = match known {
-            Some(named) => named,
-            None => self.named(name, self.folder.read(name)?.map_or(0, |bytes| bytes.len() as u64)),
+        let tracked = self.files.borrow().get(name).cloned();
+        let tracked = match tracked {
+            Some(tracked) => tracked,
+            None => self.track(name, self.folder.read(name)?.map_or(0, |bytes| bytes.len() as u64)),
         };
-        Ok(self.handle(self.folder.open(name)?, named))
+        Ok(self.handle(self.folder.open(name)?, tracked))
     }
 
     fn create(&self, name: &str) -> io::Result<Box<dyn AppendFile>> {
         let file = self.folder.create(name)?;
         self.log.line(&format!("trace storage begun {name}"));
-        Ok(self.handle(file, self.named(name, 0)))
+        Ok(self.handle(file, self.track(name, 0)))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -83,36 +88,36 @@
     }
 }
 
-fn tell(log: &dyn Log, named: &Named, length: u64) {
-    log.line(&format!("trace storage synced {} {length}", named.name.borrow()));
+fn log_sync(log: &dyn Log, file: &TrackedFile, length: u64) {
+    log.line(&format!("trace storage synced {} {length}", file.name.borrow()));
 }
 
-impl AppendFile for Handle {
+impl AppendFile for TracedFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.file.append(bytes)?;
-        self.named.length.set(self.named.length.get() + bytes.len() as u64);
+        self.tracked.length.set(self.tracked.length.get() + bytes.len() as u64);
         Ok(())
     }
 
     fn sync(&self) -> LocalFuture<'static, io::Result<()>> {
-        let (sync, named, log) = (self.file.sync(), self.named.clone(), self.log.clone());
-        let length = named.length.get();
+        let (sync, tracked, log) = (self.file.sync(), self.tracked.clone(), self.log.clone());
+        let length = tracked.length.get();
         Box::pin(async move {
             sync.await?;
-            tell(&*log, &named, length);
+            log_sync(&*log, &tracked, length);
             Ok(())
         })
     }
 
     fn sync_now(&mut self) -> io::Result<()> {
         self.file.sync_now()?;
-        tell(&*self.log, &self.named, self.named.length.get());
+        log_sync(&*self.log, &self.tracked, self.tracked.length.get());
         Ok(())
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.file.truncate(length)?;
-        self.named.length.set(length);
+        self.tracked.length.set(length);
         Ok(())
     }
 }
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -1,6 +1,6 @@
 //! What goes out only once the records before it outlast the machine: answers, calls, notices.
 use super::EventLoop;
-use crate::daemon::durability::{AGAIN, DeferredEffects, GroupCommit, NextStep};
+use crate::daemon::durability::{DeferredEffects, GroupCommit, NextStep, REPLACEMENT_RETRY_DELAY};
 use crate::daemon::events::{LoopEvent, SubmitResponse};
 use crate::daemon::notifications::Notification;
 use crate::daemon::outbound_call::Call;
@@ -36,9 +36,9 @@
 
     /// When the gate wants to be asked again.
     pub fn due(&self) -> Option<Instant> {
-        match self.gate.wanted(self.origin.elapsed()) {
+        match self.gate.next_step(self.origin.elapsed()) {
             NextStep::Wait(at) => at.map(|at| self.origin + at),
-            NextStep::Sync | NextStep::NewFile => Some(Instant::now()),
+            NextStep::Sync | NextStep::ReplaceFile => Some(Instant::now()),
         }
     }
 }
@@ -47,7 +47,7 @@
     /// Does something once all records up to now stand.
     pub(super) fn act(&mut self, act: DeferredEffect) {
         match &mut self.durable {
-            Some(durable) => durable.held.hold(self.store.last_sequence(), act),
+            Some(durable) => durable.held.push(self.store.last_sequence(), act),
             None => self.do_now(act),
         }
     }
@@ -87,7 +87,7 @@
             ));
         }
         if let Some(durable) = &mut self.durable {
-            durable.gate.sync_ended(file, done.is_ok(), durable.origin.elapsed());
+            durable.gate.sync_ended(file, (&done).into(), durable.origin.elapsed());
         }
     }
 
@@ -95,32 +95,33 @@
     pub(super) fn let_go(&mut self) {
         let Some(durable) = &mut self.durable else { return };
         let now = durable.origin.elapsed();
-        durable.gate.written(self.store.last_sequence(), now);
+        durable.gate.records_written(self.store.last_sequence(), now);
         if durable.new_files != self.store.compactions() {
             durable.new_files = self.store.compactions();
-            durable.gate.new_file();
+            durable.gate.file_replaced();
         }
-        match durable.gate.wanted(now) {
+        match durable.gate.next_step(now) {
             NextStep::Wait(_) => {}
             NextStep::Sync => {
-                let (file, sync) = (durable.gate.sync_begins(), self.store.sync());
+                let (file, sync) = (durable.gate.sync_started(), self.store.sync());
                 let host = self.outside.host.clone();
                 self.tasks.spawn_local(async move {
                     let _ = host.send(LoopEvent::JournalSynced(file, sync.await));
                 });
             }
-            NextStep::NewFile => match self.store.rewrite() {
+            NextStep::ReplaceFile => match self.store.rewrite() {
                 Ok(()) => {
                     durable.new_files = self.store.compactions();
-                    durable.gate.new_file();
+                    durable.gate.file_replaced();
                 }
                 Err(e) => {
-                    durable.gate.no_new_file(now + AGAIN);
+                    durable.gate.replacement_failed(now + REPLACEMENT_RETRY_DELAY);
                     self.outside.ports.log.line(&format!("{e}; newcomers are refused until there is one"));
                 }
             },
         }
-        while let Some(act) = self.durable.as_mut().and_then(|d| d.held.next(d.gate.standing())) {
+        while let Some(act) = self.durable.as_mut().and_then(|d| d.held.pop_ready(d.gate.durable_sequence()))
+        {
             match act {
                 DeferredEffect::Call(call) => self.go_out_late(call),
                 act => self.do_now(act),
