--- a/src/daemon/checkpoint/mod.rs
+++ b/src/daemon/checkpoint/mod.rs
@@ -1,7 +1,17 @@
-//! What one process of a sender leaves to the next, beside the journal: what it heard of endpoints, and what it learned.
+//! What a process leaves to the next one beside the journal: what discovery reported of endpoints, and what the decision core
+//! learned of them.
 //!
-//! [`Memory`] is the form of both a restart and a handover. [`recall`] decides what it says beside the configuration's own
-//! list, [`slices`] what is written down when; [`notebook`] is the file.
+//! # Problem
+//! After a restart a sender would otherwise send to endpoints that it had heard were draining, and at rates that it had
+//! learned were too high, until discovery answers and enough calls have failed.
+//!
+//! # Guarantees
+//! A checkpoint is a hint. Its loss costs caution and never correctness; it never delays a start, and gives its space up to the
+//! journal. A checkpoint claims a version of the endpoint list only if it holds everything that led to that version.
+//!
+//! # Mechanism
+//! [`Checkpoint`] is the form for both a restart and a handover. [`schedule`] decides what is written when, [`file`] reads and
+//! writes the file, and [`restore`] merges a checkpoint with the endpoint list in the configuration.
 pub mod file;
 pub mod restore;
 pub mod schedule;
@@ -12,43 +22,53 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What was heard and learned of one endpoint.
+/// What the decision core learned of an endpoint's own route, and of the route that the endpoint shares with others.
+pub type EndpointRoutes = [Option<RouteSnapshot>; 2];
+
+/// What is known of one endpoint. Stored by position: fields must not be reordered.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct EndpointCheckpoint {
-    /// As the list last told of it.
-    pub member: ListedEndpoint,
-    /// When its state was heard, wall clock.
-    pub heard: Timestamp,
-    /// What the module learned of its own line, and of the one that it shares.
-    pub learned: [Option<RouteSnapshot>; 2],
-    /// When that was so.
-    pub written: Timestamp,
+    /// The endpoint as discovery last listed it.
+    pub endpoint: ListedEndpoint,
+    /// When its state was received: wall clock.
+    pub observed_at: Timestamp,
+    /// What was learned of its routes.
+    pub routes: EndpointRoutes,
+    /// When `routes` was captured: wall clock.
+    pub captured_at: Timestamp,
 }
 
-/// Which list it was.
+/// A version of the endpoint list. Stored by position: fields must not be reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiscoveryVersion {
-    /// The agent whose list it was: another counts its versions by itself.
+    /// The agent that served the list: each agent counts its revisions independently.
     pub agent: SocketAddr,
-    /// Its version.
+    /// The agent's revision of the list.
     pub revision: u64,
 }
 
 impl DiscoveryVersion {
-    /// Whether the agent has begun to count anew since `before`: from then on its versions tell nothing beside those that
-    /// others have of it.
-    pub fn anew_since(self, before: Self) -> bool {
-        self.agent == before.agent && self.revision < before.revision
+    /// Whether the agent has started to count from the beginning since `previous`: its revisions can then not be compared
+    /// with those that others have of it.
+    pub fn is_reset_since(self, previous: Self) -> bool {
+        self.agent == previous.agent && self.revision < previous.revision
     }
 }
 
-/// All of it.
+/// How many of the list's endpoints a checkpoint has; there may not have been space for all.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Coverage {
+    Complete,
+    Partial,
+}
+
+/// What is known of all endpoints. Stored by position: fields must not be reordered.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The list that was heard last, where its version can be compared.
+    /// The version of the last list that was received, if it can be compared.
     pub version: Option<DiscoveryVersion>,
-    /// Whether all endpoints of that list are among these: there may have been no room.
-    pub whole: bool,
+    /// Whether `endpoints` has all endpoints of that list.
+    pub is_complete: bool,
     /// By id.
     pub endpoints: BTreeMap<String, EndpointCheckpoint>,
 }
--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -1,82 +1,172 @@
-//! What a new process goes by until its agent answers: the configuration's list, and what an earlier process heard. Free of
-//! I/O and clocks.
+//! What a new process starts from until its discovery agent answers: the endpoint list in the configuration, merged with the
+//! checkpoint of an earlier process. No I/O and no clock.
 //!
-//! The configuration's list is the platform's view of what this sender last had; it may be older than what the sender
-//! heard itself. Versions of one agent tell which is newer. Where they cannot be compared (the agent has moved, or has begun
-//! to count anew), whatever was heard to drain or to be gone stays out until the agent says otherwise, unless the endpoint has started again since.
-use super::{Checkpoint, EndpointCheckpoint};
+//! The configuration has the platform's view of the list that this sender last had, which may be older than what the sender
+//! received itself. Revisions of one agent tell which of the two is newer. Where they cannot be compared (the agent has moved,
+//! or counts from the beginning again), an endpoint that was reported as draining or deleted stays out of service until the
+//! agent says otherwise, unless the endpoint was started again since.
+use super::{Checkpoint, DiscoveryVersion, EndpointCheckpoint, EndpointRoutes};
+use crate::Timestamp;
 use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint, Phase};
-use crate::{RouteSnapshot, Timestamp};
+use std::collections::BTreeMap;
+
+/// How the previous process ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Continuity {
+    /// Some time ago: discovery may have reported something newer since.
+    Restart,
+    /// Just now, by a handover: the checkpoint is the newest there is.
+    Handover,
+}
+
+/// An endpoint, and when its state was received.
+pub struct ObservedEndpoint {
+    pub endpoint: ListedEndpoint,
+    pub observed_at: Timestamp,
+}
+
+/// What was learned of the routes of an endpoint, and when that was captured.
+pub struct RestoredRoutes {
+    pub endpoint_id: String,
+    pub routes: EndpointRoutes,
+    pub captured_at: Timestamp,
+}
 
 /// What a process starts from.
+#[derive(Default)]
 pub struct RestoredCheckpoint {
-    /// The endpoints, with when their state was heard.
-    pub members: Vec<(ListedEndpoint, Timestamp)>,
-    /// The version from which the agent is asked to go on; none asks it for the whole list.
-    pub from: Option<u64>,
-    /// By id: what was learned of an endpoint, and when that was so.
-    pub learned: Vec<(String, [Option<RouteSnapshot>; 2], Timestamp)>,
-    /// Endpoints that the configuration's list has in service, and that are left out.
-    pub held_out: usize,
+    pub endpoints: Vec<ObservedEndpoint>,
+    /// The revision from which the agent is asked for changes; none asks for the complete list.
+    pub resume_revision: Option<u64>,
+    pub routes: Vec<RestoredRoutes>,
+    /// How many endpoints are in service in the configuration's list, and stay out of service.
+    pub excluded: usize,
+}
+
+/// Merges the endpoint list in the configuration with a checkpoint.
+pub fn restore(
+    checkpoint: Checkpoint,
+    configured: &EndpointList,
+    continuity: Continuity,
+    now: Timestamp,
+) -> RestoredCheckpoint {
+    let Checkpoint { version, is_complete, endpoints } = checkpoint;
+    let same_agent = version.filter(|version| Some(version.agent) == configured.agent);
+    let is_empty = endpoints.is_empty();
+    let is_newer = match continuity {
+        Continuity::Handover => !is_empty,
+        Continuity::Restart => same_agent.is_some_and(|version| version.revision > configured.revision),
+    };
+    let precedence = match (is_newer, same_agent) {
+        (true, _) => Precedence::Checkpoint { is_complete },
+        (false, Some(_)) => Precedence::Configuration,
+        (false, None) => Precedence::Unknown,
+    };
+    let mut restored = RestoredCheckpoint {
+        resume_revision: resume_revision(same_agent, configured, is_newer, is_empty),
+        ..RestoredCheckpoint::default()
+    };
+    restored.endpoints.reserve(configured.members.len());
+    restored.add_all(configured, endpoints, precedence, now);
+    restored
+}
+
+/// Which of the two lists is newer.
+#[derive(Clone, Copy)]
+enum Precedence {
+    Checkpoint { is_complete: bool },
+    Configuration,
+    Unknown,
 }
 
-/// Puts together what is `known` by the configuration and what was remembered. `live`: the process before was at work until
-/// just now, so nobody has heard anything newer.
-pub fn restore(memory: Checkpoint, known: &EndpointList, live: bool, now: Timestamp) -> RestoredCheckpoint {
-    let Checkpoint { version, whole, mut endpoints } = memory;
-    let same_agent = version.filter(|version| Some(version.agent) == known.agent);
-    let nothing = endpoints.is_empty();
-    let newer =
-        if live { !nothing } else { same_agent.is_some_and(|version| version.revision > known.revision) };
-    let mut members = Vec::with_capacity(known.members.len());
-    let (mut learned, mut held_out) = (Vec::new(), 0);
-    for listed in &known.members {
-        let Some(remembered) = endpoints.remove(&listed.id) else {
-            // A newer list that was written down whole does not name it any more.
-            let phase = if newer && whole { Phase::Deleted } else { listed.phase };
-            held_out += usize::from(phase != listed.phase);
-            members.push((ListedEndpoint { phase, ..listed.clone() }, now));
-            continue;
+impl RestoredCheckpoint {
+    fn add_all(
+        &mut self,
+        configured: &EndpointList,
+        mut checkpointed: BTreeMap<String, EndpointCheckpoint>,
+        precedence: Precedence,
+        now: Timestamp,
+    ) {
+        for listed in &configured.members {
+            match checkpointed.remove(&listed.id) {
+                Some(state) => self.add_known(listed, state, precedence, now),
+                None => self.add_unknown(listed, precedence, now),
+            }
+        }
+        // An endpoint that the configuration does not list is of use only if the configuration is older.
+        if let Precedence::Checkpoint { .. } = precedence {
+            for state in checkpointed.into_values() {
+                self.push(state.endpoint.clone(), state, now);
+            }
+        }
+    }
+
+    fn add_known(
+        &mut self,
+        listed: &ListedEndpoint,
+        state: EndpointCheckpoint,
+        precedence: Precedence,
+        now: Timestamp,
+    ) {
+        let phase = match precedence {
+            Precedence::Checkpoint { .. } => state.endpoint.phase,
+            Precedence::Configuration => listed.phase,
+            Precedence::Unknown => stricter_phase(listed, state.endpoint.phase, state.observed_at),
         };
-        let EndpointCheckpoint { member: before, heard, learned: lines, written } = remembered;
-        let member = if newer {
-            before
-        } else {
-            let phase =
-                if same_agent.is_some() { listed.phase } else { stricter(listed, before.phase, heard) };
-            ListedEndpoint { phase, ..listed.clone() }
+        self.excluded += usize::from(listed.phase == Phase::Serving && phase != Phase::Serving);
+        let endpoint = match precedence {
+            Precedence::Checkpoint { .. } => state.endpoint.clone(),
+            Precedence::Configuration | Precedence::Unknown => ListedEndpoint { phase, ..listed.clone() },
         };
-        held_out += usize::from(listed.phase == Phase::Serving && member.phase != Phase::Serving);
-        learned.push((member.id.clone(), lines, written));
-        members.push((member, heard.min(now)));
+        self.push(endpoint, state, now);
     }
-    // What the configuration's list does not name is of use only if that is the older one.
-    if newer {
-        for (id, of) in endpoints {
-            learned.push((id, of.learned, of.written));
-            members.push((of.member, of.heard.min(now)));
-        }
+
+    /// Adds an endpoint that the checkpoint does not have.
+    fn add_unknown(&mut self, listed: &ListedEndpoint, precedence: Precedence, now: Timestamp) {
+        let phase = match precedence {
+            // The newer list is complete, and does not name the endpoint any more.
+            Precedence::Checkpoint { is_complete: true } => Phase::Deleted,
+            _ => listed.phase,
+        };
+        self.excluded += usize::from(phase != listed.phase);
+        let endpoint = ListedEndpoint { phase, ..listed.clone() };
+        self.endpoints.push(ObservedEndpoint { endpoint, observed_at: now });
+    }
+
+    fn push(&mut self, endpoint: ListedEndpoint, state: EndpointCheckpoint, now: Timestamp) {
+        let EndpointCheckpoint { observed_at, routes, captured_at, .. } = state;
+        self.routes.push(RestoredRoutes { endpoint_id: endpoint.id.clone(), routes, captured_at });
+        // The clock may have been set back since.
+        self.endpoints.push(ObservedEndpoint { endpoint, observed_at: observed_at.min(now) });
+    }
+}
+
+/// Returns the revision from which the agent can be asked for changes.
+fn resume_revision(
+    same_agent: Option<DiscoveryVersion>,
+    configured: &EndpointList,
+    is_newer: bool,
+    is_empty: bool,
+) -> Option<u64> {
+    match same_agent {
+        Some(version) if is_newer => Some(version.revision),
+        Some(_) => Some(configured.revision),
+        // Changes since a revision would not mention an endpoint that was in service before it, and an agent that counts
+        // from the beginning may have no revision newer than one that was known long ago.
+        None => Some(configured.revision).filter(|_| is_empty),
     }
-    // Changes since a version would not tell of an endpoint that was in service before it, and an agent that counts anew
-    // may have nothing newer than what is known for long.
-    let from = match same_agent {
-        Some(version) if newer => Some(version.revision),
-        Some(_) => Some(known.revision),
-        None => Some(known.revision).filter(|_| nothing),
-    };
-    RestoredCheckpoint { members, from, learned, held_out }
 }
 
-/// The state of an endpoint by two lists of which nobody knows which is newer.
-fn stricter(member: &ListedEndpoint, before: Phase, heard: Timestamp) -> Phase {
-    let started_since = member.up_since_ms.saturating_mul(1_000) > heard.0;
-    match before {
-        Phase::Serving => member.phase,
-        // Gone under its id, it would not be on the list: it drains as long as nobody says what became of it.
-        Phase::Draining | Phase::Deleted if member.phase == Phase::Serving && !started_since => {
+/// Returns the phase of an endpoint by two lists of which neither is known to be newer.
+fn stricter_phase(listed: &ListedEndpoint, checkpointed: Phase, observed_at: Timestamp) -> Phase {
+    let was_started_since = listed.up_since_ms.saturating_mul(1_000) > observed_at.0;
+    match checkpointed {
+        Phase::Serving => listed.phase,
+        // An endpoint that is deleted under its id would not be listed: it drains until the agent says what became of it.
+        Phase::Draining | Phase::Deleted if listed.phase == Phase::Serving && !was_started_since => {
             Phase::Draining
         }
-        Phase::Draining | Phase::Deleted => member.phase,
+        Phase::Draining | Phase::Deleted => listed.phase,
     }
 }
 
--- a/src/daemon/checkpoint/restore/tests.rs
+++ b/src/daemon/checkpoint/restore/tests.rs
@@ -8,7 +8,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn member(id: &str, phase: Phase, up_since_ms: u64) -> ListedEndpoint {
+fn endpoint(id: &str, phase: Phase, up_since_ms: u64) -> ListedEndpoint {
     ListedEndpoint {
         id: id.to_owned(),
         host_port: agent(9),
@@ -21,93 +21,109 @@
     }
 }
 
-fn memory(revision: u64, whole: bool, of: &[(&str, Phase)]) -> Checkpoint {
-    let known = |(id, phase): &(&str, Phase)| {
-        let (member, heard) = (member(id, *phase, 0), Timestamp(NOW.0 - 5_000_000));
-        ((*id).to_owned(), EndpointCheckpoint { member, heard, learned: [None, None], written: heard })
+fn checkpoint(revision: u64, is_complete: bool, of: &[(&str, Phase)]) -> Checkpoint {
+    let state = |(id, phase): &(&str, Phase)| {
+        let observed_at = Timestamp(NOW.0 - 5_000_000);
+        let endpoint = endpoint(id, *phase, 0);
+        let routes = [None, None];
+        let captured_at = observed_at;
+        ((*id).to_owned(), EndpointCheckpoint { endpoint, observed_at, routes, captured_at })
     };
     let version = Some(DiscoveryVersion { agent: agent(1), revision });
-    Checkpoint { version, whole, endpoints: of.iter().map(known).collect() }
+    Checkpoint { version, is_complete, endpoints: of.iter().map(state).collect() }
 }
 
-fn known(of: u16, revision: u64, members: Vec<ListedEndpoint>) -> EndpointList {
-    EndpointList { agent: Some(agent(of)), revision, complete: true, members }
+fn configured(agent_port: u16, revision: u64, members: Vec<ListedEndpoint>) -> EndpointList {
+    EndpointList { agent: Some(agent(agent_port)), revision, complete: true, members }
 }
 
-fn phases(recalled: &RestoredCheckpoint) -> Vec<(&str, Phase)> {
-    recalled.members.iter().map(|(member, _)| (member.id.as_str(), member.phase)).collect()
+fn phases(restored: &RestoredCheckpoint) -> Vec<(&str, Phase)> {
+    restored.endpoints.iter().map(|of| (of.endpoint.id.as_str(), of.endpoint.phase)).collect()
 }
 
 use Phase::{Deleted, Draining, Serving};
 
-/// Guards against going by the configuration's list where the sender itself heard a newer one.
+/// Guards against using the configuration's list where the sender itself received a newer one.
 #[test]
-fn a_drain_that_was_heard_stands_against_an_older_list() {
-    let memory = || memory(7, true, &[("a", Draining), ("c", Serving)]);
-    let list = vec![member("a", Serving, 0), member("b", Serving, 0)];
-    let newer = restore(memory(), &known(1, 6, list.clone()), false, NOW);
+fn drain_in_the_checkpoint_overrides_an_older_list() {
+    let newer_checkpoint = || checkpoint(7, true, &[("a", Draining), ("c", Serving)]);
+    let list = vec![endpoint("a", Serving, 0), endpoint("b", Serving, 0)];
+    let newer = restore(newer_checkpoint(), &configured(1, 6, list.clone()), Continuity::Restart, NOW);
     assert_eq!(phases(&newer), [("a", Draining), ("b", Deleted), ("c", Serving)]);
-    assert_eq!((newer.from, newer.held_out), (Some(7), 2));
-    // Not written down whole, what is missing may be in service.
-    let part = Checkpoint { whole: false, ..memory() };
-    assert_eq!(phases(&restore(part, &known(1, 6, list.clone()), false, NOW))[1], ("b", Serving));
-    // The platform's list is as new, or newer: it knows better, and what it does not name is gone.
+    assert_eq!((newer.resume_revision, newer.excluded), (Some(7), 2));
+    // An endpoint that a partial checkpoint lacks may be in service.
+    let partial = Checkpoint { is_complete: false, ..newer_checkpoint() };
+    assert_eq!(
+        phases(&restore(partial, &configured(1, 6, list.clone()), Continuity::Restart, NOW))[1],
+        ("b", Serving)
+    );
+    // The platform's list is as new, or newer: it decides, and an endpoint that it does not list is deleted.
     for revision in [7, 8] {
-        let older = restore(memory(), &known(1, revision, list.clone()), false, NOW);
-        assert_eq!(phases(&older), [("a", Serving), ("b", Serving)]);
-        assert_eq!((older.from, older.held_out), (Some(revision), 0));
+        let not_newer =
+            restore(newer_checkpoint(), &configured(1, revision, list.clone()), Continuity::Restart, NOW);
+        assert_eq!(phases(&not_newer), [("a", Serving), ("b", Serving)]);
+        assert_eq!((not_newer.resume_revision, not_newer.excluded), (Some(revision), 0));
     }
 }
 
-/// Guards against forgetting a drain because the agent is another and counts by itself; and against leaving an
-/// endpoint out that has started again since under its id.
+/// Guards against forgetting a drain because another agent counts its revisions independently; and against excluding an
+/// endpoint that has been started again since under its id.
 #[test]
-fn versions_of_two_agents_are_not_compared() {
-    let heard = NOW.0 / 1_000 - 5_000;
-    for (up_since, phase) in [(0, Draining), (heard - 1, Draining), (heard + 1, Serving)] {
+fn revisions_of_two_agents_are_not_compared() {
+    let observed_at_ms = NOW.0 / 1_000 - 5_000;
+    for (up_since, phase) in [(0, Draining), (observed_at_ms - 1, Draining), (observed_at_ms + 1, Serving)] {
         for revision in [1, 7, 100] {
-            let list = vec![member("a", Serving, up_since), member("b", Serving, 0)];
-            let recalled =
-                restore(memory(7, true, &[("a", Draining)]), &known(2, revision, list), false, NOW);
-            assert_eq!(phases(&recalled), [("a", phase), ("b", Serving)], "{up_since} {revision}");
-            assert_eq!(recalled.from, None, "only the whole list can be compared with nothing");
+            let list = vec![endpoint("a", Serving, up_since), endpoint("b", Serving, 0)];
+            let restored = restore(
+                checkpoint(7, true, &[("a", Draining)]),
+                &configured(2, revision, list),
+                Continuity::Restart,
+                NOW,
+            );
+            assert_eq!(phases(&restored), [("a", phase), ("b", Serving)], "{up_since} {revision}");
+            assert_eq!(restored.resume_revision, None, "only the whole list can be compared with nothing");
         }
     }
-    let list = vec![member("a", Draining, 0)];
-    let recalled = restore(memory(7, true, &[("a", Serving)]), &known(2, 1, list), false, NOW);
-    assert_eq!(phases(&recalled), [("a", Draining)], "either may know of a drain");
+    let list = vec![endpoint("a", Draining, 0)];
+    let restored =
+        restore(checkpoint(7, true, &[("a", Serving)]), &configured(2, 1, list), Continuity::Restart, NOW);
+    assert_eq!(phases(&restored), [("a", Draining)], "either may know of a drain");
 }
 
-/// Guards against forgetting what was heard of an agent that has begun to count anew under its address.
+/// Guards against forgetting what an agent reported that has started to count from the beginning under its address.
 #[test]
-fn versions_that_were_counted_anew_are_not_compared() {
-    let anew = || Checkpoint { version: None, ..memory(3, true, &[("a", Draining), ("c", Serving)]) };
-    let list = known(1, 41, vec![member("a", Serving, 0), member("b", Serving, 0)]);
-    let restarted = restore(anew(), &list, false, NOW);
-    assert_eq!((phases(&restarted), restarted.from), (vec![("a", Draining), ("b", Serving)], None));
-    // The process before was at work just now: it knew all there was.
-    let handed_over = restore(anew(), &list, true, NOW);
+fn revisions_of_an_agent_that_was_reset_are_not_compared() {
+    let reset = || Checkpoint { version: None, ..checkpoint(3, true, &[("a", Draining), ("c", Serving)]) };
+    let list = configured(1, 41, vec![endpoint("a", Serving, 0), endpoint("b", Serving, 0)]);
+    let restarted = restore(reset(), &list, Continuity::Restart, NOW);
+    assert_eq!(
+        (phases(&restarted), restarted.resume_revision),
+        (vec![("a", Draining), ("b", Serving)], None)
+    );
+    // The previous process was running until just now: its checkpoint is the newest there is.
+    let handed_over = restore(reset(), &list, Continuity::Handover, NOW);
     let all = vec![("a", Draining), ("b", Deleted), ("c", Serving)];
-    assert_eq!((phases(&handed_over), handed_over.from), (all, None));
-    let of = |agent_of, revision| DiscoveryVersion { agent: agent(agent_of), revision };
-    assert!(of(1, 3).anew_since(of(1, 41)) && !of(2, 3).anew_since(of(1, 41)));
-    assert!(!of(1, 41).anew_since(of(1, 41)));
+    assert_eq!((phases(&handed_over), handed_over.resume_revision), (all, None));
+    let version = |agent_port, revision| DiscoveryVersion { agent: agent(agent_port), revision };
+    assert!(version(1, 3).is_reset_since(version(1, 41)) && !version(2, 3).is_reset_since(version(1, 41)));
+    assert!(!version(1, 41).is_reset_since(version(1, 41)));
 }
 
-/// Guards against a memory that is none: all is as the configuration has it.
+/// Guards against an empty checkpoint that changes the configuration's list.
 #[test]
-fn nothing_remembered_changes_nothing() {
-    let list = vec![member("a", Serving, 0), member("b", Draining, 0)];
-    let recalled = restore(Checkpoint::default(), &known(1, 3, list), false, NOW);
-    assert_eq!(phases(&recalled), [("a", Serving), ("b", Draining)]);
-    assert_eq!((recalled.from, recalled.held_out, recalled.learned.len()), (Some(3), 0, 0));
+fn empty_checkpoint_changes_nothing() {
+    let list = vec![endpoint("a", Serving, 0), endpoint("b", Draining, 0)];
+    let restored = restore(Checkpoint::default(), &configured(1, 3, list), Continuity::Restart, NOW);
+    assert_eq!(phases(&restored), [("a", Serving), ("b", Draining)]);
+    assert_eq!((restored.resume_revision, restored.excluded, restored.routes.len()), (Some(3), 0, 0));
 }
 
-/// Guards against moments to come, of a clock that was set back.
+/// Guards against observations in the future, by a clock that was set back.
 #[test]
-fn nothing_was_heard_in_the_future() {
-    let mut memory = memory(7, true, &[("a", Draining)]);
-    memory.endpoints.get_mut("a").unwrap().heard = Timestamp(NOW.0 + 9);
-    let recalled = restore(memory, &known(1, 6, vec![member("a", Serving, 0)]), false, NOW);
-    assert_eq!(recalled.members[0].1, NOW);
+fn observation_in_the_future_counts_as_now() {
+    let mut checkpoint = checkpoint(7, true, &[("a", Draining)]);
+    checkpoint.endpoints.get_mut("a").unwrap().observed_at = Timestamp(NOW.0 + 9);
+    let restored =
+        restore(checkpoint, &configured(1, 6, vec![endpoint("a", Serving, 0)]), Continuity::Restart, NOW);
+    assert_eq!(restored.endpoints[0].observed_at, NOW);
 }
--- a/src/daemon/checkpoint/schedule/tests.rs
+++ b/src/daemon/checkpoint/schedule/tests.rs
@@ -1,79 +1,91 @@
 use super::*;
 
-const RECORD: u64 = 300;
+const RECORD_BYTES: u64 = 300;
 
-fn write(slices: &mut CheckpointSchedule, ids: &[EndpointId], written: &mut BTreeSet<EndpointId>) {
+fn write(schedule: &mut CheckpointSchedule, ids: &[EndpointId], written: &mut BTreeSet<EndpointId>) {
     for id in ids {
-        if slices.fits(RECORD) {
-            slices.wrote(RECORD);
+        if schedule.check_fit(RECORD_BYTES) {
+            schedule.bytes_written(RECORD_BYTES);
             written.insert(*id);
         }
     }
 }
 
-/// Works until nothing is left to do; the longest slice, and what the last file that was begun holds.
-fn work(slices: &mut CheckpointSchedule, all: u32, now: &mut u64) -> (usize, BTreeSet<EndpointId>, bool) {
-    let (mut longest, mut written, mut whole) = (0, BTreeSet::new(), false);
-    while let Some(due) = slices.due() {
+struct Work {
+    longest_slice: usize,
+    written: BTreeSet<EndpointId>,
+    coverage: Coverage,
+}
+
+/// Works until nothing is left to do; returns the longest slice, and what the last file that was started holds.
+fn work(schedule: &mut CheckpointSchedule, all: u32, now: &mut u64) -> Work {
+    let mut work = Work { longest_slice: 0, written: BTreeSet::new(), coverage: Coverage::Partial };
+    while let Some(due) = schedule.due() {
         *now = (*now).max(due.0);
-        match slices.next(Timestamp(*now)).expect("it was due") {
-            Next::Begin => {
-                written.clear();
-                slices.begun(20, (0..all).map(EndpointId).collect());
+        match schedule.next_step(Timestamp(*now)).expect("it was due") {
+            CheckpointStep::StartFile => {
+                work.written.clear();
+                schedule.file_started(20, (0..all).map(EndpointId).collect());
             }
-            Next::Write(ids) => {
-                longest = longest.max(ids.len());
-                write(slices, &ids, &mut written);
+            CheckpointStep::Write(ids) => {
+                work.longest_slice = work.longest_slice.max(ids.len());
+                write(schedule, &ids, &mut work.written);
             }
-            Next::Finish => whole = slices.finished(),
+            CheckpointStep::FinishFile => work.coverage = schedule.file_finished(),
         }
     }
-    (longest, written, whole)
+    work
 }
 
-/// Guards against a loop that is held up by all that is remembered, and against an endpoint that no slice has.
+/// Guards against an event loop that is blocked by a complete checkpoint, and against an endpoint that is in no slice.
 #[test]
-fn all_is_written_in_slices() {
+fn all_endpoints_are_written_in_slices() {
     for all in [0, 1, 63, 64, 65, 10_000] {
-        let mut slices = CheckpointSchedule::new(1 << 30);
+        let mut schedule = CheckpointSchedule::new(1 << 30);
         let mut now = 0;
-        let (longest, written, whole) = work(&mut slices, all, &mut now);
-        assert!(longest <= SLICE && written.len() == all as usize && whole, "{all}: {longest}");
-        assert_eq!(slices.due(), None, "nothing has changed");
+        let Work { longest_slice, written, coverage } = work(&mut schedule, all, &mut now);
+        assert!(
+            longest_slice <= MAX_SLICE_ENDPOINTS
+                && written.len() == all as usize
+                && coverage == Coverage::Complete,
+            "{all}: {longest_slice}"
+        );
+        assert_eq!(schedule.due(), None, "nothing has changed");
         let before = now;
-        slices.changed(EndpointId(3));
-        assert!(slices.next(Timestamp(before)).is_none(), "a pause after the last slice");
-        let (longest, written, _) = work(&mut slices, all, &mut now);
-        assert_eq!((longest, written.len(), now), (1, 1, before + PAUSE));
+        schedule.mark_changed(EndpointId(3));
+        assert!(schedule.next_step(Timestamp(before)).is_none(), "a pause after the last slice");
+        let Work { longest_slice, written, .. } = work(&mut schedule, all, &mut now);
+        assert_eq!((longest_slice, written.len(), now), (1, 1, before + SLICE_INTERVAL_US));
     }
 }
 
-/// Guards against a file that grows by what changes, or is written anew all the time.
+/// Guards against a file that grows without bound, or is rewritten all the time.
 #[test]
-fn a_file_is_written_anew_when_it_has_doubled() {
-    let (most, mut now) = (60_000, 0);
-    let mut slices = CheckpointSchedule::new(most);
-    work(&mut slices, 30, &mut now);
-    let (mut begun, mut longest) = (0, 0);
+fn file_is_rewritten_when_it_has_doubled() {
+    let max_file_bytes = 60_000;
+    let mut now = 0;
+    let mut schedule = CheckpointSchedule::new(max_file_bytes);
+    work(&mut schedule, 30, &mut now);
+    let (mut rewritten, mut longest) = (0, 0);
     for n in 0..2_000 {
-        slices.changed(EndpointId(n % 30));
-        let before = slices.new_length;
-        work(&mut slices, 30, &mut now);
-        begun += usize::from(slices.length < longest && before > 0);
-        longest = slices.length;
-        assert!(slices.length <= most, "{}", slices.length);
+        schedule.mark_changed(EndpointId(n % 30));
+        let before = schedule.new_file_bytes;
+        work(&mut schedule, 30, &mut now);
+        rewritten += usize::from(schedule.file_bytes < longest && before > 0);
+        longest = schedule.file_bytes;
+        assert!(schedule.file_bytes <= max_file_bytes, "{}", schedule.file_bytes);
     }
-    assert!((5..100).contains(&begun), "{begun} times anew for 600 KB of changes");
+    assert!((5..100).contains(&rewritten), "{rewritten} times rewritten for 600 KB of changes");
 }
 
-/// Guards against a file past its bound, and against taking one for whole that is not.
+/// Guards against a file that exceeds its bound, and against a partial file that counts as complete.
 #[test]
-fn what_does_not_fit_is_left_out() {
-    let mut slices = CheckpointSchedule::new(10 * RECORD);
-    let (_, written, whole) = work(&mut slices, 100, &mut 0);
-    assert_eq!((written.len(), whole), (9, false));
+fn endpoints_that_do_not_fit_are_left_out() {
+    let mut schedule = CheckpointSchedule::new(10 * RECORD_BYTES);
+    let Work { written, coverage, .. } = work(&mut schedule, 100, &mut 0);
+    assert_eq!((written.len(), coverage), (9, Coverage::Partial));
     assert!(written.contains(&EndpointId(0)), "the first ones are kept");
-    slices.given_up(Timestamp(7));
-    assert_eq!(slices.due(), Some(Timestamp(7 + RETRY)));
-    assert_eq!(slices.next(Timestamp(7 + RETRY)), Some(Next::Begin));
+    schedule.abandoned(Timestamp(7));
+    assert_eq!(schedule.due(), Some(Timestamp(7 + RETRY_DELAY_US)));
+    assert_eq!(schedule.next_step(Timestamp(7 + RETRY_DELAY_US)), Some(CheckpointStep::StartFile));
 }
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -85,7 +85,7 @@
             };
             self.trace.call(at, &ended);
         }
-        self.slices.changed(called.endpoint);
+        self.slices.mark_changed(called.endpoint);
         let heeded = called
             .ends
             .iter()
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,8 +1,9 @@
 //! What outlasts the process beside the journal: what it starts from, and what it writes down as it goes.
 use super::EventLoop;
 use super::endpoints::KnownEndpoint;
-use crate::daemon::checkpoint::restore::{RestoredCheckpoint, restore};
-use crate::daemon::checkpoint::schedule::Next;
+use crate::daemon::checkpoint::file::CheckpointWrite;
+use crate::daemon::checkpoint::restore::{Continuity, RestoredCheckpoint, RestoredRoutes, restore};
+use crate::daemon::checkpoint::schedule::CheckpointStep;
 use crate::daemon::checkpoint::{Checkpoint, DiscoveryVersion, EndpointCheckpoint};
 use crate::daemon::config::Config;
 use crate::daemon::endpoint_list::EndpointList;
@@ -19,12 +20,18 @@
         let known = EndpointList { agent: Some(config.discovery), ..config.known.clone() };
         let now = self.now();
         self.counts_anew = memory.version.is_none() && !memory.endpoints.is_empty();
-        let RestoredCheckpoint { members, from, learned, held_out } =
-            restore(memory, &known, chance.is_none(), now);
+        let continuity = if chance.is_none() { Continuity::Handover } else { Continuity::Restart };
+        let RestoredCheckpoint {
+            endpoints: members,
+            resume_revision: from,
+            routes: learned,
+            excluded: held_out,
+        } = restore(memory, &known, continuity, now);
         if held_out > 0 {
             self.log(&format!("{held_out} endpoints stay out: they were heard to drain or to be gone"));
         }
-        let (members, heard): (Vec<_>, Vec<_>) = members.into_iter().unzip();
+        let (members, heard): (Vec<_>, Vec<_>) =
+            members.into_iter().map(|of| (of.endpoint, of.observed_at)).unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
         self.targets(EndpointList { agent: None, revision: known.revision, complete: true, members });
         for (name, heard) in names.iter().zip(heard) {
@@ -34,7 +41,7 @@
         }
         self.version = from.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
         self.step();
-        for (name, lines, written) in learned {
+        for RestoredRoutes { endpoint_id: name, routes: lines, captured_at: written } in learned {
             let Some(id) = self.endpoint_ids.get(&name) else { continue };
             let mut worth = |line: RouteSnapshot| match &mut chance {
                 Some(random) => {
@@ -63,7 +70,7 @@
             return;
         }
         let before = self.version.replace(version);
-        if before.is_some_and(|before| version.anew_since(before)) {
+        if before.is_some_and(|before| version.is_reset_since(before)) {
             // What stands in the file tells of a version that would be taken for a newer one.
             self.counts_anew = true;
             return self.begin_memory();
@@ -94,11 +101,11 @@
         if self.memory_due().is_none() {
             return;
         }
-        let Some(next) = self.slices.next(now) else { return };
+        let Some(next) = self.slices.next_step(now) else { return };
         self.keep(|host| match next {
-            Next::Begin => host.begin_file().map(drop),
-            Next::Write(ids) => host.write_down(ids, false),
-            Next::Finish => host.finish_file(),
+            CheckpointStep::StartFile => host.begin_file().map(drop),
+            CheckpointStep::Write(ids) => host.write_down(ids, false),
+            CheckpointStep::FinishFile => host.finish_file(),
         });
     }
 
@@ -106,30 +113,35 @@
     pub(super) fn memory(&self) -> Checkpoint {
         let now = self.now();
         let endpoints = self.endpoints.keys().filter_map(|id| self.known(*id, now));
-        let endpoints = endpoints.map(|known| (known.member.id.clone(), known)).collect();
-        Checkpoint { version: self.comparable(), whole: true, endpoints }
+        let endpoints = endpoints.map(|known| (known.endpoint.id.clone(), known)).collect();
+        Checkpoint { version: self.comparable(), is_complete: true, endpoints }
     }
 
     fn known(&self, id: EndpointId, now: Timestamp) -> Option<EndpointCheckpoint> {
         let at = self.endpoints.get(&id)?;
         let learned = self.sender.learned(id);
-        Some(EndpointCheckpoint { member: at.member.clone(), heard: at.heard, learned, written: now })
+        Some(EndpointCheckpoint {
+            endpoint: at.member.clone(),
+            observed_at: at.heard,
+            routes: learned,
+            captured_at: now,
+        })
     }
 
     /// A new file, and what goes into it: first what binds.
     fn begin_file(&mut self) -> io::Result<Vec<EndpointId>> {
-        let bytes = self.notebook.begin()?;
+        let bytes = self.notebook.start_new()?;
         let now = self.now();
         let binds = |(id, at): &(&EndpointId, &KnownEndpoint)| !at.serving || self.sender.binds(now, **id);
         let (first, rest): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(binds);
         let ids: Vec<EndpointId> = first.into_iter().chain(rest).map(|(id, _)| *id).collect();
-        self.slices.begun(bytes, ids.clone());
+        self.slices.file_started(bytes, ids.clone());
         Ok(ids)
     }
 
     fn finish_file(&mut self) -> io::Result<()> {
-        let whole = self.slices.finished();
-        self.notebook.finish(self.comparable(), whole)
+        let whole = self.slices.file_finished();
+        self.notebook.finish_new(self.comparable(), whole)
     }
 
     /// The version that others may compare theirs with.
@@ -139,11 +151,14 @@
 
     fn write_down(&mut self, ids: Vec<EndpointId>, news: bool) -> io::Result<()> {
         let now = self.now();
-        let version = self.comparable().filter(|_| news);
+        let write = match news {
+            true => CheckpointWrite::Update(self.comparable()),
+            false => CheckpointWrite::Snapshot,
+        };
         let known: Vec<EndpointCheckpoint> = ids.into_iter().filter_map(|id| self.known(id, now)).collect();
         let slices = &mut self.slices;
-        let bytes = self.notebook.write(known.into_iter(), news, version, |bytes| slices.fits(bytes))?;
-        slices.wrote(bytes);
+        let bytes = self.notebook.write(known.into_iter(), write, |bytes| slices.check_fit(bytes))?;
+        slices.bytes_written(bytes);
         Ok(())
     }
 
@@ -155,8 +170,8 @@
             false => Err(io::ErrorKind::StorageFull.into()),
         };
         let Err(e) = done else { return };
-        self.notebook.give_up();
-        self.slices.given_up(self.now());
+        self.notebook.remove();
+        self.slices.abandoned(self.now());
         self.log(&format!("memory: given up for now: {e}"));
     }
 }
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -1,6 +1,8 @@
 //! What goes out only once the records before it outlast the machine: answers, calls, notices.
 use super::EventLoop;
-use crate::daemon::durability::{DeferredEffects, GroupCommit, NextStep, REPLACEMENT_RETRY_DELAY};
+use crate::daemon::durability::{
+    DeferredEffects, GroupCommit, NextStep, REPLACEMENT_RETRY_DELAY, SyncResult,
+};
 use crate::daemon::events::{LoopEvent, SubmitResponse};
 use crate::daemon::notifications::Notification;
 use crate::daemon::outbound_call::Call;
@@ -87,7 +89,7 @@
             ));
         }
         if let Some(durable) = &mut self.durable {
-            durable.gate.sync_ended(file, (&done).into(), durable.origin.elapsed());
+            durable.gate.sync_ended(file, SyncResult::from(&done), durable.origin.elapsed());
         }
     }
 
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -11,7 +11,7 @@
 mod shutdown;
 
 use super::checkpoint::DiscoveryVersion;
-use super::checkpoint::file::CheckpointFile;
+use super::checkpoint::file::{CheckpointFile, OpenedCheckpoint};
 use super::checkpoint::schedule::CheckpointSchedule;
 use super::class_registry::{ClassRegistry, NamedClass};
 use super::config::Config;
@@ -180,14 +180,15 @@
     ) -> Result<Self, String> {
         let EventLoopConfig { config, shape, seed, inheritance, figures, returning, found } = start;
         let profile = &config.settings;
-        let (notebook, remembered, unread) = CheckpointFile::open(ports.storage.clone(), &config.name);
+        let OpenedCheckpoint { file: notebook, checkpoint: remembered, error: unread } =
+            CheckpointFile::open(ports.storage.clone(), &config.name);
         if let Some(unread) = unread {
             ports.log.line(&unread.to_string());
         }
         let handed_over = inheritance.is_some();
-        let InheritedState { memory, classes: earlier } = match inheritance {
+        let InheritedState { checkpoint: memory, classes: earlier } = match inheritance {
             Some(inheritance) => inheritance,
-            None => InheritedState { memory: remembered, classes: Vec::new() },
+            None => InheritedState { checkpoint: remembered, classes: Vec::new() },
         };
         let names = profile.names();
         let retired = written_classes(&*ports.storage).unwrap_or_else(|e| {
--- a/src/daemon/event_loop/shutdown.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -88,7 +88,8 @@
         self.step();
         self.picture = None;
         let figures = Metrics { inflight: 0, ..(*self.picture()).clone() };
-        let inheritance = InheritedState { memory: self.memory(), classes: self.classes.named().to_vec() };
+        let inheritance =
+            InheritedState { checkpoint: self.memory(), classes: self.classes.named().to_vec() };
         HandoverState { successor, inheritance, config: self.config, figures: Rc::new(figures) }
     }
 }
--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -43,7 +43,7 @@
 #[derive(Default, Serialize, Deserialize)]
 pub struct InheritedState {
     /// What it heard and learned, as it would leave it to a process after a restart.
-    pub memory: Checkpoint,
+    pub checkpoint: Checkpoint,
     /// All classes that its messages may be of.
     pub classes: Vec<NamedClass>,
 }
