--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -4,7 +4,7 @@
 use crate::daemon::connection::Connection;
 use crate::daemon::connection_pool::ConnectionPool;
 use crate::daemon::events::{AttemptOutcome, CallCompletion, LoopEvent};
-use crate::daemon::journal::{Attempt, FinalOutcome, JournalError, SubmittedMessage};
+use crate::daemon::journal::{Attempt, AttemptEffect, FinalOutcome, JournalError, SubmittedMessage};
 use crate::daemon::notifications::Notification;
 use crate::daemon::outbound_call::{BatchedMessage, Call, CallContext};
 use crate::daemon::trace;
@@ -77,12 +77,15 @@
         let mut parcels = Vec::with_capacity(messages.len());
         let mut deferred = Vec::new();
         for MessageId(number) in messages {
-            let recorded = self.messages.journal.begin(number, Attempt { at: now.0, zone: zone.clone() });
+            let recorded = self
+                .messages
+                .journal
+                .start_attempt(number, Attempt { started_at: now.0, zone: zone.clone() });
             let Some(pending) = self.messages.journal.get(number) else { continue };
             if let Err(error) = recorded {
                 // An attempt that a restart would not know of must not go out. It counts as none, and the message waits
                 // for space.
-                deferred.push((MessageId(number), pending.attempts));
+                deferred.push((MessageId(number), pending.attempts_started));
                 self.log(format_args!("calls: attempt deferred, it cannot be recorded error={error}"));
                 continue;
             }
@@ -145,7 +148,7 @@
         let ended = self.clock.timestamp(completed_at);
         let started = self.calls.remove(number).unwrap_or(ended);
         self.trace_call(endpoint, started, ended, &outcomes, report);
-        self.checkpointing.schedule.changed(endpoint);
+        self.checkpointing.schedule.mark_changed(endpoint);
         let has_retry_after =
             |attempt: &AttemptOutcome| matches!(attempt.outcome, Outcome::Rejected { retry_after: Some(_) });
         let is_wait_known = outcomes.iter().any(has_retry_after);
@@ -184,7 +187,7 @@
         report: Option<LoadReport>,
     ) {
         for AttemptOutcome { message: number, outcome, completes } in outcomes {
-            let attempts = self.messages.journal.get(number).map_or(1, |pending| pending.attempts);
+            let attempts = self.messages.journal.get(number).map_or(1, |pending| pending.attempts_started);
             if completes {
                 self.complete_message(number, outcome);
             } else {
@@ -211,11 +214,14 @@
     }
 
     fn record_attempt(&mut self, number: u32, outcome: Outcome) {
-        let may_have_run = matches!(outcome, Outcome::Failure | Outcome::TimedOut | Outcome::Reset);
+        let effect = match outcome {
+            Outcome::Failure | Outcome::TimedOut | Outcome::Reset => AttemptEffect::Uncertain,
+            _ => AttemptEffect::None,
+        };
         let journal = &mut self.messages.journal;
         let recorded = match outcome {
-            Outcome::Deferred => journal.attempt_deferred(number),
-            _ => journal.outcome(number, may_have_run),
+            Outcome::Deferred => journal.defer_attempt(number),
+            _ => journal.end_attempt(number, effect),
         };
         self.check_recorded(recorded);
     }
@@ -226,7 +232,13 @@
         let id = pending.message.id.clone();
         let SubmittedMessage { destination, class, .. } = &pending.message;
         self.metrics.counts.record_undelivered(class, outcome);
-        self.trace.message_ended(self.clock.now(), *destination, outcome.into(), class, pending.attempts);
+        self.trace.message_ended(
+            self.clock.now(),
+            *destination,
+            outcome.into(),
+            class,
+            pending.attempts_started,
+        );
         let recorded = self.messages.finish(number, outcome);
         self.check_recorded(recorded);
         self.perform_when_durable(DeferredEffect::Notification(Notification { number, id, end: outcome }));
@@ -243,7 +255,7 @@
         if let Err(error) = recorded {
             self.log(format_args!("{error}"));
         }
-        if let Some(error) = self.messages.journal.failed_compaction() {
+        if let Some(error) = self.messages.journal.take_compaction_error() {
             self.log(format_args!("journal: compaction failed, the old file stays error={error}"));
         }
     }
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,11 +1,11 @@
 //! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and writes them down.
 use super::EventLoop;
 use super::endpoint_table::KnownEndpoint;
-use crate::daemon::checkpoint::file::CheckpointFile;
-use crate::daemon::checkpoint::restore::{RestoredCheckpoint, restore};
-use crate::daemon::checkpoint::schedule::{CheckpointSchedule, Next};
+use crate::daemon::checkpoint::file::{CheckpointFile, CheckpointWrite};
+use crate::daemon::checkpoint::restore::{Continuity, ObservedEndpoint, restore};
+use crate::daemon::checkpoint::schedule::{CheckpointSchedule, CheckpointStep};
 use crate::daemon::checkpoint::{Checkpoint, DiscoveryVersion, EndpointCheckpoint};
-use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint};
+use crate::daemon::endpoint_list::EndpointList;
 use crate::{EndpointId, RouteSnapshot, Timestamp};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::RngCore;
@@ -38,7 +38,7 @@
     /// taken for a newer one.
     fn advance_version(&mut self, version: DiscoveryVersion) -> bool {
         let before = self.version.replace(version);
-        if before.is_some_and(|before| version.anew_since(before)) {
+        if before.is_some_and(|before| version.is_reset_since(before)) {
             self.has_version_restarted = true;
             return false;
         }
@@ -47,8 +47,8 @@
     }
 
     fn finish_file(&mut self) -> io::Result<()> {
-        let is_complete = self.schedule.finished();
-        self.file.finish(self.comparable_version(), is_complete)
+        let is_complete = self.schedule.file_finished();
+        self.file.finish_new(self.comparable_version(), is_complete)
     }
 }
 
@@ -69,30 +69,36 @@
         let now = self.clock.now();
         self.checkpointing.has_version_restarted =
             checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
-        let is_current = matches!(age, CheckpointAge::Current);
-        let RestoredCheckpoint { members, from, learned, held_out } =
-            restore(checkpoint, &known, is_current, now);
-        if held_out > 0 {
+        let continuity = match age {
+            CheckpointAge::Current => Continuity::Handover,
+            CheckpointAge::Restart(_) => Continuity::Restart,
+        };
+        let restored = restore(checkpoint, &known, continuity, now);
+        if restored.excluded > 0 {
             self.log(format_args!(
                 "checkpoint: endpoints stay out of service, an earlier process heard that they drain or are removed \
-                 count={held_out}"
+                 count={}",
+                restored.excluded
             ));
         }
-        self.restore_endpoints(known.revision, members);
+        self.restore_endpoints(known.revision, restored.endpoints);
         self.checkpointing.version =
-            from.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
+            restored.resume_revision.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
         self.step();
-        for (name, routes, written_at) in learned {
-            let Some(id) = self.endpoints.id_of(&name) else { continue };
-            let routes =
-                routes.map(|route| route.map(|route| self.age_route(route, written_at, now, &mut age)));
-            self.engine.take_up(id, routes);
+        for restored in restored.routes {
+            let Some(id) = self.endpoints.id_of(&restored.endpoint_id) else { continue };
+            let captured_at = restored.captured_at;
+            let aged = restored
+                .routes
+                .map(|route| route.map(|route| self.age_route(route, captured_at, now, &mut age)));
+            self.engine.take_up(id, aged);
         }
     }
 
     /// Takes in the restored endpoints, with when their phases were heard.
-    fn restore_endpoints(&mut self, revision: u64, members: Vec<(ListedEndpoint, Timestamp)>) {
-        let (members, heard_at): (Vec<_>, Vec<_>) = members.into_iter().unzip();
+    fn restore_endpoints(&mut self, revision: u64, restored: Vec<ObservedEndpoint>) {
+        let (members, heard_at): (Vec<_>, Vec<_>) =
+            restored.into_iter().map(|restored| (restored.endpoint, restored.observed_at)).unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
         self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, members });
         for (name, heard_at) in names.iter().zip(heard_at) {
@@ -159,11 +165,11 @@
         if self.checkpoint_due().is_none() {
             return;
         }
-        let Some(next) = self.checkpointing.schedule.next(now) else { return };
+        let Some(next) = self.checkpointing.schedule.next_step(now) else { return };
         self.try_checkpoint(|event_loop| match next {
-            Next::Begin => event_loop.begin_checkpoint_file().map(drop),
-            Next::Write(ids) => event_loop.write_endpoints(ids, WriteReason::Scheduled),
-            Next::Finish => event_loop.checkpointing.finish_file(),
+            CheckpointStep::StartFile => event_loop.begin_checkpoint_file().map(drop),
+            CheckpointStep::Write(ids) => event_loop.write_endpoints(ids, WriteReason::Scheduled),
+            CheckpointStep::FinishFile => event_loop.checkpointing.finish_file(),
         });
     }
 
@@ -171,8 +177,8 @@
     pub(super) fn checkpoint(&self) -> Checkpoint {
         let now = self.clock.now();
         let endpoints = self.endpoints.iter().map(|(id, known)| self.endpoint_checkpoint(id, known, now));
-        let endpoints = endpoints.map(|endpoint| (endpoint.member.id.clone(), endpoint)).collect();
-        Checkpoint { version: self.checkpointing.comparable_version(), whole: true, endpoints }
+        let endpoints = endpoints.map(|endpoint| (endpoint.endpoint.id.clone(), endpoint)).collect();
+        Checkpoint { version: self.checkpointing.comparable_version(), is_complete: true, endpoints }
     }
 
     fn endpoint_checkpoint(
@@ -182,32 +188,39 @@
         now: Timestamp,
     ) -> EndpointCheckpoint {
         let learned = self.engine.learned(id);
-        EndpointCheckpoint { member: known.listed.clone(), heard: known.heard_at, learned, written: now }
+        EndpointCheckpoint {
+            endpoint: known.listed.clone(),
+            observed_at: known.heard_at,
+            routes: learned,
+            captured_at: now,
+        }
     }
 
     /// Begins a new file, and returns what goes into it: endpoints under restrictions first.
     fn begin_checkpoint_file(&mut self) -> io::Result<Vec<EndpointId>> {
-        let bytes = self.checkpointing.file.begin()?;
+        let bytes = self.checkpointing.file.start_new()?;
         let now = self.clock.now();
         let is_restricted =
             |(id, known): &(EndpointId, &KnownEndpoint)| !known.is_serving || self.engine.binds(now, *id);
         let (restricted, others): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(is_restricted);
         let ids: Vec<EndpointId> = restricted.into_iter().chain(others).map(|(id, _)| id).collect();
-        self.checkpointing.schedule.begun(bytes, ids.clone());
+        self.checkpointing.schedule.file_started(bytes, ids.clone());
         Ok(ids)
     }
 
     fn write_endpoints(&mut self, ids: Vec<EndpointId>, reason: WriteReason) -> io::Result<()> {
         let now = self.clock.now();
-        let is_list_change = matches!(reason, WriteReason::ListChanged);
-        let version = self.checkpointing.comparable_version().filter(|_| is_list_change);
+        let write = match reason {
+            WriteReason::ListChanged => CheckpointWrite::Update(self.checkpointing.comparable_version()),
+            WriteReason::Scheduled => CheckpointWrite::Snapshot,
+        };
         let known = ids.into_iter().filter_map(|id| Some((id, self.endpoints.get(id)?)));
         let endpoints: Vec<EndpointCheckpoint> =
             known.map(|(id, known)| self.endpoint_checkpoint(id, known, now)).collect();
         let schedule = &mut self.checkpointing.schedule;
-        let fits = |bytes| schedule.fits(bytes);
-        let bytes = self.checkpointing.file.write(endpoints.into_iter(), is_list_change, version, fits)?;
-        schedule.wrote(bytes);
+        let fits = |bytes| schedule.check_fit(bytes);
+        let bytes = self.checkpointing.file.write(endpoints.into_iter(), write, fits)?;
+        schedule.bytes_written(bytes);
         Ok(())
     }
 
@@ -219,8 +232,8 @@
             false => Err(io::ErrorKind::StorageFull.into()),
         };
         let Err(error) = written else { return };
-        self.checkpointing.file.give_up();
-        self.checkpointing.schedule.given_up(self.clock.now());
+        self.checkpointing.file.remove();
+        self.checkpointing.schedule.abandoned(self.clock.now());
         self.log(format_args!("checkpoint: abandoned for now error={error}"));
     }
 }
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -45,17 +45,18 @@
 impl EarlierState {
     /// Prefers what a predecessor handed over to what stands in the state folder.
     fn load(inheritance: Option<InheritedState>, name: &str, seed: u64, ports: &Ports) -> Self {
-        let (file, stored, unreadable) = CheckpointFile::open(ports.storage.clone(), name);
-        if let Some(unreadable) = unreadable {
+        let opened = CheckpointFile::open(ports.storage.clone(), name);
+        let file = opened.file;
+        if let Some(unreadable) = opened.error {
             ports.log.line(&format!("checkpoint: {unreadable}"));
         }
         match inheritance {
-            Some(InheritedState { memory, classes }) => {
-                Self { file, checkpoint: memory, classes, age: CheckpointAge::Current }
+            Some(InheritedState { checkpoint, classes }) => {
+                Self { file, checkpoint, classes, age: CheckpointAge::Current }
             }
             None => {
                 let age = CheckpointAge::Restart(Box::new(ChaCha8Rng::seed_from_u64(seed)));
-                Self { file, checkpoint: stored, classes: Vec::new(), age }
+                Self { file, checkpoint: opened.checkpoint, classes: Vec::new(), age }
             }
         }
     }
@@ -100,7 +101,7 @@
             queue: StepQueue::new(Instant::now()),
             endpoints: EndpointTable::new(maintenance),
             calls: CallTable::new(pool, context),
-            recovery: RecoveryProgress::new(recovery, journal.latest()),
+            recovery: RecoveryProgress::new(recovery, journal.latest_time()),
             messages: MessageTable::new(journal),
             notifications,
             durable_effects: DurableEffects::new(&configuration.config.operator),
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -1,6 +1,8 @@
 //! Effects that wait until the journal's records before them are durable: responses, calls, notifications.
 use super::EventLoop;
-use crate::daemon::durability::{AGAIN, DeferredEffects, GroupCommit, NextStep};
+use crate::daemon::durability::{
+    DeferredEffects, GroupCommit, NextStep, REPLACEMENT_RETRY_DELAY, SyncResult,
+};
 use crate::daemon::events::{AttemptOutcome, LoopEvent, SubmitResponse};
 use crate::daemon::notifications::Notification;
 use crate::daemon::outbound_call::Call;
@@ -42,21 +44,21 @@
 
     /// Returns when the group commit has something to do.
     pub(super) fn due(&self) -> Option<Instant> {
-        match self.group_commit.wanted(self.origin.elapsed()) {
+        match self.group_commit.next_step(self.origin.elapsed()) {
             NextStep::Wait(at) => at.map(|at| self.origin + at),
-            NextStep::Sync | NextStep::NewFile => Some(Instant::now()),
+            NextStep::Sync | NextStep::ReplaceFile => Some(Instant::now()),
         }
     }
 
     /// Takes note that the journal has begun so many files in all.
     fn note_new_files(&mut self, files: u64) {
         self.known_files = files;
-        self.group_commit.new_file();
+        self.group_commit.file_replaced();
     }
 
     /// Returns the next effect whose records are durable.
     fn next_released(&mut self) -> Option<DeferredEffect> {
-        self.deferred.next(self.group_commit.standing())
+        self.deferred.pop_ready(self.group_commit.durable_sequence())
     }
 }
 
@@ -64,7 +66,7 @@
     /// Performs an effect once all records up to now are durable.
     pub(super) fn perform_when_durable(&mut self, effect: DeferredEffect) {
         match &mut self.durable_effects {
-            Some(durable) => durable.deferred.hold(self.messages.journal.mark(), effect),
+            Some(durable) => durable.deferred.push(self.messages.journal.last_sequence(), effect),
             None => self.perform(effect),
         }
     }
@@ -104,7 +106,7 @@
             ));
         }
         if let Some(durable) = &mut self.durable_effects {
-            durable.group_commit.sync_ended(file, result.is_ok(), durable.origin.elapsed());
+            durable.group_commit.sync_ended(file, SyncResult::from(&result), durable.origin.elapsed());
         }
     }
 
@@ -113,14 +115,14 @@
         let Some(durable) = &mut self.durable_effects else { return };
         let journal = &mut self.messages.journal;
         let now = durable.origin.elapsed();
-        durable.group_commit.written(journal.mark(), now);
-        if durable.known_files != journal.new_files() {
-            durable.note_new_files(journal.new_files());
+        durable.group_commit.records_written(journal.last_sequence(), now);
+        if durable.known_files != journal.compactions() {
+            durable.note_new_files(journal.compactions());
         }
-        match durable.group_commit.wanted(now) {
+        match durable.group_commit.next_step(now) {
             NextStep::Wait(_) => {}
             NextStep::Sync => self.begin_sync(),
-            NextStep::NewFile => self.replace_lost_journal(now),
+            NextStep::ReplaceFile => self.replace_lost_journal(now),
         }
         while let Some(effect) = self.durable_effects.as_mut().and_then(DurableEffects::next_released) {
             match effect {
@@ -132,7 +134,7 @@
 
     fn begin_sync(&mut self) {
         let Some(durable) = &mut self.durable_effects else { return };
-        let (file, sync) = (durable.group_commit.sync_begins(), self.messages.journal.sync());
+        let (file, sync) = (durable.group_commit.sync_started(), self.messages.journal.sync());
         let events = self.events.clone();
         self.tasks.spawn_local(async move {
             let _ = events.send(LoopEvent::JournalSynced { file, result: sync.await });
@@ -144,9 +146,9 @@
         let rewritten = self.messages.journal.rewrite();
         let Some(durable) = &mut self.durable_effects else { return };
         match rewritten {
-            Ok(()) => durable.note_new_files(self.messages.journal.new_files()),
+            Ok(()) => durable.note_new_files(self.messages.journal.compactions()),
             Err(error) => {
-                durable.group_commit.no_new_file(now + AGAIN);
+                durable.group_commit.replacement_failed(now + REPLACEMENT_RETRY_DELAY);
                 self.log(format_args!(
                     "journal: no new file, new messages are rejected until there is one error={error}"
                 ));
--- a/src/daemon/event_loop/message_table.rs
+++ b/src/daemon/event_loop/message_table.rs
@@ -19,7 +19,7 @@
 
     /// Whether a message with this ID was accepted, including one that completed a while ago.
     pub(super) fn has_accepted(&self, id: &str) -> bool {
-        self.numbers.contains_key(id) || self.journal.was_over(id)
+        self.numbers.contains_key(id) || self.journal.is_completed(id)
     }
 
     /// Counts all messages, including those of which only the platform's acknowledgement is missing.
@@ -55,7 +55,7 @@
 
     /// Records that a message ended undelivered; its notification is still to be acknowledged.
     pub(super) fn finish(&mut self, number: u32, outcome: FinalOutcome) -> Result<(), JournalError> {
-        let recorded = self.journal.end(number, outcome);
+        let recorded = self.journal.finish(number, outcome);
         self.unacknowledged += 1;
         recorded
     }
@@ -65,9 +65,9 @@
     pub(super) fn remove(&mut self, number: u32, now: u64) -> Option<Result<(), JournalError>> {
         let pending = self.journal.get(number)?;
         self.numbers.remove(&pending.message.id);
-        if pending.end.is_some() {
+        if pending.final_outcome.is_some() {
             self.unacknowledged -= 1;
         }
-        Some(self.journal.over(number, now))
+        Some(self.journal.complete(number, now))
     }
 }
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery after a restart: which messages of the journal end at once, and which are sent in which phase.
 use super::EventLoop;
 use crate::daemon::events::{InvalidMessage, ListenerState};
-use crate::daemon::journal::{Attempt, FinalOutcome, PendingMessage};
+use crate::daemon::journal::{Attempt, AttemptEffect, FinalOutcome, PendingMessage};
 use crate::daemon::notifications::Notification;
 use crate::daemon::recovery::{Marks, RecoveryStatus};
 use crate::{ClassId, Event, Idempotency, Message, RecoveredMessage, TimeDelta, Timestamp, ZoneId};
@@ -58,8 +58,8 @@
             let count = |is_counted: fn(&PendingMessage) -> bool| {
                 recovered.iter().filter(|(_, pending)| is_counted(pending)).count()
             };
-            let untried = count(|pending| pending.end.is_none() && pending.attempts == 0);
-            let ended = count(|pending| pending.end.is_some());
+            let untried = count(|pending| pending.final_outcome.is_none() && pending.attempts_started == 0);
+            let ended = count(|pending| pending.final_outcome.is_some());
             self.log(format_args!(
                 "recovery: resuming messages={} untried={untried} ended_unacknowledged={ended}",
                 recovered.len()
@@ -84,18 +84,18 @@
             Ok(message) => message,
             Err(invalid) => {
                 self.log(format_args!("recovery: message failed id={} error={invalid}", pending.message.id));
-                self.finish_message(number, pending.end.unwrap_or(FinalOutcome::Failed));
+                self.finish_message(number, pending.final_outcome.unwrap_or(FinalOutcome::Failed));
                 return;
             }
         };
-        if pending.out.is_some() {
+        if pending.active_attempt.is_some() {
             // The process ended during the call: nobody knows how far the call had come.
-            let recorded = self.messages.journal.outcome(number, true);
+            let recorded = self.messages.journal.end_attempt(number, AttemptEffect::Uncertain);
             self.check_recorded(recorded);
         }
         let recovered = self.recovered_message(message, &pending);
         self.hand_over_recovered(recovered);
-        if let Some(end) = pending.end {
+        if let Some(end) = pending.final_outcome {
             self.messages.register_unacknowledged();
             let _ = self.notifications.send(Notification { number, id: pending.message.id, end });
         }
@@ -108,11 +108,12 @@
     }
 
     fn recovered_message(&self, message: Message, pending: &PendingMessage) -> RecoveredMessage {
-        let first_uncertain_attempt = pending.ran.as_ref().or(pending.out.as_ref()).map(|attempt| {
-            let zone = self.configuration.names.zones.get(&attempt.zone).copied();
-            (Timestamp(attempt.at), zone.unwrap_or(UNKNOWN_ZONE))
-        });
-        let (attempts, ended) = (pending.attempts, pending.end.is_some());
+        let first_uncertain_attempt =
+            pending.first_uncertain_attempt.as_ref().or(pending.active_attempt.as_ref()).map(|attempt| {
+                let zone = self.configuration.names.zones.get(&attempt.zone).copied();
+                (Timestamp(attempt.started_at), zone.unwrap_or(UNKNOWN_ZONE))
+            });
+        let (attempts, ended) = (pending.attempts_started, pending.final_outcome.is_some());
         RecoveredMessage { message, attempts, first_uncertain_attempt, ended }
     }
 
@@ -124,17 +125,18 @@
         class: ClassId,
         pending: &mut PendingMessage,
     ) -> Option<FinalOutcome> {
-        let first_attempt = pending.ran.as_ref().or(pending.out.as_ref()).cloned();
+        let first_attempt =
+            pending.first_uncertain_attempt.as_ref().or(pending.active_attempt.as_ref()).cloned();
         let leftover = LeftoverMessage {
-            ended: pending.end.is_some(),
-            begun: first_attempt.as_ref().map(|attempt| attempt.at),
-            not_before: self.messages.journal.not_before(number),
+            ended: pending.final_outcome.is_some(),
+            begun: first_attempt.as_ref().map(|attempt| attempt.started_at),
+            not_before: self.messages.journal.accepted_not_before(number),
         };
         match self.recovery.status.judge(self.repeats(class), leftover) {
             Verdict::AsWritten => {}
             Verdict::MayHaveRun(at) => {
                 let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
-                self.record_uncertain_attempt(number, Attempt { at, zone }, pending);
+                self.record_uncertain_attempt(number, Attempt { started_at: at, zone }, pending);
             }
             Verdict::Returns => return Some(FinalOutcome::Returned(None)),
             // The journal of another sender is set aside before it is read here.
@@ -146,16 +148,16 @@
 
     /// Records that a message may have run: a successor on this boot of the machine trusts the journal to be complete.
     fn record_uncertain_attempt(&mut self, number: u32, attempt: Attempt, pending: &mut PendingMessage) {
-        pending.attempts = pending.attempts.max(1);
-        (pending.ran, pending.out) = (Some(attempt.clone()), None);
-        let recorded = self.messages.journal.ran(number, attempt);
+        pending.attempts_started = pending.attempts_started.max(1);
+        (pending.first_uncertain_attempt, pending.active_attempt) = (Some(attempt.clone()), None);
+        let recorded = self.messages.journal.set_uncertain_attempt(number, attempt);
         self.check_recorded(recorded);
     }
 
     /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the machine trusts
     /// its clock.
     fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
-        if self.recovery.status.believes_clock() || pending.end.is_some() {
+        if self.recovery.status.believes_clock() || pending.final_outcome.is_some() {
             return;
         }
         let now = self.clock.now().0;
@@ -164,7 +166,7 @@
         let time_left =
             self.recovery.status.time_left(pending.deadline, last_journal_time, now, max_time_left);
         pending.deadline = now + time_left;
-        let recorded = self.messages.journal.deadline(number, pending.deadline);
+        let recorded = self.messages.journal.set_deadline(number, pending.deadline);
         self.check_recorded(recorded);
     }
 
@@ -173,7 +175,7 @@
     pub(super) fn stamp_journal(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
         if !self.recovery.status.believes_clock() {
-            self.messages.journal.new_clock(self.clock.now().0);
+            self.messages.journal.reset_clock(self.clock.now().0);
             if let Err(error) = self.messages.journal.rewrite() {
                 self.log(format_args!(
                     "journal: not rewritten on the new clock, IDs of completed messages may be forgotten early \
--- a/src/daemon/event_loop/shutdown.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -138,7 +138,7 @@
         self.metrics.discard_snapshot();
         let metrics = Metrics { inflight: 0, ..(*self.metrics_snapshot()).clone() };
         let classes = self.configuration.classes.named().to_vec();
-        let inheritance = InheritedState { memory: self.checkpoint(), classes };
+        let inheritance = InheritedState { checkpoint: self.checkpoint(), classes };
         let config = self.configuration.config;
         HandoverState { successor, inheritance, config, metrics: Rc::new(metrics) }
     }
--- /dev/null
+++ b/src/daemon/journal/completed_ids.rs
@@ -0,0 +1,99 @@
+//! Ids of completed messages, remembered for as long as a client may still submit one of them again: the message must not
+//! be delivered a second time.
+//!
+//! No I/O and no clock; times are wall clock, microseconds, as they are valid across processes. The set is bounded in
+//! number and in bytes. Beyond either bound it forgets those ids first that expire first.
+use super::record::CompletedId;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// An id is remembered for at least this long after its message was completed, in microseconds.
+const MIN_RETENTION_US: u64 = 30_000_000;
+/// An id is remembered for this long past its message's deadline, in microseconds: a client submits it no later.
+const RETENTION_PAST_DEADLINE_US: u64 = 1_000_000;
+/// Space that an id takes beside its text, in a file and in memory.
+const ID_OVERHEAD_BYTES: u64 = 24;
+
+/// Bounds of the set.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct CompletedIdLimits {
+    pub max_ids: usize,
+    pub max_bytes: u64,
+}
+
+/// The set of remembered ids.
+#[derive(Debug)]
+pub(super) struct CompletedIds {
+    expiry_by_id: BTreeMap<Arc<str>, u64>,
+    by_expiry: BTreeSet<(u64, Arc<str>)>,
+    bytes: u64,
+    limits: CompletedIdLimits,
+}
+
+impl CompletedIds {
+    /// Creates an empty set.
+    pub fn new(limits: CompletedIdLimits) -> Self {
+        Self { expiry_by_id: BTreeMap::new(), by_expiry: BTreeSet::new(), bytes: 0, limits }
+    }
+
+    /// Whether the message of that id is completed, as far as the set remembers.
+    pub fn contains(&self, id: &str) -> bool {
+        self.expiry_by_id.contains_key(id)
+    }
+
+    /// Adds the id of a message with that `deadline` which was completed at `completed_at`.
+    pub fn complete(&mut self, id: &str, completed_at: u64, deadline: u64) {
+        let past_deadline = deadline.saturating_add(RETENTION_PAST_DEADLINE_US);
+        self.insert(id.into(), (completed_at + MIN_RETENTION_US).max(past_deadline), completed_at);
+    }
+
+    /// Remembers an id until `expires_at`, and forgets ids that have expired `now`.
+    pub fn insert(&mut self, id: Arc<str>, expires_at: u64, now: u64) {
+        if let Some(replaced) = self.expiry_by_id.insert(id.clone(), expires_at) {
+            self.by_expiry.remove(&(replaced, id.clone()));
+        } else {
+            self.bytes += stored_bytes(&id);
+        }
+        self.by_expiry.insert((expires_at, id));
+        while self.is_over_limit() || self.first_has_expired(now) {
+            let Some((_, id)) = self.by_expiry.pop_first() else { return };
+            self.expiry_by_id.remove(&id);
+            self.bytes -= stored_bytes(&id);
+        }
+    }
+
+    fn is_over_limit(&self) -> bool {
+        self.by_expiry.len() > self.limits.max_ids || self.bytes > self.limits.max_bytes
+    }
+
+    fn first_has_expired(&self, now: u64) -> bool {
+        self.by_expiry.first().is_some_and(|(expires_at, _)| *expires_at < now)
+    }
+
+    /// Remembers every id for at least as long as if its message were completed `now`.
+    pub fn extend_all(&mut self, now: u64) {
+        let expires_at = now + MIN_RETENTION_US;
+        let earlier = self.by_expiry.iter().take_while(|(expiry, _)| *expiry < expires_at);
+        for id in earlier.map(|(_, id)| id.clone()).collect::<Vec<_>>() {
+            self.insert(id, expires_at, 0);
+        }
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.by_expiry.is_empty()
+    }
+
+    /// Returns the ids, the one that expires first before the others.
+    pub fn iter(&self) -> impl Iterator<Item = CompletedId> {
+        self.by_expiry.iter().map(|(expires_at, id)| CompletedId { id: id.clone(), expires_at: *expires_at })
+    }
+
+    /// Returns the bytes that the ids take at most in a file.
+    pub fn bytes(&self) -> u64 {
+        self.bytes
+    }
+}
+
+fn stored_bytes(id: &str) -> u64 {
+    id.len() as u64 + ID_OVERHEAD_BYTES
+}
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,7 +6,6 @@
 mod checkpoint;
 mod class_registry;
 mod client_listener;
-mod completed_ids;
 pub mod config;
 mod config_schema;
 mod connection;
