--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -1,4 +1,6 @@
-//! The door for operators: one call to a connection, beside the clients' and bounded for itself.
+//! The admin endpoint: status, metrics and maintenance for operators, on a socket of its own.
+//!
+//! It serves one request a connection and has limits of its own, so that neither clients nor operators keep each other out.
 use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent, MaintenanceChange};
 use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, collect, plain};
 use super::membership::{Gathering, Views};
@@ -22,123 +24,153 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A call that has not come whole by then does not come.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Bytes of ids that may be read at once, over all callers.
-const BODIES: usize = 64 * 1024;
-/// No id is longer.
-const MOST_ID: usize = 1024;
+/// How long a request may take to arrive.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes of request bodies that may be read at once, from all callers together.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Most bytes of the ID of an endpoint.
+const MAX_ENDPOINT_ID_BYTES: usize = 1024;
+/// How long accepting rests after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What is believed of the peers, and a way to ask them what they believe.
-type Peers = (Views, Gathering);
+/// The views of this sender's members, and a way to ask the members for theirs.
+type MemberViews = (Views, Gathering);
 
-/// Serves operators for as long as the process runs. With all places taken, the caller who came first goes.
-pub async fn serve(
-    listener: Box<dyn Listener>,
-    host: UnboundedSender<LoopEvent>,
-    doors: WatchCell<ListenerState>,
-    peers: Option<Peers>,
-    returning: RecoveryStatus,
-    log: Rc<dyn Log>,
-) {
-    let house = ConnectionLimits::new(MAX_OPERATOR_CONNECTIONS, BODIES);
+/// What the responses to operators are made of.
+pub struct AdminContext {
+    /// The event loop.
+    pub events: UnboundedSender<LoopEvent>,
+    /// Whether clients are served.
+    pub state: WatchCell<ListenerState>,
+    /// What members believe of each other, where membership is on.
+    pub members: Option<MemberViews>,
+    /// How service returns after a restart.
+    pub recovery: RecoveryStatus,
+}
+
+/// Serves operators for as long as the process runs. When all permits are taken, the oldest caller is disconnected.
+pub async fn serve(listener: Box<dyn Listener>, context: AdminContext, log: Rc<dyn Log>) {
+    let context = Rc::new(context);
+    let limits = ConnectionLimits::new(MAX_OPERATOR_CONNECTIONS, MAX_BODY_BYTES);
     loop {
         match listener.accept().await {
             Ok(stream) => {
-                let Some(seat) = house.seat().await else { return };
-                spawn_local(connection(
-                    stream,
-                    house.clone(),
-                    seat,
-                    host.clone(),
-                    doors.clone(),
-                    peers.clone(),
-                    returning.clone(),
-                ));
+                let Some(permit) = limits.admit().await else { return };
+                spawn_local(serve_connection(stream, permit, context.clone()));
             }
-            Err(e) => {
-                log.line(&format!("operators: accepting: {e}"));
-                sleep(Duration::from_millis(20)).await;
+            Err(error) => {
+                log.line(&format!("operators: accepting: {error}"));
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(
-    stream: Box<dyn Stream>,
-    house: Arc<ConnectionLimits>,
-    seat: Arc<ConnectionPermit>,
-    host: UnboundedSender<LoopEvent>,
-    doors: WatchCell<ListenerState>,
-    peers: Option<Peers>,
-    returning: RecoveryStatus,
-) {
+async fn serve_connection(stream: Box<dyn Stream>, permit: Arc<ConnectionPermit>, context: Rc<AdminContext>) {
     let service = service_fn(|request| {
-        let (house, host, doors, peers) = (house.clone(), host.clone(), doors.get(), peers.clone());
-        let returning = returning.clone();
-        async move {
-            let answer = respond(request, &house, &host, doors, peers.as_ref(), &returning).await;
-            Ok::<_, Infallible>(answer)
-        }
+        let (context, permit) = (context.clone(), permit.clone());
+        async move { Ok::<_, Infallible>(context.respond(request, &permit.limits).await) }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(PATIENCE)
+        .header_read_timeout(REQUEST_TIMEOUT)
         .keep_alive(false)
         .half_close(true)
         .serve_connection(TokioIo::new(LingeringClose::new(stream)), service);
     tokio::select! {
         biased;
-        // A caller that breaks off hears nothing more: there is nobody to tell of the error.
+        // A caller that breaks the connection off receives nothing more: there is nobody to tell of the error.
         _ = connection => {}
-        () = seat.leave.notified() => {}
+        () = permit.close.notified() => {}
     }
 }
 
-async fn respond(
-    request: Request<Incoming>,
-    house: &ConnectionLimits,
-    host: &UnboundedSender<LoopEvent>,
-    doors: ListenerState,
-    peers: Option<&Peers>,
-    returning: &RecoveryStatus,
-) -> Response<Full<Bytes>> {
-    match (request.method(), request.uri().path()) {
-        (&Method::GET, "/status") if doors == ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
-        (&Method::GET, "/status") => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        (&Method::GET, "/status/metrics") => figures(host).await,
-        (&Method::GET, "/status/peers") => match peers {
-            Some((views, _)) => json(&views.now()),
-            None => plain(StatusCode::NOT_FOUND, "peers are off\n"),
-        },
-        (&Method::GET, "/status/peers/all") => match peers {
-            Some((_, gathering)) => json(&gathering.all().await),
-            None => plain(StatusCode::NOT_FOUND, "peers are off\n"),
-        },
-        (&Method::GET, "/status/recovery") => match returning.report() {
-            Some(report) => json(&report),
-            None => plain(StatusCode::NOT_FOUND, "recovery is off, or the journal is not read yet\n"),
-        },
-        (&Method::POST, "/maintenance/enter") => maintain(request, house, host, true).await,
-        (&Method::POST, "/maintenance/exit") => maintain(request, house, host, false).await,
-        (
-            _,
-            "/status" | "/status/metrics" | "/status/peers" | "/status/peers/all" | "/status/recovery"
-            | "/maintenance/enter" | "/maintenance/exit",
-        ) => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
-        _ => plain(StatusCode::NOT_FOUND, "not found\n"),
+impl AdminContext {
+    async fn respond(&self, request: Request<Incoming>, limits: &ConnectionLimits) -> Response<Full<Bytes>> {
+        match (request.method(), request.uri().path()) {
+            (&Method::GET, "/status") => self.status(),
+            (&Method::GET, "/status/metrics") => self.metrics().await,
+            (&Method::GET, "/status/peers") => match &self.members {
+                Some((views, _)) => json(&views.now()),
+                None => plain(StatusCode::NOT_FOUND, "peers are off\n"),
+            },
+            (&Method::GET, "/status/peers/all") => match &self.members {
+                Some((_, gathering)) => json(&gathering.all().await),
+                None => plain(StatusCode::NOT_FOUND, "peers are off\n"),
+            },
+            (&Method::GET, "/status/recovery") => match self.recovery.report() {
+                Some(report) => json(&report),
+                None => plain(StatusCode::NOT_FOUND, "recovery is off, or the journal is not read yet\n"),
+            },
+            (&Method::POST, "/maintenance/enter") => {
+                self.maintain(request, limits, MaintenanceChange::Enter).await
+            }
+            (&Method::POST, "/maintenance/exit") => {
+                self.maintain(request, limits, MaintenanceChange::Exit).await
+            }
+            (
+                _,
+                "/status" | "/status/metrics" | "/status/peers" | "/status/peers/all" | "/status/recovery"
+                | "/maintenance/enter" | "/maintenance/exit",
+            ) => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
+            _ => plain(StatusCode::NOT_FOUND, "not found\n"),
+        }
+    }
+
+    fn status(&self) -> Response<Full<Bytes>> {
+        match self.state.get() {
+            ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
+            _ => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        }
+    }
+
+    async fn metrics(&self) -> Response<Full<Bytes>> {
+        let (reply, metrics) = oneshot::channel();
+        let _ = self.events.send(LoopEvent::Admin(AdminRequest::Metrics(reply)));
+        match metrics.await {
+            Ok(metrics) => json(&*metrics),
+            Err(_) => ending(),
+        }
+    }
+
+    async fn maintain(
+        &self,
+        request: Request<Incoming>,
+        limits: &ConnectionLimits,
+        change: MaintenanceChange,
+    ) -> Response<Full<Bytes>> {
+        let body = match timeout(REQUEST_TIMEOUT, collect(request.into_body(), limits)).await {
+            Ok(Ok(body)) => body,
+            Ok(Err(response)) => return response,
+            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
+        };
+        let endpoint = std::str::from_utf8(&body).map(str::trim).unwrap_or_default();
+        if endpoint.is_empty() || endpoint.len() > MAX_ENDPOINT_ID_BYTES {
+            return plain(StatusCode::BAD_REQUEST, "the body is to be the id of an endpoint\n");
+        }
+        let (reply, result) = oneshot::channel();
+        let request = AdminRequest::SetMaintenance { endpoint: endpoint.to_owned(), change, reply };
+        let _ = self.events.send(LoopEvent::Admin(request));
+        match result.await {
+            Ok(Ok(())) => plain(StatusCode::OK, done(change)),
+            Ok(Err(error @ AdminError::UnknownEndpoint(_))) => {
+                plain(StatusCode::NOT_FOUND, format!("{error}\n"))
+            }
+            Ok(Err(error)) => plain(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n")),
+            Err(_) => ending(),
+        }
     }
 }
 
-fn gone() -> Response<Full<Bytes>> {
-    plain(StatusCode::SERVICE_UNAVAILABLE, "the sender is ending\n")
+fn done(change: MaintenanceChange) -> &'static str {
+    match change {
+        MaintenanceChange::Enter => "out\n",
+        MaintenanceChange::Exit => "back\n",
+    }
 }
 
-async fn figures(host: &UnboundedSender<LoopEvent>) -> Response<Full<Bytes>> {
-    let (answer, answered) = oneshot::channel();
-    let _ = host.send(LoopEvent::Admin(AdminRequest::Metrics(answer)));
-    let Ok(figures) = answered.await else { return gone() };
-    json(&*figures)
+fn ending() -> Response<Full<Bytes>> {
+    plain(StatusCode::SERVICE_UNAVAILABLE, "the sender is ending\n")
 }
 
 fn json(value: &impl serde::Serialize) -> Response<Full<Bytes>> {
@@ -147,30 +179,3 @@
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
-
-async fn maintain(
-    request: Request<Incoming>,
-    house: &ConnectionLimits,
-    host: &UnboundedSender<LoopEvent>,
-    out: bool,
-) -> Response<Full<Bytes>> {
-    let body = match timeout(PATIENCE, collect(request.into_body(), house)).await {
-        Ok(Ok(body)) => body,
-        Ok(Err(answer)) => return answer,
-        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
-    };
-    let id = std::str::from_utf8(&body).map(str::trim).unwrap_or_default();
-    if id.is_empty() || id.len() > MOST_ID {
-        return plain(StatusCode::BAD_REQUEST, "the body is to be the id of an endpoint\n");
-    }
-    let (done, answered) = oneshot::channel();
-    let change = if out { MaintenanceChange::Enter } else { MaintenanceChange::Exit };
-    let ask = AdminRequest::SetMaintenance { endpoint: id.to_owned(), change, reply: done };
-    let _ = host.send(LoopEvent::Admin(ask));
-    match answered.await {
-        Ok(Ok(())) => plain(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-        Ok(Err(e @ AdminError::UnknownEndpoint(_))) => plain(StatusCode::NOT_FOUND, format!("{e}\n")),
-        Ok(Err(e)) => plain(StatusCode::INSUFFICIENT_STORAGE, format!("{e}\n")),
-        Err(_) => gone(),
-    }
-}
--- a/src/daemon/connection/tests.rs
+++ b/src/daemon/connection/tests.rs
@@ -93,7 +93,10 @@
         again.send(()).unwrap();
         is_written.recv().unwrap();
         let second = connection.send(post(address), Bytes::new(), None).await;
-        assert!(matches!(second, Err(CallError::Unsent(_))) && !connection.request_begun(), "{second:?}");
+        assert!(
+            matches!(second, Err(CallError::Unsent(_))) && !connection.has_request_started(),
+            "{second:?}"
+        );
         drop(connection);
         tokio::task::spawn_blocking(|| peer.join().unwrap()).await.unwrap();
     });
--- a/src/daemon/connection_pool.rs
+++ b/src/daemon/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections kept for the next call. Free of I/O and clocks but for what the connections do when dropped.
+//! Idle connections kept for the next call. Free of I/O and clocks but for what connections do when dropped.
 use super::connection::Connection;
 use crate::EndpointId;
 use std::collections::{BTreeMap, VecDeque};
@@ -6,55 +6,67 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What can be kept.
-pub trait Keep {
-    /// Whether the other side has closed it, as far as is known.
+/// What can be pooled.
+pub trait Poolable {
+    /// Returns whether the other side has closed the connection, as far as is known.
     fn is_closed(&self) -> bool;
 }
 
-impl Keep for Connection {
+impl Poolable for Connection {
     fn is_closed(&self) -> bool {
         Connection::is_closed(self)
     }
 }
 
-type Place = (EndpointId, SocketAddr);
+/// An endpoint at one of its addresses.
+type Target = (EndpointId, SocketAddr);
 
-/// Idle connections by endpoint and address, the last used one first out: an endpoint that moves leaves its
-/// old ones behind, and one that takes a gone one's address inherits none. All are kept equally long, so the
-/// order in which they came is that in which they go: nothing looks at all of them.
+/// When a connection became idle, and whose it is.
+struct IdleSince {
+    since: Instant,
+    target: Target,
+}
+
+/// Idle connections by endpoint and address, the one used last taken first.
+///
+/// An endpoint that moves leaves its old connections behind, and one that takes over the address of another inherits none.
+/// All are kept equally long, so they expire in the order in which they came: nothing looks at all of them.
 pub struct ConnectionPool<C> {
-    /// Each place's connections by number, oldest first.
-    idle: BTreeMap<Place, VecDeque<(u64, C)>>,
-    /// When each was put and where, by number.
-    ages: BTreeMap<u64, (Instant, Place)>,
+    /// The connections of each target by number, oldest first.
+    idle: BTreeMap<Target, VecDeque<(u64, C)>>,
+    by_age: BTreeMap<u64, IdleSince>,
     next: u64,
-    keep: Duration,
-    most: usize,
+    keep_for: Duration,
+    max_idle: usize,
 }
 
-impl<C: Keep> ConnectionPool<C> {
-    /// `idle_time` is how long endpoints keep an idle connection open: ours are dropped well before. `most`
-    /// are kept over all endpoints; past that the oldest goes.
-    pub fn new(idle_time: Duration, most: usize) -> Self {
-        let keep = Duration::ZERO;
-        let mut pool = Self { idle: BTreeMap::new(), ages: BTreeMap::new(), next: 0, keep, most };
-        pool.keep_for(idle_time);
+impl<C: Poolable> ConnectionPool<C> {
+    /// Creates a pool for endpoints that close a connection after `idle_time`; connections are dropped well before. At most
+    /// `max_idle` are kept over all endpoints; past that the oldest is dropped.
+    pub fn new(idle_time: Duration, max_idle: usize) -> Self {
+        let mut pool = Self {
+            idle: BTreeMap::new(),
+            by_age: BTreeMap::new(),
+            next: 0,
+            keep_for: Duration::ZERO,
+            max_idle,
+        };
+        pool.set_idle_time(idle_time);
         pool
     }
 
-    /// From now on endpoints keep an idle connection open for so long.
-    pub fn keep_for(&mut self, idle_time: Duration) {
-        self.keep = idle_time * 4 / 5;
+    /// Sets after which time endpoints close an idle connection.
+    pub fn set_idle_time(&mut self, idle_time: Duration) {
+        self.keep_for = idle_time * 4 / 5;
     }
 
-    /// The youngest idle connection to the endpoint at its address, if any is young enough and not closed.
+    /// Takes the idle connection to the endpoint at its address that was used last, if it is neither too old nor closed.
     pub fn take(&mut self, endpoint: EndpointId, address: SocketAddr, now: Instant) -> Option<C> {
-        self.prune(now);
+        self.drop_expired(now);
         let idle = self.idle.get_mut(&(endpoint, address))?;
         let mut taken = None;
         while let Some((number, connection)) = idle.pop_back() {
-            self.ages.remove(&number);
+            self.by_age.remove(&number);
             if !connection.is_closed() {
                 taken = Some(connection);
                 break;
@@ -68,47 +80,49 @@
 
     /// Keeps a connection for the next call.
     pub fn put(&mut self, endpoint: EndpointId, address: SocketAddr, connection: C, now: Instant) {
-        self.prune(now);
-        if self.most == 0 {
+        self.drop_expired(now);
+        if self.max_idle == 0 {
             return;
         }
-        if self.ages.len() >= self.most {
+        if self.by_age.len() >= self.max_idle {
             self.drop_oldest();
         }
-        let place = (endpoint, address);
-        self.idle.entry(place).or_default().push_back((self.next, connection));
-        self.ages.insert(self.next, (now, place));
+        let target = (endpoint, address);
+        self.idle.entry(target).or_default().push_back((self.next, connection));
+        self.by_age.insert(self.next, IdleSince { since: now, target });
         self.next += 1;
     }
 
-    /// Closes what is idle to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub fn close(&mut self, endpoint: EndpointId) {
-        let of = |place: &Place| place.0 == endpoint;
-        let from = (endpoint, SocketAddr::from(([0, 0, 0, 0], 0)));
-        while let Some((place, idle)) = self.idle.range(from..).next().filter(|(place, _)| of(place)) {
-            let place = *place;
+        let first = (endpoint, SocketAddr::from(([0, 0, 0, 0], 0)));
+        while let Some((target, idle)) = self.idle.range(first..).next() {
+            if target.0 != endpoint {
+                return;
+            }
+            let target = *target;
             for (number, _) in idle {
-                self.ages.remove(number);
+                self.by_age.remove(number);
             }
-            self.idle.remove(&place);
+            self.idle.remove(&target);
         }
     }
 
     /// Closes connections that have been idle for too long.
-    fn prune(&mut self, now: Instant) {
-        while let Some((_, (since, _))) = self.ages.first_key_value()
-            && now.saturating_duration_since(*since) >= self.keep
+    fn drop_expired(&mut self, now: Instant) {
+        while let Some((_, oldest)) = self.by_age.first_key_value()
+            && now.saturating_duration_since(oldest.since) >= self.keep_for
         {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        let Some((_, (_, place))) = self.ages.pop_first() else { return };
-        let Some(idle) = self.idle.get_mut(&place) else { return };
+        let Some((_, IdleSince { target, .. })) = self.by_age.pop_first() else { return };
+        let Some(idle) = self.idle.get_mut(&target) else { return };
         idle.pop_front();
         if idle.is_empty() {
-            self.idle.remove(&place);
+            self.idle.remove(&target);
         }
     }
 }
--- a/src/daemon/connection_pool/tests.rs
+++ b/src/daemon/connection_pool/tests.rs
@@ -7,7 +7,7 @@
 #[derive(Clone)]
 struct Fake(u32, Rc<Cell<bool>>);
 
-impl Keep for Fake {
+impl Poolable for Fake {
     fn is_closed(&self) -> bool {
         self.1.get()
     }
@@ -22,7 +22,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut draw = move |n: u32| random.next_u32() % n;
         let (mut pool, mut now, mut taken) = (ConnectionPool::new(keep * 5 / 4, 12), Instant::now(), 0);
-        let mut model: Vec<(Place, Fake, Instant)> = Vec::new();
+        let mut model: Vec<(Target, Fake, Instant)> = Vec::new();
         for number in 0..600 {
             now += Duration::from_millis(u64::from(draw(10)));
             model.retain(|(.., since)| now - *since < keep);
@@ -53,7 +53,7 @@
                     model.push(((endpoint, address), fake, now));
                 }
             }
-            assert!(pool.ages.len() <= 12 && pool.idle.values().map(VecDeque::len).sum::<usize>() <= 12);
+            assert!(pool.by_age.len() <= 12 && pool.idle.values().map(VecDeque::len).sum::<usize>() <= 12);
         }
         assert!(taken > 20, "seed {seed}: something was taken");
     }
--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -1,4 +1,5 @@
 //! What stays fixed for the life of a process, and the steps of its startup that build on that.
+use super::admin_server::AdminContext;
 use super::config::Config;
 use super::config_schema::ConfigSchema;
 use super::discovery::{self, Agent};
@@ -99,14 +100,13 @@
         let Some(address) = config.management else { return Ok(()) };
         let BoundListener { listener, at } = self.listen(address, None).await?;
         self.ports.log.line(&format!("operators: listening on {at}"));
-        spawn_local(admin_server::serve(
-            listener,
-            self.events.clone(),
-            self.listener_state.clone(),
-            membership.map(|membership| (membership.views(), membership.gathering())),
-            self.recovery.clone(),
-            self.ports.log.clone(),
-        ));
+        let context = AdminContext {
+            events: self.events.clone(),
+            state: self.listener_state.clone(),
+            members: membership.map(|membership| (membership.views(), membership.gathering())),
+            recovery: self.recovery.clone(),
+        };
+        spawn_local(admin_server::serve(listener, context, self.ports.log.clone()));
         Ok(())
     }
 
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -104,8 +104,8 @@
     fn apply_settings(&mut self, prepared: PreparedReload, config: &Config) {
         let has_changed = self.configuration.apply(prepared);
         self.list_classes_in_metrics();
-        self.calls.pool.keep_for(idle_timeout(&config.settings));
-        self.calls.context.fields = report_fields(&config.settings);
+        self.calls.pool.set_idle_time(idle_timeout(&config.settings));
+        self.calls.context.report_fields = report_fields(&config.settings);
         if has_changed {
             let settings = self.configuration.settings.clone();
             self.published.polling_terms.set(polling_terms(&settings));
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -38,7 +38,7 @@
 
     /// Counts the messages that were written whole to endpoints.
     pub(super) fn messages_written(&self) -> u64 {
-        self.context.written.load(Ordering::Relaxed)
+        self.context.written_messages.load(Ordering::Relaxed)
     }
 
     /// Registers a call that begins at `now`, and returns its number.
@@ -61,7 +61,7 @@
         let context = self.context.clone();
         tasks.spawn_local(async move {
             if let Some(connection) = call.run(idle, &context).await {
-                let _ = context.host.send(LoopEvent::ConnectionIdle { endpoint, address, connection });
+                let _ = context.events.send(LoopEvent::ConnectionIdle { endpoint, address, connection });
             }
         });
     }
@@ -74,7 +74,7 @@
         // The engine forgets no endpoint that it sends to.
         let Some(known) = self.endpoints.get(endpoint) else { return };
         let (address, zone) = (known.listed.host_port, known.listed.locality.clone());
-        let mut parcels = Vec::with_capacity(messages.len());
+        let mut batch = Vec::with_capacity(messages.len());
         let mut deferred = Vec::new();
         for MessageId(number) in messages {
             let recorded = self
@@ -89,7 +89,7 @@
                 self.log(format_args!("calls: attempt deferred, it cannot be recorded error={error}"));
                 continue;
             }
-            parcels.push(BatchedMessage {
+            batch.push(BatchedMessage {
                 number,
                 id: pending.message.id.clone(),
                 idempotency_key: pending.message.idempotency_key.clone(),
@@ -99,13 +99,13 @@
         for (message, attempt) in deferred {
             self.queue.push(now, attempt_deferred(message, attempt));
         }
-        if parcels.is_empty() {
+        if batch.is_empty() {
             return;
         }
         let number = self.calls.register(now);
         let expires = self.clock.instant(expires);
         let connect_timeout = self.configuration.connect_timeout();
-        let call = Call { number, endpoint, address, parcels, expires, connect_timeout };
+        let call = Call { number, endpoint, address, messages: batch, expires, connect_timeout };
         self.perform_when_durable(DeferredEffect::Call(call));
     }
 
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -231,7 +231,7 @@
 /// Returns which fields load reports carry.
 pub(super) fn report_fields(profile: &Profile) -> ReportFields {
     let has = |name| profile.report_field(name).is_some();
-    ReportFields { left: has("x0"), limit: has("x1") }
+    ReportFields { remaining_share: has("x0"), limit: has("x1") }
 }
 
 fn stored_classes(storage: &dyn Storage) -> Result<Vec<NamedClass>, ReadClassesError> {
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -89,10 +89,10 @@
         let profile = &configuration.config.settings;
         let context = CallContext {
             ports: ports.clone(),
-            fields: report_fields(profile),
-            written: Arc::new(AtomicU64::new(metrics.backend_calls)),
-            unread: Arc::new(Semaphore::new(budget.unread_responses)),
-            host: events.clone(),
+            report_fields: report_fields(profile),
+            written_messages: Arc::new(AtomicU64::new(metrics.backend_calls)),
+            unread_responses: Arc::new(Semaphore::new(budget.unread_responses)),
+            events: events.clone(),
         };
         let pool = ConnectionPool::new(idle_timeout(profile), budget.idle_connections);
         let mut event_loop = Self {
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -160,7 +160,7 @@
     fn start_deferred_call(&mut self, call: Call) {
         let now = self.clock.now();
         let is_allowed = call
-            .parcels
+            .messages
             .iter()
             .all(|message| self.engine.is_call_still_allowed(now, MessageId(message.number), call.endpoint));
         let known = self.endpoints.get(call.endpoint);
@@ -172,7 +172,7 @@
         self.calls.remove(call.number);
         let deferred =
             |message: u32| AttemptOutcome { message, outcome: Outcome::Deferred, completes: false };
-        let outcomes = call.parcels.iter().map(|message| deferred(message.number)).collect();
+        let outcomes = call.messages.iter().map(|message| deferred(message.number)).collect();
         self.record_outcomes(now, now, outcomes, None);
     }
 }
--- /dev/null
+++ b/src/daemon/ingress/mod.rs
@@ -0,0 +1,237 @@
+//! The HTTP server for clients: messages are submitted here, and accepted once the journal holds them.
+//!
+//! Every request that was read gets a response: from the event loop, or from the successor that the request is forwarded
+//! to during a handover.
+mod connection_limits;
+mod forwarding;
+mod lingering_close;
+mod submission;
+
+use super::events::{ListenerState, LoopEvent, SubmitResponse};
+use super::ports::{Listener, Log, Network, Ports, Stream};
+use super::resource_budget::ResourceBudget;
+use super::watch_cell::WatchCell;
+use bytes::Bytes;
+pub use connection_limits::{ConnectionLimits, ConnectionPermit};
+use forwarding::{ForwardedRequest, forward};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderMap, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
+use hyper::service::service_fn;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+pub use lingering_close::LingeringClose;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use submission::Submission;
+pub use submission::collect;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep, timeout};
+
+/// Most bytes of a request head: fields are limited to 1 KiB each, and there are few.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// How long a request head may take; a connection without a request ends with it. Clients keep connections between
+/// requests, so this may not be shorter than 2 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2100);
+/// How long a request body may take. Clients wait 400 ms for their response, so a slower one has gone.
+const BODY_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long accepting rests after an error, such as no descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// What a response to a client may need.
+struct IngressContext {
+    events: UnboundedSender<LoopEvent>,
+    state: WatchCell<ListenerState>,
+    network: Rc<dyn Network>,
+    /// The address that clients connect to, also when another process listens there.
+    address: SocketAddr,
+}
+
+/// Serves clients until the listener is closed or handed over, and every request that was read has its response.
+pub fn serve(
+    listener: Rc<dyn Listener>,
+    address: SocketAddr,
+    events: UnboundedSender<LoopEvent>,
+    state: WatchCell<ListenerState>,
+    budget: ResourceBudget,
+    ports: &Ports,
+) -> impl Future<Output = ()> + use<> {
+    let context = IngressContext { events, state, network: ports.network.clone(), address };
+    accept(listener, Rc::new(context), budget, ports.log.clone())
+}
+
+async fn accept(
+    listener: Rc<dyn Listener>,
+    context: Rc<IngressContext>,
+    budget: ResourceBudget,
+    log: Rc<dyn Log>,
+) {
+    let state = &context.state;
+    let limits = ConnectionLimits::new(budget.client_connections, budget.request_body_bytes);
+    let is_over = |state| matches!(state, ListenerState::Closed | ListenerState::HandedOver);
+    loop {
+        let accepted = tokio::select! {
+            biased;
+            () = state.wait_for(is_over) => break,
+            // New connections wait for the successor, or for this process to go on.
+            () = state.wait_for(|state| state == ListenerState::HandingOver) => {
+                state.wait_for(|state| state != ListenerState::HandingOver).await;
+                continue;
+            }
+            accepted = listener.accept() => accepted,
+        };
+        match accepted {
+            Ok(stream) => {
+                let Some(permit) = limits.admit().await else { break };
+                spawn_local(serve_connection(stream, permit, context.clone()));
+            }
+            Err(error) => {
+                // There may be no descriptors left: open connections go on, and an idle one makes room.
+                log.line(&format!("accepting: {error}"));
+                limits.close_idle();
+                sleep(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+    }
+    drop(listener);
+    limits.all_closed().await;
+}
+
+async fn serve_connection(
+    stream: Box<dyn Stream>,
+    permit: Arc<ConnectionPermit>,
+    context: Rc<IngressContext>,
+) {
+    let service = service_fn(|request| {
+        let (permit, context) = (permit.clone(), context.clone());
+        async move { Ok::<_, Infallible>(respond(request, &permit, &context).await) }
+    });
+    let connection = hyper::server::conn::http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
+        // A client may end its sending with its request; it still waits for the response.
+        .half_close(true)
+        .serve_connection(TokioIo::new(LingeringClose::new(stream)), service);
+    tokio::pin!(connection);
+    // A client that breaks its connection off receives nothing more: there is nobody to tell of the error.
+    tokio::select! {
+        biased;
+        _ = connection.as_mut() => return,
+        () = permit.close.notified() => return,
+        () = context.state.wait_for(|state| state == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
+    }
+    let _ = connection.await;
+}
+
+async fn respond(
+    request: Request<Incoming>,
+    permit: &ConnectionPermit,
+    context: &IngressContext,
+) -> Response<Full<Bytes>> {
+    let mut response = match (request.method(), request.uri().path()) {
+        (&Method::GET, "/-/ready") => context.readiness().await,
+        (&Method::POST, "/api") => submit(request, permit, context).await,
+        (_, "/-/ready" | "/api") => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
+        _ => plain(StatusCode::NOT_FOUND, "not found\n"),
+    };
+    // A client that sent what cannot be used is out of step, or about to send it again: it connects anew.
+    if context.state.get() != ListenerState::Accepting || response.status().is_client_error() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
+
+impl IngressContext {
+    async fn readiness(&self) -> Response<Full<Bytes>> {
+        match self.state.get() {
+            ListenerState::HandingOver | ListenerState::HandedOver => {
+                let headers = HeaderMap::new();
+                self.forward_to_successor(Method::GET, "/-/ready", &headers, Bytes::new()).await
+            }
+            ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
+            _ => plain(StatusCode::SERVICE_UNAVAILABLE, "winding down\n"),
+        }
+    }
+
+    async fn forward_to_successor(
+        &self,
+        method: Method,
+        path: &str,
+        headers: &HeaderMap,
+        body: Bytes,
+    ) -> Response<Full<Bytes>> {
+        let request = ForwardedRequest { method, path, headers, body };
+        forward(&*self.network, self.address, request).await
+    }
+
+    fn is_handing_over(&self) -> bool {
+        matches!(self.state.get(), ListenerState::HandingOver | ListenerState::HandedOver)
+    }
+}
+
+/// Creates a response of plain text.
+pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+}
+
+async fn submit(
+    request: Request<Incoming>,
+    permit: &ConnectionPermit,
+    context: &IngressContext,
+) -> Response<Full<Bytes>> {
+    let received_at = Instant::now();
+    let (head, body) = request.into_parts();
+    // Beside a length, a transfer coding may hide another request in the body, and hyper does not show the length then.
+    // Clients send the length, so a coding is rejected whatever stands beside it.
+    if head.headers.contains_key(TRANSFER_ENCODING) {
+        return plain(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed, and no coding\n");
+    }
+    let body = match timeout(BODY_TIMEOUT, collect(body, &permit.limits)).await {
+        Ok(Ok(body)) => body,
+        Ok(Err(response)) => return response,
+        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
+    };
+    let submission = match Submission::read(&head.headers, body.clone()) {
+        Ok(submission) => submission,
+        Err(error) => return plain(StatusCode::BAD_REQUEST, format!("{error}\n")),
+    };
+    if !permit.set_busy() {
+        // The connection is about to close: the client would never learn that the message was accepted.
+        return plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n");
+    }
+    let (reply, response) = oneshot::channel();
+    let deadline = received_at + submission.remaining;
+    let _ = context.events.send(LoopEvent::Submit { message: submission.message, deadline, reply });
+    let response = match response.await {
+        // An event loop that handed over has accepted nothing.
+        Err(_) if context.is_handing_over() => {
+            context.forward_to_successor(Method::POST, "/api", &head.headers, body).await
+        }
+        // Nor has one that has ended.
+        response => submit_response(response.unwrap_or(SubmitResponse::Rejected)),
+    };
+    permit.set_idle();
+    response
+}
+
+fn submit_response(response: SubmitResponse) -> Response<Full<Bytes>> {
+    match response {
+        SubmitResponse::Accepted => plain(StatusCode::ACCEPTED, ""),
+        SubmitResponse::Malformed(error) => plain(StatusCode::BAD_REQUEST, format!("{error}\n")),
+        SubmitResponse::RetryAfter(delay) => {
+            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on yet\n");
+            let seconds = delay.as_millis().div_ceil(1000).max(1);
+            response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds as u64));
+            response
+        }
+        SubmitResponse::Rejected => plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
+    }
+}
--- /dev/null
+++ b/src/daemon/outbound_call/response.rs
@@ -0,0 +1,77 @@
+//! What the head of a response says: outcome, Retry-After and load report.
+use crate::daemon::connection::{MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT};
+use crate::{LoadReport, Outcome, TimeDelta};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::RETRY_AFTER;
+use hyper::{HeaderMap, StatusCode};
+use tokio::time::timeout;
+
+/// No Retry-After is longer, in seconds.
+const MAX_RETRY_AFTER_SECONDS: f64 = 3600.0;
+/// No reported limit is higher, in calls a second.
+const MAX_LIMIT_PER_SECOND: f64 = 1e6;
+/// The header that holds the load report.
+const LOAD_REPORT_HEADER: &str = "X-Pressure";
+/// The header of a response to a message for which the endpoint has no slot: the message was not sent on.
+const NO_SLOT_HEADER: &str = "X-No-Slot";
+
+/// Reads a complete body; none if it does not end in time and in size.
+pub async fn complete_body(body: Incoming) -> Option<Bytes> {
+    if body.size_hint().lower() > MAX_RESPONSE_BYTES as u64 {
+        return None;
+    }
+    let read = timeout(RESPONSE_TIMEOUT, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await;
+    Some(read.ok()?.ok()?.to_bytes())
+}
+
+/// Returns the outcome that a status stands for, and whether it ends the message.
+pub fn outcome(status: StatusCode, headers: &HeaderMap, retry_after: Option<TimeDelta>) -> (Outcome, bool) {
+    match status {
+        StatusCode::OK => (Outcome::Success, true),
+        StatusCode::TOO_MANY_REQUESTS => (Outcome::Rejected { retry_after }, false),
+        StatusCode::SERVICE_UNAVAILABLE if headers.contains_key(NO_SLOT_HEADER) => (Outcome::NotSent, false),
+        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Rejected { retry_after }, false),
+        StatusCode::GATEWAY_TIMEOUT => (Outcome::NotSent, false),
+        StatusCode::GONE => (Outcome::NotSent, true),
+        // Nothing else is agreed on: the operation may have run.
+        _ => (Outcome::Failure, false),
+    }
+}
+
+/// Returns the Retry-After: seconds, with decimals.
+pub fn retry_after(headers: &HeaderMap) -> Option<TimeDelta> {
+    let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
+    (seconds > 0.0).then(|| TimeDelta((seconds.min(MAX_RETRY_AFTER_SECONDS) * 1e6).ceil() as u64))
+}
+
+/// Which fields a load report has.
+#[derive(Clone, Copy)]
+pub struct ReportFields {
+    /// Whether the report has the remaining share of the limit.
+    pub remaining_share: bool,
+    /// Whether the report has the limit.
+    pub limit: bool,
+}
+
+impl ReportFields {
+    /// Reads the load report of a response. A report with a field that is out of range is none: nothing of it is believed.
+    pub fn read(self, headers: &HeaderMap) -> Option<LoadReport> {
+        let text = headers.get(LOAD_REPORT_HEADER)?.to_str().ok()?;
+        let field = |name: &str, max: f64| -> Option<f64> {
+            let mut fields = text.split(',').filter_map(|pair| pair.trim().split_once('='));
+            let value: f64 = fields.find(|(field, _)| *field == name)?.1.trim().parse().ok()?;
+            (0.0..=max).contains(&value).then_some(value)
+        };
+        let remaining_share = if self.remaining_share { Some(field("x0", 1.0)?) } else { None };
+        let limit = if self.limit { Some(field("x1", MAX_LIMIT_PER_SECOND)?) } else { None };
+        if remaining_share.is_none() && limit.is_none() {
+            return None;
+        }
+        Some(LoadReport {
+            remaining_share: remaining_share.unwrap_or(1.0),
+            limit_per_second: limit.unwrap_or(0.0),
+        })
+    }
+}
