--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -90,7 +90,7 @@
 fn door_of(given: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
     match given {
         Some(door) => Ok(door),
-        None => platform()?.management.ok_or(CommandError::NoDoor),
+        None => platform()?.admin_listen.ok_or(CommandError::NoDoor),
     }
 }
 
--- a/src/daemon/checkpoint/file/tests.rs
+++ b/src/daemon/checkpoint/file/tests.rs
@@ -12,13 +12,13 @@
 fn known(id: &str, phase: Phase) -> EndpointCheckpoint {
     let member = ListedEndpoint {
         id: id.to_owned(),
-        host_port: SocketAddr::from(([127, 0, 0, 1], 9)),
-        locality: "a".to_owned(),
-        flavor: "bank".to_owned(),
-        cell: 1,
+        address: SocketAddr::from(([127, 0, 0, 1], 9)),
+        zone: "a".to_owned(),
+        kind: "bank".to_owned(),
+        destination: 1,
         phase,
-        size: 1.0,
-        up_since_ms: 0,
+        capacity_hint: 1.0,
+        started_at_ms: 0,
     };
     EndpointCheckpoint { member, heard: Timestamp(5), learned: [None, None], written: Timestamp(6) }
 }
--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -28,9 +28,9 @@
     let nothing = endpoints.is_empty();
     let newer =
         if live { !nothing } else { same_agent.is_some_and(|version| version.revision > known.revision) };
-    let mut members = Vec::with_capacity(known.members.len());
+    let mut members = Vec::with_capacity(known.endpoints.len());
     let (mut learned, mut held_out) = (Vec::new(), 0);
-    for listed in &known.members {
+    for listed in &known.endpoints {
         let Some(remembered) = endpoints.remove(&listed.id) else {
             // A newer list that was written down whole does not name it any more.
             let phase = if newer && whole { Phase::Deleted } else { listed.phase };
@@ -69,7 +69,7 @@
 
 /// The state of an endpoint by two lists of which nobody knows which is newer.
 fn stricter(member: &ListedEndpoint, before: Phase, heard: Timestamp) -> Phase {
-    let started_since = member.up_since_ms.saturating_mul(1_000) > heard.0;
+    let started_since = member.started_at_ms.saturating_mul(1_000) > heard.0;
     match before {
         Phase::Serving => member.phase,
         // Gone under its id, it would not be on the list: it drains as long as nobody says what became of it.
--- a/src/daemon/checkpoint/restore/tests.rs
+++ b/src/daemon/checkpoint/restore/tests.rs
@@ -11,13 +11,13 @@
 fn member(id: &str, phase: Phase, up_since_ms: u64) -> ListedEndpoint {
     ListedEndpoint {
         id: id.to_owned(),
-        host_port: agent(9),
-        locality: "a".to_owned(),
-        flavor: "bank".to_owned(),
-        cell: 1,
+        address: agent(9),
+        zone: "a".to_owned(),
+        kind: "bank".to_owned(),
+        destination: 1,
         phase,
-        size: 1.0,
-        up_since_ms,
+        capacity_hint: 1.0,
+        started_at_ms: up_since_ms,
     }
 }
 
@@ -31,7 +31,7 @@
 }
 
 fn known(of: u16, revision: u64, members: Vec<ListedEndpoint>) -> EndpointList {
-    EndpointList { agent: Some(agent(of)), revision, complete: true, members }
+    EndpointList { agent: Some(agent(of)), revision, complete: true, endpoints: members }
 }
 
 fn phases(recalled: &RestoredCheckpoint) -> Vec<(&str, Phase)> {
--- a/src/daemon/class_registry.rs
+++ b/src/daemon/class_registry.rs
@@ -26,11 +26,14 @@
     Duplicate(String),
 }
 
-/// A class as recovered messages name it.
-type RecoveredClass = (String, Keyed);
-
-/// Whether a message came with an idempotency key.
-type Keyed = bool;
+/// A class as a recovered message names it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RecoveredClass {
+    /// The name of the class.
+    pub name: String,
+    /// Whether the message has an idempotency key.
+    pub has_idempotency_key: bool,
+}
 
 /// All classes that there have been in this process.
 #[derive(Clone)]
@@ -115,23 +118,23 @@
         self.current.get(name).copied()
     }
 
-    /// Registers a class for recovered messages that name it, with an idempotency key or without; false if nothing is
-    /// known of the class.
-    pub fn register_recovered(&mut self, name: &str, keyed: bool) -> bool {
-        if self.recovered.contains_key(&(name.to_owned(), keyed)) {
+    /// Registers a class that recovered messages name; false if nothing is known of the class.
+    pub fn register_recovered(&mut self, recovered: RecoveredClass) -> bool {
+        if self.recovered.contains_key(&recovered) {
             return true;
         }
-        let meanings = || self.classes.iter().filter(|known| known.0 == name).map(|known| &known.1);
+        let RecoveredClass { name, has_idempotency_key } = &recovered;
+        let meanings = || self.classes.iter().filter(|known| known.0 == *name).map(|known| &known.1);
         let strictest = meanings().max_by_key(|class| strictness(class)).cloned();
         let is_known = strictest.is_some();
         let mut class = strictest.unwrap_or_else(|| self.unknown_class());
         class.ordered |= meanings().any(|class| class.ordered);
-        if matches!(class.idempotency, Idempotency::WithKey { .. }) && !keyed {
+        if matches!(class.idempotency, Idempotency::WithKey { .. }) && !has_idempotency_key {
             // The message was accepted under a meaning that asked for no key: a retry could not be recognized.
             class.idempotency = Idempotency::NonIdempotent;
         }
-        let id = self.register((name.to_owned(), class));
-        self.recovered.insert((name.to_owned(), keyed), id);
+        let id = self.register((name.clone(), class));
+        self.recovered.insert(recovered, id);
         is_known
     }
 
@@ -152,8 +155,8 @@
     }
 
     /// Returns the class of a recovered message that [`ClassRegistry::register_recovered`] was called for.
-    pub fn recovered(&self, name: &str, keyed: bool) -> Option<ClassId> {
-        self.recovered.get(&(name.to_owned(), keyed)).copied()
+    pub fn recovered(&self, recovered: &RecoveredClass) -> Option<ClassId> {
+        self.recovered.get(recovered).copied()
     }
 }
 
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -1,4 +1,4 @@
-//! The configuration as the platform provides it. The field names are those of the configuration file.
+//! The configuration as the platform provides it. Fields whose name in the file is another say so.
 use super::config_schema::ConfigSchema;
 use super::endpoint_list::EndpointList;
 use super::resource_budget::ResourceLimits;
@@ -9,6 +9,9 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
+/// The key of the initial endpoint list in the configuration file.
+const INITIAL_ENDPOINTS_KEY: &str = "known";
+
 /// What a sender is given at its start, and again at a reload.
 #[derive(Deserialize)]
 pub struct Config {
@@ -18,8 +21,8 @@
     /// The address for clients.
     pub listen: SocketAddr,
     /// The address of the admin endpoint, if there is to be one.
-    #[serde(default)]
-    pub management: Option<SocketAddr>,
+    #[serde(rename = "management", default)]
+    pub admin_listen: Option<SocketAddr>,
     /// The address of the discovery agent, which takes notifications, too.
     pub discovery: SocketAddr,
     /// The seed for random numbers, hexadecimal.
@@ -27,7 +30,8 @@
     /// The limits of the machine.
     pub limits: ResourceLimits,
     /// The endpoint list as this sender last had it.
-    pub known: EndpointList,
+    #[serde(rename = "known")]
+    pub initial_endpoints: EndpointList,
     /// The settings of the decision engine.
     pub settings: Profile,
     /// What the operator's file turns on; nothing where there is no such file.
@@ -77,7 +81,7 @@
     /// form.
     pub(super) fn schema(&self) -> ConfigSchema {
         let mut schema = ConfigSchema::of(&self.value());
-        schema.allow_any_value("known");
+        schema.allow_any_value(INITIAL_ENDPOINTS_KEY);
         schema
     }
 
--- a/src/daemon/endpoint_list.rs
+++ b/src/daemon/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the discovery agent sends it. The field names are those of the wire.
+//! The endpoint list as the discovery agent sends it. Fields whose name on the wire is another say so.
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -13,7 +13,8 @@
     /// Whether this is the whole list, and not only changes.
     pub complete: bool,
     /// The endpoints.
-    pub members: Vec<ListedEndpoint>,
+    #[serde(rename = "members")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// One endpoint of the list.
@@ -22,21 +23,25 @@
     /// The ID of the endpoint, which all senders share.
     pub id: String,
     /// The address at which this sender reaches the endpoint.
-    pub host_port: SocketAddr,
+    #[serde(rename = "host_port")]
+    pub address: SocketAddr,
     /// The name of the endpoint's zone.
-    pub locality: String,
+    #[serde(rename = "locality")]
+    pub zone: String,
     /// The name of the destination's kind.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub kind: String,
     /// The number of the destination.
-    pub cell: u64,
+    #[serde(rename = "cell")]
+    pub destination: u64,
     /// The phase of the endpoint's life.
     pub phase: Phase,
     /// The capacity hint of the endpoint.
-    #[serde(default)]
-    pub size: f64,
+    #[serde(rename = "size", default)]
+    pub capacity_hint: f64,
     /// When the endpoint last started, in milliseconds of Unix time; 0 for long ago.
-    #[serde(default)]
-    pub up_since_ms: u64,
+    #[serde(rename = "up_since_ms", default)]
+    pub started_at_ms: u64,
 }
 
 /// The phase of an endpoint's life.
--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -96,7 +96,7 @@
         config: &Config,
         membership: Option<&membership::Handle>,
     ) -> Result<(), StartError> {
-        let Some(address) = config.management else { return Ok(()) };
+        let Some(address) = config.admin_listen else { return Ok(()) };
         let BoundListener { listener, at } = self.listen(address, None).await?;
         self.ports.log.line(&format!("operators: listening on {at}"));
         spawn_local(admin_server::serve(
@@ -193,7 +193,7 @@
         let agent = Agent {
             address: self.discovery.clone(),
             terms,
-            known: event_loop.known_revision(),
+            known: event_loop.resume_revision(),
             most_bytes: self.budget.endpoint_list_bytes,
         };
         let (events, ports) = (&self.events, &self.ports);
@@ -257,7 +257,7 @@
 
 /// Divides the limits of the machine among the parts of the process.
 fn resource_budget(config: &Config) -> ResourceBudget {
-    let has_admin_endpoint = config.management.is_some();
+    let has_admin_endpoint = config.admin_listen.is_some();
     let mut budget = ResourceBudget::new(&config.limits, config.settings.most_calls(), has_admin_endpoint);
     if let Some(peers) = &config.operator.peers {
         budget.reserve(membership::DESCRIPTORS, membership::room(peers.members.len()));
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -35,7 +35,7 @@
 }
 
 struct MetricsSnapshot {
-    taken_at: Instant,
+    captured_at: Instant,
     metrics: Rc<Metrics>,
 }
 
@@ -52,7 +52,8 @@
 
     /// Returns the last snapshot if it is recent enough at `now`.
     fn recent_snapshot(&self, now: Instant) -> Option<Rc<Metrics>> {
-        let snapshot = self.snapshot.as_ref().filter(|snapshot| now < snapshot.taken_at + SNAPSHOT_LIFETIME);
+        let snapshot =
+            self.snapshot.as_ref().filter(|snapshot| now < snapshot.captured_at + SNAPSHOT_LIFETIME);
         snapshot.map(|snapshot| snapshot.metrics.clone())
     }
 }
@@ -143,7 +144,7 @@
             hosts_down: listed.filter(|(id, known)| !known.is_serving || self.avoids(*id, now)).count(),
             ..self.metrics.counts.clone()
         });
-        self.metrics.snapshot = Some(MetricsSnapshot { taken_at: now, metrics: metrics.clone() });
+        self.metrics.snapshot = Some(MetricsSnapshot { captured_at: now, metrics: metrics.clone() });
         metrics
     }
 
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -73,7 +73,7 @@
         let now = self.clock.now();
         // The engine forgets no endpoint that it sends to.
         let Some(known) = self.endpoints.get(endpoint) else { return };
-        let (address, zone) = (known.listed.host_port, known.listed.locality.clone());
+        let (address, zone) = (known.listed.address, known.listed.zone.clone());
         let mut parcels = Vec::with_capacity(messages.len());
         let mut deferred = Vec::new();
         for MessageId(number) in messages {
@@ -120,21 +120,21 @@
     ) {
         let now = self.clock.now();
         if let Some(known) = self.endpoints.get(endpoint) {
-            self.trace.connected(now, known.listed.cell, &known.listed.id);
+            self.trace.connected(now, known.listed.destination, &known.listed.id);
         }
         let may_send = |number: &u32| self.engine.is_call_still_allowed(now, MessageId(*number), endpoint);
         let _ = is_allowed.send(messages.iter().all(may_send));
     }
 
     /// Keeps an idle connection, unless its endpoint is draining, removed, or moved to another address.
-    pub(super) fn keep_connection(
+    pub(super) fn pool_connection(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
         connection: Connection,
     ) {
         let known = self.endpoints.get(endpoint);
-        if known.is_some_and(|known| known.is_serving && known.listed.host_port == address) {
+        if known.is_some_and(|known| known.is_serving && known.listed.address == address) {
             self.calls.pool.put(endpoint, address, connection, Instant::now());
         }
     }
@@ -165,7 +165,7 @@
     ) {
         let (Some(known), Some(first)) = (self.endpoints.get(endpoint), outcomes.first()) else { return };
         let completed = trace::CompletedCall {
-            destination: known.listed.cell,
+            destination: known.listed.destination,
             endpoint: &known.listed.id,
             messages: outcomes.len(),
             outcome: first.outcome,
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,6 +1,6 @@
 //! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and writes them down.
 use super::EventLoop;
-use super::endpoint_table::KnownEndpoint;
+use super::endpoint_table::TrackedEndpoint;
 use crate::daemon::checkpoint::file::CheckpointFile;
 use crate::daemon::checkpoint::restore::{RestoredCheckpoint, restore};
 use crate::daemon::checkpoint::schedule::{CheckpointSchedule, Next};
@@ -65,7 +65,7 @@
     /// Starts from the configuration's endpoint list and the checkpoint of an earlier process.
     pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut age: CheckpointAge) {
         let config = self.configuration.config.clone();
-        let known = EndpointList { agent: Some(config.discovery), ..config.known.clone() };
+        let known = EndpointList { agent: Some(config.discovery), ..config.initial_endpoints.clone() };
         let now = self.clock.now();
         self.checkpointing.has_version_restarted =
             checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
@@ -92,13 +92,13 @@
 
     /// Takes in the restored endpoints, with when their phases were heard.
     fn restore_endpoints(&mut self, revision: u64, members: Vec<(ListedEndpoint, Timestamp)>) {
-        let (members, heard_at): (Vec<_>, Vec<_>) = members.into_iter().unzip();
+        let (members, phase_since): (Vec<_>, Vec<_>) = members.into_iter().unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
-        self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, members });
-        for (name, heard_at) in names.iter().zip(heard_at) {
+        self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, endpoints: members });
+        for (name, phase_since) in names.iter().zip(phase_since) {
             let id = self.endpoints.id_of(name);
             if let Some(known) = id.and_then(|id| self.endpoints.get_mut(id)) {
-                known.heard_at = heard_at;
+                known.phase_since = phase_since;
             }
         }
     }
@@ -122,7 +122,7 @@
     }
 
     /// Returns the revision from which the discovery agent is asked first; `None` for the whole list.
-    pub fn known_revision(&self) -> Option<u64> {
+    pub fn resume_revision(&self) -> Option<u64> {
         self.checkpointing.version.map(|version| version.revision)
     }
 
@@ -132,7 +132,7 @@
             return;
         }
         if !self.checkpointing.advance_version(version) {
-            return self.write_whole_checkpoint();
+            return self.write_full_checkpoint();
         }
         if self.checkpointing.file.is_open() {
             self.try_checkpoint(|event_loop| event_loop.write_endpoints(changed, WriteReason::ListChanged));
@@ -140,7 +140,7 @@
     }
 
     /// Writes the whole checkpoint to a new file: later changes are appended to a file that holds everything else.
-    pub(super) fn write_whole_checkpoint(&mut self) {
+    pub(super) fn write_full_checkpoint(&mut self) {
         self.try_checkpoint(|event_loop| {
             let ids = event_loop.begin_checkpoint_file()?;
             event_loop.write_endpoints(ids, WriteReason::Scheduled)?;
@@ -178,11 +178,11 @@
     fn endpoint_checkpoint(
         &self,
         id: EndpointId,
-        known: &KnownEndpoint,
+        known: &TrackedEndpoint,
         now: Timestamp,
     ) -> EndpointCheckpoint {
         let learned = self.engine.learned(id);
-        EndpointCheckpoint { member: known.listed.clone(), heard: known.heard_at, learned, written: now }
+        EndpointCheckpoint { member: known.listed.clone(), heard: known.phase_since, learned, written: now }
     }
 
     /// Begins a new file, and returns what goes into it: endpoints under restrictions first.
@@ -190,7 +190,7 @@
         let bytes = self.checkpointing.file.begin()?;
         let now = self.clock.now();
         let is_restricted =
-            |(id, known): &(EndpointId, &KnownEndpoint)| !known.is_serving || self.engine.binds(now, *id);
+            |(id, known): &(EndpointId, &TrackedEndpoint)| !known.is_serving || self.engine.binds(now, *id);
         let (restricted, others): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(is_restricted);
         let ids: Vec<EndpointId> = restricted.into_iter().chain(others).map(|(id, _)| id).collect();
         self.checkpointing.schedule.begun(bytes, ids.clone());
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -1,9 +1,9 @@
 //! The configuration that the event loop follows, and what follows from it: settings, names, classes.
-use crate::daemon::class_registry::{ClassRegistry, ClassRegistryError, NamedClass};
+use crate::daemon::class_registry::{ClassRegistry, ClassRegistryError, NamedClass, RecoveredClass};
 use crate::daemon::config::{Config, ConfigReadError};
 use crate::daemon::config_schema::ConfigSchema;
 use crate::daemon::endpoint_list::ListedEndpoint;
-use crate::daemon::journal::{Journal, JournalError};
+use crate::daemon::journal::{Journal, JournalError, SubmittedMessage};
 use crate::daemon::maintenance::replace;
 use crate::daemon::membership::{self, Members, MembershipError};
 use crate::daemon::outbound_call::ReportFields;
@@ -120,8 +120,9 @@
         let configured = profile.classes().map_err(EventLoopError::Profile)?;
         let mut classes = ClassRegistry::new(configured, retired)?;
         for (_, pending) in journal.pending() {
-            let class = &pending.message.class;
-            if !classes.register_recovered(class, pending.message.idempotency_key.is_some()) {
+            let recovered = recovered_class(&pending.message);
+            if !classes.register_recovered(recovered) {
+                let class = &pending.message.class;
                 log.line(&format!(
                     "recovery: unknown class, its untried messages are attempted once class={class:?}"
                 ));
@@ -181,8 +182,8 @@
 
     /// Returns how many messages a call to an endpoint may carry; `None` if its kind or zone is unknown.
     pub(super) fn max_batch_size(&self, listed: &ListedEndpoint) -> Option<usize> {
-        let kind = self.names.kinds.get(&listed.flavor)?;
-        self.names.zones.get(&listed.locality)?;
+        let kind = self.names.kinds.get(&listed.kind)?;
+        self.names.zones.get(&listed.zone)?;
         Some(self.settings.kinds[kind.0].max_batch_size.max(1))
     }
 
@@ -197,6 +198,11 @@
     }
 }
 
+/// Returns the class as a recovered message names it.
+pub(super) fn recovered_class(message: &SubmittedMessage) -> RecoveredClass {
+    RecoveredClass { name: message.class.clone(), has_idempotency_key: message.idempotency_key.is_some() }
+}
+
 /// Translates a profile into the engine's settings, with all classes that there have been.
 fn engine_settings(
     profile: &Profile,
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -135,7 +135,7 @@
         self.store_classes();
         self.stamp_journal(recovery_start.stamp);
         self.step();
-        self.write_whole_checkpoint();
+        self.write_full_checkpoint();
         Ok(())
     }
 }
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -26,7 +26,7 @@
     group_commit: GroupCommit,
     deferred: DeferredEffects<DeferredEffect>,
     /// How many files the journal had begun when the group commit last heard of one.
-    known_files: u64,
+    journal_files: u64,
     /// The instant from which the group commit counts time.
     origin: Instant,
 }
@@ -37,7 +37,7 @@
         let Durability::Machine { delay } = operator.durability else { return None };
         let group_commit = GroupCommit::new(Duration::from_micros(delay.0));
         let deferred = DeferredEffects::default();
-        Some(Self { group_commit, deferred, known_files: 0, origin: Instant::now() })
+        Some(Self { group_commit, deferred, journal_files: 0, origin: Instant::now() })
     }
 
     /// Returns when the group commit has something to do.
@@ -50,7 +50,7 @@
 
     /// Takes note that the journal has begun so many files in all.
     fn note_new_files(&mut self, files: u64) {
-        self.known_files = files;
+        self.journal_files = files;
         self.group_commit.new_file();
     }
 
@@ -114,7 +114,7 @@
         let journal = &mut self.messages.journal;
         let now = durable.origin.elapsed();
         durable.group_commit.written(journal.mark(), now);
-        if durable.known_files != journal.new_files() {
+        if durable.journal_files != journal.new_files() {
             durable.note_new_files(journal.new_files());
         }
         match durable.group_commit.wanted(now) {
@@ -162,7 +162,7 @@
             .iter()
             .all(|message| self.engine.is_call_still_allowed(now, MessageId(message.number), call.endpoint));
         let known = self.endpoints.get(call.endpoint);
-        let is_reachable = known.is_some_and(|known| known.listed.host_port == call.address);
+        let is_reachable = known.is_some_and(|known| known.listed.address == call.address);
         if is_allowed && is_reachable && Instant::now() < call.expires {
             self.start_call(call);
             return;
--- a/src/daemon/event_loop/endpoint_table.rs
+++ b/src/daemon/event_loop/endpoint_table.rs
@@ -6,19 +6,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One endpoint as the list last described it.
-pub(super) struct KnownEndpoint {
+pub(super) struct TrackedEndpoint {
     pub(super) listed: ListedEndpoint,
     /// How many messages a call to the endpoint may carry.
     pub(super) max_batch_size: usize,
-    /// When its phase was heard, wall clock.
-    pub(super) heard_at: Timestamp,
+    /// When this sender first heard of the endpoint's phase, wall clock.
+    pub(super) phase_since: Timestamp,
     /// Whether the list has the endpoint in service and no operator has taken it out.
     pub(super) is_serving: bool,
 }
 
 /// All endpoints that the engine still has a use for, and those that operators have taken out of service.
 pub(super) struct EndpointTable {
-    by_id: BTreeMap<EndpointId, KnownEndpoint>,
+    endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
     ids: BTreeMap<String, EndpointId>,
     next_id: u32,
     pub(super) maintenance: Maintenance,
@@ -27,17 +27,17 @@
 impl EndpointTable {
     /// A table without endpoints.
     pub(super) fn new(maintenance: Maintenance) -> Self {
-        Self { by_id: BTreeMap::new(), ids: BTreeMap::new(), next_id: 0, maintenance }
+        Self { endpoints: BTreeMap::new(), ids: BTreeMap::new(), next_id: 0, maintenance }
     }
 
     /// Returns an endpoint by its number.
-    pub(super) fn get(&self, id: EndpointId) -> Option<&KnownEndpoint> {
-        self.by_id.get(&id)
+    pub(super) fn get(&self, id: EndpointId) -> Option<&TrackedEndpoint> {
+        self.endpoints.get(&id)
     }
 
     /// Returns an endpoint by its number, to change it.
-    pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut KnownEndpoint> {
-        self.by_id.get_mut(&id)
+    pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut TrackedEndpoint> {
+        self.endpoints.get_mut(&id)
     }
 
     /// Returns the number of the endpoint with that name.
@@ -55,8 +55,8 @@
     }
 
     /// Returns all endpoints in the order of their numbers.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (EndpointId, &KnownEndpoint)> + Clone {
-        self.by_id.iter().map(|(id, known)| (*id, known))
+    pub(super) fn iter(&self) -> impl Iterator<Item = (EndpointId, &TrackedEndpoint)> + Clone {
+        self.endpoints.iter().map(|(id, known)| (*id, known))
     }
 
     /// Takes in what the list says of an endpoint; true if that differs from what was known.
@@ -67,20 +67,20 @@
         max_batch_size: usize,
         now: Timestamp,
     ) -> bool {
-        let before = self.by_id.get(&id);
+        let before = self.endpoints.get(&id);
         let unchanged_phase = before.filter(|known| known.listed.phase == listed.phase);
-        let heard_at = unchanged_phase.map_or(now, |known| known.heard_at);
+        let phase_since = unchanged_phase.map_or(now, |known| known.phase_since);
         let has_changed = before.is_none_or(|known| known.listed != listed);
-        self.by_id.insert(id, KnownEndpoint { listed, max_batch_size, heard_at, is_serving: true });
+        self.endpoints.insert(id, TrackedEndpoint { listed, max_batch_size, phase_since, is_serving: true });
         has_changed
     }
 
     /// Marks all endpoints that a complete list does not name as deleted.
     pub(super) fn delete_unlisted(&mut self, listed: &BTreeSet<EndpointId>, now: Timestamp) -> Removals {
         let mut removals = Removals::default();
-        for (id, known) in self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+        for (id, known) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
             if known.listed.phase != Phase::Deleted {
-                (known.listed.phase, known.heard_at) = (Phase::Deleted, now);
+                (known.listed.phase, known.phase_since) = (Phase::Deleted, now);
                 removals.deleted.push(*id);
             }
             if std::mem::take(&mut known.is_serving) {
@@ -92,7 +92,7 @@
 
     /// Forgets an endpoint and its name.
     pub(super) fn remove(&mut self, id: EndpointId) {
-        if let Some(removed) = self.by_id.remove(&id) {
+        if let Some(removed) = self.endpoints.remove(&id) {
             self.ids.remove(&removed.listed.id);
         }
     }
@@ -100,7 +100,7 @@
     /// Returns what the engine is told of an endpoint, and updates whether the endpoint is serving. An endpoint in
     /// maintenance drains whatever the list says.
     pub(super) fn entry(&mut self, id: EndpointId, names: &Names) -> Option<EndpointEntry> {
-        let known = self.by_id.get_mut(&id)?;
+        let known = self.endpoints.get_mut(&id)?;
         let listed = &known.listed;
         let state = match listed.phase {
             Phase::Serving if self.maintenance.contains(&listed.id) => EndpointState::Draining,
@@ -111,11 +111,11 @@
         known.is_serving = state == EndpointState::Active;
         Some(EndpointEntry {
             endpoint: id,
-            destination: DestinationId(listed.cell),
-            kind: *names.kinds.get(&listed.flavor)?,
-            zone: *names.zones.get(&listed.locality)?,
+            destination: DestinationId(listed.destination),
+            kind: *names.kinds.get(&listed.kind)?,
+            zone: *names.zones.get(&listed.zone)?,
             state,
-            capacity_hint: listed.size,
+            capacity_hint: listed.capacity_hint,
         })
     }
 }
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -14,8 +14,8 @@
         self.trace.endpoint_list(now, &list);
         let version = list.agent.map(|agent| DiscoveryVersion { agent, revision: list.revision });
         let mut changed = Vec::new();
-        let mut entries = Vec::with_capacity(list.members.len());
-        for listed in list.members {
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for listed in list.endpoints {
             let Some(id) = self.update_endpoint(listed, now, &mut changed) else { continue };
             entries.extend(self.endpoint_entry(id));
         }
@@ -42,7 +42,7 @@
         let Some(max_batch_size) = self.configuration.max_batch_size(&listed) else {
             self.log(format_args!(
                 "discovery: endpoint of an unknown kind or zone endpoint={} kind={} zone={}",
-                listed.id, listed.flavor, listed.locality
+                listed.id, listed.kind, listed.zone
             ));
             return None;
         };
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -187,7 +187,7 @@
                 self.confirm_call(endpoint, &messages, is_allowed);
             }
             LoopEvent::ConnectionIdle { endpoint, address, connection } => {
-                self.keep_connection(endpoint, address, connection);
+                self.pool_connection(endpoint, address, connection);
             }
             LoopEvent::EndpointList(list) => self.apply_endpoint_list(list),
             LoopEvent::NotificationsAcknowledged(messages) => self.acknowledge(messages),
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -1,5 +1,6 @@
 //! Recovery after a restart: which messages of the journal end at once, and which are sent in which phase.
 use super::EventLoop;
+use super::configuration::recovered_class;
 use crate::daemon::events::{InvalidMessage, ListenerState};
 use crate::daemon::journal::{Attempt, FinalOutcome, PendingMessage};
 use crate::daemon::notifications::Notification;
@@ -102,9 +103,9 @@
     }
 
     fn recovered_class(&self, pending: &PendingMessage) -> Result<ClassId, InvalidMessage> {
-        let (class, is_keyed) = (&pending.message.class, pending.message.idempotency_key.is_some());
-        let class_id = self.configuration.classes.recovered(class, is_keyed);
-        class_id.ok_or_else(|| InvalidMessage::UnknownClass(class.clone()))
+        let recovered = recovered_class(&pending.message);
+        let class_id = self.configuration.classes.recovered(&recovered);
+        class_id.ok_or(InvalidMessage::UnknownClass(recovered.name))
     }
 
     fn recovered_message(&self, message: Message, pending: &PendingMessage) -> RecoveredMessage {
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -37,7 +37,7 @@
         let entered = handover::enter(&settings.folder, &*environment.ports.log).await;
         Ok(match entered? {
             StartupMode::Fresh(lock) => Self::alone(lock),
-            StartupMode::Successor(received, lock_file) => Self::from_predecessor(received, lock_file),
+            StartupMode::Successor(received, lock_file) => Self::with_predecessor(received, lock_file),
         })
     }
 
@@ -45,7 +45,7 @@
         Self { lock, listener: None, inheritance: None, link: None }
     }
 
-    fn from_predecessor(received: ReceivedListener, lock_file: Option<UnlockedState>) -> Self {
+    fn with_predecessor(received: ReceivedListener, lock_file: Option<UnlockedState>) -> Self {
         let ReceivedListener { predecessor, listener, lock, inheritance } = received;
         let lock_file = lock_file.filter(|_| lock.is_none());
         let link = Some(PredecessorLink { predecessor, lock_file });
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -86,7 +86,7 @@
 
     /// Traces an endpoint list, or changes to one.
     pub fn endpoint_list(&self, at: Timestamp, list: &EndpointList) {
-        let EndpointList { revision, complete, members, .. } = list;
+        let EndpointList { revision, complete, endpoints: members, .. } = list;
         let (at, entries) = (at.0, members.len());
         self.line(format_args!("trace list at={at} revision={revision} whole={complete} entries={entries}"));
     }
