--- a/src/daemon/class_registry.rs
+++ b/src/daemon/class_registry.rs
@@ -1,11 +1,11 @@
 //! The classes of messages over changes of the settings. Free of I/O and clocks.
 //!
-//! A class keeps its number for the life of the process: messages in flight keep their class, also when the settings no
-//! longer name the class or give its name another meaning.
+//! A class keeps its number for the life of the process: messages in flight keep their class, also when the
+//! settings no longer name the class or give its name another meaning.
 //!
-//! A recovered message states its class by name, and may have been accepted under any meaning that the name has had: the
-//! strictest of these applies. A message whose class is unknown is sent once, as nobody knows what a retry would do, and
-//! in the order of its key.
+//! A recovered message states its class by name, and may have been accepted under any meaning that the name
+//! has had: the strictest of these applies. A message whose class is unknown is sent once, as nobody knows
+//! what a retry would do, and in the order of its key.
 use crate::{Class, ClassId, DeduplicationScope, Idempotency, TimeDelta};
 use std::collections::{BTreeMap, HashMap};
 
@@ -130,7 +130,8 @@
         let mut class = strictest.unwrap_or_else(|| self.unknown_class());
         class.ordered |= meanings().any(|class| class.ordered);
         if matches!(class.idempotency, Idempotency::WithKey { .. }) && !has_idempotency_key {
-            // The message was accepted under a meaning that asked for no key: a retry could not be recognized.
+            // The message was accepted under a meaning that asked for no key: a retry could not be
+            // recognized.
             class.idempotency = Idempotency::NonIdempotent;
         }
         let id = self.register((name.clone(), class));
@@ -138,8 +139,8 @@
         is_known
     }
 
-    /// Returns a class for messages of which nothing is known: no promise towards them may be broken, and they take
-    /// nothing from others.
+    /// Returns a class for messages of which nothing is known: no promise towards them may be broken, and
+    /// they take nothing from others.
     fn unknown_class(&self) -> Class {
         let classes = || self.classes.iter().map(|(_, class)| class);
         let lowest =
--- a/src/daemon/client_listener.rs
+++ b/src/daemon/client_listener.rs
@@ -20,7 +20,8 @@
 }
 
 impl ClientListener {
-    /// Serves clients at an address, or at the listening socket of the predecessor; and listens for a successor.
+    /// Serves clients at an address, or at the listening socket of the predecessor; and listens for a
+    /// successor.
     ///
     /// # Errors
     /// The address cannot be listened at.
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -77,8 +77,8 @@
         (&self.text, &self.operator, self.secret) == (&other.text, &other.operator, other.secret)
     }
 
-    /// Returns the keys that every later configuration has to hold. The endpoint list is no setting, and may take any
-    /// form.
+    /// Returns the keys that every later configuration has to hold. The endpoint list is no setting, and may
+    /// take any form.
     pub(super) fn schema(&self) -> ConfigSchema {
         let mut schema = ConfigSchema::of(&self.value());
         schema.allow_any_value(INITIAL_ENDPOINTS_KEY);
--- a/src/daemon/config_schema.rs
+++ b/src/daemon/config_schema.rs
@@ -1,5 +1,5 @@
-//! The keys that a configuration holds. A configuration that lacks a key of the first one was cut short, whatever else it
-//! holds. Free of I/O and clocks.
+//! The keys that a configuration holds. A configuration that lacks a key of the first one was cut short,
+//! whatever else it holds. Free of I/O and clocks.
 use serde_json::Value;
 use std::collections::BTreeMap;
 
--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -39,8 +39,8 @@
     schema: ConfigSchema,
 }
 
-/// What one event loop after another starts from: the first with what a predecessor left, the others with what the one
-/// before left when its handover failed.
+/// What one event loop after another starts from: the first with what a predecessor left, the others with
+/// what the one before left when its handover failed.
 pub struct LoopStart {
     pub config: Rc<Config>,
     pub inheritance: Option<InheritedState>,
@@ -124,8 +124,8 @@
         });
     }
 
-    /// Opens the journal, and recovers it where the operator's file turns that on. Right after a handover, or after one
-    /// that failed, there is nothing to recover: the state folder is that of this very moment.
+    /// Opens the journal, and recovers it where the operator's file turns that on. Right after a handover, or
+    /// after one that failed, there is nothing to recover: the state folder is that of this very moment.
     ///
     /// # Errors
     /// The journal cannot be opened.
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -136,12 +136,12 @@
         if let Some(metrics) = self.metrics.recent_snapshot(now) {
             return metrics;
         }
-        let listed = self.endpoints.iter().filter(|(_, known)| known.listed.phase != Phase::Deleted);
+        let listed = self.endpoints.iter().filter(|(_, tracked)| tracked.listed.phase != Phase::Deleted);
         let metrics = Rc::new(Metrics {
             backend_calls: self.calls.messages_written(),
             inflight: self.messages.unfinished(),
             hosts_listed: listed.clone().count(),
-            hosts_down: listed.filter(|(id, known)| !known.is_serving || self.avoids(*id, now)).count(),
+            hosts_down: listed.filter(|(id, tracked)| !tracked.is_serving || self.avoids(*id, now)).count(),
             ..self.metrics.counts.clone()
         });
         self.metrics.snapshot = Some(MetricsSnapshot { captured_at: now, metrics: metrics.clone() });
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -11,8 +11,8 @@
 const UNASSIGNED: u32 = 0;
 
 impl EventLoop {
-    /// Accepts a message that may be delivered until `deadline`, or says why not. A message that was accepted before is
-    /// accepted again without a further effect.
+    /// Accepts a message that may be delivered until `deadline`, or says why not. A message that was accepted
+    /// before is accepted again without a further effect.
     pub(super) fn submit(&mut self, message: SubmittedMessage, deadline: Instant) -> SubmitResponse {
         if self.messages.has_accepted(&message.id) {
             return SubmitResponse::Accepted;
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -72,16 +72,16 @@
     pub(super) fn begin_call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Timestamp) {
         let now = self.clock.now();
         // The engine forgets no endpoint that it sends to.
-        let Some(known) = self.endpoints.get(endpoint) else { return };
-        let (address, zone) = (known.listed.address, known.listed.zone.clone());
+        let Some(tracked) = self.endpoints.get(endpoint) else { return };
+        let (address, zone) = (tracked.listed.address, tracked.listed.zone.clone());
         let mut parcels = Vec::with_capacity(messages.len());
         let mut deferred = Vec::new();
         for MessageId(number) in messages {
             let recorded = self.messages.journal.begin(number, Attempt { at: now.0, zone: zone.clone() });
             let Some(pending) = self.messages.journal.get(number) else { continue };
             if let Err(error) = recorded {
-                // An attempt that a restart would not know of must not go out. It counts as none, and the message waits
-                // for space.
+                // An attempt that a restart would not know of must not go out. It counts as none, and the
+                // message waits for space.
                 deferred.push((MessageId(number), pending.attempts));
                 self.log(format_args!("calls: attempt deferred, it cannot be recorded error={error}"));
                 continue;
@@ -119,8 +119,8 @@
         is_allowed: oneshot::Sender<bool>,
     ) {
         let now = self.clock.now();
-        if let Some(known) = self.endpoints.get(endpoint) {
-            self.trace.connected(now, known.listed.destination, &known.listed.id);
+        if let Some(tracked) = self.endpoints.get(endpoint) {
+            self.trace.connected(now, tracked.listed.destination, &tracked.listed.id);
         }
         let may_send = |number: &u32| self.engine.is_call_still_allowed(now, MessageId(*number), endpoint);
         let _ = is_allowed.send(messages.iter().all(may_send));
@@ -133,8 +133,8 @@
         address: SocketAddr,
         connection: Connection,
     ) {
-        let known = self.endpoints.get(endpoint);
-        if known.is_some_and(|known| known.is_serving && known.listed.address == address) {
+        let tracked = self.endpoints.get(endpoint);
+        if tracked.is_some_and(|tracked| tracked.is_serving && tracked.listed.address == address) {
             self.calls.pool.put(endpoint, address, connection, Instant::now());
         }
     }
@@ -163,10 +163,10 @@
         outcomes: &[AttemptOutcome],
         report: Option<LoadReport>,
     ) {
-        let (Some(known), Some(first)) = (self.endpoints.get(endpoint), outcomes.first()) else { return };
+        let (Some(tracked), Some(first)) = (self.endpoints.get(endpoint), outcomes.first()) else { return };
         let completed = trace::CompletedCall {
-            destination: known.listed.destination,
-            endpoint: &known.listed.id,
+            destination: tracked.listed.destination,
+            endpoint: &tracked.listed.id,
             messages: outcomes.len(),
             outcome: first.outcome,
             elapsed: TimeDelta(ended.0.saturating_sub(started.0)),
@@ -238,7 +238,8 @@
         self.check_recorded(recorded);
     }
 
-    /// Logs a record that could not be written: the next compaction makes good for it, and the sender goes on.
+    /// Logs a record that could not be written: the next compaction makes good for it, and the sender goes
+    /// on.
     pub(super) fn check_recorded(&mut self, recorded: Result<(), JournalError>) {
         if let Err(error) = recorded {
             self.log(format_args!("{error}"));
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,4 +1,5 @@
-//! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and writes them down.
+//! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and
+//! writes them down.
 use super::EventLoop;
 use super::endpoint_table::TrackedEndpoint;
 use crate::daemon::checkpoint::file::CheckpointFile;
@@ -18,8 +19,8 @@
     pub(super) schedule: CheckpointSchedule,
     /// The version of the list that was heard last; `None` asks for the whole list.
     pub(super) version: Option<DiscoveryVersion>,
-    /// Whether the discovery agent has begun to count its versions anew since other processes may have heard of them:
-    /// its versions compare with none of theirs.
+    /// Whether the discovery agent has begun to count its versions anew since other processes may have heard
+    /// of them: its versions compare with none of theirs.
     has_version_restarted: bool,
 }
 
@@ -34,8 +35,8 @@
         self.version.filter(|_| !self.has_version_restarted)
     }
 
-    /// Sets the version of the list; false if the agent has begun to count anew, so that the file's version would be
-    /// taken for a newer one.
+    /// Sets the version of the list; false if the agent has begun to count anew, so that the file's version
+    /// would be taken for a newer one.
     fn advance_version(&mut self, version: DiscoveryVersion) -> bool {
         let before = self.version.replace(version);
         if before.is_some_and(|before| version.anew_since(before)) {
@@ -56,8 +57,8 @@
 pub(super) enum CheckpointAge {
     /// The predecessor handed the checkpoint over just now.
     Current,
-    /// The checkpoint is that of a process that ended. What was learned has aged, and the random numbers spread the load
-    /// of senders that start together.
+    /// The checkpoint is that of a process that ended. What was learned has aged, and the random numbers
+    /// spread the load of senders that start together.
     Restart(Box<ChaCha8Rng>),
 }
 
@@ -65,20 +66,20 @@
     /// Starts from the configuration's endpoint list and the checkpoint of an earlier process.
     pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut age: CheckpointAge) {
         let config = self.configuration.config.clone();
-        let known = EndpointList { agent: Some(config.discovery), ..config.initial_endpoints.clone() };
+        let configured = EndpointList { agent: Some(config.discovery), ..config.initial_endpoints.clone() };
         let now = self.clock.now();
         self.checkpointing.has_version_restarted =
             checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
         let is_current = matches!(age, CheckpointAge::Current);
         let RestoredCheckpoint { members, from, learned, held_out } =
-            restore(checkpoint, &known, is_current, now);
+            restore(checkpoint, &configured, is_current, now);
         if held_out > 0 {
             self.log(format_args!(
                 "checkpoint: endpoints stay out of service, an earlier process heard that they drain or are removed \
                  count={held_out}"
             ));
         }
-        self.restore_endpoints(known.revision, members);
+        self.restore_endpoints(configured.revision, members);
         self.checkpointing.version =
             from.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
         self.step();
@@ -97,8 +98,8 @@
         self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, endpoints: members });
         for (name, phase_since) in names.iter().zip(phase_since) {
             let id = self.endpoints.id_of(name);
-            if let Some(known) = id.and_then(|id| self.endpoints.get_mut(id)) {
-                known.phase_since = phase_since;
+            if let Some(tracked) = id.and_then(|id| self.endpoints.get_mut(id)) {
+                tracked.phase_since = phase_since;
             }
         }
     }
@@ -126,7 +127,8 @@
         self.checkpointing.version.map(|version| version.revision)
     }
 
-    /// Records that the list is at `version` and that these endpoints have changed, before anything follows from it.
+    /// Records that the list is at `version` and that these endpoints have changed, before anything follows
+    /// from it.
     pub(super) fn record_list_version(&mut self, version: DiscoveryVersion, changed: Vec<EndpointId>) {
         if self.checkpointing.version == Some(version) && changed.is_empty() {
             return;
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Writes the whole checkpoint to a new file: later changes are appended to a file that holds everything else.
+    /// Writes the whole checkpoint to a new file: later changes are appended to a file that holds everything
+    /// else.
     pub(super) fn write_full_checkpoint(&mut self) {
         self.try_checkpoint(|event_loop| {
             let ids = event_loop.begin_checkpoint_file()?;
@@ -148,7 +151,8 @@
         });
     }
 
-    /// Returns when the next part of the checkpoint is due: only once the engine has learned from all that happened.
+    /// Returns when the next part of the checkpoint is due: only once the engine has learned from all that
+    /// happened.
     pub(super) fn checkpoint_due(&self) -> Option<Timestamp> {
         self.checkpointing.schedule.due().filter(|_| self.queue.is_empty())
     }
@@ -170,7 +174,7 @@
     /// Returns the whole checkpoint, for a successor on this machine.
     pub(super) fn checkpoint(&self) -> Checkpoint {
         let now = self.clock.now();
-        let endpoints = self.endpoints.iter().map(|(id, known)| self.endpoint_checkpoint(id, known, now));
+        let endpoints = self.endpoints.iter().map(|(id, tracked)| self.endpoint_checkpoint(id, tracked, now));
         let endpoints = endpoints.map(|endpoint| (endpoint.member.id.clone(), endpoint)).collect();
         Checkpoint { version: self.checkpointing.comparable_version(), whole: true, endpoints }
     }
@@ -178,19 +182,25 @@
     fn endpoint_checkpoint(
         &self,
         id: EndpointId,
-        known: &TrackedEndpoint,
+        tracked: &TrackedEndpoint,
         now: Timestamp,
     ) -> EndpointCheckpoint {
         let learned = self.engine.learned(id);
-        EndpointCheckpoint { member: known.listed.clone(), heard: known.phase_since, learned, written: now }
+        EndpointCheckpoint {
+            member: tracked.listed.clone(),
+            heard: tracked.phase_since,
+            learned,
+            written: now,
+        }
     }
 
     /// Begins a new file, and returns what goes into it: endpoints under restrictions first.
     fn begin_checkpoint_file(&mut self) -> io::Result<Vec<EndpointId>> {
         let bytes = self.checkpointing.file.begin()?;
         let now = self.clock.now();
-        let is_restricted =
-            |(id, known): &(EndpointId, &TrackedEndpoint)| !known.is_serving || self.engine.binds(now, *id);
+        let is_restricted = |(id, tracked): &(EndpointId, &TrackedEndpoint)| {
+            !tracked.is_serving || self.engine.binds(now, *id)
+        };
         let (restricted, others): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(is_restricted);
         let ids: Vec<EndpointId> = restricted.into_iter().chain(others).map(|(id, _)| id).collect();
         self.checkpointing.schedule.begun(bytes, ids.clone());
@@ -201,9 +211,9 @@
         let now = self.clock.now();
         let is_list_change = matches!(reason, WriteReason::ListChanged);
         let version = self.checkpointing.comparable_version().filter(|_| is_list_change);
-        let known = ids.into_iter().filter_map(|id| Some((id, self.endpoints.get(id)?)));
+        let tracked = ids.into_iter().filter_map(|id| Some((id, self.endpoints.get(id)?)));
         let endpoints: Vec<EndpointCheckpoint> =
-            known.map(|(id, known)| self.endpoint_checkpoint(id, known, now)).collect();
+            tracked.map(|(id, tracked)| self.endpoint_checkpoint(id, tracked, now)).collect();
         let schedule = &mut self.checkpointing.schedule;
         let fits = |bytes| schedule.fits(bytes);
         let bytes = self.checkpointing.file.write(endpoints.into_iter(), is_list_change, version, fits)?;
@@ -211,8 +221,8 @@
         Ok(())
     }
 
-    /// Writes to the checkpoint if the journal leaves space. Where the journal or the disk has none, the checkpoint is
-    /// abandoned for now: nothing of it is owed to anybody.
+    /// Writes to the checkpoint if the journal leaves space. Where the journal or the disk has none, the
+    /// checkpoint is abandoned for now: nothing of it is owed to anybody.
     fn try_checkpoint(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) {
         let written = match self.messages.journal.has_capacity() {
             true => write(self),
--- a/src/daemon/event_loop/clock.rs
+++ b/src/daemon/event_loop/clock.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The engine's clock: the wall time at the start of the process, so that deadlines hold across processes, advanced by
-/// the monotonic clock, so that nothing within one process jumps.
+/// The engine's clock: the wall time at the start of the process, so that deadlines hold across processes,
+/// advanced by the monotonic clock, so that nothing within one process jumps.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     started_at: Instant,
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -92,8 +92,8 @@
 }
 
 impl ActiveConfiguration {
-    /// Sets up the first configuration of a process, with the classes that the messages in `journal` need. `inherited`
-    /// are the classes that the predecessor handed over.
+    /// Sets up the first configuration of a process, with the classes that the messages in `journal` need.
+    /// `inherited` are the classes that the predecessor handed over.
     ///
     /// # Errors
     /// The settings cannot be used.
@@ -132,7 +132,8 @@
         Ok(Self { config, schema, settings, names, classes })
     }
 
-    /// Checks a changed configuration, and writes its classes down before a message of a new class can be submitted.
+    /// Checks a changed configuration, and writes its classes down before a message of a new class can be
+    /// submitted.
     ///
     /// # Errors
     /// Why the configuration cannot be applied.
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -161,8 +161,8 @@
             .parcels
             .iter()
             .all(|message| self.engine.is_call_still_allowed(now, MessageId(message.number), call.endpoint));
-        let known = self.endpoints.get(call.endpoint);
-        let is_reachable = known.is_some_and(|known| known.listed.address == call.address);
+        let tracked = self.endpoints.get(call.endpoint);
+        let is_reachable = tracked.is_some_and(|tracked| tracked.listed.address == call.address);
         if is_allowed && is_reachable && Instant::now() < call.expires {
             self.start_call(call);
             return;
--- a/src/daemon/event_loop/endpoint_table.rs
+++ b/src/daemon/event_loop/endpoint_table.rs
@@ -56,7 +56,7 @@
 
     /// Returns all endpoints in the order of their numbers.
     pub(super) fn iter(&self) -> impl Iterator<Item = (EndpointId, &TrackedEndpoint)> + Clone {
-        self.endpoints.iter().map(|(id, known)| (*id, known))
+        self.endpoints.iter().map(|(id, tracked)| (*id, tracked))
     }
 
     /// Takes in what the list says of an endpoint; true if that differs from what was known.
@@ -68,9 +68,9 @@
         now: Timestamp,
     ) -> bool {
         let before = self.endpoints.get(&id);
-        let unchanged_phase = before.filter(|known| known.listed.phase == listed.phase);
-        let phase_since = unchanged_phase.map_or(now, |known| known.phase_since);
-        let has_changed = before.is_none_or(|known| known.listed != listed);
+        let unchanged_phase = before.filter(|tracked| tracked.listed.phase == listed.phase);
+        let phase_since = unchanged_phase.map_or(now, |tracked| tracked.phase_since);
+        let has_changed = before.is_none_or(|tracked| tracked.listed != listed);
         self.endpoints.insert(id, TrackedEndpoint { listed, max_batch_size, phase_since, is_serving: true });
         has_changed
     }
@@ -78,12 +78,12 @@
     /// Marks all endpoints that a complete list does not name as deleted.
     pub(super) fn delete_unlisted(&mut self, listed: &BTreeSet<EndpointId>, now: Timestamp) -> Removals {
         let mut removals = Removals::default();
-        for (id, known) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-            if known.listed.phase != Phase::Deleted {
-                (known.listed.phase, known.phase_since) = (Phase::Deleted, now);
+        for (id, tracked) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            if tracked.listed.phase != Phase::Deleted {
+                (tracked.listed.phase, tracked.phase_since) = (Phase::Deleted, now);
                 removals.deleted.push(*id);
             }
-            if std::mem::take(&mut known.is_serving) {
+            if std::mem::take(&mut tracked.is_serving) {
                 removals.out_of_service.push(*id);
             }
         }
@@ -97,18 +97,18 @@
         }
     }
 
-    /// Returns what the engine is told of an endpoint, and updates whether the endpoint is serving. An endpoint in
-    /// maintenance drains whatever the list says.
+    /// Returns what the engine is told of an endpoint, and updates whether the endpoint is serving. An
+    /// endpoint in maintenance drains whatever the list says.
     pub(super) fn entry(&mut self, id: EndpointId, names: &Names) -> Option<EndpointEntry> {
-        let known = self.endpoints.get_mut(&id)?;
-        let listed = &known.listed;
+        let tracked = self.endpoints.get_mut(&id)?;
+        let listed = &tracked.listed;
         let state = match listed.phase {
             Phase::Serving if self.maintenance.contains(&listed.id) => EndpointState::Draining,
             Phase::Serving => EndpointState::Active,
             Phase::Draining => EndpointState::Draining,
             Phase::Deleted => EndpointState::Removed,
         };
-        known.is_serving = state == EndpointState::Active;
+        tracked.is_serving = state == EndpointState::Active;
         Some(EndpointEntry {
             endpoint: id,
             destination: DestinationId(listed.destination),
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Takes in one entry of a list, and adds it to `changed` if it says something new; `None` if its kind or zone is
-    /// not in the settings.
+    /// Takes in one entry of a list, and adds it to `changed` if it says something new; `None` if its kind or
+    /// zone is not in the settings.
     fn update_endpoint(
         &mut self,
         listed: ListedEndpoint,
@@ -73,7 +73,7 @@
         change: MaintenanceChange,
     ) -> Result<(), AdminError> {
         let is_listed = |id: &EndpointId| {
-            self.endpoints.get(*id).is_some_and(|known| known.listed.phase != Phase::Deleted)
+            self.endpoints.get(*id).is_some_and(|tracked| tracked.listed.phase != Phase::Deleted)
         };
         let listed = self.endpoints.id_of(name).filter(is_listed);
         let maintenance = &mut self.endpoints.maintenance;
@@ -92,10 +92,11 @@
         Ok(())
     }
 
-    /// Returns what the engine is told of an endpoint, and closes the idle connections to one that is not serving.
+    /// Returns what the engine is told of an endpoint, and closes the idle connections to one that is not
+    /// serving.
     pub(super) fn endpoint_entry(&mut self, id: EndpointId) -> Option<EndpointEntry> {
         let entry = self.endpoints.entry(id, &self.configuration.names)?;
-        if self.endpoints.get(id).is_some_and(|known| !known.is_serving) {
+        if self.endpoints.get(id).is_some_and(|tracked| !tracked.is_serving) {
             self.calls.pool.close(id);
         }
         Some(entry)
--- a/src/daemon/event_loop/message_table.rs
+++ b/src/daemon/event_loop/message_table.rs
@@ -60,8 +60,8 @@
         recorded
     }
 
-    /// Removes a message for which nothing is left to do, at `now` in microseconds of wall time; `None` if there is no
-    /// such message.
+    /// Removes a message for which nothing is left to do, at `now` in microseconds of wall time; `None` if
+    /// there is no such message.
     pub(super) fn remove(&mut self, number: u32, now: u64) -> Option<Result<(), JournalError>> {
         let pending = self.journal.get(number)?;
         self.numbers.remove(&pending.message.id);
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -1,8 +1,9 @@
-//! The event loop around the decision engine: it gives the engine events, carries out the engine's actions, and keeps the
-//! journal ahead of both. It translates the names on the wire into the engine's numbers.
+//! The event loop around the decision engine: it gives the engine events, carries out the engine's actions,
+//! and keeps the journal ahead of both. It translates the names on the wire into the engine's numbers.
 //!
-//! Each part of the loop's state has one owner: [`endpoint_table`], [`message_table`], [`calls`], [`checkpointing`],
-//! [`recovery`], [`shutdown`] and [`admin`] each hold a type with the state and the loop's methods that use it most.
+//! Each part of the loop's state has one owner: [`endpoint_table`], [`message_table`], [`calls`],
+//! [`checkpointing`], [`recovery`], [`shutdown`] and [`admin`] each hold a type with the state and the loop's
+//! methods that use it most.
 mod admin;
 mod admission;
 mod calls;
@@ -178,7 +179,8 @@
     fn handle(&mut self, event: LoopEvent) {
         match event {
             LoopEvent::Submit { message, deadline, reply } => {
-                // A client that has gone submits again under a new ID; this message is delivered all the same.
+                // A client that has gone submits again under a new ID; this message is delivered all the
+                // same.
                 let response = self.submit(message, deadline);
                 self.respond(reply, response);
             }
--- a/src/daemon/event_loop/peer_reports.rs
+++ b/src/daemon/event_loop/peer_reports.rs
@@ -7,10 +7,12 @@
 use std::collections::BTreeMap;
 
 impl EventLoop {
-    /// Applies what peers warn of. What this sender knows itself stands beside that, and its own list overrides it.
+    /// Applies what peers warn of. What this sender knows itself stands beside that, and its own list
+    /// overrides it.
     pub(super) fn apply_restrictions(&mut self, restrictions: EndpointRestrictions) {
         if !self.recovery.status.may_send() {
-            // Changes since a version come when there are some: only a request for the whole list is answered at once.
+            // Changes since a version come when there are some: only a request for the whole list is answered
+            // at once.
             self.checkpointing.version = None;
         }
         let now = self.clock.now();
@@ -36,8 +38,8 @@
 
     /// Drains an endpoint that this sender has in service, until a whole list says otherwise.
     fn drain_restricted(&mut self, id: EndpointId) -> Option<EndpointEntry> {
-        let known = self.endpoints.get_mut(id).filter(|known| known.listed.phase == Phase::Serving)?;
-        known.listed.phase = Phase::Draining;
+        let tracked = self.endpoints.get_mut(id).filter(|tracked| tracked.listed.phase == Phase::Serving)?;
+        tracked.listed.phase = Phase::Draining;
         let entry = self.endpoint_entry(id);
         self.checkpointing.version = None;
         entry
@@ -46,9 +48,9 @@
     /// Returns what this sender reports of endpoints to a peer that recovers.
     pub(super) fn endpoint_reports(&self) -> BTreeMap<String, EndpointReport> {
         let now = self.clock.now();
-        let reports = self.endpoints.iter().map(|(id, known)| {
-            let is_out = known.listed.phase != Phase::Serving;
-            (known.listed.id.clone(), self.endpoint_report(id, is_out, now))
+        let reports = self.endpoints.iter().map(|(id, tracked)| {
+            let is_out = tracked.listed.phase != Phase::Serving;
+            (tracked.listed.id.clone(), self.endpoint_report(id, is_out, now))
         });
         reports.filter(|(_, report)| !report.says_nothing()).collect()
     }
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -117,8 +117,8 @@
         RecoveredMessage { message, attempts, first_uncertain_attempt, ended }
     }
 
-    /// Corrects what the journal says of a message as far as that cannot be trusted. Returns an outcome if the message
-    /// has to end at once.
+    /// Corrects what the journal says of a message as far as that cannot be trusted. Returns an outcome if
+    /// the message has to end at once.
     fn judge_recovered(
         &mut self,
         number: u32,
@@ -145,7 +145,8 @@
         None
     }
 
-    /// Records that a message may have run: a successor on this boot of the machine trusts the journal to be complete.
+    /// Records that a message may have run: a successor on this boot of the machine trusts the journal to be
+    /// complete.
     fn record_uncertain_attempt(&mut self, number: u32, attempt: Attempt, pending: &mut PendingMessage) {
         pending.attempts = pending.attempts.max(1);
         (pending.ran, pending.out) = (Some(attempt.clone()), None);
@@ -153,8 +154,8 @@
         self.check_recorded(recorded);
     }
 
-    /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the machine trusts
-    /// its clock.
+    /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the
+    /// machine trusts its clock.
     fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if self.recovery.status.believes_clock() || pending.end.is_some() {
             return;
@@ -169,8 +170,8 @@
         self.check_recorded(recorded);
     }
 
-    /// Writes down who continues the journal, once all that follows from its state stands in it: a process that ends
-    /// before finds the journal in that state again.
+    /// Writes down who continues the journal, once all that follows from its state stands in it: a process
+    /// that ends before finds the journal in that state again.
     pub(super) fn stamp_journal(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
         if !self.recovery.status.believes_clock() {
@@ -184,8 +185,8 @@
         }
         let recorded = self.messages.journal.stamp(stamp);
         self.check_recorded(recorded);
-        // The stamp is durable whatever the other records are: a state folder that a loss of power emptied is told from
-        // a new one.
+        // The stamp is durable whatever the other records are: a state folder that a loss of power emptied is
+        // told from a new one.
         if let Err(error) = self.messages.journal.enable_durability() {
             self.log(format_args!(
                 "journal: stamp is not durable, after a loss of power this may look like a first start error={error}"
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Hands a recovered message to the engine if recovered messages are sent in this phase, or if its end needs no call.
+    /// Hands a recovered message to the engine if recovered messages are sent in this phase, or if its end
+    /// needs no call.
     fn hand_over_recovered(&mut self, recovered: RecoveredMessage) {
         let needs_no_call = recovered.ended || recovered.message.time_to_live == TimeDelta(0);
         if needs_no_call || self.sends_recovered() {
@@ -208,7 +210,8 @@
         self.recovery.status.may_send() || self.lifecycle.is_shutting_down()
     }
 
-    /// Returns when the recovery proceeds by time alone: at the end of a phase, or at the deadline of a held message.
+    /// Returns when the recovery proceeds by time alone: at the end of a phase, or at the deadline of a held
+    /// message.
     pub(super) fn recovery_due(&self) -> Option<Instant> {
         let first_deadline = self.recovery.first_deadline().map(|deadline| self.clock.instant(deadline));
         self.recovery.status.due().into_iter().chain(first_deadline).min()
@@ -226,8 +229,8 @@
         }
     }
 
-    /// Hands held messages to the engine in the order in which they were accepted: all of them if their phase has come,
-    /// or else those whose deadline has passed.
+    /// Hands held messages to the engine in the order in which they were accepted: all of them if their phase
+    /// has come, or else those whose deadline has passed.
     fn release_held_messages(&mut self) {
         let now = self.clock.now();
         let still_held = match self.sends_recovered() {
--- a/src/daemon/event_loop/shutdown.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -17,7 +17,8 @@
 const MIN_SHUTDOWN_DURATION: Duration = Duration::from_millis(600);
 /// From a successor's request until the handover: calls that take longer are abandoned.
 const HANDOVER_SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an abandoned call may take to be closed: nobody may send a second copy while its connection is open.
+/// How long an abandoned call may take to be closed: nobody may send a second copy while its connection is
+/// open.
 const CONNECTION_CLOSE_DELAY: Duration = Duration::from_millis(10);
 
 /// When a graceful shutdown ends.
@@ -101,8 +102,8 @@
         self.queue.push(self.clock.now(), Event::Shutdown(self.clock.timestamp(latest)));
     }
 
-    /// Whether the shutdown is over. The listener serves until the process ends: a client may use a connection for as
-    /// long as it is open, and a closed one sends the client to a new one.
+    /// Whether the shutdown is over. The listener serves until the process ends: a client may use a
+    /// connection for as long as it is open, and a closed one sends the client to a new one.
     pub(super) fn is_shutdown_over(&self, now: Instant) -> bool {
         self.lifecycle.is_shutdown_over(now, || {
             let has_messages = self.messages.journal.pending().next().is_some();
@@ -143,8 +144,8 @@
         HandoverState { successor, inheritance, config, metrics: Rc::new(metrics) }
     }
 
-    /// Handles what has ended by now: a Retry-After binds the successor, too. Submitted messages are forwarded to the
-    /// successor by the listener, and orders wait for whoever has the listener at the end.
+    /// Handles what has ended by now: a Retry-After binds the successor, too. Submitted messages are
+    /// forwarded to the successor by the listener, and orders wait for whoever has the listener at the end.
     fn handle_last_events(&mut self, events: &mut UnboundedReceiver<LoopEvent>) {
         let mut orders = Vec::new();
         while let Ok(event) = events.try_recv() {
--- a/src/daemon/event_loop/step.rs
+++ b/src/daemon/event_loop/step.rs
@@ -46,7 +46,8 @@
                 self.endpoints.remove(endpoint);
             }
             Action::Log(line) => self.log(format_args!("{line}")),
-            // The endpoint list is always watched; the engine is set up neither to cancel calls nor to check health.
+            // The endpoint list is always watched; the engine is set up neither to cancel calls nor to check
+            // health.
             Action::WatchEndpoints
             | Action::PollEndpoints
             | Action::Cancel { .. }
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Adds a message to the last call, or plans another one. The sends of a call come one after the other, and the
-    /// engine lets the messages of a batch expire together.
+    /// Adds a message to the last call, or plans another one. The sends of a call come one after the other,
+    /// and the engine lets the messages of a batch expire together.
     fn plan_send(
         &self,
         calls: &mut Vec<PlannedCall>,
@@ -63,7 +64,7 @@
         endpoint: EndpointId,
         expires: Timestamp,
     ) {
-        let max_batch_size = self.endpoints.get(endpoint).map_or(1, |known| known.max_batch_size);
+        let max_batch_size = self.endpoints.get(endpoint).map_or(1, |tracked| tracked.max_batch_size);
         let open = calls.last_mut().filter(|call| {
             call.endpoint == endpoint && call.expires == expires && call.messages.len() < max_batch_size
         });
--- a/src/daemon/event_loop/step_queue.rs
+++ b/src/daemon/event_loop/step_queue.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Shortens the time left in an event by its age in microseconds: times left run from when something happened, not from
-/// the step that processes the event.
+/// Shortens the time left in an event by its age in microseconds: times left run from when something
+/// happened, not from the step that processes the event.
 fn shorten_wait(event: &mut Event, age: u64) {
     match event {
         Event::Message(message) => {
--- a/src/daemon/events.rs
+++ b/src/daemon/events.rs
@@ -1,4 +1,5 @@
-//! The messages between the daemon's tasks. This module lies below all of them, so that none needs to know another.
+//! The messages between the daemon's tasks. This module lies below all of them, so that none needs to know
+//! another.
 use super::config::{Config, ConfigReadError};
 use super::connection::Connection;
 use super::endpoint_list::EndpointList;
@@ -168,12 +169,13 @@
     Starting,
     /// Clients are served.
     Accepting,
-    /// The handover to a successor is under way: nobody new is let in, and requests on open connections are forwarded to
-    /// the address that both processes share, with an end to the connection.
+    /// The handover to a successor is under way: nobody new is let in, and requests on open connections are
+    /// forwarded to the address that both processes share, with an end to the connection.
     HandingOver,
     /// The successor has taken over for good; requests are forwarded as under `HandingOver`.
     HandedOver,
-    /// Each connection ends with its next response, so that its client goes elsewhere; new ones are served, too.
+    /// Each connection ends with its next response, so that its client goes elsewhere; new ones are served,
+    /// too.
     Draining,
     /// The process is about to end: there are no new connections, and idle ones are closed.
     Closed,
--- a/src/daemon/maintenance.rs
+++ b/src/daemon/maintenance.rs
@@ -8,8 +8,8 @@
 const FILE: &str = "maintenance.json";
 /// The name of that file until it is complete.
 const NEW_FILE: &str = "maintenance.json.new";
-/// How many names are stored at most: names stay until they are put back, also those of endpoints that are no longer
-/// listed.
+/// How many names are stored at most: names stay until they are put back, also those of endpoints that are no
+/// longer listed.
 const MAX_ENDPOINTS: usize = 4096;
 
 /// Why an endpoint could not be taken out of service or put back; everything stays as it was.
@@ -41,8 +41,8 @@
 }
 
 impl Maintenance {
-    /// Reads what an earlier process wrote down. A file that cannot be read never stops a start: the error is returned
-    /// beside an empty set.
+    /// Reads what an earlier process wrote down. A file that cannot be read never stops a start: the error is
+    /// returned beside an empty set.
     pub fn open(folder: Rc<dyn Storage>) -> (Self, Option<UnreadableMaintenance>) {
         let (endpoints, unreadable) = match read(&*folder) {
             Ok(endpoints) => (endpoints, None),
--- a/src/daemon/metrics.rs
+++ b/src/daemon/metrics.rs
@@ -14,7 +14,8 @@
     pub failure: u64,
 }
 
-/// A snapshot of a process; its counts begin at 0 with the process. The field names are those of `/status/metrics`.
+/// A snapshot of a process; its counts begin at 0 with the process. The field names are those of
+/// `/status/metrics`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Metrics {
     /// Ended messages, by class.
@@ -25,7 +26,8 @@
     pub inflight: usize,
     /// Endpoints in the endpoint list.
     pub hosts_listed: usize,
-    /// Listed endpoints that no message is sent to now: drained, in maintenance, ejected, or asking for a pause.
+    /// Listed endpoints that no message is sent to now: drained, in maintenance, ejected, or asking for a
+    /// pause.
     pub hosts_down: usize,
     /// Reloaded configurations that were applied.
     pub reconfig_ok: u64,
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Counts a message under its class. The classes are bounded: they are those of the settings, present or former, as
-    /// messages of other classes are malformed.
+    /// Counts a message under its class. The classes are bounded: they are those of the settings, present or
+    /// former, as messages of other classes are malformed.
     fn count(&mut self, class: &str, counter: impl Fn(&mut ClassMetrics) -> &mut u64) {
         self.add_class(class);
         if let Some(counts) = self.calls.get_mut(class) {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,7 +1,7 @@
 //! The sender on real sockets: everything around the decision engine that does I/O or reads a clock.
 //!
-//! The daemon runs on one thread inside a [`tokio::task::LocalSet`]; whoever drops the set ends all tasks of the daemon.
-//! What the daemon needs of the machine comes through [`ports`].
+//! The daemon runs on one thread inside a [`tokio::task::LocalSet`]; whoever drops the set ends all tasks of
+//! the daemon. What the daemon needs of the machine comes through [`ports`].
 mod admin_server;
 mod checkpoint;
 mod class_registry;
@@ -60,7 +60,8 @@
     Shutdown,
     /// To follow the configuration as it reads now: SIGHUP.
     Reload(Result<Box<Config>, ConfigReadError>),
-    /// To follow the configuration if it has changed: a SIGHUP may have gone to the predecessor of this process.
+    /// To follow the configuration if it has changed: a SIGHUP may have gone to the predecessor of this
+    /// process.
     ReloadIfChanged(Result<Box<Config>, ConfigReadError>),
 }
 
@@ -92,8 +93,8 @@
     },
 }
 
-/// Runs one sender until it has shut down or a successor has taken over, on the tasks of the [`tokio::task::LocalSet`]
-/// that the function is called in.
+/// Runs one sender until it has shut down or a successor has taken over, on the tasks of the
+/// [`tokio::task::LocalSet`] that the function is called in.
 ///
 /// # Errors
 /// The sender could not start. Once it listens, it ends only in good order.
@@ -133,14 +134,12 @@
         let mut standby = Standby { events: &mut received, log, successor, metrics: metrics.clone() };
         let offer = standby.offer(&*clients.listener, takeover.lock.as_ref(), &inheritance).await;
         if offer.is_accepted {
-            log.line("handover: the successor took over");
             // The successor speaks for this sender from now on, at the same address.
             drop((membership, takeover));
             environment.listener_state.set(ListenerState::HandedOver);
             standby.forward_reloads(offer.signals, clients).await;
             return Ok(());
         }
-        log.line("handover: the successor ended before it took over, this process goes on");
         environment.resend(offer.signals.into_events());
         start = LoopStart { config, inheritance: Some(inheritance), metrics: (*metrics).clone() };
         open_listener = Some(clients);
--- a/src/daemon/resource_budget.rs
+++ b/src/daemon/resource_budget.rs
@@ -1,8 +1,9 @@
 //! How the limits of the machine are divided among the parts of the sender; no other module divides them.
 use serde::Deserialize;
 
-/// Descriptors besides connections to clients and endpoints: standard streams, those of the runtime, the listener, the
-/// journal and its replacement, discovery and notifications with one connection each on the way out.
+/// Descriptors besides connections to clients and endpoints: standard streams, those of the runtime, the
+/// listener, the journal and its replacement, discovery and notifications with one connection each on the way
+/// out.
 const OWN_DESCRIPTORS: usize = 24;
 /// How many operators may be connected at once.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
@@ -18,8 +19,8 @@
 const ENDPOINT_LIST_MEMORY_DIVISOR: usize = 8;
 /// An endpoint list may take at least this much, in bytes.
 const MIN_ENDPOINT_LIST_BYTES: usize = 2 << 20;
-/// The checkpoint file may take this share of the disk. While it is rewritten there are two, beside the journal at its
-/// largest.
+/// The checkpoint file may take this share of the disk. While it is rewritten there are two, beside the
+/// journal at its largest.
 const CHECKPOINT_DISK_SHARE: f64 = 0.02;
 /// Bytes in a megabyte, as the limits count.
 const BYTES_PER_MEGABYTE: f64 = 1e6;
@@ -52,7 +53,8 @@
 }
 
 impl ResourceBudget {
-    /// Divides the limits for a sender with up to `max_calls` calls in flight, and with an admin endpoint or without.
+    /// Divides the limits for a sender with up to `max_calls` calls in flight, and with an admin endpoint or
+    /// without.
     pub fn new(limits: &ResourceLimits, max_calls: usize, has_admin_endpoint: bool) -> Self {
         let memory = (limits.memory_mb * BYTES_PER_MEGABYTE) as usize;
         let disk = limits.disk_mb * BYTES_PER_MEGABYTE;
--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -1,5 +1,5 @@
-//! What a process does between the end of its event loop and that of the handover: a successor is taking over or has done
-//! so, and nobody is at work here.
+//! What a process does between the end of its event loop and that of the handover: a successor is taking over
+//! or has done so, and nobody is at work here.
 use super::client_listener::ClientListener;
 use super::events::{AdminRequest, LoopEvent};
 use super::handover::{InheritedState, Successor};
@@ -76,14 +76,17 @@
         });
         loop {
             match wait(self.events, &self.metrics, offer.as_mut()).await {
-                Wakeup::Ready(is_accepted) => return OfferOutcome { is_accepted, signals },
+                Wakeup::Ready(is_accepted) => {
+                    self.log.line(offer_result(is_accepted));
+                    return OfferOutcome { is_accepted, signals };
+                }
                 Wakeup::Signal(signal) => signals.add(signal),
             }
         }
     }
 
-    /// Has the successor read its configuration again if `signals` or later ones ask for that, until the last client that
-    /// is still here has been forwarded.
+    /// Has the successor read its configuration again if `signals` or later ones ask for that, until the last
+    /// client that is still here has been forwarded.
     pub async fn forward_reloads(mut self, signals: PendingSignals, clients: ClientListener) {
         if signals.reload.is_some() {
             self.successor.reload().await;
@@ -101,8 +104,16 @@
     }
 }
 
-/// Waits for a future. Operators get the last metrics meanwhile; all other requests are dropped, which tells those who
-/// made them that nobody is at work here.
+/// Returns the log line for the end of an offer.
+fn offer_result(is_accepted: bool) -> &'static str {
+    match is_accepted {
+        true => "handover: the successor took over",
+        false => "handover: the successor ended before it took over, this process goes on",
+    }
+}
+
+/// Waits for a future. Operators get the last metrics meanwhile; all other requests are dropped, which tells
+/// those who made them that nobody is at work here.
 async fn wait<T>(
     events: &mut UnboundedReceiver<LoopEvent>,
     metrics: &Rc<Metrics>,
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -9,8 +9,8 @@
 
 /// What a process entered the state folder with.
 pub struct Takeover {
-    /// The lock on the state folder, held until a successor has taken over or the process ends; `None` where the folder
-    /// takes no lock, or the predecessor keeps it to its end.
+    /// The lock on the state folder, held until a successor has taken over or the process ends; `None` where
+    /// the folder takes no lock, or the predecessor keeps it to its end.
     pub lock: Option<StateLock>,
     /// The listening socket of the predecessor.
     pub listener: Option<OwnedFd>,
@@ -52,8 +52,8 @@
         Self { lock, listener: Some(listener), inheritance: Some(inheritance), link }
     }
 
-    /// Tells the predecessor that this process has taken over, and reads the configuration again whenever the predecessor
-    /// passes on that it was told to.
+    /// Tells the predecessor that this process has taken over, and reads the configuration again whenever the
+    /// predecessor passes on that it was told to.
     pub async fn confirm(&mut self, environment: &Environment) {
         let (Some(link), Some(settings)) = (self.link.take(), &environment.ports.handover) else { return };
         environment.ports.log.line("handover: took over from the predecessor");
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -1,6 +1,7 @@
 //! Trace lines of what passes between a sender and its endpoints, for counts over a whole fleet.
 //!
-//! Traces are off by default: a line for each call is much on a busy day. `micadrum-testkit count` adds the lines up.
+//! Traces are off by default: a line for each call is much on a busy day. `micadrum-testkit count` adds the
+//! lines up.
 use super::endpoint_list::EndpointList;
 use super::journal::FinalOutcome;
 use super::ports::Log;
--- a/src/daemon/watch_cell.rs
+++ b/src/daemon/watch_cell.rs
@@ -1,5 +1,5 @@
-//! A value that many tasks follow. Unlike `tokio::sync::watch` it wakes the tasks in the order in which they began to
-//! wait, never at random, so that a simulated run can be reproduced.
+//! A value that many tasks follow. Unlike `tokio::sync::watch` it wakes the tasks in the order in which they
+//! began to wait, never at random, so that a simulated run can be reproduced.
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
