--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -66,7 +66,7 @@
         resume_revision: resume_revision(same_agent, configured, is_newer, is_empty),
         ..RestoredCheckpoint::default()
     };
-    restored.endpoints.reserve(configured.members.len());
+    restored.endpoints.reserve(configured.endpoints.len());
     restored.add_all(configured, endpoints, precedence, now);
     restored
 }
@@ -87,7 +87,7 @@
         precedence: Precedence,
         now: Timestamp,
     ) {
-        for listed in &configured.members {
+        for listed in &configured.endpoints {
             match checkpointed.remove(&listed.id) {
                 Some(state) => self.add_known(listed, state, precedence, now),
                 None => self.add_unknown(listed, precedence, now),
@@ -159,7 +159,7 @@
 
 /// Returns the phase of an endpoint by two lists of which neither is known to be newer.
 fn stricter_phase(listed: &ListedEndpoint, checkpointed: Phase, observed_at: Timestamp) -> Phase {
-    let was_started_since = listed.up_since_ms.saturating_mul(1_000) > observed_at.0;
+    let was_started_since = listed.started_at_ms.saturating_mul(1_000) > observed_at.0;
     match checkpointed {
         Phase::Serving => listed.phase,
         // An endpoint that is deleted under its id would not be listed: it drains until the agent says what became of it.
--- a/src/daemon/checkpoint/restore/tests.rs
+++ b/src/daemon/checkpoint/restore/tests.rs
@@ -11,13 +11,13 @@
 fn endpoint(id: &str, phase: Phase, up_since_ms: u64) -> ListedEndpoint {
     ListedEndpoint {
         id: id.to_owned(),
-        host_port: agent(9),
-        locality: "a".to_owned(),
-        flavor: "bank".to_owned(),
-        cell: 1,
+        address: agent(9),
+        zone: "a".to_owned(),
+        kind: "bank".to_owned(),
+        destination: 1,
         phase,
-        size: 1.0,
-        up_since_ms,
+        capacity_hint: 1.0,
+        started_at_ms: up_since_ms,
     }
 }
 
@@ -34,7 +34,7 @@
 }
 
 fn configured(agent_port: u16, revision: u64, members: Vec<ListedEndpoint>) -> EndpointList {
-    EndpointList { agent: Some(agent(agent_port)), revision, complete: true, members }
+    EndpointList { agent: Some(agent(agent_port)), revision, complete: true, endpoints: members }
 }
 
 fn phases(restored: &RestoredCheckpoint) -> Vec<(&str, Phase)> {
--- a/src/daemon/class_registry.rs
+++ b/src/daemon/class_registry.rs
@@ -1,11 +1,11 @@
 //! The classes of messages over changes of the settings. Free of I/O and clocks.
 //!
-//! A class keeps its number for the life of the process: messages in flight keep their class, also when the settings no
-//! longer name the class or give its name another meaning.
+//! A class keeps its number for the life of the process: messages in flight keep their class, also when the
+//! settings no longer name the class or give its name another meaning.
 //!
-//! A recovered message states its class by name, and may have been accepted under any meaning that the name has had: the
-//! strictest of these applies. A message whose class is unknown is sent once, as nobody knows what a retry would do, and
-//! in the order of its key.
+//! A recovered message states its class by name, and may have been accepted under any meaning that the name
+//! has had: the strictest of these applies. A message whose class is unknown is sent once, as nobody knows
+//! what a retry would do, and in the order of its key.
 use crate::{Class, ClassId, DeduplicationScope, Idempotency, TimeDelta};
 use std::collections::{BTreeMap, HashMap};
 
@@ -26,11 +26,14 @@
     Duplicate(String),
 }
 
-/// A class as recovered messages name it.
-type RecoveredClass = (String, Keyed);
-
-/// Whether a message came with an idempotency key.
-type Keyed = bool;
+/// A class as a recovered message names it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RecoveredClass {
+    /// The name of the class.
+    pub name: String,
+    /// Whether the message has an idempotency key.
+    pub has_idempotency_key: bool,
+}
 
 /// All classes that there have been in this process.
 #[derive(Clone)]
@@ -115,28 +118,29 @@
         self.current.get(name).copied()
     }
 
-    /// Registers a class for recovered messages that name it, with an idempotency key or without; false if nothing is
-    /// known of the class.
-    pub fn register_recovered(&mut self, name: &str, keyed: bool) -> bool {
-        if self.recovered.contains_key(&(name.to_owned(), keyed)) {
+    /// Registers a class that recovered messages name; false if nothing is known of the class.
+    pub fn register_recovered(&mut self, recovered: RecoveredClass) -> bool {
+        if self.recovered.contains_key(&recovered) {
             return true;
         }
-        let meanings = || self.classes.iter().filter(|known| known.0 == name).map(|known| &known.1);
+        let RecoveredClass { name, has_idempotency_key } = &recovered;
+        let meanings = || self.classes.iter().filter(|known| known.0 == *name).map(|known| &known.1);
         let strictest = meanings().max_by_key(|class| strictness(class)).cloned();
         let is_known = strictest.is_some();
         let mut class = strictest.unwrap_or_else(|| self.unknown_class());
         class.ordered |= meanings().any(|class| class.ordered);
-        if matches!(class.idempotency, Idempotency::WithKey { .. }) && !keyed {
-            // The message was accepted under a meaning that asked for no key: a retry could not be recognized.
+        if matches!(class.idempotency, Idempotency::WithKey { .. }) && !has_idempotency_key {
+            // The message was accepted under a meaning that asked for no key: a retry could not be
+            // recognized.
             class.idempotency = Idempotency::NonIdempotent;
         }
-        let id = self.register((name.to_owned(), class));
-        self.recovered.insert((name.to_owned(), keyed), id);
+        let id = self.register((name.clone(), class));
+        self.recovered.insert(recovered, id);
         is_known
     }
 
-    /// Returns a class for messages of which nothing is known: no promise towards them may be broken, and they take
-    /// nothing from others.
+    /// Returns a class for messages of which nothing is known: no promise towards them may be broken, and
+    /// they take nothing from others.
     fn unknown_class(&self) -> Class {
         let classes = || self.classes.iter().map(|(_, class)| class);
         let lowest =
@@ -152,8 +156,8 @@
     }
 
     /// Returns the class of a recovered message that [`ClassRegistry::register_recovered`] was called for.
-    pub fn recovered(&self, name: &str, keyed: bool) -> Option<ClassId> {
-        self.recovered.get(&(name.to_owned(), keyed)).copied()
+    pub fn recovered(&self, recovered: &RecoveredClass) -> Option<ClassId> {
+        self.recovered.get(recovered).copied()
     }
 }
 
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -35,7 +35,7 @@
 }
 
 struct MetricsSnapshot {
-    taken_at: Instant,
+    captured_at: Instant,
     metrics: Rc<Metrics>,
 }
 
@@ -52,7 +52,8 @@
 
     /// Returns the last snapshot if it is recent enough at `now`.
     fn recent_snapshot(&self, now: Instant) -> Option<Rc<Metrics>> {
-        let snapshot = self.snapshot.as_ref().filter(|snapshot| now < snapshot.taken_at + SNAPSHOT_LIFETIME);
+        let snapshot =
+            self.snapshot.as_ref().filter(|snapshot| now < snapshot.captured_at + SNAPSHOT_LIFETIME);
         snapshot.map(|snapshot| snapshot.metrics.clone())
     }
 }
@@ -135,15 +136,15 @@
         if let Some(metrics) = self.metrics.recent_snapshot(now) {
             return metrics;
         }
-        let listed = self.endpoints.iter().filter(|(_, known)| known.listed.phase != Phase::Deleted);
+        let listed = self.endpoints.iter().filter(|(_, tracked)| tracked.listed.phase != Phase::Deleted);
         let metrics = Rc::new(Metrics {
             backend_calls: self.calls.messages_written(),
             inflight: self.messages.unfinished(),
             hosts_listed: listed.clone().count(),
-            hosts_down: listed.filter(|(id, known)| !known.is_serving || self.avoids(*id, now)).count(),
+            hosts_down: listed.filter(|(id, tracked)| !tracked.is_serving || self.avoids(*id, now)).count(),
             ..self.metrics.counts.clone()
         });
-        self.metrics.snapshot = Some(MetricsSnapshot { taken_at: now, metrics: metrics.clone() });
+        self.metrics.snapshot = Some(MetricsSnapshot { captured_at: now, metrics: metrics.clone() });
         metrics
     }
 
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -72,8 +72,8 @@
     pub(super) fn begin_call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Timestamp) {
         let now = self.clock.now();
         // The engine forgets no endpoint that it sends to.
-        let Some(known) = self.endpoints.get(endpoint) else { return };
-        let (address, zone) = (known.listed.host_port, known.listed.locality.clone());
+        let Some(tracked) = self.endpoints.get(endpoint) else { return };
+        let (address, zone) = (tracked.listed.address, tracked.listed.zone.clone());
         let mut batch = Vec::with_capacity(messages.len());
         let mut deferred = Vec::new();
         for MessageId(number) in messages {
@@ -122,22 +122,22 @@
         is_allowed: oneshot::Sender<bool>,
     ) {
         let now = self.clock.now();
-        if let Some(known) = self.endpoints.get(endpoint) {
-            self.trace.connected(now, known.listed.cell, &known.listed.id);
+        if let Some(tracked) = self.endpoints.get(endpoint) {
+            self.trace.connected(now, tracked.listed.destination, &tracked.listed.id);
         }
         let may_send = |number: &u32| self.engine.is_call_still_allowed(now, MessageId(*number), endpoint);
         let _ = is_allowed.send(messages.iter().all(may_send));
     }
 
     /// Keeps an idle connection, unless its endpoint is draining, removed, or moved to another address.
-    pub(super) fn keep_connection(
+    pub(super) fn pool_connection(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
         connection: Connection,
     ) {
-        let known = self.endpoints.get(endpoint);
-        if known.is_some_and(|known| known.is_serving && known.listed.host_port == address) {
+        let tracked = self.endpoints.get(endpoint);
+        if tracked.is_some_and(|tracked| tracked.is_serving && tracked.listed.address == address) {
             self.calls.pool.put(endpoint, address, connection, Instant::now());
         }
     }
@@ -166,10 +166,10 @@
         outcomes: &[AttemptOutcome],
         report: Option<LoadReport>,
     ) {
-        let (Some(known), Some(first)) = (self.endpoints.get(endpoint), outcomes.first()) else { return };
+        let (Some(tracked), Some(first)) = (self.endpoints.get(endpoint), outcomes.first()) else { return };
         let completed = trace::CompletedCall {
-            destination: known.listed.cell,
-            endpoint: &known.listed.id,
+            destination: tracked.listed.destination,
+            endpoint: &tracked.listed.id,
             messages: outcomes.len(),
             outcome: first.outcome,
             elapsed: TimeDelta(ended.0.saturating_sub(started.0)),
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,6 +1,6 @@
 //! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and writes them down.
 use super::EventLoop;
-use super::endpoint_table::KnownEndpoint;
+use super::endpoint_table::TrackedEndpoint;
 use crate::daemon::checkpoint::file::{CheckpointFile, CheckpointWrite};
 use crate::daemon::checkpoint::restore::{Continuity, ObservedEndpoint, restore};
 use crate::daemon::checkpoint::schedule::{CheckpointSchedule, CheckpointStep};
@@ -65,7 +65,7 @@
     /// Starts from the configuration's endpoint list and the checkpoint of an earlier process.
     pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut age: CheckpointAge) {
         let config = self.configuration.config.clone();
-        let known = EndpointList { agent: Some(config.discovery), ..config.known.clone() };
+        let configured = EndpointList { agent: Some(config.discovery), ..config.initial_endpoints.clone() };
         let now = self.clock.now();
         self.checkpointing.has_version_restarted =
             checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
@@ -73,7 +73,7 @@
             CheckpointAge::Current => Continuity::Handover,
             CheckpointAge::Restart(_) => Continuity::Restart,
         };
-        let restored = restore(checkpoint, &known, continuity, now);
+        let restored = restore(checkpoint, &configured, continuity, now);
         if restored.excluded > 0 {
             self.log(format_args!(
                 "checkpoint: endpoints stay out of service, an earlier process heard that they drain or are removed \
@@ -81,7 +81,7 @@
                 restored.excluded
             ));
         }
-        self.restore_endpoints(known.revision, restored.endpoints);
+        self.restore_endpoints(configured.revision, restored.endpoints);
         self.checkpointing.version =
             restored.resume_revision.map(|revision| DiscoveryVersion { agent: config.discovery, revision });
         self.step();
@@ -100,11 +100,11 @@
         let (members, heard_at): (Vec<_>, Vec<_>) =
             restored.into_iter().map(|restored| (restored.endpoint, restored.observed_at)).unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
-        self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, members });
+        self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, endpoints: members });
         for (name, heard_at) in names.iter().zip(heard_at) {
             let id = self.endpoints.id_of(name);
-            if let Some(known) = id.and_then(|id| self.endpoints.get_mut(id)) {
-                known.heard_at = heard_at;
+            if let Some(tracked) = id.and_then(|id| self.endpoints.get_mut(id)) {
+                tracked.phase_since = heard_at;
             }
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// Returns the revision from which the discovery agent is asked first; `None` for the whole list.
-    pub fn known_revision(&self) -> Option<u64> {
+    pub fn resume_revision(&self) -> Option<u64> {
         self.checkpointing.version.map(|version| version.revision)
     }
 
@@ -138,7 +138,7 @@
             return;
         }
         if !self.checkpointing.advance_version(version) {
-            return self.write_whole_checkpoint();
+            return self.write_full_checkpoint();
         }
         if self.checkpointing.file.is_open() {
             self.try_checkpoint(|event_loop| event_loop.write_endpoints(changed, WriteReason::ListChanged));
@@ -146,7 +146,7 @@
     }
 
     /// Writes the whole checkpoint to a new file: later changes are appended to a file that holds everything else.
-    pub(super) fn write_whole_checkpoint(&mut self) {
+    pub(super) fn write_full_checkpoint(&mut self) {
         self.try_checkpoint(|event_loop| {
             let ids = event_loop.begin_checkpoint_file()?;
             event_loop.write_endpoints(ids, WriteReason::Scheduled)?;
@@ -176,7 +176,7 @@
     /// Returns the whole checkpoint, for a successor on this machine.
     pub(super) fn checkpoint(&self) -> Checkpoint {
         let now = self.clock.now();
-        let endpoints = self.endpoints.iter().map(|(id, known)| self.endpoint_checkpoint(id, known, now));
+        let endpoints = self.endpoints.iter().map(|(id, tracked)| self.endpoint_checkpoint(id, tracked, now));
         let endpoints = endpoints.map(|endpoint| (endpoint.endpoint.id.clone(), endpoint)).collect();
         Checkpoint { version: self.checkpointing.comparable_version(), is_complete: true, endpoints }
     }
@@ -184,13 +184,13 @@
     fn endpoint_checkpoint(
         &self,
         id: EndpointId,
-        known: &KnownEndpoint,
+        tracked: &TrackedEndpoint,
         now: Timestamp,
     ) -> EndpointCheckpoint {
         let learned = self.engine.learned(id);
         EndpointCheckpoint {
-            endpoint: known.listed.clone(),
-            observed_at: known.heard_at,
+            endpoint: tracked.listed.clone(),
+            observed_at: tracked.phase_since,
             routes: learned,
             captured_at: now,
         }
@@ -200,8 +200,9 @@
     fn begin_checkpoint_file(&mut self) -> io::Result<Vec<EndpointId>> {
         let bytes = self.checkpointing.file.start_new()?;
         let now = self.clock.now();
-        let is_restricted =
-            |(id, known): &(EndpointId, &KnownEndpoint)| !known.is_serving || self.engine.binds(now, *id);
+        let is_restricted = |(id, tracked): &(EndpointId, &TrackedEndpoint)| {
+            !tracked.is_serving || self.engine.binds(now, *id)
+        };
         let (restricted, others): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(is_restricted);
         let ids: Vec<EndpointId> = restricted.into_iter().chain(others).map(|(id, _)| id).collect();
         self.checkpointing.schedule.file_started(bytes, ids.clone());
@@ -214,9 +215,9 @@
             WriteReason::ListChanged => CheckpointWrite::Update(self.checkpointing.comparable_version()),
             WriteReason::Scheduled => CheckpointWrite::Snapshot,
         };
-        let known = ids.into_iter().filter_map(|id| Some((id, self.endpoints.get(id)?)));
+        let tracked = ids.into_iter().filter_map(|id| Some((id, self.endpoints.get(id)?)));
         let endpoints: Vec<EndpointCheckpoint> =
-            known.map(|(id, known)| self.endpoint_checkpoint(id, known, now)).collect();
+            tracked.map(|(id, tracked)| self.endpoint_checkpoint(id, tracked, now)).collect();
         let schedule = &mut self.checkpointing.schedule;
         let fits = |bytes| schedule.check_fit(bytes);
         let bytes = self.checkpointing.file.write(endpoints.into_iter(), write, fits)?;
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -28,7 +28,7 @@
     group_commit: GroupCommit,
     deferred: DeferredEffects<DeferredEffect>,
     /// How many files the journal had begun when the group commit last heard of one.
-    known_files: u64,
+    journal_files: u64,
     /// The instant from which the group commit counts time.
     origin: Instant,
 }
@@ -39,7 +39,7 @@
         let Durability::Machine { delay } = operator.durability else { return None };
         let group_commit = GroupCommit::new(Duration::from_micros(delay.0));
         let deferred = DeferredEffects::default();
-        Some(Self { group_commit, deferred, known_files: 0, origin: Instant::now() })
+        Some(Self { group_commit, deferred, journal_files: 0, origin: Instant::now() })
     }
 
     /// Returns when the group commit has something to do.
@@ -52,7 +52,7 @@
 
     /// Takes note that the journal has begun so many files in all.
     fn note_new_files(&mut self, files: u64) {
-        self.known_files = files;
+        self.journal_files = files;
         self.group_commit.file_replaced();
     }
 
@@ -116,7 +116,7 @@
         let journal = &mut self.messages.journal;
         let now = durable.origin.elapsed();
         durable.group_commit.records_written(journal.last_sequence(), now);
-        if durable.known_files != journal.compactions() {
+        if durable.journal_files != journal.compactions() {
             durable.note_new_files(journal.compactions());
         }
         match durable.group_commit.next_step(now) {
@@ -163,8 +163,8 @@
             .messages
             .iter()
             .all(|message| self.engine.is_call_still_allowed(now, MessageId(message.number), call.endpoint));
-        let known = self.endpoints.get(call.endpoint);
-        let is_reachable = known.is_some_and(|known| known.listed.host_port == call.address);
+        let tracked = self.endpoints.get(call.endpoint);
+        let is_reachable = tracked.is_some_and(|tracked| tracked.listed.address == call.address);
         if is_allowed && is_reachable && Instant::now() < call.expires {
             self.start_call(call);
             return;
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -9,8 +9,8 @@
 
 /// What a process entered the state folder with.
 pub struct Takeover {
-    /// The lock on the state folder, held until a successor has taken over or the process ends; `None` where the folder
-    /// takes no lock, or the predecessor keeps it to its end.
+    /// The lock on the state folder, held until a successor has taken over or the process ends; `None` where
+    /// the folder takes no lock, or the predecessor keeps it to its end.
     pub lock: Option<StateLock>,
     /// The listening socket of the predecessor.
     pub listener: Option<OwnedFd>,
@@ -37,7 +37,7 @@
         let entered = handover::enter(&settings.folder, &*environment.ports.log).await;
         Ok(match entered? {
             StartupMode::Fresh(lock) => Self::alone(lock),
-            StartupMode::Successor(received, lock_file) => Self::from_predecessor(received, lock_file),
+            StartupMode::Successor(received, lock_file) => Self::with_predecessor(received, lock_file),
         })
     }
 
@@ -45,15 +45,15 @@
         Self { lock, listener: None, inheritance: None, link: None }
     }
 
-    fn from_predecessor(received: ReceivedListener, lock_file: Option<UnlockedState>) -> Self {
+    fn with_predecessor(received: ReceivedListener, lock_file: Option<UnlockedState>) -> Self {
         let ReceivedListener { predecessor, listener, lock, inheritance } = received;
         let lock_file = lock_file.filter(|_| lock.is_none());
         let link = Some(PredecessorLink { predecessor, lock_file });
         Self { lock, listener: Some(listener), inheritance: Some(inheritance), link }
     }
 
-    /// Tells the predecessor that this process has taken over, and reads the configuration again whenever the predecessor
-    /// passes on that it was told to.
+    /// Tells the predecessor that this process has taken over, and reads the configuration again whenever the
+    /// predecessor passes on that it was told to.
     pub async fn confirm(&mut self, environment: &Environment) {
         let (Some(link), Some(settings)) = (self.link.take(), &environment.ports.handover) else { return };
         environment.ports.log.line("handover: took over from the predecessor");
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -1,6 +1,7 @@
 //! Trace lines of what passes between a sender and its endpoints, for counts over a whole fleet.
 //!
-//! Traces are off by default: a line for each call is much on a busy day. `micadrum-testkit count` adds the lines up.
+//! Traces are off by default: a line for each call is much on a busy day. `micadrum-testkit count` adds the
+//! lines up.
 use super::endpoint_list::EndpointList;
 use super::journal::FinalOutcome;
 use super::ports::Log;
@@ -86,7 +87,7 @@
 
     /// Traces an endpoint list, or changes to one.
     pub fn endpoint_list(&self, at: Timestamp, list: &EndpointList) {
-        let EndpointList { revision, complete, members, .. } = list;
+        let EndpointList { revision, complete, endpoints: members, .. } = list;
         let (at, entries) = (at.0, members.len());
         self.line(format_args!("trace list at={at} revision={revision} whole={complete} entries={entries}"));
     }
