--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -1,12 +1,16 @@
-//! The list of endpoints: an unbroken watch on the agent of this machine.
+//! Discovery: a long-poll watch of the endpoint list, served by the agent on this machine.
+//!
+//! Each call asks for the changes since the last revision, and is held by the agent until there are some. After a failure,
+//! [`PollSchedule`] decides how long to wait. An agent at another address is asked for the complete list: its revisions
+//! need not continue those of the previous one.
 use super::connection::{CallError, Connection, request};
 use super::endpoint_list::EndpointList;
 use super::events::LoopEvent;
-use super::poll_schedule::{Poll, PollSchedule, PollingTerms};
+use super::poll_schedule::{Poll, PollSchedule, PollScope, PollingTerms};
 use super::ports::{Network, Ports};
 use super::watch_cell::WatchCell;
 use bytes::Bytes;
-use http_body_util::BodyExt;
+use http_body_util::{BodyExt, Limited};
 use hyper::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,91 +33,133 @@
 
 /// Who is asked for the list, and how.
 pub struct Agent {
-    /// Where it is.
+    /// The agent's present address.
     pub address: WatchCell<SocketAddr>,
-    /// On which terms it is asked.
+    /// The present terms on which it is asked.
     pub terms: WatchCell<PollingTerms>,
-    /// The revision from which it is asked to go on first, if any.
-    pub known: Option<u64>,
-    /// No list is longer.
-    pub most_bytes: usize,
+    /// The revision from which it is first asked for changes; none asks for the complete list, which is long, and requested
+    /// by all senders that start together.
+    pub resume_revision: Option<u64>,
+    /// A longer list is rejected.
+    pub max_list_bytes: usize,
 }
 
-/// Watches the list at the agent's present address, for as long as the host listens, first from the revision that is
-/// `known`, if any: the whole list is much, and asked of discovery by all who start together. An agent at another
-/// address is asked for the whole list: its revisions need not follow those of the one before.
-pub async fn watch(agent: Agent, mut asking: PollSchedule, host: UnboundedSender<LoopEvent>, ports: Ports) {
-    let Agent { address: agents, terms, known, most_bytes } = agent;
-    let mut agent = agents.get();
-    let (mut revision, mut connection, mut failing) = (known, None, false);
-    let mut pause = if known.is_some() { asking.first() } else { Duration::ZERO };
+/// The state of the watch.
+struct Watch {
+    /// The agent that is asked.
+    agent: SocketAddr,
+    /// The revision from which it is asked for changes; none asks for the complete list.
+    revision: Option<u64>,
+    connection: Option<Connection>,
+    /// How long to wait before the next call.
+    delay: Duration,
+    /// Whether the last call failed, and was logged.
+    is_failing: bool,
+    schedule: PollSchedule,
+    max_list_bytes: usize,
+}
+
+/// Watches the list for as long as the event loop runs, and sends each answer to the event loop.
+pub async fn watch(
+    agent: Agent,
+    mut schedule: PollSchedule,
+    event_loop: UnboundedSender<LoopEvent>,
+    ports: Ports,
+) {
+    let Agent { address, terms, resume_revision, max_list_bytes } = agent;
+    let delay = if resume_revision.is_some() { schedule.initial_delay() } else { Duration::ZERO };
+    let mut watch = Watch {
+        agent: address.get(),
+        revision: resume_revision,
+        connection: None,
+        delay,
+        is_failing: false,
+        schedule,
+        max_list_bytes,
+    };
     loop {
-        asking.follow(terms.get());
-        let answer = async {
-            if !pause.is_zero() {
-                sleep(pause).await;
-            }
-            let call = asking.call(revision.is_some());
-            let next = next(&*ports.network, agent, revision, call, most_bytes, &mut connection);
-            timeout(call.whole, next).await.unwrap_or(Err(WatchError::Silent))
-        };
+        watch.schedule.set_terms(terms.get());
+        let agent = watch.agent;
         let answer = tokio::select! {
             biased;
-            () = agents.wait_for(|address| address != agent) => {
-                (agent, revision, connection, pause) = (agents.get(), None, None, Duration::ZERO);
+            () = address.wait_for(|address| address != agent) => {
+                watch.switch_agent(address.get());
                 continue;
             }
-            answer = answer => answer,
+            answer = watch.poll(&*ports.network) => answer,
         };
         match answer {
-            Ok(targets) => {
-                (failing, pause) = (false, Duration::ZERO);
-                asking.answered();
-                // An agent that has started anew may count from the start: nothing would be newer than what is known.
-                let follows = targets.complete || revision.is_none_or(|from| targets.revision >= from);
-                revision = follows.then_some(targets.revision);
-                if host.send(LoopEvent::EndpointList(targets)).is_err() {
+            Ok(list) => {
+                watch.record_answer(&list);
+                if event_loop.send(LoopEvent::EndpointList(list)).is_err() {
                     return;
                 }
             }
-            Err(e) => {
-                // One line an outage, not one a call.
-                if !failing {
-                    ports.log.line(&format!("discovery: {e}"));
-                }
-                (failing, connection, pause) = (true, None, asking.failed());
-            }
+            Err(error) => watch.record_failure(&error, &ports),
         }
     }
 }
 
-async fn next(
-    network: &dyn Network,
-    agent: SocketAddr,
-    revision: Option<u64>,
-    call: Poll,
-    most_bytes: usize,
-    kept: &mut Option<Connection>,
-) -> Result<EndpointList, WatchError> {
-    let path = match revision {
-        Some(revision) => format!("/api/targets?from={revision}&hold_ms={}", call.hold.as_millis()),
-        None => "/api/targets".to_owned(),
-    };
-    let (connection, answer) = timeout(call.patience, async {
-        let mut connection = match kept.take() {
-            Some(connection) => connection,
-            None => Connection::open(network, agent, call.patience).await?,
+impl Watch {
+    fn switch_agent(&mut self, agent: SocketAddr) {
+        self.agent = agent;
+        self.revision = None;
+        self.connection = None;
+        self.delay = Duration::ZERO;
+    }
+
+    /// Waits for the delay, and makes one call.
+    async fn poll(&mut self, network: &dyn Network) -> Result<EndpointList, WatchError> {
+        if !self.delay.is_zero() {
+            sleep(self.delay).await;
+        }
+        let scope = if self.revision.is_some() { PollScope::Changes } else { PollScope::CompleteList };
+        let poll = self.schedule.next_poll(scope);
+        timeout(poll.total_timeout, self.request_list(network, poll)).await.unwrap_or(Err(WatchError::Silent))
+    }
+
+    async fn request_list(&mut self, network: &dyn Network, poll: Poll) -> Result<EndpointList, WatchError> {
+        let agent = self.agent;
+        let path = match self.revision {
+            Some(revision) => format!("/api/targets?from={revision}&hold_ms={}", poll.hold.as_millis()),
+            None => "/api/targets".to_owned(),
         };
-        let answer = connection.send(request(Method::GET, &path, agent), Bytes::new(), None).await?;
-        Ok::<_, CallError>((connection, answer))
-    })
-    .await
-    .map_err(|_| WatchError::Silent)??;
-    if !answer.status().is_success() {
-        return Err(WatchError::Status(answer.status()));
+        let cached = self.connection.take();
+        let (connection, answer) = timeout(poll.response_timeout, async {
+            let mut connection = match cached {
+                Some(connection) => connection,
+                None => Connection::open(network, agent, poll.response_timeout).await?,
+            };
+            let answer = connection.send(request(Method::GET, &path, agent), Bytes::new(), None).await?;
+            Ok::<_, CallError>((connection, answer))
+        })
+        .await
+        .map_err(|_| WatchError::Silent)??;
+        if !answer.status().is_success() {
+            return Err(WatchError::Status(answer.status()));
+        }
+        let body = Limited::new(answer.into_body(), self.max_list_bytes).collect().await;
+        let list: EndpointList = serde_json::from_slice(&body.map_err(WatchError::Body)?.to_bytes())?;
+        self.connection = Some(connection);
+        Ok(EndpointList { agent: Some(agent), ..list })
+    }
+
+    fn record_answer(&mut self, list: &EndpointList) {
+        self.is_failing = false;
+        self.delay = Duration::ZERO;
+        self.schedule.record_success();
+        // An agent that was restarted may count from the beginning: no change would be newer than the known revision.
+        let continues = list.complete || self.revision.is_none_or(|known| list.revision >= known);
+        self.revision = continues.then_some(list.revision);
+    }
+
+    fn record_failure(&mut self, error: &WatchError, ports: &Ports) {
+        // One line for each outage, and not for each call.
+        if !self.is_failing {
+            ports.log.line(&format!("discovery: {error}"));
+        }
+        self.is_failing = true;
+        self.connection = None;
+        self.delay = self.schedule.record_failure();
     }
-    let body = http_body_util::Limited::new(answer.into_body(), most_bytes).collect().await;
-    let targets: EndpointList = serde_json::from_slice(&body.map_err(WatchError::Body)?.to_bytes())?;
-    *kept = Some(connection);
-    Ok(EndpointList { agent: Some(agent), ..targets })
 }
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -143,7 +143,7 @@
             self.take_up(resumed);
             if let Some(end) = owed.final_outcome {
                 self.unnoticed += 1;
-                let _ = self.notices.send(Notification { number, id: owed.message.id, end });
+                let _ = self.notices.send(Notification { number, id: owed.message.id, outcome: end });
             }
         }
     }
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -144,7 +144,7 @@
         let booked = self.store.finish(number, end);
         self.booked(booked);
         self.unnoticed += 1;
-        self.act(DeferredEffect::Notice(Notification { number, id, end }));
+        self.act(DeferredEffect::Notice(Notification { number, id, outcome: end }));
     }
 
     /// Nothing more is owed.
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -166,7 +166,12 @@
     let Settings { fleet_size: senders, discovery, rules, .. } = settings;
     let [grace, must_ask_in] =
         [rules.drain_grace, rules.discovery_staleness_limit].map(|span| Duration::from_micros(span.0));
-    PollingTerms { senders: *senders, discovery: *discovery, grace, must_ask_in }
+    PollingTerms {
+        fleet_size: *senders,
+        discovery: *discovery,
+        drain_grace: grace,
+        staleness_limit: must_ask_in,
+    }
 }
 
 impl EventLoop {
--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -1,12 +1,19 @@
-//! How one process of a sender gives its place to the next on the same machine: over a Unix socket in the folder that
-//! lasts, with the listening socket itself, the list, and what the module learned of partners.
+//! Handover: how one process of a sender replaces another on the same machine without closing its listening socket.
 //!
-//! The next process asks. The one at work settles, closes the journal, and gives what it has. Until the other says
-//! that it has taken it, the place is still its own: if the link ends first, the other has ended, and it goes on.
+//! # Protocol
+//! 1. The new process (the successor) connects to a Unix socket in the state folder and sends a hello, whose number is the
+//!    version of all that follows.
+//! 2. The running process (the predecessor) settles its calls, closes the journal, and sends its listening socket, the lock on
+//!    the folder and its [`InheritedState`].
+//! 3. The successor opens the journal and the socket, and confirms. Until then the predecessor remains responsible: if
+//!    the link ends first, the successor has failed, and the predecessor continues.
+//! 4. While it finishes its own connections, the predecessor forwards requests to reload the configuration.
+//!
+//! The messages are a wire format between two versions of this program.
 use super::checkpoint::Checkpoint;
 use super::class_registry::NamedClass;
 use super::ports::{Listener, Log};
-use super::state_lock::{StateLock, UnlockedState};
+use super::state_lock::{LockAttempt, StateLock, UnlockedState};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -22,195 +29,221 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The socket's name in the folder that lasts.
+/// The socket's name in the state folder.
 const NAME: &str = "handover.sock";
-/// What a successor says first. The number is the version of all that follows.
+/// The first message of a successor.
 const HELLO: &[u8; 19] = b"micadrum handover 2";
-/// What it says once the place is its own.
-const TAKEN: u8 = b'T';
-/// What the process before says to it from then on: it was told to read its configuration again.
+/// The successor's confirmation.
+const CONFIRMED: u8 = b'T';
+/// A request to reload the configuration, which the predecessor received and forwards.
 const RELOAD: u8 = b'R';
-/// Between two looks at a process that is about to begin or to end.
-const LOOK: Duration = Duration::from_millis(20);
-/// A link that says nothing for so long at its start is none.
-const HELLO_PATIENCE: Duration = Duration::from_millis(500);
-/// The process at work settles within a second; the platform gives the next one 6 s to be ready.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// No inheritance is longer, in bytes.
-const MOST: u64 = 32 << 20;
+/// How often a process that is about to start or to end is tried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// A connection is closed that does not send the hello within this time.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
+/// The predecessor settles within a second; the platform gives the successor 6 s to become ready.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// A successor rejects a longer inherited state.
+const MAX_STATE_BYTES: u64 = 32 << 20;
+/// Descriptors in one message: the listening socket and the lock.
+const MAX_DESCRIPTORS: usize = 2;
 
-/// What one process leaves to the next, beside the journal.
+/// What one process leaves to the next, beside the journal. Sent by position: fields must not be reordered.
 #[derive(Default, Serialize, Deserialize)]
 pub struct InheritedState {
-    /// What it heard and learned, as it would leave it to a process after a restart.
+    /// What the process would also leave to a process after a restart.
     pub checkpoint: Checkpoint,
-    /// All classes that its messages may be of.
+    /// All classes that a pending message may have.
     pub classes: Vec<NamedClass>,
 }
 
-/// Why a place could not be taken.
+/// Why a process could not take over.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The process at work did not give it.
+    /// The running process answered the request, and did not hand over in time.
     #[error("the process at work did not give up its place within 5 s")]
     Late,
-    /// One holds the folder, and cannot be asked.
+    /// Another process holds the lock on the folder, and does not accept the request.
     #[error("another process is at work in this folder, and did not answer within 5 s")]
     Held,
-    /// The link broke.
+    /// The link to the running process broke.
     #[error("the link to the process at work: {0}")]
     Link(#[from] io::Error),
-    /// What came cannot be read.
+    /// The running process sent something that cannot be read.
     #[error("what the process at work left cannot be read: {0}")]
-    Unreadable(String),
+    Unreadable(#[from] UnreadableState),
+}
+
+/// Which part of a handover cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum UnreadableState {
+    /// The length of the state is incomplete.
+    #[error("its length")]
+    Length,
+    /// The message has no descriptor.
+    #[error("the listening socket")]
+    ListenerMissing,
+    /// The state is longer than a successor accepts.
+    #[error("a length beyond all bounds")]
+    TooLong,
+    /// The state cannot be deserialized.
+    #[error(transparent)]
+    Content(#[from] postcard::Error),
 }
 
-/// The link to the process whose place is taken.
+/// The link to the predecessor, before this process has confirmed.
 pub struct Predecessor(UnixStream);
 
-/// The same once its place is this one's, for as long as it runs.
-pub struct Follows(UnixStream);
+/// The link to the predecessor after that, for as long as the predecessor runs.
+pub struct ConfirmedPredecessor(UnixStream);
 
-/// The link to the process that takes this one's place.
+/// The link to the successor.
 pub struct Successor(UnixStream);
 
-/// What the next process starts with.
+/// What a successor starts with.
 pub struct ReceivedListener {
-    /// The link, until the place is its own.
+    /// The link on which to confirm.
     pub predecessor: Predecessor,
     /// The listening socket.
     pub listener: OwnedFd,
-    /// The lock on the folder; none from a process that had none, or of a version that keeps it.
+    /// The lock on the folder; none from a predecessor that has none, or of a version that does not send it.
     pub lock: Option<StateLock>,
-    /// And the rest.
-    pub inheritance: InheritedState,
+    /// The predecessor's state.
+    pub state: InheritedState,
 }
 
-/// How a process comes to its place.
+/// How a process starts.
 pub enum StartupMode {
-    /// Nobody is at work in the folder; none where it takes no lock.
+    /// No other process is running. Without a lock if the folder cannot be locked.
     Fresh(Option<StateLock>),
-    /// From the process at work, and the lock once that has ended.
+    /// Another process handed over. The file is for the lock, which is free once that process has ended.
     Successor(ReceivedListener, Option<UnlockedState>),
 }
 
-/// Takes the place of the process at work in that folder, or begins alone if there is none. One that is about to begin or
-/// to end is waited for.
+/// Takes over from the process that runs in the folder, or finds that there is none. A process that is about to start or to
+/// end is waited for.
 ///
 /// # Errors
-/// One is at work, and does not give its place up.
-pub async fn enter(folder: &Path, log: &dyn Log) -> Result<StartupMode, HandoverError> {
-    let mut file = UnlockedState::in_folder(folder).map_err(|e| unlocked(&e, log)).ok();
-    let late = Instant::now() + PATIENCE;
+/// Another process is running and does not hand over.
+pub async fn start_up(folder: &Path, log: &dyn Log) -> Result<StartupMode, HandoverError> {
+    let mut lock_file = UnlockedState::open(folder).map_err(|error| log_unlocked(&error, log)).ok();
+    let deadline = Instant::now() + HANDOVER_TIMEOUT;
     loop {
-        if let Some(taken) = ask(folder).await? {
-            return Ok(StartupMode::Successor(taken, file));
+        if let Some(received) = request_handover(folder).await? {
+            return Ok(StartupMode::Successor(received, lock_file));
         }
-        let Some(free) = file else { return Ok(StartupMode::Fresh(None)) };
-        match free.lock() {
-            Ok(Ok(lock)) => return Ok(StartupMode::Fresh(Some(lock))),
-            Ok(Err(held)) => file = Some(held),
-            Err(e) => {
-                unlocked(&e, log);
+        let Some(unlocked) = lock_file else { return Ok(StartupMode::Fresh(None)) };
+        match unlocked.try_lock() {
+            Ok(LockAttempt::Locked(lock)) => return Ok(StartupMode::Fresh(Some(lock))),
+            Ok(LockAttempt::HeldElsewhere(unlocked)) => lock_file = Some(unlocked),
+            Err(error) => {
+                log_unlocked(&error, log);
                 return Ok(StartupMode::Fresh(None));
             }
         }
-        if Instant::now() >= late {
+        if Instant::now() >= deadline {
             return Err(HandoverError::Held);
         }
-        sleep(LOOK).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// A folder that cannot be locked costs only this.
-fn unlocked(error: &io::Error, log: &dyn Log) {
+/// A folder that cannot be locked is used without a lock.
+fn log_unlocked(error: &io::Error, log: &dyn Log) {
     log.line(&format!("no lock guards the folder against a second process: {error}"));
 }
 
-/// Asks for the place of the process at work in that folder; none if there is none.
-async fn ask(folder: &Path) -> Result<Option<ReceivedListener>, HandoverError> {
-    // A socket that nobody listens at was left by a process that ended.
+/// Asks the process that runs in the folder to hand over; none if no process runs there.
+async fn request_handover(folder: &Path) -> Result<Option<ReceivedListener>, HandoverError> {
+    // A socket on which nobody listens was left by a process that ended.
     let Ok(mut stream) = UnixStream::connect(folder.join(NAME)).await else { return Ok(None) };
     stream.write_all(HELLO).await?;
-    let given = timeout(PATIENCE, receive(&mut stream)).await.map_err(|_| HandoverError::Late)?;
-    let (listener, lock, inheritance) = given?;
-    Ok(Some(ReceivedListener { predecessor: Predecessor(stream), listener, lock, inheritance }))
+    let received = timeout(HANDOVER_TIMEOUT, receive(stream)).await;
+    received.map_err(|_| HandoverError::Late)?.map(Some)
 }
 
-async fn receive(
-    stream: &mut UnixStream,
-) -> Result<(OwnedFd, Option<StateLock>, InheritedState), HandoverError> {
-    let unreadable = |what: &str| HandoverError::Unreadable(what.to_owned());
+async fn receive(mut stream: UnixStream) -> Result<ReceivedListener, HandoverError> {
     let mut length = [0; 8];
-    let mut given = Vec::new();
-    let read = stream.async_io(Interest::READABLE, || {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-        let mut control = RecvAncillaryBuffer::new(&mut space);
-        let into = &mut [IoSliceMut::new(&mut length)];
-        let read = recvmsg(&*stream, into, &mut control, RecvFlags::CMSG_CLOEXEC)?.bytes;
-        for message in control.drain() {
-            if let RecvAncillaryMessage::ScmRights(fds) = message {
-                given.extend(fds);
-            }
-        }
-        Ok(read)
-    });
+    let mut descriptors = Vec::new();
+    let read = stream
+        .async_io(Interest::READABLE, || receive_with_descriptors(&stream, &mut length, &mut descriptors));
     if read.await? != length.len() {
-        return Err(unreadable("its length"));
+        return Err(UnreadableState::Length.into());
+    }
+    let mut descriptors = descriptors.into_iter();
+    let listener = descriptors.next().ok_or(UnreadableState::ListenerMissing)?;
+    let lock = descriptors.next().map(StateLock::from);
+    let length = u64::from_le_bytes(length);
+    if length > MAX_STATE_BYTES {
+        return Err(UnreadableState::TooLong.into());
     }
-    let mut given = given.into_iter();
-    let fd = given.next().ok_or_else(|| unreadable("the listening socket"))?;
-    let lock = given.next().map(StateLock::from);
-    let length = Some(u64::from_le_bytes(length)).filter(|length| *length <= MOST);
-    let mut bytes = vec![0; length.ok_or_else(|| unreadable("a length beyond all bounds"))? as usize];
+    let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await?;
-    let inheritance = postcard::from_bytes(&bytes).map_err(|e| HandoverError::Unreadable(e.to_string()))?;
-    Ok((fd, lock, inheritance))
+    let state = postcard::from_bytes(&bytes).map_err(UnreadableState::from)?;
+    Ok(ReceivedListener { predecessor: Predecessor(stream), listener, lock, state })
+}
+
+/// Reads into `buffer`, and adds the descriptors that come with the bytes. Returns the number of bytes.
+fn receive_with_descriptors(
+    stream: &UnixStream,
+    buffer: &mut [u8],
+    descriptors: &mut Vec<OwnedFd>,
+) -> io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
+    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let buffers = &mut [IoSliceMut::new(buffer)];
+    let read = recvmsg(stream, buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?.bytes;
+    for message in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(received) = message {
+            descriptors.extend(received);
+        }
+    }
+    Ok(read)
 }
 
 impl Predecessor {
-    /// From now on the place is this process's. One that has ended meanwhile need not hear it.
-    pub async fn taken(mut self) -> Follows {
-        let _ = self.0.write_all(&[TAKEN]).await;
-        Follows(self.0)
+    /// Confirms the handover: this process is responsible from now on. A predecessor that has ended meanwhile need not know.
+    pub async fn confirm(mut self) -> ConfirmedPredecessor {
+        let _ = self.0.write_all(&[CONFIRMED]).await;
+        ConfirmedPredecessor(self.0)
     }
 }
 
-impl Follows {
-    /// Has the configuration read again: now, as the process before may have been told to while it gave its place up, at
-    /// each such word that it passes on, and at its end, with which the last word may have been lost.
-    pub async fn reloads(mut self, reread: Rc<dyn Fn()>) {
-        reread();
-        let mut word = [0];
-        while self.0.read_exact(&mut word).await.is_ok() {
-            if word[0] == RELOAD {
-                reread();
+impl ConfirmedPredecessor {
+    /// Calls `reload` now, as the predecessor may have been told to reload during the handover; at each request that the
+    /// predecessor forwards; and at the predecessor's end, with which the last request may have been lost.
+    pub async fn follow_reloads(mut self, reload: Rc<dyn Fn()>) {
+        reload();
+        let mut message = [0];
+        while self.0.read_exact(&mut message).await.is_ok() {
+            if message[0] == RELOAD {
+                reload();
             }
         }
-        reread();
+        reload();
     }
 }
 
 impl Successor {
-    /// Gives what there is.
+    /// Sends the listening socket, the lock and the state.
     ///
     /// # Errors
-    /// The link is broken, or the listener is none that can be given.
-    pub async fn give(
+    /// The link is broken, or the listener has no descriptor that can be sent.
+    pub async fn hand_over(
         &mut self,
         listener: &dyn Listener,
         lock: Option<&StateLock>,
-        inheritance: &InheritedState,
+        state: &InheritedState,
     ) -> io::Result<()> {
-        let bytes = postcard::to_allocvec(inheritance).map_err(io::Error::other)?;
+        let bytes = postcard::to_allocvec(state).map_err(io::Error::other)?;
         let length = (bytes.len() as u64).to_le_bytes();
-        let fd = listener.as_fd().ok_or(io::ErrorKind::Unsupported)?;
+        let listener = listener.as_fd().ok_or(io::ErrorKind::Unsupported)?;
         let sent = self.0.async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
-            // One of an earlier version takes the first and leaves the rest.
-            let fds: Vec<_> = [fd].into_iter().chain(lock.map(AsFd::as_fd)).collect();
-            if !control.push(SendAncillaryMessage::ScmRights(&fds)) {
+            // A successor of an earlier version takes the first descriptor and ignores the second.
+            let descriptors: Vec<_> = [listener].into_iter().chain(lock.map(AsFd::as_fd)).collect();
+            if !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
                 return Err(io::ErrorKind::OutOfMemory.into());
             }
             Ok(sendmsg(&self.0, &[IoSlice::new(&length)], &mut control, SendFlags::NOSIGNAL)?)
@@ -221,37 +254,37 @@
         self.0.write_all(&bytes).await
     }
 
-    /// Passes on that this process was told to read its configuration again. One that has ended need not hear it.
-    pub async fn reload(&mut self) {
-        let _ = self.0.write_all(&[RELOAD]).await;
+    /// Waits for the successor's confirmation, and returns whether it came: if not, the successor has ended.
+    pub async fn wait_for_confirmation(&mut self) -> bool {
+        let mut message = [0];
+        self.0.read_exact(&mut message).await.is_ok() && message[0] == CONFIRMED
     }
 
-    /// Waits until the place is the other's; false if the other has ended instead.
-    pub async fn taken(&mut self) -> bool {
-        let mut word = [0];
-        self.0.read_exact(&mut word).await.is_ok() && word[0] == TAKEN
+    /// Forwards a request to reload the configuration. A successor that has ended need not know.
+    pub async fn forward_reload(&mut self) {
+        let _ = self.0.write_all(&[RELOAD]).await;
     }
 }
 
-/// Listens for the next process for as long as this one runs, and says when one has `asked` for its place; a folder that
-/// takes no socket costs only this.
-pub async fn listen(folder: PathBuf, asked: impl Fn(Successor), log: Rc<dyn Log>) {
+/// Listens for successors for as long as this process runs, and calls `on_request` with each. If the folder takes no socket,
+/// the only consequence is that there is no handover.
+pub async fn listen(folder: PathBuf, on_request: impl Fn(Successor), log: Rc<dyn Log>) {
     let path = folder.join(NAME);
-    // That of an earlier process: nobody listens there any more.
+    // A socket of an earlier process, on which nobody listens any more.
     let _ = std::fs::remove_file(&path);
     let listener = match UnixListener::bind(&path) {
         Ok(listener) => listener,
-        Err(e) => return log.line(&format!("no handover to a next process: {NAME}: {e}")),
+        Err(error) => return log.line(&format!("no handover to a next process: {NAME}: {error}")),
     };
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            sleep(HELLO_PATIENCE).await;
+            sleep(HELLO_TIMEOUT).await;
             continue;
         };
         let mut hello = [0; HELLO.len()];
-        let heard = timeout(HELLO_PATIENCE, stream.read_exact(&mut hello)).await;
-        if heard.is_ok_and(|read| read.is_ok()) && hello == *HELLO {
-            asked(Successor(stream));
+        let read = timeout(HELLO_TIMEOUT, stream.read_exact(&mut hello)).await;
+        if read.is_ok_and(|read| read.is_ok()) && hello == *HELLO {
+            on_request(Successor(stream));
         } else {
             log.line("handover: a caller that is no micadrum of this version was turned away");
         }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -169,11 +169,10 @@
     // Kept until the place is another's, or this process ends.
     let mut lock = None;
     if let Some(succession) = &ports.handover {
-        match handover::enter(&succession.folder, &*ports.log).await? {
+        match handover::start_up(&succession.folder, &*ports.log).await? {
             StartupMode::Fresh(held) => lock = held,
             StartupMode::Successor(taken, file) => {
-                let ReceivedListener { predecessor: before, listener, lock: given, inheritance: left } =
-                    taken;
+                let ReceivedListener { predecessor: before, listener, lock: given, state: left } = taken;
                 let file = file.filter(|_| given.is_none());
                 (predecessor, inheritance, adopted) = (Some((before, file)), Some(left), Some(listener));
                 lock = given;
@@ -220,7 +219,8 @@
         let mut with_platform = JoinSet::new();
         let (terms, known) = (host.terms(), host.asks_from());
         let asking = PollSchedule::new(terms.get(), seed);
-        let agent = Agent { address: platform.clone(), terms, known, most_bytes: budget.list };
+        let agent =
+            Agent { address: platform.clone(), terms, resume_revision: known, max_list_bytes: budget.list };
         let watch = discovery::watch(agent, asking, inputs.clone(), ports.clone());
         with_platform.spawn_local(watch);
         with_platform.spawn_local(notifications::run(platform.clone(), queue, inputs.clone(), ports.clone()));
@@ -246,12 +246,12 @@
         }
         if let (Some((before, file)), Some(succession)) = (predecessor.take(), &ports.handover) {
             ports.log.line("took the place of the process before");
-            let follows = before.taken().await;
-            spawn_local(follows.reloads(succession.reread.clone()));
+            let follows = before.confirm().await;
+            spawn_local(follows.follow_reloads(succession.reread.clone()));
             if let Some(file) = file {
                 // One that keeps its lock until it has ended; then this one's, as long as it runs.
                 spawn_local(async move {
-                    let _lock = file.locked().await;
+                    let _lock = file.lock().await;
                     pending::<()>().await;
                 });
             }
@@ -271,11 +271,11 @@
         let (mut reload, mut wind_down) = (None, None);
         let taken = {
             let mut given = pin!(async {
-                let gave = successor.give(&*listener, lock.as_ref(), &left).await;
+                let gave = successor.hand_over(&*listener, lock.as_ref(), &left).await;
                 if let Err(e) = &gave {
                     ports.log.line(&format!("handover: {e}"));
                 }
-                gave.is_ok() && successor.taken().await
+                gave.is_ok() && successor.wait_for_confirmation().await
             });
             loop {
                 match stand_by(&mut from_all, &last, given.as_mut()).await {
@@ -293,7 +293,7 @@
             drop((peers, lock));
             doors.set(ListenerState::HandedOver);
             if reload.is_some() {
-                successor.reload().await;
+                successor.forward_reload().await;
             }
             // Until the last client that is still here has been passed on.
             let mut server = pin!(server);
@@ -301,7 +301,7 @@
                 match stand_by(&mut from_all, &last, server.as_mut()).await {
                     StandbyOutcome::Done(_) => return Ok(()),
                     StandbyOutcome::Told(LoopEvent::Shutdown(_)) => {}
-                    StandbyOutcome::Told(_) => successor.reload().await,
+                    StandbyOutcome::Told(_) => successor.forward_reload().await,
                 }
             }
         }
--- a/src/daemon/notifications/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -1,4 +1,7 @@
-//! Notices to the platform: how messages ended that were taken on and not delivered. What goes when is decided in [`owed`].
+//! Notifications to the platform: the final outcomes of messages that were accepted and not delivered.
+//!
+//! Notifications are sent in batches, each until the platform has answered it with 204, also at another address.
+//! [`queue`] decides what is sent when; this module makes the calls.
 mod queue;
 
 use super::connection::{CallError, Connection, request};
@@ -9,25 +12,29 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::{Method, StatusCode};
-use queue::{MOST_LINES, NotificationQueue};
+use queue::{Batch, MAX_BATCH_NOTIFICATIONS, NotificationQueue};
 use serde::Serialize;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// The platform answers at once: past this it is asked again on a new connection.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// The platform answers at once: after this time it is called again on a new connection.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The end of one message.
+/// The final outcome of one message.
 pub struct Notification {
+    /// The message's number in the journal.
     pub number: u32,
+    /// The message's id.
     pub id: String,
-    pub end: FinalOutcome,
+    pub outcome: FinalOutcome,
 }
 
+/// A notification as the platform reads it.
 #[derive(Serialize)]
 struct Line<'a> {
     id: &'a str,
@@ -48,102 +55,145 @@
     Moved,
 }
 
-/// Sends what comes in, batched, and each notice until it is answered with 204, also at another address.
+/// Sends the notifications that come from `incoming`, and reports the acknowledged ones to the event loop. Returns once the
+/// event loop has ended, or `incoming` is closed and nothing is pending.
 pub async fn run(
     platforms: WatchCell<SocketAddr>,
-    mut queue: UnboundedReceiver<Notification>,
-    host: UnboundedSender<LoopEvent>,
+    mut incoming: UnboundedReceiver<Notification>,
+    event_loop: UnboundedSender<LoopEvent>,
     ports: Ports,
 ) {
-    let mut owed = NotificationQueue::default();
-    let mut connection = None;
-    let mut reached = platforms.get();
+    let connected_platform = platforms.get();
+    let queue = NotificationQueue::default();
+    let mut notifier = Notifier { platforms, connected_platform, connection: None, queue, event_loop, ports };
     loop {
-        let mut new = Vec::new();
-        while new.len() < owed.room()
-            && let Ok(notice) = queue.try_recv()
-        {
-            new.push(notice);
-        }
-        owed.add(new);
-        let Some(batch) = owed.next(Instant::now()) else {
-            let due = owed.due();
-            let mut new = Vec::new();
-            tokio::select! {
-                biased;
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
-                // What is due still is this task's to send, also once nobody brings more.
-                taken = queue.recv_many(&mut new, MOST_LINES) => match due {
-                    None if taken == 0 => return,
-                    Some(due) if taken == 0 => sleep_until(due).await,
-                    _ => owed.add(new),
-                },
-            }
-            continue;
+        notifier.take_incoming(&mut incoming);
+        let next = match notifier.queue.pop_ready(Instant::now()) {
+            Some(batch) => notifier.send(batch).await,
+            None => notifier.wait(&mut incoming).await,
         };
-        let platform = platforms.get();
-        if std::mem::replace(&mut reached, platform) != platform {
-            connection = None;
+        if next.is_break() {
+            return;
+        }
+    }
+}
+
+/// The state of the task.
+struct Notifier {
+    /// The platform's present address.
+    platforms: WatchCell<SocketAddr>,
+    /// The address that `connection` leads to.
+    connected_platform: SocketAddr,
+    connection: Option<Connection>,
+    queue: NotificationQueue,
+    event_loop: UnboundedSender<LoopEvent>,
+    ports: Ports,
+}
+
+impl Notifier {
+    /// Adds what has come in to the next call, as far as that has capacity.
+    fn take_incoming(&mut self, incoming: &mut UnboundedReceiver<Notification>) {
+        let mut notifications = Vec::new();
+        while notifications.len() < self.queue.capacity()
+            && let Ok(notification) = incoming.try_recv()
+        {
+            notifications.push(notification);
         }
-        let sent = tokio::select! {
+        self.queue.push(notifications);
+    }
+
+    /// Waits until a notification comes in, or one is to be sent again.
+    async fn wait(&mut self, incoming: &mut UnboundedReceiver<Notification>) -> ControlFlow<()> {
+        let retry_at = self.queue.next_retry();
+        let mut notifications = Vec::new();
+        tokio::select! {
             biased;
-            () = platforms.wait_for(|address| address != platform) => Ok(Err(NotificationError::Moved)),
-            sent = timeout(PATIENCE, post(&*ports.network, platform, &batch.notices, &mut connection)) => sent,
-        };
-        match sent.unwrap_or(Err(NotificationError::Silent)) {
+            () = sleep_until(retry_at.unwrap_or_else(Instant::now)), if retry_at.is_some() => {}
+            // A closed channel ends the task only once nothing is left to be sent again.
+            received = incoming.recv_many(&mut notifications, MAX_BATCH_NOTIFICATIONS) => match retry_at {
+                None if received == 0 => return ControlFlow::Break(()),
+                Some(retry_at) if received == 0 => sleep_until(retry_at).await,
+                _ => self.queue.push(notifications),
+            },
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Sends one batch, and reports it or returns it to the queue.
+    async fn send(&mut self, batch: Batch) -> ControlFlow<()> {
+        match self.call(&batch.notifications).await {
             Ok(()) => {
-                let numbers = batch.notices.iter().map(|n| n.number).collect();
-                if host.send(LoopEvent::NotificationsAcknowledged(numbers)).is_err() {
-                    return;
+                let numbers = batch.notifications.iter().map(|notification| notification.number).collect();
+                if self.event_loop.send(LoopEvent::NotificationsAcknowledged(numbers)).is_err() {
+                    return ControlFlow::Break(());
                 }
             }
             Err(NotificationError::Status(StatusCode::BAD_REQUEST)) => {
-                if let Some(id) = owed.turned_away(batch, Instant::now()) {
+                if let Some(id) = self.queue.reject(batch, Instant::now()) {
                     let what = "the platform cannot read it (status 400)";
-                    ports.log.line(&format!("notices: the end of {id:?}: {what}; it goes again by itself"));
+                    self.ports
+                        .log
+                        .line(&format!("notices: the end of {id:?}: {what}; it goes again by itself"));
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
-            Err(e) => {
-                ports.log.line(&format!("notices: {e}; {} go again", batch.notices.len()));
-                owed.again(batch);
-                connection = None;
-                sleep(PAUSE).await;
+            Err(error) => {
+                self.ports.log.line(&format!("notices: {error}; {} go again", batch.notifications.len()));
+                self.queue.requeue(batch);
+                self.connection = None;
+                sleep(RETRY_DELAY).await;
             }
         }
+        ControlFlow::Continue(())
+    }
+
+    async fn call(&mut self, notifications: &[Notification]) -> Result<(), NotificationError> {
+        let platform = self.platforms.get();
+        if std::mem::replace(&mut self.connected_platform, platform) != platform {
+            self.connection = None;
+        }
+        let network = &*self.ports.network;
+        let call = timeout(CALL_TIMEOUT, post(network, platform, notifications, &mut self.connection));
+        tokio::select! {
+            biased;
+            () = self.platforms.wait_for(|address| address != platform) => Err(NotificationError::Moved),
+            result = call => result.unwrap_or(Err(NotificationError::Silent)),
+        }
     }
 }
 
-fn lines(notices: &[Notification]) -> Bytes {
+/// Returns the body of a call: a JSON object a line.
+fn body(notifications: &[Notification]) -> Bytes {
     let mut text = Vec::new();
-    for notice in notices {
-        let (state, after_ms) = match notice.end {
+    for notification in notifications {
+        let (state, after_ms) = match notification.outcome {
             FinalOutcome::Failed => ("failed", None),
-            FinalOutcome::Returned(after) => ("returned", after),
+            FinalOutcome::Returned(after_ms) => ("returned", after_ms),
         };
-        // Strings and numbers always have a JSON form, and a Vec takes any text.
-        let _ = serde_json::to_writer(&mut text, &Line { id: &notice.id, state, after_ms });
+        // Strings and numbers always have a JSON form, and writing to a Vec cannot fail.
+        let _ = serde_json::to_writer(&mut text, &Line { id: &notification.id, state, after_ms });
         text.push(b'\n');
     }
     text.into()
 }
 
+/// Makes one call on the cached connection or a new one. The connection is cached again if the answer was complete.
 async fn post(
     network: &dyn Network,
     platform: SocketAddr,
-    notices: &[Notification],
-    kept: &mut Option<Connection>,
+    notifications: &[Notification],
+    cached: &mut Option<Connection>,
 ) -> Result<(), NotificationError> {
-    // A notice does no harm twice: one that met a stale connection just goes again.
-    let mut connection = match kept.take() {
+    // Notifications are idempotent: one that met a stale connection is sent again.
+    let mut connection = match cached.take() {
         Some(connection) => connection,
-        None => Connection::open(network, platform, PATIENCE).await?,
+        None => Connection::open(network, platform, CALL_TIMEOUT).await?,
     };
-    let answer =
-        connection.send(request(Method::POST, "/v1/notices", platform), lines(notices), None).await?;
+    let head = request(Method::POST, "/v1/notices", platform);
+    let answer = connection.send(head, body(notifications), None).await?;
     let status = answer.status();
     if answer.into_body().collect().await.is_ok() {
-        *kept = Some(connection);
+        *cached = Some(connection);
     }
     if status == StatusCode::NO_CONTENT { Ok(()) } else { Err(NotificationError::Status(status)) }
 }
--- a/src/daemon/notifications/queue.rs
+++ b/src/daemon/notifications/queue.rs
@@ -1,92 +1,93 @@
-//! Which notices go next, and together; no I/O, no clock.
+//! Which notifications are sent next, and together. No I/O and no clock.
 //!
-//! Those that the platform says it cannot read hold up no others: a call that is turned away is divided, until the one that
-//! it is about stands alone. That one is owed as before, and goes again by itself, ever less often.
+//! A notification that the platform rejects as unreadable delays no others: a rejected batch is divided until the notification
+//! that is the cause is alone. That one stays pending, and is sent again by itself, with growing pauses.
 use super::Notification;
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Notices in one call, which keeps its body under 64 KiB.
-pub const MOST_LINES: usize = 256;
-/// Pause after which a notice goes again that was turned away alone; doubled each time ...
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Notifications in one call, which keeps the call's body under 64 KiB.
+pub const MAX_BATCH_NOTIFICATIONS: usize = 256;
+/// Pause before a notification is sent again that was rejected alone; doubled each time ...
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// ... up to this.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// One that was turned away alone.
-struct Refused {
-    notice: Notification,
-    pause: Duration,
-    again: Instant,
+/// A notification that was rejected alone.
+struct RejectedNotification {
+    notification: Notification,
+    backoff: Duration,
+    retry_at: Instant,
 }
 
-/// What goes in one call.
+/// The content of one call.
 #[derive(Default)]
 pub struct Batch {
-    pub notices: Vec<Notification>,
-    /// The pause before it, where it had been turned away alone.
-    pause: Option<Duration>,
+    pub notifications: Vec<Notification>,
+    /// The pause before this call, if the batch is a notification that was rejected alone.
+    backoff: Option<Duration>,
 }
 
-/// The notices in hand.
+/// The pending notifications.
 #[derive(Default)]
 pub struct NotificationQueue {
-    /// Parts of a call that was turned away, or what goes again as it was.
+    /// New notifications, parts of a rejected batch, and batches that are sent again as they were.
     batches: VecDeque<Batch>,
-    /// Soonest last.
-    refused: Vec<Refused>,
+    /// The next one last.
+    rejected: Vec<RejectedNotification>,
 }
 
 impl NotificationQueue {
-    /// How many more may be taken in for the next call.
-    pub fn room(&self) -> usize {
-        if self.batches.is_empty() { MOST_LINES } else { 0 }
+    /// Returns how many more notifications may be added to the next call.
+    pub fn capacity(&self) -> usize {
+        if self.batches.is_empty() { MAX_BATCH_NOTIFICATIONS } else { 0 }
     }
 
-    /// Takes in what is new; no more than there is room for.
-    pub fn add(&mut self, notices: Vec<Notification>) {
-        if !notices.is_empty() {
-            self.batches.push_back(Batch { notices, pause: None });
+    /// Adds new notifications, no more than there is capacity for.
+    pub fn push(&mut self, notifications: Vec<Notification>) {
+        if !notifications.is_empty() {
+            self.batches.push_back(Batch { notifications, backoff: None });
         }
     }
 
-    /// What goes now.
-    pub fn next(&mut self, now: Instant) -> Option<Batch> {
+    /// Removes the batch that is to be sent `now`, if there is one.
+    pub fn pop_ready(&mut self, now: Instant) -> Option<Batch> {
         self.batches.pop_front().or_else(|| {
-            self.refused.last().filter(|refused| refused.again <= now)?;
-            let Refused { notice, pause, .. } = self.refused.pop()?;
-            Some(Batch { notices: vec![notice], pause: Some(pause) })
+            self.rejected.last().filter(|rejected| rejected.retry_at <= now)?;
+            let RejectedNotification { notification, backoff, .. } = self.rejected.pop()?;
+            Some(Batch { notifications: vec![notification], backoff: Some(backoff) })
         })
     }
 
-    /// When something goes that does not go now.
-    pub fn due(&self) -> Option<Instant> {
-        self.refused.last().map(|refused| refused.again)
+    /// Returns when a rejected notification is to be sent again.
+    pub fn next_retry(&self) -> Option<Instant> {
+        self.rejected.last().map(|rejected| rejected.retry_at)
     }
 
-    /// A call could not be made, or was not answered in a way that says anything of what it held: it goes again.
-    pub fn again(&mut self, batch: Batch) {
+    /// Returns a batch to the queue whose call failed, or was answered in a way that says nothing about its content.
+    pub fn requeue(&mut self, batch: Batch) {
         self.batches.push_front(batch);
     }
 
-    /// A call was turned away for what it held. The id, where that is one notice alone, and it was alone for the first time.
-    pub fn turned_away(&mut self, batch: Batch, now: Instant) -> Option<String> {
-        let Batch { mut notices, pause } = batch;
-        if notices.len() > 1 {
-            let second = notices.split_off(notices.len() / 2);
-            for notices in [second, notices] {
-                self.batches.push_front(Batch { notices, pause: None });
+    /// Returns a batch to the queue that was rejected for its content. Returns the message's id if the batch is a single
+    /// notification that is alone for the first time.
+    pub fn reject(&mut self, batch: Batch, now: Instant) -> Option<String> {
+        let Batch { mut notifications, backoff } = batch;
+        if notifications.len() > 1 {
+            let second_half = notifications.split_off(notifications.len() / 2);
+            for notifications in [second_half, notifications] {
+                self.batches.push_front(Batch { notifications, backoff: None });
             }
             return None;
         }
-        let notice = notices.pop()?;
-        let said = pause.is_none().then(|| notice.id.clone());
-        let pause = pause.map_or(FIRST_PAUSE, |pause| (2 * pause).min(LONGEST_PAUSE));
-        let again = now + pause;
-        let place = self.refused.partition_point(|refused| refused.again > again);
-        self.refused.insert(place, Refused { notice, pause, again });
-        said
+        let notification = notifications.pop()?;
+        let newly_isolated = backoff.is_none().then(|| notification.id.clone());
+        let backoff = backoff.map_or(MIN_BACKOFF, |previous| (2 * previous).min(MAX_BACKOFF));
+        let retry_at = now + backoff;
+        let index = self.rejected.partition_point(|rejected| rejected.retry_at > retry_at);
+        self.rejected.insert(index, RejectedNotification { notification, backoff, retry_at });
+        newly_isolated
     }
 }
 
--- a/src/daemon/notifications/queue/tests.rs
+++ b/src/daemon/notifications/queue/tests.rs
@@ -1,56 +1,60 @@
 use super::*;
 use crate::daemon::journal::FinalOutcome;
 
-fn notices(numbers: std::ops::Range<u32>) -> Vec<Notification> {
-    let notice = |number: u32| Notification { number, id: format!("m{number}"), end: FinalOutcome::Failed };
-    numbers.map(notice).collect()
+fn notifications(numbers: std::ops::Range<u32>) -> Vec<Notification> {
+    let notification =
+        |number: u32| Notification { number, id: format!("m{number}"), outcome: FinalOutcome::Failed };
+    numbers.map(notification).collect()
 }
 
-/// Guards against notices that go again for ever behind one that the platform cannot read, one that is told as ended
-/// without its word, and calls without a pause about it.
+/// Guards against notifications that are sent again for ever behind one that the platform cannot read, against one that
+/// counts as acknowledged although it was not, and against calls without a pause for it.
 #[test]
-fn what_is_turned_away_holds_up_no_others() {
+fn rejected_notification_delays_no_others() {
     let now = Instant::now();
     for bad in [vec![], vec![0], vec![17], vec![3, 4, 99]] {
-        let mut owed = NotificationQueue::default();
-        owed.add(notices(0..100));
-        let (mut told, mut named, mut calls) = (Vec::new(), Vec::new(), 0);
-        while let Some(batch) = owed.next(now) {
+        let mut queue = NotificationQueue::default();
+        queue.push(notifications(0..100));
+        let (mut sent, mut isolated, mut calls) = (Vec::new(), Vec::new(), 0);
+        while let Some(batch) = queue.pop_ready(now) {
             calls += 1;
-            if batch.notices.iter().any(|notice| bad.contains(&notice.number)) {
-                named.extend(owed.turned_away(batch, now));
+            if batch.notifications.iter().any(|notification| bad.contains(&notification.number)) {
+                isolated.extend(queue.reject(batch, now));
             } else {
-                told.extend(batch.notices.iter().map(|notice| notice.number));
+                sent.extend(batch.notifications.iter().map(|notification| notification.number));
             }
         }
         let good: Vec<u32> = (0..100).filter(|n| !bad.contains(n)).collect();
-        assert_eq!(told, good, "in the order in which they came");
-        assert_eq!(named, bad.iter().map(|n| format!("m{n}")).collect::<Vec<_>>());
+        assert_eq!(sent, good, "in the order in which they came");
+        assert_eq!(isolated, bad.iter().map(|n| format!("m{n}")).collect::<Vec<_>>());
         assert!(calls <= 1 + 16 * bad.len(), "{calls} calls for {bad:?}");
-        assert_eq!(owed.room(), MOST_LINES, "what is new goes on");
-        // What is owed still goes by itself, after ever longer pauses, and is named no more.
+        assert_eq!(queue.capacity(), MAX_BATCH_NOTIFICATIONS, "new notifications can be added");
+        // A rejected notification is sent by itself, after growing pauses, and is reported no more.
         let (mut at, mut pauses) = (now, Vec::new());
         while !bad.is_empty() && at < now + Duration::from_secs(60) {
-            let due = owed.due().expect("it is still owed");
+            let due = queue.next_retry().expect("it is still pending");
             pauses.push(due - at);
             at = due;
-            let batch = owed.next(at).expect("it is due");
-            assert_eq!(batch.notices.len(), 1);
-            assert_eq!(owed.turned_away(batch, at), None);
+            let batch = queue.pop_ready(at).expect("it is due");
+            assert_eq!(batch.notifications.len(), 1);
+            assert_eq!(queue.reject(batch, at), None);
         }
         assert!(pauses.len() <= 14 * bad.len(), "{pauses:?}");
     }
 }
 
-/// Guards against a notice that is forgotten, or overtaken, where a call got no answer.
+/// Guards against a notification that is lost, or overtaken, when a call is not answered.
 #[test]
-fn what_got_no_answer_goes_again_as_it_was() {
-    let mut owed = NotificationQueue::default();
-    owed.add(notices(0..3));
-    let batch = owed.next(Instant::now()).unwrap();
-    owed.again(batch);
-    assert_eq!(owed.room(), 0, "nothing comes between");
-    let again = owed.next(Instant::now()).unwrap();
-    assert_eq!(again.notices.iter().map(|notice| notice.number).collect::<Vec<_>>(), [0, 1, 2]);
-    assert!(owed.next(Instant::now()).is_none() && owed.due().is_none());
+fn unanswered_batch_is_sent_again_unchanged() {
+    let mut queue = NotificationQueue::default();
+    queue.push(notifications(0..3));
+    let batch = queue.pop_ready(Instant::now()).unwrap();
+    queue.requeue(batch);
+    assert_eq!(queue.capacity(), 0, "nothing overtakes the batch");
+    let again = queue.pop_ready(Instant::now()).unwrap();
+    assert_eq!(
+        again.notifications.iter().map(|notification| notification.number).collect::<Vec<_>>(),
+        [0, 1, 2]
+    );
+    assert!(queue.pop_ready(Instant::now()).is_none() && queue.next_retry().is_none());
 }
--- a/src/daemon/poll_schedule.rs
+++ b/src/daemon/poll_schedule.rs
@@ -1,167 +1,206 @@
-//! When to ask what a whole fleet asks of one place, such as the list of discovery. Free of I/O and clocks.
+//! When to poll a service that a whole fleet polls, such as the endpoint list of discovery. No I/O and no clock.
 //!
-//! How the list comes decides. Pushed, it lies with the agent on the sender's own machine, which answers at no cost; what
-//! it has counts as told, asked for or not, and sends to what drains have to stop within the grace. So it is asked at
-//! once, and no pause is longer than the grace. On request, a call costs discovery, and what was listed counts as told
-//! only to those who have not asked for `must_ask_in`, four times that after a call in vain: there a call that comes while
-//! too many are in line fails, and its work is lost; a fleet that asks again at once keeps the line long and hears
-//! nothing. So pauses grow with the fleet, as if all of its senders were in the same case, up to those bounds.
+//! # Problem
+//! The discovery mode decides what a call costs, and by when a sender has to know of a change.
+//!
+//! - [`DiscoveryMode::Watch`]: the list is pushed to the agent on the sender's own machine, which answers at no cost. The
+//!   sender counts as notified of what its agent has, asked for or not, and has to stop sending to a draining endpoint
+//!   within the grace period.
+//! - [`DiscoveryMode::Poll`]: each call costs the discovery service, and a sender counts as notified once it has not asked for
+//!   the staleness limit, or four times that after a failed call. A call that arrives while too many are queued fails after
+//!   the work for it was done: a fleet that retries at once keeps the queue long, and gets no answers.
+//!
+//! # Mechanism
+//! In watch mode the agent is asked at once, and no pause is longer than the grace period. In poll mode delays grow with the
+//! size of the fleet, as if all senders had failed at once, up to the staleness limit. Delays double with each
+//! failure up to a bound, and are randomized, so that senders that fail together do not return together.
 use crate::DiscoveryMode;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
-/// How long a call of the watch may wait for news, and how much longer its answer may take. What a watch that has fallen
-/// silent misses counts as told 6 s after that, or 2 s after the wait that was asked for, if that is later: from the call
-/// on, no sooner than 7 s after it. It is given up after 6 s, and asked again within 75 ms: what is left is for the answer.
+/// How long the agent may hold a call until there is a change. A sender counts as notified of what a silent watch missed 6 s
+/// after the watch fell silent, or 2 s after the end of the hold if that is later: no sooner than 7 s after the call started.
+/// The call is given up after 6 s, and repeated within 75 ms; the rest is for the answer.
 const HOLD: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The same for a call that is to be answered at once, where the list comes on request: others are in line there too. One
-/// that fell silent counts as heard 6 s later.
-const PATIENCE_IN_LINE: Duration = Duration::from_secs(3);
-/// Pushed, an agent that was away counts as heard the moment it is back. Until it answers it is asked for what is there
-/// now, and waited for no longer than this share of the grace, pause and all; but never so briefly that one at work
-/// might not make it.
-const CALL_OF_GRACE: f64 = 0.3;
-const SHORTEST: Duration = Duration::from_millis(60);
-/// Calls in vain after which each may take long: the agent may just be slow.
-const MANY: u32 = 64;
-/// Pause after a first failure that follows an answer: well inside the 200 ms within which a watch goes on.
-const AT_ONCE: Duration = Duration::from_millis(50);
-/// For each sender of the fleet: what the first pause is long, and over what the first calls after a start are spread.
-const FIRST: Duration = Duration::from_millis(25);
-const SPREAD: Duration = Duration::from_millis(50);
-/// And the longest pause: all of them together then ask some ten times a second.
-const LONGEST: Duration = Duration::from_millis(100);
-/// Senders beyond which nothing grows any more: news is owed within seconds, whatever the settings say of the fleet.
-const MOST_SENDERS: usize = 200;
-/// The longest first wait, as a share of the time within which a sender must have asked: the rest is for the answer.
-const FIRST_OF_BOUND: f64 = 0.8;
-/// The longest pause, as a share of the time within which it must have asked again: chance adds half.
-const PAUSE_OF_BOUND: f64 = 0.5;
-/// The same where it is pushed: call and pause together stay within the grace, with a third of it for the answer.
-const PAUSE_OF_GRACE: f64 = 0.25;
-/// Where the list comes on request, a call in vain counts for so many times as long as none.
-const AFTER_FAILURE: u32 = 4;
-
-/// What the settings say of how the list is asked for.
+/// How much longer than the hold an answer may take.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a call in poll mode may take that is to be answered at once: others are queued too. What a silent call missed
+/// counts as notified 6 s later.
+const QUEUED_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// In watch mode a sender counts as notified the moment that an unreachable agent is back. Until the agent answers, a call
+/// for what is there now may take this share of the grace period, so that call and delay stay within it ...
+const CALL_GRACE_SHARE: f64 = 0.3;
+/// ... but no less than an agent that is reachable may need.
+const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(60);
+/// Consecutive failures after which each call may take long: the agent may just be slow.
+const SLOW_AGENT_FAILURES: u32 = 64;
+/// The shortest delay, and the delay after a first failure: well inside the 200 ms within which a watch continues.
+const MIN_DELAY: Duration = Duration::from_millis(50);
+/// In poll mode, for each sender of the fleet: the first delay, before it is doubled.
+const DELAY_PER_SENDER: Duration = Duration::from_millis(25);
+/// For each sender: the time over which the first calls after a start are spread.
+const INITIAL_SPREAD_PER_SENDER: Duration = Duration::from_millis(50);
+/// For each sender: the longest delay. All of the fleet together then makes some ten calls a second.
+const MAX_DELAY_PER_SENDER: Duration = Duration::from_millis(100);
+/// The size of the fleet beyond which delays do not grow: changes are due within seconds, whatever the settings say.
+const MAX_FLEET_SIZE: usize = 200;
+/// The longest initial delay, as a share of the staleness limit: the rest is for the answer.
+const INITIAL_DELAY_STALENESS_SHARE: f64 = 0.8;
+/// The longest delay, as a share of the staleness limit after a failure: randomization adds half.
+const MAX_DELAY_STALENESS_SHARE: f64 = 0.5;
+/// In watch mode, the longest delay as a share of the grace period: call and delay stay within it, and leave a third of it
+/// for the answer.
+const MAX_DELAY_GRACE_SHARE: f64 = 0.25;
+/// In poll mode the staleness limit is multiplied by this after a failed call.
+const STALENESS_FACTOR_AFTER_FAILURE: u32 = 4;
+/// A delay is doubled at most this often.
+const MAX_DOUBLINGS: u32 = 8;
+/// While the agent does not answer, it may hold a call for this part of the response timeout: a reachable agent then answers
+/// in time even if there is no change.
+const UNREACHABLE_HOLD_DIVISOR: u32 = 4;
+
+/// The settings that decide how the list is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollingTerms {
-    /// Senders that ask in the same place.
-    pub senders: usize,
-    /// How the list comes.
+    /// Senders that poll the same service.
+    pub fleet_size: usize,
+    /// How the list is distributed.
     pub discovery: DiscoveryMode,
-    /// Within how long of hearing that an endpoint drains sends to it have to stop.
-    pub grace: Duration,
-    /// Who has not asked for so long counts as told; zero where nothing is said of it.
-    pub must_ask_in: Duration,
+    /// How long after it was notified of a draining endpoint a sender may still send to it.
+    pub drain_grace: Duration,
+    /// A sender that has not asked for this long counts as notified; zero if there is no such limit.
+    pub staleness_limit: Duration,
+}
+
+/// What a call asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PollScope {
+    /// The changes since a revision: the call can be held until there are some.
+    Changes,
+    /// The complete list, which is answered at once.
+    CompleteList,
 }
 
-/// How one call of the watch is made.
+/// How one call is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// How long it may wait for news.
+    /// How long the agent may hold the call until there is a change.
     pub hold: Duration,
-    /// When it is given up, from its begin, if no answer has begun by then.
-    pub patience: Duration,
-    /// The same, if the answer has begun and is not there whole.
-    pub whole: Duration,
+    /// How long after its start the call is given up if no answer has started.
+    pub response_timeout: Duration,
+    /// How long after its start the call is given up if the answer is not complete.
+    pub total_timeout: Duration,
 }
 
-/// Pauses that double with each failure up to a bound, drawn by chance: senders that fail together do not come back
-/// together.
+/// Decides how long to wait before a call, and how long for its answer.
 pub struct PollSchedule {
-    spans: PollIntervals,
-    failures: u32,
+    intervals: PollIntervals,
+    consecutive_failures: u32,
     random: ChaCha8Rng,
 }
 
 /// What follows from the terms.
 struct PollIntervals {
-    /// The agent answers at no cost, and what it has counts as told.
-    pushed: bool,
-    first: Duration,
-    doubled: Duration,
-    longest: Duration,
+    mode: DiscoveryMode,
+    /// The longest delay before the first call.
+    max_initial_delay: Duration,
+    /// The delay that is doubled with each failure.
+    base_delay: Duration,
+    max_delay: Duration,
     /// How long a call may take that is to be answered at once.
-    at_once: Duration,
+    immediate_timeout: Duration,
 }
 
 impl PollIntervals {
-    fn on(terms: PollingTerms) -> Self {
-        let senders = u32::try_from(terms.senders.clamp(1, MOST_SENDERS)).unwrap_or(1);
-        let within = |span: Duration, bound: Duration, share| match bound {
-            Duration::ZERO => span,
-            bound => span.min(bound.mul_f64(share)),
-        };
-        let must = terms.must_ask_in;
+    fn new(terms: PollingTerms) -> Self {
         match terms.discovery {
             DiscoveryMode::Watch => Self {
-                pushed: true,
-                first: Duration::ZERO,
-                doubled: AT_ONCE,
-                longest: terms.grace.mul_f64(PAUSE_OF_GRACE),
-                at_once: terms.grace.mul_f64(CALL_OF_GRACE).clamp(SHORTEST, PATIENCE),
-            },
-            DiscoveryMode::Poll => Self {
-                pushed: false,
-                first: within(SPREAD * senders, must, FIRST_OF_BOUND),
-                doubled: FIRST * senders,
-                longest: within(LONGEST * senders, must * AFTER_FAILURE, PAUSE_OF_BOUND),
-                at_once: PATIENCE_IN_LINE,
+                mode: terms.discovery,
+                max_initial_delay: Duration::ZERO,
+                base_delay: MIN_DELAY,
+                max_delay: terms.drain_grace.mul_f64(MAX_DELAY_GRACE_SHARE),
+                immediate_timeout: terms
+                    .drain_grace
+                    .mul_f64(CALL_GRACE_SHARE)
+                    .clamp(MIN_CALL_TIMEOUT, ANSWER_TIMEOUT),
             },
+            DiscoveryMode::Poll => {
+                let senders = u32::try_from(terms.fleet_size.clamp(1, MAX_FLEET_SIZE)).unwrap_or(1);
+                let limit = terms.staleness_limit;
+                let limit_after_failure = limit * STALENESS_FACTOR_AFTER_FAILURE;
+                let spread = INITIAL_SPREAD_PER_SENDER * senders;
+                let max_delay = MAX_DELAY_PER_SENDER * senders;
+                Self {
+                    mode: terms.discovery,
+                    max_initial_delay: at_most_share(spread, limit, INITIAL_DELAY_STALENESS_SHARE),
+                    base_delay: DELAY_PER_SENDER * senders,
+                    max_delay: at_most_share(max_delay, limit_after_failure, MAX_DELAY_STALENESS_SHARE),
+                    immediate_timeout: QUEUED_ANSWER_TIMEOUT,
+                }
+            }
         }
     }
 }
 
+/// Returns `delay`, or the share of `limit` if that is shorter; a limit of zero is none.
+fn at_most_share(delay: Duration, limit: Duration, share: f64) -> Duration {
+    if limit.is_zero() { delay } else { delay.min(limit.mul_f64(share)) }
+}
+
 impl PollSchedule {
-    /// On those terms.
+    /// Creates the schedule of a sender that has made no call yet.
     pub fn new(terms: PollingTerms, seed: u64) -> Self {
-        Self { spans: PollIntervals::on(terms), failures: 1, random: ChaCha8Rng::seed_from_u64(seed) }
+        let random = ChaCha8Rng::seed_from_u64(seed);
+        Self { intervals: PollIntervals::new(terms), consecutive_failures: 1, random }
     }
 
-    /// On other terms, from the next call on.
-    pub fn follow(&mut self, terms: PollingTerms) {
-        self.spans = PollIntervals::on(terms);
+    /// Sets the terms from the next call on.
+    pub fn set_terms(&mut self, terms: PollingTerms) {
+        self.intervals = PollIntervals::new(terms);
     }
 
-    /// How the next call is made; one for the whole list, with nothing `known`, is answered at once.
-    pub fn call(&self, known: bool) -> Poll {
-        let PollIntervals { pushed, at_once, .. } = self.spans;
-        if known && (self.failures == 0 || !pushed) {
-            return Poll { hold: HOLD, patience: HOLD + PATIENCE, whole: HOLD + PATIENCE };
+    /// Returns how the next call is made.
+    pub fn next_poll(&self, scope: PollScope) -> Poll {
+        let PollIntervals { mode, immediate_timeout, .. } = self.intervals;
+        let is_reachable = self.consecutive_failures == 0;
+        if scope == PollScope::Changes && (is_reachable || mode == DiscoveryMode::Poll) {
+            let timeout = HOLD + ANSWER_TIMEOUT;
+            return Poll { hold: HOLD, response_timeout: timeout, total_timeout: timeout };
         }
-        let (patience, whole) = match self.failures {
-            MANY.. => (at_once.max(PATIENCE), HOLD + PATIENCE),
-            _ => (at_once, at_once.max(PATIENCE)),
+        let (response_timeout, total_timeout) = if self.consecutive_failures >= SLOW_AGENT_FAILURES {
+            (immediate_timeout.max(ANSWER_TIMEOUT), HOLD + ANSWER_TIMEOUT)
+        } else {
+            (immediate_timeout, immediate_timeout.max(ANSWER_TIMEOUT))
         };
-        // One that waits for news is answered at its end at the latest.
-        Poll { hold: patience / 4, patience, whole }
+        Poll { hold: response_timeout / UNREACHABLE_HOLD_DIVISOR, response_timeout, total_timeout }
     }
 
-    /// How long to wait before the first call, where a list is known that serves until then.
-    pub fn first(&mut self) -> Duration {
-        self.spans.first.mul_f64(self.chance())
+    /// Returns how long to wait before the first call, if a list is known that can be used until then.
+    pub fn initial_delay(&mut self) -> Duration {
+        self.intervals.max_initial_delay.mul_f64(self.random_share())
     }
 
-    /// It was answered.
-    pub fn answered(&mut self) {
-        self.failures = 0;
+    /// Notes that the last call was answered.
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    /// It was not: how long to wait before asking again.
-    pub fn failed(&mut self) -> Duration {
-        let pause = match self.failures {
-            0 => AT_ONCE,
+    /// Notes that the last call failed, and returns how long to wait before the next one.
+    pub fn record_failure(&mut self) -> Duration {
+        let delay = match self.consecutive_failures {
+            0 => MIN_DELAY,
             failures => {
-                (self.spans.doubled * (1 << (failures - 1).min(8))).min(self.spans.longest).max(AT_ONCE)
+                let doubled = self.intervals.base_delay * (1 << (failures - 1).min(MAX_DOUBLINGS));
+                doubled.min(self.intervals.max_delay).max(MIN_DELAY)
             }
         };
-        self.failures = self.failures.saturating_add(1);
-        pause.mul_f64(0.5 + self.chance())
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        delay.mul_f64(0.5 + self.random_share())
     }
 
-    fn chance(&mut self) -> f64 {
+    /// Returns a random number from 0 to 1.
+    fn random_share(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 }
--- a/src/daemon/poll_schedule/tests.rs
+++ b/src/daemon/poll_schedule/tests.rs
@@ -1,68 +1,98 @@
 use super::*;
 
 const GRACE: Duration = Duration::from_secs(1);
-const MUST: Duration = Duration::from_secs(10);
+const STALENESS_LIMIT: Duration = Duration::from_secs(10);
 
-fn terms(senders: usize, discovery: DiscoveryMode) -> PollingTerms {
-    PollingTerms { senders, discovery, grace: GRACE, must_ask_in: MUST }
+fn terms(fleet_size: usize, discovery: DiscoveryMode) -> PollingTerms {
+    PollingTerms { fleet_size, discovery, drain_grace: GRACE, staleness_limit: STALENESS_LIMIT }
 }
 
-/// What became of a fleet that starts together and asks one place that answers `capacity` calls a second in turn, but
-/// whose answer counts only within 2 s of the call: senders that were answered by `end`. It turns away whom it could
-/// not answer by then, or nobody, and works in vain.
-fn answered(senders: usize, capacity: f64, end: f64, turns_away: bool) -> usize {
-    let mut asking: Vec<_> = (0..senders)
-        .map(|seed| PollSchedule::new(terms(senders, DiscoveryMode::Poll), seed as u64))
+/// What the discovery service does with a call that it cannot answer in time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Overload {
+    /// It rejects the call at no cost.
+    Rejects,
+    /// It works on the call in vain.
+    AnswersLate,
+}
+
+/// A fleet that starts together, and a service that answers `calls_per_second` one after the other. An answer counts only
+/// within 2 s of the call.
+#[derive(Clone, Copy, Debug)]
+struct FleetStart {
+    fleet_size: usize,
+    calls_per_second: f64,
+    overload: Overload,
+    end_s: f64,
+}
+
+/// Returns how many senders were answered by the end.
+fn answered(start: FleetStart) -> usize {
+    let FleetStart { fleet_size, calls_per_second, overload, end_s } = start;
+    let mut schedules: Vec<_> = (0..fleet_size)
+        .map(|seed| PollSchedule::new(terms(fleet_size, DiscoveryMode::Poll), seed as u64))
         .collect();
-    let mut calls: Vec<(f64, usize)> = asking
+    let mut calls: Vec<(f64, usize)> = schedules
         .iter_mut()
         .enumerate()
-        .map(|(sender, asking)| (asking.first().as_secs_f64(), sender))
+        .map(|(sender, schedule)| (schedule.initial_delay().as_secs_f64(), sender))
         .collect();
-    let (mut free, mut answered) = (0.0f64, 0);
+    let (mut free_at, mut answered) = (0.0f64, 0);
     while let Some(next) = (0..calls.len()).min_by(|a, b| calls[*a].0.total_cmp(&calls[*b].0)) {
-        let (at, sender) = calls.swap_remove(next);
-        if at > end {
+        let (called_at, sender) = calls.swap_remove(next);
+        if called_at > end_s {
             break;
         }
-        let done = free.max(at) + 1.0 / capacity;
-        let in_time = done <= at + 2.0;
-        free = if in_time || !turns_away { done } else { free };
+        let done_at = free_at.max(called_at) + 1.0 / calls_per_second;
+        let in_time = done_at <= called_at + 2.0;
+        free_at = if in_time || overload == Overload::AnswersLate { done_at } else { free_at };
         if in_time {
             answered += 1;
         } else {
-            calls.push((at + 2.0 + asking[sender].failed().as_secs_f64(), sender));
+            calls.push((called_at + 2.0 + schedules[sender].record_failure().as_secs_f64(), sender));
         }
     }
     answered
 }
 
-/// Guards against a fleet that keeps an overbooked discovery busy with calls whose answers come too late.
+/// Guards against a fleet that keeps an overloaded discovery service busy with calls whose answers come too late.
 #[test]
-fn a_fleet_that_starts_together_is_answered() {
-    let cases = [(3, 2.0), (20, 5.0), (100, 12.5), (100, 25.0), (200, 25.0)];
-    let cases = cases.into_iter().flat_map(|(n, capacity)| [true, false].map(|t| (n, capacity, 20.0, t)));
-    // Within what counts as told after a call in vain.
-    let bound = (MUST * AFTER_FAILURE).as_secs_f64();
-    for (senders, capacity, end, turns_away) in cases.chain([(300, 20.0, bound, true)]) {
-        let share = answered(senders, capacity, end, turns_away) as f64 / senders as f64;
-        assert!(share > 0.9, "{senders} senders, {capacity} a second, turned away: {turns_away}: {share}");
+fn fleet_that_starts_together_is_answered() {
+    let sizes_and_rates = [(3, 2.0), (20, 5.0), (100, 12.5), (100, 25.0), (200, 25.0)];
+    let cases = sizes_and_rates.into_iter().flat_map(|(fleet_size, calls_per_second)| {
+        [Overload::Rejects, Overload::AnswersLate].map(|overload| FleetStart {
+            fleet_size,
+            calls_per_second,
+            overload,
+            end_s: 20.0,
+        })
+    });
+    let large_fleet = FleetStart {
+        fleet_size: 300,
+        calls_per_second: 20.0,
+        overload: Overload::Rejects,
+        // The staleness limit after a failed call.
+        end_s: (STALENESS_LIMIT * STALENESS_FACTOR_AFTER_FAILURE).as_secs_f64(),
+    };
+    for start in cases.chain([large_fleet]) {
+        let share = answered(start) as f64 / start.fleet_size as f64;
+        assert!(share > 0.9, "{start:?}: {share}");
     }
 }
 
-/// Guards against a sender that does not know for longer than the grace what its agent has: a list that is pushed
-/// counts as told with what the agent has, whatever the size of the fleet.
+/// Guards against a sender that lacks for longer than the grace period what its agent has: in watch mode a sender counts as
+/// notified of what the agent has, whatever the size of the fleet.
 #[test]
-fn what_is_pushed_is_asked_for_within_the_grace() {
+fn watched_list_is_polled_within_the_grace_period() {
     for seed in 0..200 {
         for senders in [1, 20, 300, usize::MAX] {
-            let mut asking = PollSchedule::new(terms(senders, DiscoveryMode::Watch), seed);
-            assert_eq!(asking.first(), Duration::ZERO, "{senders} senders, seed {seed}");
+            let mut schedule = PollSchedule::new(terms(senders, DiscoveryMode::Watch), seed);
+            assert_eq!(schedule.initial_delay(), Duration::ZERO, "{senders} senders, seed {seed}");
             for _ in 0..20 {
-                let pause = asking.failed();
-                let call = asking.call(true);
+                let pause = schedule.record_failure();
+                let call = schedule.next_poll(PollScope::Changes);
                 assert!(
-                    pause >= AT_ONCE / 2 && pause + call.patience <= GRACE.mul_f64(0.8),
+                    pause >= MIN_DELAY / 2 && pause + call.response_timeout <= GRACE.mul_f64(0.8),
                     "{senders}, {seed}: {pause:?}, {call:?}"
                 );
             }
@@ -70,78 +100,96 @@
     }
 }
 
-/// Guards against a watch whose silence is found out too late to hear again what it missed by when that counts as told:
-/// 6 s after it fell silent or 2 s after the wait that was asked for, whichever is later, however the list comes; and
-/// against an agent that was away and counts as heard at once when it is back, longer than the grace before it is.
+/// Guards against a watch whose silence is detected too late to receive what it missed before that counts as notified: 6 s
+/// after it fell silent or 2 s after the hold, whichever is later, in both modes; and against an agent that was
+/// unreachable, counts as heard the moment it is back, and is asked again later than the grace period allows.
 #[test]
-fn silence_is_found_out_before_what_it_hides_counts_as_told() {
+fn silent_watch_is_detected_before_missed_changes_count_as_notified() {
     const ANSWER: Duration = Duration::from_millis(500);
     for (seed, discovery) in
         (0..200).flat_map(|seed| [(seed, DiscoveryMode::Watch), (seed, DiscoveryMode::Poll)])
     {
-        for grace in [Duration::from_millis(250), GRACE] {
-            let mut asking = PollSchedule::new(PollingTerms { grace, ..terms(300, discovery) }, seed);
-            asking.answered();
-            let watch = asking.call(true);
-            let told = Duration::from_secs(6).max(watch.hold + Duration::from_secs(2));
-            assert!(watch.patience.max(watch.whole) + asking.failed() + ANSWER <= told, "{watch:?}");
+        for drain_grace in [Duration::from_millis(250), GRACE] {
+            let mut schedule = PollSchedule::new(PollingTerms { drain_grace, ..terms(300, discovery) }, seed);
+            schedule.record_success();
+            let watch = schedule.next_poll(PollScope::Changes);
+            let notified_after = Duration::from_secs(6).max(watch.hold + Duration::from_secs(2));
+            assert!(
+                watch.response_timeout.max(watch.total_timeout) + schedule.record_failure() + ANSWER
+                    <= notified_after,
+                "{watch:?}"
+            );
             if discovery == DiscoveryMode::Watch {
-                let waited = |asking: &mut PollSchedule| asking.call(true).patience + asking.failed();
-                let longest = (1..20).map(|_| waited(&mut asking)).max().unwrap();
-                assert!(longest.mul_f64(1.2) <= grace, "{longest:?} of {grace:?}, seed {seed}");
-                assert!(asking.call(true).hold < asking.call(true).patience);
+                let waited = |schedule: &mut PollSchedule| {
+                    schedule.next_poll(PollScope::Changes).response_timeout + schedule.record_failure()
+                };
+                let longest = (1..20).map(|_| waited(&mut schedule)).max().unwrap();
+                assert!(longest.mul_f64(1.2) <= drain_grace, "{longest:?} of {drain_grace:?}, seed {seed}");
+                assert!(
+                    schedule.next_poll(PollScope::Changes).hold
+                        < schedule.next_poll(PollScope::Changes).response_timeout
+                );
             }
-            // Asked for all of it, it is answered at once or not at all.
-            let whole = asking.call(false);
-            assert!(whole.whole + Duration::from_secs(2) <= Duration::from_secs(6), "{whole:?}");
+            // A call for the complete list is answered at once or not at all.
+            let complete_list = schedule.next_poll(PollScope::CompleteList);
+            assert!(
+                complete_list.total_timeout + Duration::from_secs(2) <= Duration::from_secs(6),
+                "{complete_list:?}"
+            );
         }
     }
 }
 
-/// Guards against going on by the terms of the start after a reload.
+/// Guards against using the terms of the start after a reload.
 #[test]
-fn other_terms_hold_from_the_next_call_on() {
-    let short = PollingTerms { grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) };
-    let mut asking = PollSchedule::new(terms(3, DiscoveryMode::Watch), 1);
-    let before = asking.call(true);
-    asking.follow(short);
-    assert_eq!(asking.call(true), PollSchedule::new(short, 1).call(true));
-    assert!(asking.call(true).patience < before.patience);
+fn changed_terms_apply_from_the_next_call() {
+    let short = PollingTerms { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) };
+    let mut schedule = PollSchedule::new(terms(3, DiscoveryMode::Watch), 1);
+    let before = schedule.next_poll(PollScope::Changes);
+    schedule.set_terms(short);
+    assert_eq!(
+        schedule.next_poll(PollScope::Changes),
+        PollSchedule::new(short, 1).next_poll(PollScope::Changes)
+    );
+    assert!(schedule.next_poll(PollScope::Changes).response_timeout < before.response_timeout);
 }
 
-/// Guards against an agent that is only slow and never gets to answer.
+/// Guards against an agent that is merely slow and never gets the time to answer.
 #[test]
-fn an_agent_that_is_slow_for_long_is_given_time() {
-    let mut asking = PollSchedule::new(
-        PollingTerms { grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) },
+fn slow_agent_is_given_more_time() {
+    let mut schedule = PollSchedule::new(
+        PollingTerms { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) },
         1,
     );
-    let first = asking.call(true);
-    (0..MANY).for_each(|_| assert!(asking.failed() > Duration::ZERO));
-    let later = asking.call(true);
-    assert!(first.patience < PATIENCE && later.patience >= PATIENCE && later.whole > first.whole);
-    asking.answered();
-    assert_eq!(asking.call(true).hold, HOLD);
+    let first = schedule.next_poll(PollScope::Changes);
+    (0..SLOW_AGENT_FAILURES).for_each(|_| assert!(schedule.record_failure() > Duration::ZERO));
+    let later = schedule.next_poll(PollScope::Changes);
+    assert!(
+        first.response_timeout < ANSWER_TIMEOUT
+            && later.response_timeout >= ANSWER_TIMEOUT
+            && later.total_timeout > first.total_timeout
+    );
+    schedule.record_success();
+    assert_eq!(schedule.next_poll(PollScope::Changes).hold, HOLD);
 }
 
-/// Guards against a sender that counts as told because it has not asked for too long, after its start or a call in
-/// vain; against a pause that is none or without bound, with an absurd fleet; and against one that stays long after
-/// an answer.
+/// Guards against a sender that exceeds the staleness limit after its start or a failed call; against a delay of zero or
+/// without bound, with an absurd fleet size; and against delays that stay long after an answer.
 #[test]
-fn pauses_are_bounded_whatever_the_settings_say() {
+fn delays_are_bounded_whatever_the_settings_say() {
     for seed in 0..200 {
         for senders in [0, 1, 3, 300, usize::MAX] {
-            for must_ask_in in [MUST, Duration::from_secs(2), Duration::ZERO] {
-                let terms = PollingTerms { must_ask_in, ..terms(senders, DiscoveryMode::Poll) };
-                let bound = if must_ask_in.is_zero() { MUST } else { must_ask_in };
-                let mut asking = PollSchedule::new(terms, seed);
-                assert!(asking.first() <= bound, "{senders} senders, seed {seed}");
+            for staleness_limit in [STALENESS_LIMIT, Duration::from_secs(2), Duration::ZERO] {
+                let terms = PollingTerms { staleness_limit, ..terms(senders, DiscoveryMode::Poll) };
+                let bound = if staleness_limit.is_zero() { STALENESS_LIMIT } else { staleness_limit };
+                let mut schedule = PollSchedule::new(terms, seed);
+                assert!(schedule.initial_delay() <= bound, "{senders} senders, seed {seed}");
                 for _ in 0..20 {
-                    let pause = asking.failed();
-                    assert!(pause >= AT_ONCE / 2 && pause <= bound * 3, "{senders}, {seed}: {pause:?}");
+                    let pause = schedule.record_failure();
+                    assert!(pause >= MIN_DELAY / 2 && pause <= bound * 3, "{senders}, {seed}: {pause:?}");
                 }
-                asking.answered();
-                assert!(asking.failed() <= AT_ONCE * 3 / 2);
+                schedule.record_success();
+                assert!(schedule.record_failure() <= MIN_DELAY * 3 / 2);
             }
         }
     }
--- a/src/daemon/state_lock.rs
+++ b/src/daemon/state_lock.rs
@@ -1,7 +1,8 @@
-//! One process at work in a folder: a lock on a file in it, which the system takes back with the process, however that ends.
+//! A lock on the state folder, so that only one process of a sender works in it.
 //!
-//! A process that starts while another is at work, and not yet or no more to be asked for its place, would take up the same
-//! journal: each would send what the other sends.
+//! A process that starts while another one is running, and cannot be asked for a handover yet or any more, would replay the
+//! same journal, and both would send the same messages. The lock is a `flock` on a file in the folder: the system releases
+//! the lock when the process ends, however that happens.
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
 use std::fs::File;
@@ -11,12 +12,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The file's name in the folder that lasts; it stays empty.
+/// The file's name in the state folder; the file stays empty.
 const NAME: &str = "lock";
-/// Between two looks at a lock that another holds.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a lock that another process holds is tried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The lock, for as long as this is kept. It is of the open file, not of the process: who is given that holds it too.
+/// The lock, held until the value is dropped. The lock belongs to the open file and not to the process: a process that is
+/// given the descriptor holds the lock too.
 pub struct StateLock(File);
 
 impl AsFd for StateLock {
@@ -26,46 +28,53 @@
 }
 
 impl From<OwnedFd> for StateLock {
-    fn from(given: OwnedFd) -> Self {
-        Self(given.into())
+    fn from(descriptor: OwnedFd) -> Self {
+        Self(descriptor.into())
     }
 }
 
-/// A file that can be locked.
+/// The result of trying to lock the folder.
+pub enum LockAttempt {
+    Locked(StateLock),
+    /// Another process holds the lock; the file can be tried again.
+    HeldElsewhere(UnlockedState),
+}
+
+/// The open lock file of a folder, not locked by this process.
 pub struct UnlockedState(File);
 
 impl UnlockedState {
-    /// That of a folder.
+    /// Opens the lock file of a folder, and creates it if necessary.
     ///
     /// # Errors
-    /// The folder takes no file.
-    pub fn in_folder(folder: &Path) -> io::Result<Self> {
+    /// The file cannot be opened or created.
+    pub fn open(folder: &Path) -> io::Result<Self> {
         File::options().create(true).truncate(false).write(true).open(folder.join(NAME)).map(Self)
     }
 
-    /// The lock, if nobody holds it; else the file again.
+    /// Locks the folder unless another process holds the lock.
     ///
     /// # Errors
-    /// The system locks no files there.
-    pub fn lock(self) -> io::Result<Result<StateLock, Self>> {
+    /// The system cannot lock files there.
+    pub fn try_lock(self) -> io::Result<LockAttempt> {
         match flock(&self.0, FlockOperation::NonBlockingLockExclusive) {
-            Ok(()) => Ok(Ok(StateLock(self.0))),
-            Err(Errno::WOULDBLOCK) => Ok(Err(self)),
-            Err(e) => Err(e.into()),
+            Ok(()) => Ok(LockAttempt::Locked(StateLock(self.0))),
+            Err(Errno::WOULDBLOCK) => Ok(LockAttempt::HeldElsewhere(self)),
+            Err(error) => Err(error.into()),
         }
     }
 
-    /// The lock, once nobody holds it any more.
+    /// Locks the folder once no other process holds the lock.
     ///
     /// # Errors
-    /// The system locks no files there.
-    pub async fn locked(mut self) -> io::Result<StateLock> {
+    /// The system cannot lock files there.
+    pub async fn lock(mut self) -> io::Result<StateLock> {
         loop {
-            match self.lock()? {
-                Ok(lock) => return Ok(lock),
-                Err(held) => self = held,
+            match self.try_lock()? {
+                LockAttempt::Locked(lock) => return Ok(lock),
+                LockAttempt::HeldElsewhere(unlocked) => self = unlocked,
             }
-            sleep(LOOK).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 }
