--- a/src/daemon/checkpoint/file.rs
+++ b/src/daemon/checkpoint/file.rs
@@ -34,16 +34,16 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CheckpointReadError {
     /// The file cannot be read.
-    #[error("reading {NAME}: {0}")]
+    #[error("checkpoint: read failed file={NAME} error={0}")]
     Read(String),
     /// The file does not start with a header of this version.
-    #[error("{NAME} is not in the form of this version; nothing is remembered")]
+    #[error("checkpoint: ignored file={NAME} reason=unknown_format")]
     UnknownFormat,
     /// The file was written by another sender.
-    #[error("{NAME} is of {0:?}; nothing is remembered")]
+    #[error("checkpoint: ignored file={NAME} reason=other_sender sender={0:?}")]
     OtherSender(String),
     /// The file is truncated or damaged: that many bytes at its end cannot be read.
-    #[error("{NAME}: {0} bytes at its end cannot be read")]
+    #[error("checkpoint: truncated file={NAME} unread_bytes={0}")]
     Truncated(usize),
 }
 
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -156,7 +156,7 @@
     fn record_failure(&mut self, error: &WatchError, ports: &Ports) {
         // One line for each outage, and not for each call.
         if !self.is_failing {
-            ports.log.line(&format!("discovery: {error}"));
+            ports.log.line(&format!("discovery: poll failed error={error}"));
         }
         self.is_failing = true;
         self.connection = None;
--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -61,16 +61,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
     /// The running process answered the request, and did not hand over in time.
-    #[error("the process at work did not give up its place within 5 s")]
+    #[error("the running process did not hand over within 5 s")]
     Late,
     /// Another process holds the lock on the folder, and does not accept the request.
-    #[error("another process is at work in this folder, and did not answer within 5 s")]
+    #[error("another process is running in this folder, and did not answer within 5 s")]
     Held,
     /// The link to the running process broke.
-    #[error("the link to the process at work: {0}")]
+    #[error("the link to the running process: {0}")]
     Link(#[from] io::Error),
     /// The running process sent something that cannot be read.
-    #[error("what the process at work left cannot be read: {0}")]
+    #[error("the state of the running process cannot be read: {0}")]
     Unreadable(#[from] UnreadableState),
 }
 
@@ -150,7 +150,7 @@
 
 /// A folder that cannot be locked is used without a lock.
 fn log_unlocked(error: &io::Error, log: &dyn Log) {
-    log.line(&format!("no lock guards the folder against a second process: {error}"));
+    log.line(&format!("state_lock: unavailable error={error}"));
 }
 
 /// Asks the process that runs in the folder to hand over; none if no process runs there.
@@ -274,7 +274,7 @@
     let _ = std::fs::remove_file(&path);
     let listener = match UnixListener::bind(&path) {
         Ok(listener) => listener,
-        Err(error) => return log.line(&format!("no handover to a next process: {NAME}: {error}")),
+        Err(error) => return log.line(&format!("handover: unavailable file={NAME} error={error}")),
     };
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
@@ -286,7 +286,7 @@
         if read.is_ok_and(|read| read.is_ok()) && hello == *HELLO {
             on_request(Successor(stream));
         } else {
-            log.line("handover: a caller that is no micadrum of this version was turned away");
+            log.line("handover: rejected a caller reason=unknown_hello");
         }
     }
 }
--- a/src/daemon/journal/error.rs
+++ b/src/daemon/journal/error.rs
@@ -4,7 +4,7 @@
 
 /// A journal operation failed.
 #[derive(Debug, thiserror::Error)]
-#[error("journal: {operation}: {source}")]
+#[error("journal: {operation} failed error={source}")]
 pub struct JournalError {
     pub(super) operation: Operation,
     pub(super) source: io::Error,
@@ -33,14 +33,14 @@
 impl fmt::Display for Operation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Open => "opening",
-            Self::MoveUnreadable => "putting an unreadable one aside",
-            Self::MoveForeign => "setting another sender's aside",
-            Self::TruncateTornTail => "cutting off a torn tail",
-            Self::Accept => "taking on",
-            Self::Append => "writing",
-            Self::Sync => "syncing",
-            Self::Rewrite => "beginning a new file",
+            Self::Open => "open",
+            Self::MoveUnreadable => "rename of an unreadable file",
+            Self::MoveForeign => "rename of another sender's file",
+            Self::TruncateTornTail => "truncate",
+            Self::Accept => "accept",
+            Self::Append => "append",
+            Self::Sync => "sync",
+            Self::Rewrite => "rewrite",
         })
     }
 }
--- a/src/daemon/journal/replay.rs
+++ b/src/daemon/journal/replay.rs
@@ -29,11 +29,11 @@
         if let Some(error) = read_error {
             return write!(
                 f,
-                "{} cannot be read: {error}: put aside as {UNREADABLE_NAME}, what it holds is not taken up",
+                "unreadable, renamed file={} renamed_to={UNREADABLE_NAME} error={error}",
                 super::NAME
             );
         }
-        write!(f, "{truncated_bytes} bytes cut off at the end, {skipped_bytes} passed over")
+        write!(f, "damaged truncated_bytes={truncated_bytes} skipped_bytes={skipped_bytes}")
     }
 }
 
--- a/src/daemon/notifications/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -130,15 +130,16 @@
             }
             Err(NotificationError::Status(StatusCode::BAD_REQUEST)) => {
                 if let Some(id) = self.queue.reject(batch, Instant::now()) {
-                    let what = "the platform cannot read it (status 400)";
-                    self.ports
-                        .log
-                        .line(&format!("notices: the end of {id:?}: {what}; it goes again by itself"));
+                    let log = &self.ports.log;
+                    log.line(&format!("notifications: rejected, retried alone id={id:?} status=400"));
                 }
                 sleep(RETRY_DELAY).await;
             }
             Err(error) => {
-                self.ports.log.line(&format!("notices: {error}; {} go again", batch.notifications.len()));
+                let count = batch.notifications.len();
+                self.ports
+                    .log
+                    .line(&format!("notifications: call failed, retried count={count} error={error}"));
                 self.queue.requeue(batch);
                 self.connection = None;
                 sleep(RETRY_DELAY).await;
--- a/tests/sockets/handover.rs
+++ b/tests/sockets/handover.rs
@@ -287,7 +287,7 @@
     let journal = std::fs::read(node.journal()).unwrap();
     let (code, log) = node.fails_to_begin().await;
     assert_eq!(code, Some(1));
-    assert!(log.contains("another process is at work in this folder"), "{log}");
+    assert!(log.contains("another process is running in this folder"), "{log}");
     assert_eq!(std::fs::read(node.journal()).unwrap(), journal, "the journal is as it was");
     assert!(endpoint.quiet(Duration::from_millis(20)).await);
     // One that lets go while it is waited for.
