--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -193,8 +193,8 @@
         let agent = Agent {
             address: self.discovery.clone(),
             terms,
-            known: event_loop.resume_revision(),
-            most_bytes: self.budget.endpoint_list_bytes,
+            resume_revision: event_loop.resume_revision(),
+            max_list_bytes: self.budget.endpoint_list_bytes,
         };
         let (events, ports) = (&self.events, &self.ports);
         let mut tasks = JoinSet::new();
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -241,7 +241,7 @@
         );
         let recorded = self.messages.finish(number, outcome);
         self.check_recorded(recorded);
-        self.perform_when_durable(DeferredEffect::Notification(Notification { number, id, end: outcome }));
+        self.perform_when_durable(DeferredEffect::Notification(Notification { number, id, outcome }));
     }
 
     /// Removes a message for which nothing is left to do.
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -223,10 +223,10 @@
 pub(super) fn polling_terms(settings: &Settings) -> PollingTerms {
     let Settings { fleet_size, discovery, rules, .. } = settings;
     PollingTerms {
-        senders: *fleet_size,
+        fleet_size: *fleet_size,
         discovery: *discovery,
-        grace: Duration::from_micros(rules.drain_grace.0),
-        must_ask_in: Duration::from_micros(rules.discovery_staleness_limit.0),
+        drain_grace: Duration::from_micros(rules.drain_grace.0),
+        staleness_limit: Duration::from_micros(rules.discovery_staleness_limit.0),
     }
 }
 
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -98,7 +98,7 @@
         self.hand_over_recovered(recovered);
         if let Some(end) = pending.final_outcome {
             self.messages.register_unacknowledged();
-            let _ = self.notifications.send(Notification { number, id: pending.message.id, end });
+            let _ = self.notifications.send(Notification { number, id: pending.message.id, outcome: end });
         }
     }
 
--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -68,11 +68,11 @@
         let mut signals = PendingSignals::default();
         let (successor, log) = (&mut self.successor, self.log);
         let mut offer = pin!(async {
-            let given = successor.give(listener, lock, inheritance).await;
+            let given = successor.hand_over(listener, lock, inheritance).await;
             if let Err(error) = &given {
                 log.line(&format!("handover: cannot hand over error={error}"));
             }
-            given.is_ok() && successor.taken().await
+            given.is_ok() && successor.wait_for_confirmation().await
         });
         loop {
             match wait(self.events, &self.metrics, offer.as_mut()).await {
@@ -89,7 +89,7 @@
     /// client that is still here has been forwarded.
     pub async fn forward_reloads(mut self, signals: PendingSignals, clients: ClientListener) {
         if signals.reload.is_some() {
-            self.successor.reload().await;
+            self.successor.forward_reload().await;
         }
         // The listening socket stays open until the server ends.
         let ClientListener { listener: _listener, server } = clients;
@@ -98,7 +98,7 @@
             match wait(self.events, &self.metrics, server.as_mut()).await {
                 Wakeup::Ready(_) => return,
                 Wakeup::Signal(LoopEvent::Shutdown(_)) => {}
-                Wakeup::Signal(_) => self.successor.reload().await,
+                Wakeup::Signal(_) => self.successor.forward_reload().await,
             }
         }
     }
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -34,7 +34,7 @@
     /// A process is at work, and does not hand over.
     pub async fn enter(environment: &Environment) -> Result<Self, StartError> {
         let Some(settings) = &environment.ports.handover else { return Ok(Self::alone(None)) };
-        let entered = handover::enter(&settings.folder, &*environment.ports.log).await;
+        let entered = handover::start_up(&settings.folder, &*environment.ports.log).await;
         Ok(match entered? {
             StartupMode::Fresh(lock) => Self::alone(lock),
             StartupMode::Successor(received, lock_file) => Self::with_predecessor(received, lock_file),
@@ -46,7 +46,7 @@
     }
 
     fn with_predecessor(received: ReceivedListener, lock_file: Option<UnlockedState>) -> Self {
-        let ReceivedListener { predecessor, listener, lock, inheritance } = received;
+        let ReceivedListener { predecessor, listener, lock, state: inheritance } = received;
         let lock_file = lock_file.filter(|_| lock.is_none());
         let link = Some(PredecessorLink { predecessor, lock_file });
         Self { lock, listener: Some(listener), inheritance: Some(inheritance), link }
@@ -57,8 +57,8 @@
     pub async fn confirm(&mut self, environment: &Environment) {
         let (Some(link), Some(settings)) = (self.link.take(), &environment.ports.handover) else { return };
         environment.ports.log.line("handover: took over from the predecessor");
-        let follows = link.predecessor.taken().await;
-        spawn_local(follows.reloads(settings.reread.clone()));
+        let follows = link.predecessor.confirm().await;
+        spawn_local(follows.follow_reloads(settings.reread.clone()));
         if let Some(lock_file) = link.lock_file {
             spawn_local(hold_lock_after_predecessor(lock_file));
         }
@@ -67,6 +67,6 @@
 
 /// Locks the state folder once the predecessor has ended, and holds the lock as long as this process runs.
 async fn hold_lock_after_predecessor(lock_file: UnlockedState) {
-    let _lock = lock_file.locked().await;
+    let _lock = lock_file.lock().await;
     pending::<()>().await;
 }
