--- a/crates/micadrum-membership/benches/detectors.rs
+++ b/crates/micadrum-membership/benches/foca_comparison.rs
@@ -1,8 +1,8 @@
 //! The failure detector of this package beside `foca` 1 in the same simulated fleet: what each finds, how soon, and whom
-//! it accuses wrongly. Run with `cargo bench -p micadrum-membership --bench detectors`.
-#[path = "../tests/fleet/world.rs"]
+//! it accuses wrongly. Run with `cargo bench -p micadrum-membership --bench foca_comparison`.
+#[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
-mod world;
+mod simulated_fleet;
 
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
@@ -11,11 +11,11 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
+use simulated_fleet::{CLEAN, Path, World, ms};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::num::NonZeroU32;
 use std::time::Duration;
-use world::{CLEAN, Path, World, ms};
 
 const MEMBERS: usize = 20;
 /// foca waits a fixed time for an answer, and probes no sooner than twice that: one for clean links, with probes as often as
--- a/crates/micadrum-membership/benches/thousand.rs
+++ b/crates/micadrum-membership/benches/large_fleet.rs
@@ -1,14 +1,14 @@
 //! A fleet of a thousand: what each member sends at rest and in a storm against its ceiling, how soon a hundred that are
 //! killed at once are known to all, what a datagram costs, and what a million forged ones change.
-//! Run with `cargo bench -p micadrum-membership --bench thousand`.
-#[path = "../tests/fleet/world.rs"]
+//! Run with `cargo bench -p micadrum-membership --bench large_fleet`.
+#[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
-mod world;
+mod simulated_fleet;
 
 use micadrum_membership::Input;
 use rand_chacha::rand_core::RngCore;
+use simulated_fleet::{CLEAN, Path, World, ms};
 use std::time::{Duration, Instant};
-use world::{CLEAN, Path, World, ms};
 
 const MEMBERS: usize = 1000;
 const KILLED: usize = 100;
--- a/crates/micadrum-membership/src/wire.rs
+++ b/crates/micadrum-membership/src/datagram.rs
@@ -13,10 +13,10 @@
 //! 52 16  tag           keyed BLAKE3 of all else, under the key of this way between the two
 //! 68     body          postcard
 //! ```
-use crate::life::{Heard, Incarnation, IncarnationProof};
+use crate::gossip::GossipUpdate;
+use crate::incarnation::{Heard, Incarnation, IncarnationProof};
 use crate::member::MemberId;
-use crate::rumours::GossipUpdate;
-use crate::seal::{same, tag};
+use crate::sealing::{same, tag};
 use serde::{Deserialize, Serialize};
 
 /// No datagram is longer, in bytes: it passes every link unbroken.
--- a/crates/micadrum-membership/src/wire/tests.rs
+++ b/crates/micadrum-membership/src/datagram/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::rumours::{GossipStatus, MOST_IN_ONE};
+use crate::gossip::{GossipStatus, MOST_IN_ONE};
 
 fn sample() -> (Header, Body) {
     let id = |n| MemberId([n; 8]);
--- a/crates/micadrum-membership/src/peers/mod.rs
+++ b/crates/micadrum-membership/src/detector/mod.rs
@@ -1,16 +1,16 @@
 //! The state machine: what comes from others, what is asked of them, and what is believed.
-mod asking;
-mod hearing;
-mod oneself;
-mod saying;
+mod probing;
+mod receiving;
+mod refutation;
+mod sending;
 
-use crate::ceiling::{Bucket, SendBudget};
-use crate::health::Health;
-use crate::life::{Incarnation, IncarnationProof, IncarnationRecord};
+use crate::gossip::GossipQueue;
+use crate::incarnation::{Incarnation, IncarnationProof, IncarnationRecord};
+use crate::local_health::Health;
 use crate::member::{MemberId, Roster};
-use crate::peer::{Peer, RoundTrip};
-use crate::rumours::GossipQueue;
-use crate::seal::Secret;
+use crate::remote_member::{Peer, RoundTrip};
+use crate::sealing::Secret;
+use crate::send_budget::{Bucket, SendBudget};
 use crate::view::{Counts, Status, View};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::RngCore;
--- a/crates/micadrum-membership/src/peers/asking.rs
+++ b/crates/micadrum-membership/src/detector/probing.rs
@@ -1,11 +1,11 @@
 //! Who is asked when, and what it means that no answer comes.
 use super::{Event, Membership};
-use crate::ceiling::Rank;
+use crate::datagram::Body;
+use crate::gossip::MOST_IN_ONE;
 use crate::member::MemberId;
-use crate::peer::{Peer, PendingProbe, Stage};
-use crate::rumours::MOST_IN_ONE;
+use crate::remote_member::{Peer, PendingProbe, Stage};
+use crate::send_budget::Rank;
 use crate::view::Status;
-use crate::wire::Body;
 use std::time::Duration;
 
 /// Members that are asked to pass a question on.
--- a/crates/micadrum-membership/src/peers/hearing.rs
+++ b/crates/micadrum-membership/src/detector/receiving.rs
@@ -1,12 +1,12 @@
 //! What comes: datagrams, signs of life, rumours; and what is believed by them.
 use super::{Event, Membership};
-use crate::ceiling::Rank;
-use crate::life::Heard;
+use crate::datagram::{self, Body, Header, Unread};
+use crate::gossip::{GossipStatus, GossipUpdate, MOST_IN_ONE};
+use crate::incarnation::Heard;
 use crate::member::MemberId;
-use crate::peer::RoundTrip;
-use crate::rumours::{GossipStatus, GossipUpdate, MOST_IN_ONE};
+use crate::remote_member::RoundTrip;
+use crate::send_budget::Rank;
 use crate::view::{Reach, Status};
-use crate::wire::{self, Body, Header, Unread};
 use std::time::Duration;
 
 /// News waits so long for more of it.
@@ -25,7 +25,7 @@
 impl Membership {
     /// Takes a datagram in; `via` passed it on, unless it came straight.
     pub(super) fn datagram(&mut self, bytes: &[u8], now: Duration, via: Option<MemberId>) {
-        let Ok(Header { forgot, from, to, life, to_run, number }) = wire::header(bytes) else {
+        let Ok(Header { forgot, from, to, life, to_run, number }) = datagram::header(bytes) else {
             self.counts.foreign += 1;
             return;
         };
@@ -36,7 +36,7 @@
             self.counts.foreign += 1;
             return;
         };
-        let body = match wire::open(bytes, &pair.back) {
+        let body = match datagram::open(bytes, &pair.back) {
             Ok(body) => body,
             Err(Unread::Forged) => {
                 self.counts.forged += 1;
--- a/crates/micadrum-membership/src/peers/oneself.rs
+++ b/crates/micadrum-membership/src/detector/refutation.rs
@@ -1,11 +1,11 @@
 //! How this sender stands: its life, who knows it, its end, the list that it follows.
 use super::{Event, Membership, Output, Standing};
-use crate::ceiling::Rank;
-use crate::life::Heard;
+use crate::datagram::Body;
+use crate::incarnation::Heard;
 use crate::member::MemberId;
-use crate::peer::{Peer, PendingProbe, Stage};
+use crate::remote_member::{Peer, PendingProbe, Stage};
+use crate::send_budget::Rank;
 use crate::view::Status;
-use crate::wire::Body;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/micadrum-membership/src/peers/saying.rs
+++ b/crates/micadrum-membership/src/detector/sending.rs
@@ -1,10 +1,10 @@
 //! What goes out: sealed, and as far as the ceiling allows.
 use super::{Membership, Output};
-use crate::ceiling::Rank;
+use crate::datagram::{self, Body, Header, MOST_DATAGRAM};
 use crate::member::MemberId;
-use crate::peer::Peer;
+use crate::remote_member::Peer;
+use crate::send_budget::Rank;
 use crate::view::Status;
-use crate::wire::{self, Body, Header, MOST_DATAGRAM};
 use rand_chacha::rand_core::RngCore;
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
         self.number += 1;
         let (life, number) = (self.life, self.number);
         let header = Header { forgot: self.forgot, from, to, life, to_run, number };
-        Some(wire::seal(&header, body, &pair.out))
+        Some(datagram::seal(&header, body, &pair.out))
     }
 
     pub(super) fn send(&mut self, to: MemberId, body: &Body, rank: Rank, now: Duration) -> bool {
--- a/crates/micadrum-membership/src/lib.rs
+++ b/crates/micadrum-membership/src/lib.rs
@@ -12,24 +12,24 @@
 //! passed on under its own seal, is all the evidence there is.
 #![forbid(unsafe_code)]
 
-mod ceiling;
-mod health;
-mod life;
+mod datagram;
+mod detector;
+mod gossip;
+mod incarnation;
 mod link;
+mod local_health;
 mod member;
-mod peer;
-mod peers;
-mod rumours;
-mod seal;
+mod remote_member;
+mod replay_window;
+mod sealing;
+mod send_budget;
 mod view;
-mod window;
-mod wire;
 
-pub use ceiling::SendBudget;
-pub use life::{Incarnation, IncarnationRecord, IncarnationRecordError};
+pub use datagram::MOST_DATAGRAM;
+pub use detector::{Event, Input, Membership, Output, Settings, Standing};
+pub use incarnation::{Incarnation, IncarnationRecord, IncarnationRecordError};
 pub use link::{Link, LinkError, LinkEvent, MOST_PAYLOAD, QueueFull};
 pub use member::{Member, MemberId, Roster, RosterError};
-pub use peers::{Event, Input, Membership, Output, Settings, Standing};
-pub use seal::{Secret, WeakKey};
+pub use sealing::{Secret, WeakKey};
+pub use send_budget::SendBudget;
 pub use view::{Counts, PeerView, Reach, Status, View};
-pub use wire::MOST_DATAGRAM;
--- a/crates/micadrum-membership/src/link.rs
+++ b/crates/micadrum-membership/src/link.rs
@@ -7,9 +7,9 @@
 //! ```
 //! The hello's tag is made with a key of the pair, that of frames with one that both nonces went into: nothing that was
 //! said on another link fits. Frames are counted; the count is under the tag.
-use crate::life::Incarnation;
+use crate::incarnation::Incarnation;
 use crate::member::{MemberId, Roster};
-use crate::seal::{Secret, same, tag};
+use crate::sealing::{Secret, same, tag};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/micadrum-membership/src/peer.rs
+++ b/crates/micadrum-membership/src/remote_member.rs
@@ -1,10 +1,10 @@
 //! One other member, as it is known here: what came from it, and the question that is out to it.
-use crate::ceiling::{Bucket, SendBudget};
-use crate::life::Incarnation;
+use crate::incarnation::Incarnation;
 use crate::member::{Member, MemberId};
-use crate::seal::{Secret, SessionKeys};
+use crate::replay_window::Window;
+use crate::sealing::{Secret, SessionKeys};
+use crate::send_budget::{Bucket, SendBudget};
 use crate::view::{PeerView, Reach, Status};
-use crate::window::Window;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/micadrum-membership/src/seal.rs
+++ b/crates/micadrum-membership/src/sealing.rs
@@ -2,7 +2,7 @@
 //!
 //! X25519 (RFC 7748) gives what only the two of them know; BLAKE3 derives a key for each way from it and seals with
 //! it. So a datagram can come from no third, not even a member, and checking one costs a hash.
-use crate::life::{Incarnation, IncarnationProof};
+use crate::incarnation::{Incarnation, IncarnationProof};
 use crate::member::MemberId;
 use x25519_dalek::{PublicKey, StaticSecret};
 
--- a/crates/micadrum-membership/src/view.rs
+++ b/crates/micadrum-membership/src/view.rs
@@ -1,6 +1,6 @@
 //! What a sender believes of its peers, for the layers above and for people. It may be wrong at any moment.
-use crate::life::Incarnation;
-use crate::peers::Standing;
+use crate::detector::Standing;
+use crate::incarnation::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/micadrum-membership/tests/fleet/strangers.rs
+++ b/crates/micadrum-membership/tests/fleet/adversaries.rs
@@ -1,5 +1,5 @@
 //! What strangers, replays, liars and floods can do.
-use crate::world::*;
+use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use rand_chacha::rand_core::RngCore;
 
--- a/crates/micadrum-membership/tests/fleet/lives.rs
+++ b/crates/micadrum-membership/tests/fleet/incarnations.rs
@@ -1,5 +1,5 @@
 //! Lives: a folder that was lost or put back, two processes under one name, and the end of numbers.
-use crate::world::*;
+use crate::simulated_fleet::*;
 use micadrum_membership::*;
 
 fn forgotten(world: &World, n: usize) -> Vec<(u64, u64)> {
--- a/crates/micadrum-membership/tests/fleet/links.rs
+++ b/crates/micadrum-membership/tests/fleet/links.rs
@@ -1,5 +1,5 @@
 //! Links: frames cut anywhere, changed, repeated; strangers; a side that falls silent; one that does not keep up.
-use crate::world::*;
+use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use std::time::Duration;
 
--- a/crates/micadrum-membership/tests/fleet/views.rs
+++ b/crates/micadrum-membership/tests/fleet/views.rs
@@ -1,5 +1,5 @@
 //! Who is believed to be there, while processes and links fail.
-use crate::world::*;
+use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use std::time::Duration;
 
--- a/crates/micadrum-recovery/src/lib.rs
+++ b/crates/micadrum-recovery/src/lib.rs
@@ -1,8 +1,8 @@
 //! After a restart: what a sender trusts of the folder that it finds, what it asks other senders, and the order in which
 //! service returns.
 //!
-//! Four parts, each by itself and free of I/O and clocks: [`trust`] says what a kept fact is worth, [`owed`] what follows
-//! from that for a message, [`words`] what others can add to it, [`stages`] when what may happen. Wall times are
+//! Four parts, each by itself and free of I/O and clocks: [`journal_trust`] says what a kept fact is worth, [`message_recovery`] what follows
+//! from that for a message, [`peer_report`] what others can add to it, [`phases`] when what may happen. Wall times are
 //! microseconds since 1970, as the journal has them; spans and moments of this process are [`std::time::Duration`]s on a
 //! clock that never goes back.
 //!
@@ -10,11 +10,11 @@
 #![forbid(unsafe_code)]
 
 pub mod admission;
-pub mod asking;
-pub mod owed;
-pub mod stages;
-pub mod trust;
-pub mod words;
+pub mod journal_trust;
+pub mod message_recovery;
+pub mod peer_query;
+pub mod peer_report;
+pub mod phases;
 
 use serde::{Deserialize, Serialize};
 
@@ -25,11 +25,11 @@
     /// What it found, and what it makes of it.
     Trust(Trust),
     /// A stage is over.
-    Step(stages::Step),
+    Step(phases::Step),
 }
 
 pub use admission::Admission;
-pub use asking::PeerQuery;
-pub use stages::{Phases, RecoveryPhase};
-pub use trust::{Boot, JournalStamp, Trust};
-pub use words::{EndpointRestrictions, PeerReport};
+pub use journal_trust::{Boot, JournalStamp, Trust};
+pub use peer_query::PeerQuery;
+pub use peer_report::{EndpointRestrictions, PeerReport};
+pub use phases::{Phases, RecoveryPhase};
--- a/crates/micadrum-recovery/src/owed.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -13,7 +13,7 @@
 //! "Fails" is the final answer that promises nothing, "returned" the one by which a client may safely come again. Where
 //! nobody can tell the time, both come at once: nobody knows how long the machine was away, and an answer after a message's
 //! time is none. A message that has its end keeps it: only the notice is owed.
-use crate::trust::{Clock, JournalTrust, Trust};
+use crate::journal_trust::{Clock, JournalTrust, Trust};
 use std::time::Duration;
 
 /// What a second copy of a message does (the decision module's `Repeat`, without who drops it).
--- a/crates/micadrum-recovery/src/owed/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::trust::Machine;
+use crate::journal_trust::Machine;
 
 fn trust(journal: JournalTrust, clock: Clock) -> Trust {
     Trust { machine: Machine::Another, journal, clock, offset: Some(0), findings: Vec::new() }
--- a/crates/micadrum-recovery/src/asking.rs
+++ b/crates/micadrum-recovery/src/peer_query.rs
@@ -3,7 +3,7 @@
 //! A few at a time, those in other buildings and its own in turn, as a power loss mostly takes a building. It ends when
 //! enough that never stopped have answered, when there is nobody left to ask, or with its time: whatever it has by then
 //! is all there is.
-use crate::words::PeerReport;
+use crate::peer_report::PeerReport;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
--- a/crates/micadrum-testkit/src/history.rs
+++ b/crates/micadrum-testkit/src/history.rs
@@ -56,7 +56,7 @@
     /// What it made of its folder; none where that part is off, or it ended before.
     pub trust: Option<micadrum_recovery::Trust>,
     /// The stages that it went through, with when each was over.
-    pub steps: Vec<(At, micadrum_recovery::stages::Step)>,
+    pub steps: Vec<(At, micadrum_recovery::phases::Step)>,
 }
 
 /// A view that is wrong: who holds whom for what.
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::daemon;
-use micadrum_recovery::stages::{RecoveryPhase, Why};
-use micadrum_recovery::trust::{Clock, JournalTrust, Machine, RecoveryFinding};
+use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine, RecoveryFinding};
+use micadrum_recovery::phases::{RecoveryPhase, Why};
 use micadrum_testkit::history::{History, Return};
 use micadrum_testkit::judge::Rule;
 use micadrum_testkit::live;
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,7 +1,7 @@
 //! How far service has returned, in words.
 use micadrum_recovery::Trust;
-use micadrum_recovery::stages::{RecoveryPhase, Step};
-use micadrum_recovery::trust::{Clock, JournalTrust, Machine};
+use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine};
+use micadrum_recovery::phases::{RecoveryPhase, Step};
 use serde::Deserialize;
 use std::fmt::Write as _;
 
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint, Phase};
 use crate::daemon::events::AdminError;
 use crate::{DestinationId, EndpointEntry, EndpointId, EndpointState, Event, Timestamp};
-use micadrum_recovery::stages::Input;
+use micadrum_recovery::phases::Input;
 use std::collections::BTreeSet;
 
 /// One endpoint as the list last told of it.
--- a/src/daemon/events.rs
+++ b/src/daemon/events.rs
@@ -7,7 +7,7 @@
 use super::maintenance::MaintenanceError;
 use super::metrics::Metrics;
 use crate::{EndpointId, LoadReport, Outcome, TimeDelta};
-use micadrum_recovery::words::EndpointReport;
+use micadrum_recovery::peer_report::EndpointReport;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -1,18 +1,20 @@
 //! After a restart: carries out what `micadrum_recovery` decides. It reads what the journal was written by, asks the peers,
 //! and tells the log and the door where the return stands.
-mod ask;
+mod peer_queries;
 
 use super::config::Config;
 use super::journal::{CorruptionReport, Journal, JournalError};
 use super::membership;
 use super::ports::{Log, Ports};
-use ask::Asked;
 use micadrum_config::{Durability, Recovery as Set};
-use micadrum_recovery::owed::{LeftoverMessage, Repeats, Verdict, judge, time_left, turned_away_for};
-use micadrum_recovery::stages::{Input, RecoveryPhase, Settings, Step};
-use micadrum_recovery::trust::{Clock, JournalTrust, RecoveryInputs};
-use micadrum_recovery::words::{add_up, offsets};
+use micadrum_recovery::journal_trust::{Clock, JournalTrust, RecoveryInputs};
+use micadrum_recovery::message_recovery::{
+    LeftoverMessage, Repeats, Verdict, judge, time_left, turned_away_for,
+};
+use micadrum_recovery::peer_report::{add_up, offsets};
+use micadrum_recovery::phases::{Input, RecoveryPhase, Settings, Step};
 use micadrum_recovery::{EndpointRestrictions, JournalStamp, Phases, Record, Trust};
+use peer_queries::Asked;
 use serde::Serialize;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -242,15 +244,15 @@
     if let (Some(peers), Some(members)) = (peers, &config.operator.peers) {
         let until = origin + settings.ask_for;
         // Whoever comes back from a mere crash asks nothing, but hears whether its folder is the last that it had.
-        let forgot = ask::lives(peers, until).await;
+        let forgot = peer_queries::lives(peers, until).await;
         if let Some(known) = forgot {
             trust.others_know(known);
         }
         if trust.asks() {
-            let (words, counts) = ask::words(peers, members, ports, until).await;
-            let clocks: Vec<_> = words.iter().filter_map(ask::Heard::clocks).collect();
+            let (words, counts) = peer_queries::words(peers, members, ports, until).await;
+            let clocks: Vec<_> = words.iter().filter_map(peer_queries::Heard::clocks).collect();
             trust.others_have(&offsets(&clocks));
-            caution = add_up(&words.iter().map(ask::Heard::word).collect::<Vec<_>>());
+            caution = add_up(&words.iter().map(peer_queries::Heard::word).collect::<Vec<_>>());
             asked = Some(counts);
         }
     }
--- a/src/daemon/recovery/ask.rs
+++ b/src/daemon/recovery/peer_queries.rs
@@ -3,7 +3,7 @@
 use crate::daemon::ports::Ports;
 use micadrum_config::Peers;
 use micadrum_membership::Standing;
-use micadrum_recovery::asking::{Candidate, Ended};
+use micadrum_recovery::peer_query::{Candidate, Ended};
 use micadrum_recovery::{PeerQuery, PeerReport};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -7,7 +7,7 @@
 use crate::observe::RouteSnapshot;
 use crate::pacing::Health;
 use crate::{DeliveryEngine, EndpointId, Settings, TimeDelta, Timestamp};
-use micadrum_recovery::words::ReportedHealth as Spoken;
+use micadrum_recovery::peer_report::ReportedHealth as Spoken;
 
 impl RouteSnapshot {
     /// What it is worth `now`, to a process that starts now, if it was written down `written`. `chance`, from 0 to 1, sets
