--- a/crates/micadrum-config/src/diagnostics.rs
+++ b/crates/micadrum-config/src/diagnostics.rs
@@ -1,60 +1,98 @@
-//! What is wrong with a file, told so that whoever wrote it finds the place.
+//! Errors in a configuration file, reported with their position and the nearest known name.
+use crate::units::Span;
 use std::fmt;
 use std::ops::Range;
+use toml::Spanned;
 
-/// Names less alike than this are no slip of the pen (Jaro-Winkler, 0 to 1).
-const NEAR: f64 = 0.8;
+/// Names less similar than this are not suggested (Jaro-Winkler similarity, 0 to 1).
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.8;
 
-/// What is wrong with a file, and where.
+/// A position in a file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Position {
+    /// The line, from 1.
+    pub line: usize,
+    /// The column in bytes, from 1.
+    pub column: usize,
+}
+
+/// An error in a configuration file.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 pub struct FileError {
-    /// The file, as it was named.
+    /// The file, as the caller named it.
     pub file: String,
-    /// Line and column, from 1.
-    pub place: (usize, usize),
+    /// Where the error is.
+    pub position: Position,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.file, self.place.0, self.place.1, self.what)
+        let Position { line, column } = self.position;
+        write!(f, "{}:{line}:{column}: {}", self.file, self.message)
     }
 }
 
-/// A file's text under its name.
-pub(crate) struct Text<'a> {
+/// A file's name and text.
+pub(crate) struct SourceText<'a> {
     pub file: &'a str,
     pub text: &'a str,
 }
 
-impl Text<'_> {
-    /// An error at a place in it.
-    pub fn wrong(&self, span: Range<usize>, what: impl Into<String>) -> FileError {
+impl SourceText<'_> {
+    /// Creates an error at the start of a byte range of the text.
+    pub fn error(&self, span: Range<usize>, message: impl Into<String>) -> FileError {
         let before = &self.text.as_bytes()[..span.start.min(self.text.len())];
         let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
-        let column = before.len() - before.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1) + 1;
-        FileError { file: self.file.to_owned(), place: (line, column), what: what.into() }
+        let line_start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |newline| newline + 1);
+        let column = before.len() - line_start + 1;
+        FileError { file: self.file.to_owned(), position: Position { line, column }, message: message.into() }
     }
 
-    /// The reader's own error, with the nearest name where a field is not known.
+    /// Converts an error of the TOML parser, and adds the nearest known name if a field or variant is unknown.
     pub fn toml_error(&self, error: &toml::de::Error) -> FileError {
-        let mut what = error.message().replace('\n', " ").trim().to_owned();
-        if what.starts_with("unknown field") || what.starts_with("unknown variant") {
-            // The names stand in backquotes: what was written first, then what is known.
-            let mut names = what.split('`').skip(1).step_by(2);
+        let mut message = error.message().replace('\n', " ").trim().to_owned();
+        if message.starts_with("unknown field") || message.starts_with("unknown variant") {
+            // The parser puts names in backquotes: first the unknown one, then the known ones.
+            let mut names = message.split('`').skip(1).step_by(2);
             if let Some(written) = names.next()
-                && let Some(near) = nearest(written, names)
+                && let Some(nearest) = nearest_name(written, names)
             {
-                what = format!("{what}; did you mean `{near}`?");
+                message = format!("{message}; did you mean `{nearest}`?");
             }
         }
-        self.wrong(error.span().unwrap_or(0..0), what)
+        self.error(error.span().unwrap_or(0..0), message)
     }
+
+    /// Returns a span within bounds, or the default if none is given.
+    pub fn span_within(
+        &self,
+        given: Option<Spanned<Span>>,
+        setting: &SpanSetting,
+    ) -> Result<Span, FileError> {
+        let Some(given) = given else { return Ok(setting.default) };
+        let span = *given.get_ref();
+        let SpanSetting { key, min, max, .. } = setting;
+        if (*min..=*max).contains(&span) {
+            Ok(span)
+        } else {
+            Err(self.error(given.span(), format!("`{key}` must lie between {min} and {max}")))
+        }
+    }
+}
+
+/// The key, the default and the inclusive bounds of a setting.
+pub(crate) struct SpanSetting {
+    pub key: &'static str,
+    pub default: Span,
+    pub min: Span,
+    pub max: Span,
 }
 
-/// The known name that is most like a written one, if any is alike.
-pub(crate) fn nearest<'a>(written: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    let alike = known.map(|name| (strsim::jaro_winkler(written, name), name));
-    alike.filter(|(alike, _)| *alike >= NEAR).max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, name)| name)
+/// Returns the known name most similar to a written one, if any is similar enough.
+pub(crate) fn nearest_name<'a>(written: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+    let scored = known.map(|name| (strsim::jaro_winkler(written, name), name));
+    let similar = scored.filter(|(similarity, _)| *similarity >= MIN_SUGGESTION_SIMILARITY);
+    similar.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, name)| name)
 }
--- a/crates/micadrum-config/src/durability.rs
+++ b/crates/micadrum-config/src/durability.rs
@@ -1,56 +1,57 @@
-//! `[durability]`: what the journal outlasts.
-use crate::diagnostics::{FileError, Text};
+//! `[durability]`: which failures the journal survives.
+use crate::diagnostics::{FileError, SourceText};
 use crate::units::Span;
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The usual time that a record waits for others, and the longest.
-const DELAY: Span = Span(0);
-const MOST_DELAY: Span = Span::millis(100);
+/// The default and the longest time that a record waits for others to be synced with it.
+const DEFAULT_DELAY: Span = Span(0);
+const MAX_DELAY: Span = Span::millis(100);
 
-/// What the journal outlasts.
+/// Which failures the journal survives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// The process: a record stands once it is written.
+    /// A crash of the process: a record is durable once written.
     #[default]
     Process,
-    /// The machine: a record stands once it is synced, together with what is written within `delay`.
+    /// A crash of the machine: a record is durable once synced (group commit).
     Machine {
-        /// How long a record waits for others.
+        /// How long a record waits for others to be synced with it.
         delay: Span,
     },
 }
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Outlasts {
+enum SurvivedFailure {
     Process,
     Machine,
 }
 
+/// The section as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Raw {
-    outlasts: Outlasts,
+pub(crate) struct RawDurability {
+    #[serde(rename = "outlasts")]
+    survives: SurvivedFailure,
     delay: Option<Spanned<Span>>,
 }
 
-impl Raw {
-    pub fn check(self, text: &Text<'_>) -> Result<Durability, FileError> {
-        match (self.outlasts, self.delay) {
-            (Outlasts::Process, None) => Ok(Durability::Process),
-            (Outlasts::Process, Some(delay)) => {
-                Err(text.wrong(delay.span(), "`delay` means nothing where records are not synced"))
+impl RawDurability {
+    /// Validates the section.
+    pub fn validate(self, text: &SourceText<'_>) -> Result<Durability, FileError> {
+        match (self.survives, self.delay) {
+            (SurvivedFailure::Process, None) => Ok(Durability::Process),
+            (SurvivedFailure::Process, Some(delay)) => {
+                Err(text.error(delay.span(), "`delay` means nothing where records are not synced"))
             }
-            (Outlasts::Machine, None) => Ok(Durability::Machine { delay: DELAY }),
-            (Outlasts::Machine, Some(delay)) => {
-                let what = || format!("`delay` must lie between 0 ms and {MOST_DELAY}: answers wait for it");
-                let span = *delay.get_ref();
-                if span <= MOST_DELAY {
-                    Ok(Durability::Machine { delay: span })
-                } else {
-                    Err(text.wrong(delay.span(), what()))
-                }
+            (SurvivedFailure::Machine, None) => Ok(Durability::Machine { delay: DEFAULT_DELAY }),
+            (SurvivedFailure::Machine, Some(delay)) if *delay.get_ref() <= MAX_DELAY => {
+                Ok(Durability::Machine { delay: delay.into_inner() })
+            }
+            (SurvivedFailure::Machine, Some(delay)) => {
+                let message = format!("`delay` must lie between 0 ms and {MAX_DELAY}: answers wait for it");
+                Err(text.error(delay.span(), message))
             }
         }
     }
--- a/crates/micadrum-config/src/lib.rs
+++ b/crates/micadrum-config/src/lib.rs
@@ -1,84 +1,79 @@
-//! The operator's file: what the people who run a sender may turn on beyond what the platform's configuration says.
+//! The operator's configuration file: what the people who run a sender may enable beyond the platform's configuration.
 //!
-//! One TOML file, the same for every sender of a fleet, named by `MICADRUM_OPERATOR`. A part that it does not have is
-//! off. It is checked whole before anything of it is acted on: a field that is not known, a unit that is missing, a name
-//! that stands twice are refused with file, line and column, and with the nearest name where one is near.
+//! One TOML file, identical for every sender of a fleet, named by `MICADRUM_OPERATOR`. A section that the file lacks is
+//! disabled. The file is validated completely before any of it takes effect: an unknown field, a missing unit or a
+//! duplicate name is rejected with file, line and column, and with the nearest known name where one is similar.
 //!
-//! This package does no I/O; whoever reads the file hands in its text.
+//! This package performs no I/O; the caller passes the text of the file.
 #![forbid(unsafe_code)]
 
 mod diagnostics;
 mod durability;
+mod error;
 pub mod peers;
 mod recovery;
 pub mod units;
 
-pub use diagnostics::FileError;
-use diagnostics::Text;
+use diagnostics::SourceText;
+pub use diagnostics::{FileError, Position};
 pub use durability::Durability;
+use durability::RawDurability;
+pub use error::ChangeError;
 pub use peers::Peers;
+use peers::RawPeers;
+use recovery::RawRecovery;
 pub use recovery::Recovery;
 use serde::Deserialize;
 
-/// The whole file.
+/// The operator's configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// Senders that know each other; off without it.
+    /// The members of the fleet; `None` disables membership.
     pub peers: Option<Peers>,
-    /// What the journal outlasts.
+    /// Which failures the journal survives.
     pub durability: Durability,
-    /// What a sender does after its machine has begun anew; as after any start without it.
+    /// What a sender does after its machine has restarted; `None` treats that like any other restart.
     pub recovery: Option<Recovery>,
 }
 
+/// The file as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
-    peers: Option<peers::Raw>,
-    durability: Option<durability::Raw>,
-    recovery: Option<recovery::Raw>,
-}
-
-/// Why a later file cannot take the place of the one that a process began with.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum ChangeError {
-    /// Sockets are opened at the start alone.
-    #[error("[{0}] cannot be turned on, off or over while a sender runs: restart it")]
-    Switched(&'static str),
-    /// What others know this sender by.
-    #[error("peers: own {0} cannot change while a sender runs: restart it")]
-    Own(&'static str),
+struct RawConfig {
+    peers: Option<RawPeers>,
+    durability: Option<RawDurability>,
+    recovery: Option<RawRecovery>,
 }
 
 impl OperatorConfig {
-    /// Reads and checks a file for the sender `own`; `file` is only named in errors.
+    /// Parses and validates a file for the sender `own_name`; `file` only appears in errors.
     ///
     /// # Errors
-    /// The first thing that is wrong, and where.
-    pub fn parse(file: &str, text: &str, own: &str) -> Result<Self, FileError> {
-        let text = Text { file, text };
-        let raw: Raw = toml::from_str(text.text).map_err(|e| text.toml_error(&e))?;
-        let peers = raw.peers.map(|raw| raw.check(&text, own)).transpose()?;
-        let durability = raw.durability.map(|raw| raw.check(&text)).transpose()?.unwrap_or_default();
-        let recovery = raw.recovery.map(|raw| raw.check(&text)).transpose()?;
+    /// Returns the first error in the file, with its position.
+    pub fn parse(file: &str, text: &str, own_name: &str) -> Result<Self, FileError> {
+        let text = SourceText { file, text };
+        let raw: RawConfig = toml::from_str(text.text).map_err(|error| text.toml_error(&error))?;
+        let peers = raw.peers.map(|raw| raw.validate(&text, own_name)).transpose()?;
+        let durability = raw.durability.map(|raw| raw.validate(&text)).transpose()?.unwrap_or_default();
+        let recovery = raw.recovery.map(|raw| raw.validate(&text)).transpose()?;
         Ok(Self { peers, durability, recovery })
     }
 
-    /// Whether a process that began with this file can follow `next`.
+    /// Checks whether a process that started with this configuration can reload `next` without a restart.
     ///
     /// # Errors
-    /// What needs a restart.
-    pub fn may_become(&self, next: &Self) -> Result<(), ChangeError> {
+    /// Returns what requires a restart.
+    pub fn check_reload(&self, next: &Self) -> Result<(), ChangeError> {
         if self.durability != next.durability {
-            return Err(ChangeError::Switched("durability"));
+            return Err(ChangeError::Section("durability"));
         }
         if self.recovery.is_some() != next.recovery.is_some() {
-            return Err(ChangeError::Switched("recovery"));
+            return Err(ChangeError::Section("recovery"));
         }
         match (&self.peers, &next.peers) {
             (None, None) => Ok(()),
-            (Some(now), Some(next)) => now.may_become(next),
-            _ => Err(ChangeError::Switched("peers")),
+            (Some(current), Some(next)) => current.check_reload(next),
+            _ => Err(ChangeError::Section("peers")),
         }
     }
 }
--- a/crates/micadrum-config/src/peers.rs
+++ b/crates/micadrum-config/src/peers.rs
@@ -1,60 +1,86 @@
-//! `[peers]`: the senders of a fleet that know each other.
-use crate::ChangeError;
-use crate::diagnostics::{FileError, Text, nearest};
+//! `[peers]`: the members of a fleet.
+use crate::diagnostics::{FileError, SourceText, SpanSetting, nearest_name};
+use crate::error::ChangeError;
 use crate::units::{Rate, Span};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// No fleet has more members.
-pub const MOST_MEMBERS: usize = 1000;
-/// Names are shown in tables, and stand in records that last.
-const MOST_NAME: usize = 64;
-/// Bounds of what may be set, in the file's own words.
-const PROBE_EVERY: (Span, Span) = (Span::millis(50), Span::seconds(10));
-const DEAD_AFTER: (Span, Span) = (Span::millis(200), Span::seconds(300));
-/// Less than this does not carry the probes of a small fleet, in bytes a second.
-const LEAST_BYTES: f64 = 4_000.0;
-const LEAST_DATAGRAMS: f64 = 20.0;
+/// Upper bound on the members of a fleet.
+pub const MAX_MEMBERS: usize = 1000;
+/// Names appear in tables and in persisted records.
+const MAX_NAME_BYTES: usize = 64;
+/// Length of a public key in hexadecimal digits.
+const KEY_HEX_DIGITS: usize = 64;
+
+const PROBE_INTERVAL: SpanSetting = SpanSetting {
+    key: "probe_every",
+    default: Span::millis(100),
+    min: Span::millis(50),
+    max: Span::seconds(10),
+};
+const SUSPICION_TIMEOUT: SpanSetting = SpanSetting {
+    key: "dead_after",
+    default: Span::seconds(1),
+    min: Span::millis(200),
+    max: Span::seconds(300),
+};
+/// A suspect is probed at least this often before it is declared dead.
+const MIN_PROBES_BEFORE_DEATH: u64 = 3;
+/// The lower bounds suffice for the probes of a small fleet.
+const DATAGRAMS_PER_SECOND: RateSetting =
+    RateSetting { key: "datagrams", default: 400.0, min: 20.0, units_per_key_unit: 1.0 };
+const BYTES_PER_SECOND: RateSetting =
+    RateSetting { key: "kilobytes", default: 100_000.0, min: 4_000.0, units_per_key_unit: 1000.0 };
+
+/// The key, the default and the lower bound of a rate, in units per second.
+struct RateSetting {
+    key: &'static str,
+    default: f64,
+    min: f64,
+    /// How many units one unit of the key has: 1000 bytes for a key in kilobytes.
+    units_per_key_unit: f64,
+}
 
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMember {
-    /// Its name: that of its platform configuration.
+    /// The member's name, as in its platform configuration.
     pub name: String,
-    /// Where it hears its peers.
+    /// The address at which the member is reached by its peers.
     pub address: SocketAddr,
-    /// The building that it stands in.
-    pub building: String,
-    /// Its public key (X25519).
+    /// The zone in which the member runs.
+    pub zone: String,
+    /// The member's X25519 public key.
     pub key: [u8; 32],
 }
 
-/// The whole part, checked.
+/// The validated section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
     /// This sender's name.
-    pub own: String,
-    /// The file with its secret key; relative to the operator's file.
-    pub secret: String,
-    /// Where it listens, where that is not where others reach it.
+    pub own_name: String,
+    /// The file with this sender's secret key, relative to the operator's file.
+    pub secret_file: String,
+    /// The address to listen at, if it differs from the one at which peers reach this sender.
     pub listen: Option<SocketAddr>,
-    /// From one probe to the next.
-    pub probe_every: Span,
-    /// A suspect that says nothing for so long is dead.
-    pub dead_after: Span,
-    /// Datagrams a second that it sends at the most.
-    pub datagrams: f64,
-    /// Bytes a second that it sends at the most.
-    pub bytes: f64,
-    /// All members, this sender too, by name.
+    /// The time from one probe to the next.
+    pub probe_interval: Span,
+    /// How long a suspect has to stay silent before it is declared dead.
+    pub suspicion_timeout: Span,
+    /// Upper bound on datagrams sent per second.
+    pub datagrams_per_second: f64,
+    /// Upper bound on bytes sent per second.
+    pub bytes_per_second: f64,
+    /// All members, including this sender, by name.
     pub members: BTreeMap<String, PeerMember>,
 }
 
+/// The section as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Raw {
+pub(crate) struct RawPeers {
     secret: Spanned<String>,
     listen: Option<SocketAddr>,
     probe_every: Option<Spanned<Span>>,
@@ -65,20 +91,22 @@
     member: Vec<Spanned<RawMember>>,
 }
 
+/// A member as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawMember {
     name: Spanned<String>,
     address: Spanned<SocketAddr>,
-    building: Spanned<String>,
+    #[serde(rename = "building")]
+    zone: Spanned<String>,
     key: Spanned<String>,
 }
 
-/// Reads 64 hexadecimal digits.
+/// Parses a key of 64 hexadecimal digits.
 #[must_use]
-pub fn key(text: &str) -> Option<[u8; 32]> {
+pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let mut key = [0; 32];
-    if text.len() != 64 || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
+    if text.len() != KEY_HEX_DIGITS || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
         return None;
     }
     for (byte, digits) in key.iter_mut().zip(text.as_bytes().chunks(2)) {
@@ -87,112 +115,148 @@
     Some(key)
 }
 
-impl Raw {
-    pub fn check(self, text: &Text<'_>, own: &str) -> Result<Peers, FileError> {
-        let within = |given: Option<Spanned<Span>>, usual: Span, (least, most): (Span, Span), name: &str| {
-            let Some(given) = given else { return Ok(usual) };
-            let span = *given.get_ref();
-            let what = || format!("`{name}` must lie between {least} and {most}");
-            if (least..=most).contains(&span) { Ok(span) } else { Err(text.wrong(given.span(), what())) }
-        };
-        let at_least = |given: Option<Spanned<Rate>>, usual: f64, factor: f64, least: f64, name: &str| {
-            let Some(given) = given else { return Ok(usual) };
-            let rate = given.get_ref().0 * factor;
-            let what = || format!("`{name}` must be at least {}/s", least / factor);
-            if rate >= least { Ok(rate) } else { Err(text.wrong(given.span(), what())) }
-        };
-        let probe_every = within(self.probe_every, Span::millis(100), PROBE_EVERY, "probe_every")?;
-        let dead_place = self.dead_after.as_ref().map_or(0..0, Spanned::span);
-        let dead_after = within(self.dead_after, Span::seconds(1), DEAD_AFTER, "dead_after")?;
-        if dead_after.0 < 3 * probe_every.0 {
-            let what =
+impl RawPeers {
+    /// Validates the section for the sender `own_name`.
+    pub fn validate(self, text: &SourceText<'_>, own_name: &str) -> Result<Peers, FileError> {
+        let probe_interval = text.span_within(self.probe_every, &PROBE_INTERVAL)?;
+        let suspicion_position = self.dead_after.as_ref().map_or(0..0, Spanned::span);
+        let suspicion_timeout = text.span_within(self.dead_after, &SUSPICION_TIMEOUT)?;
+        if suspicion_timeout.0 < MIN_PROBES_BEFORE_DEATH * probe_interval.0 {
+            let message =
                 "`dead_after` must be at least three times `probe_every`: a suspect is asked again and again";
-            return Err(text.wrong(dead_place, what));
-        }
-        let datagrams = at_least(self.datagrams, 400.0, 1.0, LEAST_DATAGRAMS, "datagrams")?;
-        let bytes = at_least(self.kilobytes, 100_000.0, 1000.0, LEAST_BYTES, "kilobytes")?;
-        let mut members = BTreeMap::<String, PeerMember>::new();
-        let mut addresses = BTreeMap::new();
-        let mut keys = BTreeMap::new();
-        if let Some(beyond) = self.member.get(MOST_MEMBERS) {
-            return Err(text.wrong(beyond.span(), format!("no more than {MOST_MEMBERS} members")));
+            return Err(text.error(suspicion_position, message));
         }
-        for raw in self.member {
-            let RawMember { name, address, building, key: written } = raw.into_inner();
-            let at = name.span();
-            let name = name.into_inner();
-            let plain = |c: char| c.is_ascii_graphic();
-            if name.is_empty() || name.len() > MOST_NAME || !name.chars().all(plain) {
-                let what = format!("a name has 1 to {MOST_NAME} visible ASCII characters and no space");
-                return Err(text.wrong(at, what));
-            }
-            let Some(public) = key(written.get_ref()) else {
-                return Err(text.wrong(
-                    written.span(),
-                    "a key has 64 hexadecimal digits: `micadrum key FILE` prints it",
-                ));
-            };
-            if building.get_ref().trim().is_empty() {
-                return Err(text.wrong(building.span(), "the building needs a name"));
-            }
-            let reached = *address.get_ref();
-            if reached.port() == 0 && name != own {
-                return Err(
-                    text.wrong(address.span(), "others are reached at a port of their own, not at port 0")
-                );
-            }
-            if let Some(other) = addresses.insert(reached, name.clone()).filter(|_| reached.port() != 0) {
-                return Err(text.wrong(address.span(), format!("{other:?} has this address already")));
-            }
-            if let Some(other) = keys.insert(public, name.clone()) {
-                return Err(
-                    text.wrong(written.span(), format!("{other:?} has this key already: each has its own"))
-                );
-            }
-            let member = PeerMember {
-                name: name.clone(),
-                address: reached,
-                building: building.into_inner(),
-                key: public,
-            };
-            if members.insert(name.clone(), member).is_some() {
-                return Err(text.wrong(at, format!("the member {name:?} stands twice")));
-            }
+        let datagrams_per_second = rate_at_least(self.datagrams, &DATAGRAMS_PER_SECOND, text)?;
+        let bytes_per_second = rate_at_least(self.kilobytes, &BYTES_PER_SECOND, text)?;
+        let members = validate_members(self.member, text, own_name)?;
+        if !members.contains_key(own_name) {
+            let nearest = nearest_name(own_name, members.keys().map(String::as_str));
+            let hint = nearest.map_or(String::new(), |nearest| format!("; the nearest is {nearest:?}"));
+            let message = format!("this sender, {own_name:?}, is no member{hint}");
+            return Err(text.error(self.secret.span(), message));
         }
-        if !members.contains_key(own) {
-            let near = nearest(own, members.keys().map(String::as_str));
-            let near = near.map_or(String::new(), |near| format!("; the nearest is {near:?}"));
-            return Err(text.wrong(self.secret.span(), format!("this sender, {own:?}, is no member{near}")));
-        }
-        let secret = self.secret.into_inner();
         Ok(Peers {
-            own: own.to_owned(),
-            secret,
+            own_name: own_name.to_owned(),
+            secret_file: self.secret.into_inner(),
             listen: self.listen,
-            probe_every,
-            dead_after,
-            datagrams,
-            bytes,
+            probe_interval,
+            suspicion_timeout,
+            datagrams_per_second,
+            bytes_per_second,
             members,
         })
     }
 }
 
+/// Returns a rate in units per second, or the default if none is given.
+fn rate_at_least(
+    given: Option<Spanned<Rate>>,
+    setting: &RateSetting,
+    text: &SourceText<'_>,
+) -> Result<f64, FileError> {
+    let Some(given) = given else { return Ok(setting.default) };
+    let rate = given.get_ref().0 * setting.units_per_key_unit;
+    if rate >= setting.min {
+        return Ok(rate);
+    }
+    let min = setting.min / setting.units_per_key_unit;
+    Err(text.error(given.span(), format!("`{}` must be at least {min}/s", setting.key)))
+}
+
+fn validate_members(
+    raw_members: Vec<Spanned<RawMember>>,
+    text: &SourceText<'_>,
+    own_name: &str,
+) -> Result<BTreeMap<String, PeerMember>, FileError> {
+    if let Some(surplus) = raw_members.get(MAX_MEMBERS) {
+        return Err(text.error(surplus.span(), format!("no more than {MAX_MEMBERS} members")));
+    }
+    let mut table = MemberTable::default();
+    for raw in raw_members {
+        table.insert(raw.into_inner(), text, own_name)?;
+    }
+    Ok(table.members)
+}
+
+/// The members read so far, with what has to be unique among them.
+#[derive(Default)]
+struct MemberTable {
+    members: BTreeMap<String, PeerMember>,
+    /// The names of members by address.
+    addresses: BTreeMap<SocketAddr, String>,
+    /// The names of members by public key.
+    keys: BTreeMap<[u8; 32], String>,
+}
+
+impl MemberTable {
+    fn insert(&mut self, raw: RawMember, text: &SourceText<'_>, own_name: &str) -> Result<(), FileError> {
+        let key = raw.validate(text, own_name)?;
+        let RawMember { name, address, zone, key: key_text } = raw;
+        let (name_span, address_span, key_span) = (name.span(), address.span(), key_text.span());
+        let (name, address) = (name.into_inner(), address.into_inner());
+        // An ephemeral port is no address yet, and cannot collide.
+        let same_address = self.addresses.insert(address, name.clone()).filter(|_| address.port() != 0);
+        if let Some(other) = same_address {
+            return Err(text.error(address_span, format!("{other:?} has this address already")));
+        }
+        if let Some(other) = self.keys.insert(key, name.clone()) {
+            let message = format!("{other:?} has this key already: each has its own");
+            return Err(text.error(key_span, message));
+        }
+        let member = PeerMember { name: name.clone(), address, zone: zone.into_inner(), key };
+        if self.members.insert(name.clone(), member).is_some() {
+            return Err(text.error(name_span, format!("the member {name:?} stands twice")));
+        }
+        Ok(())
+    }
+}
+
+impl RawMember {
+    /// Validates the fields of one member by themselves, and returns its public key.
+    fn validate(&self, text: &SourceText<'_>, own_name: &str) -> Result<[u8; 32], FileError> {
+        let name = self.name.get_ref();
+        let is_valid_name = (1..=MAX_NAME_BYTES).contains(&name.len())
+            && name.chars().all(|character| character.is_ascii_graphic());
+        if !is_valid_name {
+            let message = format!("a name has 1 to {MAX_NAME_BYTES} visible ASCII characters and no space");
+            return Err(text.error(self.name.span(), message));
+        }
+        let Some(key) = parse_key(self.key.get_ref()) else {
+            let message = "a key has 64 hexadecimal digits: `micadrum key FILE` prints it";
+            return Err(text.error(self.key.span(), message));
+        };
+        if self.zone.get_ref().trim().is_empty() {
+            return Err(text.error(self.zone.span(), "the building needs a name"));
+        }
+        if self.address.get_ref().port() == 0 && name != own_name {
+            let message = "others are reached at a port of their own, not at port 0";
+            return Err(text.error(self.address.span(), message));
+        }
+        Ok(key)
+    }
+}
+
 impl Peers {
-    /// Whether a process that began with this can follow `next`: members may come, go and move; what this one is known
-    /// by may not change.
-    pub(crate) fn may_become(&self, next: &Self) -> Result<(), ChangeError> {
-        let own = |peers: &Self| peers.members.get(&peers.own).cloned();
-        let (now, then) = (own(self), own(next));
-        let same = |part: fn(&PeerMember) -> String| now.as_ref().map(part) == then.as_ref().map(part);
-        if self.own != next.own {
-            Err(ChangeError::Own("name"))
-        } else if !same(|m| m.address.to_string()) || self.listen != next.listen {
-            Err(ChangeError::Own("address"))
-        } else if !same(|m| format!("{:?}", m.key)) || self.secret != next.secret {
-            Err(ChangeError::Own("key"))
+    /// Checks whether a process that started with this section can reload `next`: members may be added, removed and
+    /// moved, but this sender's own identity may not change.
+    pub(crate) fn check_reload(&self, next: &Self) -> Result<(), ChangeError> {
+        let (own, next_own) = (self.own_member(), next.own_member());
+        if self.own_name != next.own_name {
+            Err(ChangeError::OwnIdentity("name"))
+        } else if own.map(|member| member.address) != next_own.map(|member| member.address)
+            || self.listen != next.listen
+        {
+            Err(ChangeError::OwnIdentity("address"))
+        } else if own.map(|member| member.key) != next_own.map(|member| member.key)
+            || self.secret_file != next.secret_file
+        {
+            Err(ChangeError::OwnIdentity("key"))
         } else {
             Ok(())
         }
     }
+
+    fn own_member(&self) -> Option<&PeerMember> {
+        self.members.get(&self.own_name)
+    }
 }
--- a/crates/micadrum-config/src/recovery.rs
+++ b/crates/micadrum-config/src/recovery.rs
@@ -1,34 +1,47 @@
-//! `[recovery]`: what a sender does after its machine has begun anew.
-use crate::diagnostics::{FileError, Text};
+//! `[recovery]`: what a sender does after its machine has restarted.
+use crate::diagnostics::{FileError, SourceText, SpanSetting};
 use crate::units::{Rate, Span};
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The longest that a stage may take: a sender that stays away for longer is of no use to anybody.
-const MOST_STAGE: Span = Span::seconds(30);
-const MOST_FULL_AFTER: Span = Span::seconds(120);
-const MOST_WAIT_OUT: Span = Span::seconds(3600);
+/// The longest time that one phase may take: a sender that stays away for longer is of no use.
+const MAX_PHASE: Span = Span::seconds(30);
+const MAX_ADMISSION_RAMP: Span = Span::seconds(120);
+const MAX_DEDUPLICATION_HOLD: Span = Span::seconds(3600);
+const DEFAULT_ADMISSIONS_PER_SECOND: f64 = 100.0;
+const DEFAULT_BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
-/// The whole part, checked.
+const PEER_QUERY_TIMEOUT: SpanSetting =
+    SpanSetting { key: "ask_for", default: Span::seconds(1), min: Span(0), max: MAX_PHASE };
+const ENDPOINT_LIST_TIMEOUT: SpanSetting =
+    SpanSetting { key: "list_for", default: Span::seconds(2), min: Span(0), max: MAX_PHASE };
+const BACKLOG_TIMEOUT: SpanSetting =
+    SpanSetting { key: "finish_for", default: Span::millis(500), min: Span(0), max: MAX_PHASE };
+const ADMISSION_RAMP: SpanSetting =
+    SpanSetting { key: "full_after", default: Span::seconds(5), min: Span(0), max: MAX_ADMISSION_RAMP };
+const DEDUPLICATION_HOLD: SpanSetting =
+    SpanSetting { key: "wait_out", default: Span(0), min: Span(0), max: MAX_DEDUPLICATION_HOLD };
+
+/// The validated section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovery {
-    /// How long peers are asked at the most.
-    pub ask_for: Span,
-    /// How long the list is waited for.
-    pub list_for: Span,
-    /// How long what is owed from before goes before newcomers.
-    pub finish_for: Span,
-    /// Newcomers a second when the door opens.
-    pub newcomers: f64,
-    /// When their rate has no limit any more.
-    pub full_after: Span,
-    /// For so long after a start at which the ids of messages that are over may be missing, newcomers of which a second copy
-    /// does harm are turned away.
-    pub wait_out: Span,
-    /// The clock is set before a sender starts, after every loss of power.
-    pub clock_vouched: bool,
-    /// The file in which the machine says which run of it this is.
-    pub boot_id: String,
+    /// How long peers are queried at most.
+    pub peer_query_timeout: Span,
+    /// How long the endpoint list is waited for.
+    pub endpoint_list_timeout: Span,
+    /// How long pending messages of before the restart take precedence over new ones.
+    pub backlog_timeout: Span,
+    /// New messages admitted per second at first.
+    pub initial_admissions_per_second: f64,
+    /// How long it takes until the admission rate is unlimited.
+    pub admission_ramp: Span,
+    /// How long after a start at which ids of completed messages may be missing new messages are rejected that must not
+    /// be delivered twice.
+    pub deduplication_hold: Span,
+    /// The operators guarantee that the clock is set before a sender starts, after every power loss.
+    pub trusts_clock: bool,
+    /// The file with the kernel's boot id.
+    pub boot_id_file: String,
 }
 
 #[derive(Clone, Copy, Deserialize)]
@@ -38,9 +51,10 @@
     Vouched,
 }
 
+/// The section as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Raw {
+pub(crate) struct RawRecovery {
     ask_for: Option<Spanned<Span>>,
     list_for: Option<Spanned<Span>>,
     finish_for: Option<Spanned<Span>>,
@@ -51,23 +65,20 @@
     boot_id: Option<String>,
 }
 
-impl Raw {
-    pub fn check(self, text: &Text<'_>) -> Result<Recovery, FileError> {
-        let up_to = |given: Option<Spanned<Span>>, usual: Span, most: Span, name: &str| {
-            let Some(given) = given else { return Ok(usual) };
-            let span = *given.get_ref();
-            let what = || format!("`{name}` must lie between 0 s and {most}");
-            if span <= most { Ok(span) } else { Err(text.wrong(given.span(), what())) }
-        };
+impl RawRecovery {
+    /// Validates the section.
+    pub fn validate(self, text: &SourceText<'_>) -> Result<Recovery, FileError> {
         Ok(Recovery {
-            ask_for: up_to(self.ask_for, Span::seconds(1), MOST_STAGE, "ask_for")?,
-            list_for: up_to(self.list_for, Span::seconds(2), MOST_STAGE, "list_for")?,
-            finish_for: up_to(self.finish_for, Span::millis(500), MOST_STAGE, "finish_for")?,
-            newcomers: self.newcomers.map_or(100.0, |rate| rate.0),
-            full_after: up_to(self.full_after, Span::seconds(5), MOST_FULL_AFTER, "full_after")?,
-            wait_out: up_to(self.wait_out, Span(0), MOST_WAIT_OUT, "wait_out")?,
-            clock_vouched: matches!(self.clock, Some(Clock::Vouched)),
-            boot_id: self.boot_id.unwrap_or_else(|| "/proc/sys/kernel/random/boot_id".to_owned()),
+            peer_query_timeout: text.span_within(self.ask_for, &PEER_QUERY_TIMEOUT)?,
+            endpoint_list_timeout: text.span_within(self.list_for, &ENDPOINT_LIST_TIMEOUT)?,
+            backlog_timeout: text.span_within(self.finish_for, &BACKLOG_TIMEOUT)?,
+            initial_admissions_per_second: self
+                .newcomers
+                .map_or(DEFAULT_ADMISSIONS_PER_SECOND, |rate| rate.0),
+            admission_ramp: text.span_within(self.full_after, &ADMISSION_RAMP)?,
+            deduplication_hold: text.span_within(self.wait_out, &DEDUPLICATION_HOLD)?,
+            trusts_clock: matches!(self.clock, Some(Clock::Vouched)),
+            boot_id_file: self.boot_id.unwrap_or_else(|| DEFAULT_BOOT_ID_FILE.to_owned()),
         })
     }
 }
--- a/crates/micadrum-config/src/tests.rs
+++ b/crates/micadrum-config/src/tests.rs
@@ -14,9 +14,9 @@
     format!("[peers]\nsecret = \"s\"\n{head}{}{}", member("n1", 1, &key(1)), member("n2", 2, &key(2)))
 }
 
-/// Guards against a file that is acted on though it is wrong, and against an error that does not tell where to look.
+/// Guards against an invalid file that takes effect, and an error without its position.
 #[test]
-fn wrong_files_are_refused_with_their_place() {
+fn invalid_files_are_rejected_with_the_position_of_the_error() {
     let cases: Vec<(String, usize, &str)> = vec![
         ("[peer]\n".into(), 1, "did you mean `peers`?"),
         ("[durability]\noutlasts = \"machin\"\n".into(), 2, "did you mean `machine`?"),
@@ -38,37 +38,42 @@
         (file("").replace("n1", "n11"), 2, "this sender, \"n1\", is no member; the nearest is \"n11\""),
         (file("").replace("secret = \"s\"\n", ""), 1, "missing field `secret`"),
     ];
-    for (text, line, what) in cases {
+    for (text, line, message) in cases {
         let error = OperatorConfig::parse("o.toml", &text, "n1").expect_err(&text);
-        assert!(error.what.contains(what), "{error}\n{text}");
-        assert_eq!((error.place.0, &*error.file), (line, "o.toml"), "{error}\n{text}");
+        assert!(error.message.contains(message), "{error}\n{text}");
+        assert_eq!((error.position.line, &*error.file), (line, "o.toml"), "{error}\n{text}");
     }
 }
 
-/// Guards against an order of the members that means something, and defaults that a good file does not get.
+/// Guards against a result that depends on the order of the members, and missing defaults.
 #[test]
-fn a_good_file_is_read_whatever_the_order_of_its_members() {
+fn a_valid_file_is_read_whatever_the_order_of_its_members() {
     let one = OperatorConfig::parse("o", &file(""), "n1").unwrap().peers.unwrap();
-    let turned = format!("[peers]\nsecret = \"s\"\n{}{}", member("n2", 2, &key(2)), member("n1", 1, &key(1)));
-    assert_eq!(Some(&one), OperatorConfig::parse("o", &turned, "n1").unwrap().peers.as_ref());
-    assert_eq!((one.probe_every, one.dead_after), (units::Span::millis(100), units::Span::seconds(1)));
+    let reversed =
+        format!("[peers]\nsecret = \"s\"\n{}{}", member("n2", 2, &key(2)), member("n1", 1, &key(1)));
+    assert_eq!(Some(&one), OperatorConfig::parse("o", &reversed, "n1").unwrap().peers.as_ref());
+    assert_eq!(
+        (one.probe_interval, one.suspicion_timeout),
+        (units::Span::millis(100), units::Span::seconds(1))
+    );
     assert_eq!(one.members["n2"].key, [2; 32]);
     assert_eq!(OperatorConfig::parse("o", "", "n1").unwrap(), OperatorConfig::default());
-    let most: String = (0..1001).map(|n| member(&format!("m{n}"), 10 + n, &format!("{n:064x}"))).collect();
-    let error = OperatorConfig::parse("o", &(file("") + &most), "n1").unwrap_err();
-    assert!(error.what.contains("no more than 1000 members"), "{error}");
+    let too_many: String =
+        (0..1001).map(|n| member(&format!("m{n}"), 10 + n, &format!("{n:064x}"))).collect();
+    let error = OperatorConfig::parse("o", &(file("") + &too_many), "n1").unwrap_err();
+    assert!(error.message.contains("no more than 1000 members"), "{error}");
 }
 
-/// Guards against a reload that half takes: what others know a process by cannot change under it.
+/// Guards against a reload that takes effect in part: a process cannot change its own identity.
 #[test]
-fn members_may_change_and_what_a_process_is_known_by_may_not() {
+fn a_reload_may_change_members_but_not_the_own_identity() {
     let read = |text: &str, own: &str| OperatorConfig::parse("o", text, own).unwrap();
     let now = read(&file(""), "n1");
-    assert_eq!(now.may_become(&read(&(file("") + &member("n3", 3, &key(3))), "n1")), Ok(()));
-    assert_eq!(now.may_become(&OperatorConfig::default()), Err(ChangeError::Switched("peers")));
-    assert_eq!(now.may_become(&read(&file(""), "n2")), Err(ChangeError::Own("name")));
+    assert_eq!(now.check_reload(&read(&(file("") + &member("n3", 3, &key(3))), "n1")), Ok(()));
+    assert_eq!(now.check_reload(&OperatorConfig::default()), Err(ChangeError::Section("peers")));
+    assert_eq!(now.check_reload(&read(&file(""), "n2")), Err(ChangeError::OwnIdentity("name")));
     let moved = read(&file("").replace("127.0.0.1:1\"", "127.0.0.1:7\""), "n1");
-    assert_eq!(now.may_become(&moved), Err(ChangeError::Own("address")));
+    assert_eq!(now.check_reload(&moved), Err(ChangeError::OwnIdentity("address")));
     let other = read(&file("").replace(&key(1), &key(9)), "n1");
-    assert_eq!(now.may_become(&other), Err(ChangeError::Own("key")));
+    assert_eq!(now.check_reload(&other), Err(ChangeError::OwnIdentity("key")));
 }
--- a/crates/micadrum-config/src/units.rs
+++ b/crates/micadrum-config/src/units.rs
@@ -1,86 +1,146 @@
-//! Quantities as people write them in files, always with their unit.
+//! Quantities as people write them in configuration files, always with a unit.
 use serde::{Deserialize, Deserializer};
 use std::fmt;
+use std::time::Duration;
+
+const MICROS_PER_MILLI: u64 = 1_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const MICROS_PER_MINUTE: u64 = 60 * MICROS_PER_SECOND;
+const MICROS_PER_HOUR: u64 = 60 * MICROS_PER_MINUTE;
 
 /// A length of time, in whole microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Span(pub u64);
 
-/// How often a second.
+/// A rate per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate(pub f64);
 
-/// A share, in hundredths.
+/// A share, in percent.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Percent(pub f64);
 
+/// Why a quantity cannot be read.
+#[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
+pub enum QuantityError {
+    /// The text is not a number with the expected unit.
+    #[error("{text:?} is no {expected}")]
+    Invalid {
+        /// The text as written.
+        text: String,
+        /// The expected form, with an example.
+        expected: &'static str,
+    },
+    /// The text lacks a unit of time.
+    #[error("{0:?} needs a unit: us, ms, s, min or h")]
+    UnitMissing(String),
+    /// The unit is not a unit of time.
+    #[error("{0:?} is no unit of time: us, ms, s, min or h")]
+    UnitUnknown(String),
+}
+
+const EXPECTED_SPAN: &str = "span of time, such as \"2.5 s\"";
+const EXPECTED_RATE: &str = "rate, such as \"75/s\"";
+const EXPECTED_PERCENT: &str = "share, such as \"30%\"";
+
 impl Span {
-    /// So many milliseconds.
+    /// Creates a span of `n` milliseconds.
     pub const fn millis(n: u64) -> Self {
-        Self(n * 1000)
+        Self(n * MICROS_PER_MILLI)
     }
 
-    /// So many seconds.
+    /// Creates a span of `n` seconds.
     pub const fn seconds(n: u64) -> Self {
-        Self(n * 1_000_000)
+        Self(n * MICROS_PER_SECOND)
     }
 
-    /// In seconds.
+    /// Returns the span in seconds.
     pub fn as_secs(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / MICROS_PER_SECOND as f64
+    }
+
+    /// Returns the span as a standard duration.
+    pub const fn as_duration(self) -> Duration {
+        Duration::from_micros(self.0)
+    }
+
+    /// Parses a span such as `2.5 s`, `110 ms`, `10 min` or `12 h`.
+    ///
+    /// # Errors
+    /// Returns an error if the text is not a number with a unit of time.
+    pub fn parse(text: &str) -> Result<Self, QuantityError> {
+        let Quantity { number, unit } = Quantity::parse(text, EXPECTED_SPAN)?;
+        let micros_per_unit = match unit {
+            "us" => 1,
+            "ms" => MICROS_PER_MILLI,
+            "s" => MICROS_PER_SECOND,
+            "min" => MICROS_PER_MINUTE,
+            "h" => MICROS_PER_HOUR,
+            "" => return Err(QuantityError::UnitMissing(text.to_owned())),
+            other => return Err(QuantityError::UnitUnknown(other.to_owned())),
+        };
+        Ok(Self((number * micros_per_unit as f64) as u64))
+    }
+}
+
+impl Rate {
+    /// Parses a rate such as `75/s`.
+    fn parse(text: &str) -> Result<Self, QuantityError> {
+        match Quantity::parse(text, EXPECTED_RATE)? {
+            Quantity { number, unit: "/s" } if number > 0.0 => Ok(Self(number)),
+            _ => Err(QuantityError::Invalid { text: text.to_owned(), expected: EXPECTED_RATE }),
+        }
     }
 }
 
 impl Percent {
-    /// As a fraction of 1.
+    /// Returns the share as a fraction of 1.
     pub fn share(self) -> f64 {
         self.0 / 100.0
     }
+
+    /// Parses a share such as `30%`.
+    fn parse(text: &str) -> Result<Self, QuantityError> {
+        match Quantity::parse(text, EXPECTED_PERCENT)? {
+            Quantity { number, unit: "%" } => Ok(Self(number)),
+            _ => Err(QuantityError::Invalid { text: text.to_owned(), expected: EXPECTED_PERCENT }),
+        }
+    }
 }
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             0 => f.write_str("0 s"),
-            us if us % 1_000_000 == 0 => write!(f, "{} s", us / 1_000_000),
-            us if us % 1_000 == 0 => write!(f, "{} ms", us / 1_000),
+            us if us % MICROS_PER_SECOND == 0 => write!(f, "{} s", us / MICROS_PER_SECOND),
+            us if us % MICROS_PER_MILLI == 0 => write!(f, "{} ms", us / MICROS_PER_MILLI),
             us => write!(f, "{us} us"),
         }
     }
 }
 
-fn number<'a>(text: &'a str, what: &str) -> Result<(f64, &'a str), String> {
-    let text = text.trim();
-    let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
-    let (number, unit) = text.split_at(end);
-    let number: f64 = number.parse().map_err(|_| format!("{text:?} is no {what}"))?;
-    Ok((number, unit.trim()))
+/// A number and the text after it.
+struct Quantity<'a> {
+    number: f64,
+    unit: &'a str,
 }
 
-impl Span {
-    /// Reads `2.5 s`, `110 ms`, `10 min`, `12 h`.
-    ///
-    /// # Errors
-    /// What is wrong with the text.
-    pub fn parse(text: &str) -> Result<Self, String> {
-        let (number, unit) = number(text, "span of time, such as \"2.5 s\"")?;
-        let factor = match unit {
-            "us" => 1.0,
-            "ms" => 1e3,
-            "s" => 1e6,
-            "min" => 60e6,
-            "h" => 3600e6,
-            "" => return Err(format!("{text:?} needs a unit: us, ms, s, min or h")),
-            other => return Err(format!("{other:?} is no unit of time: us, ms, s, min or h")),
-        };
-        Ok(Self((number * factor) as u64))
+impl<'a> Quantity<'a> {
+    fn parse(text: &'a str, expected: &'static str) -> Result<Self, QuantityError> {
+        let text = text.trim();
+        let number_end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+        let (number, unit) = text.split_at(number_end);
+        let number =
+            number.parse().map_err(|_| QuantityError::Invalid { text: text.to_owned(), expected })?;
+        Ok(Self { number, unit: unit.trim() })
     }
 }
 
-macro_rules! from_text {
-    ($type:ty, $expecting:literal, $parse:expr) => {
+/// Implements [`Deserialize`] for a quantity that is written as a string.
+macro_rules! deserialize_from_text {
+    ($type:ty, $expecting:literal) => {
         impl<'de> Deserialize<'de> for $type {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 struct Visitor;
                 impl serde::de::Visitor<'_> for Visitor {
                     type Value = $type;
@@ -88,28 +148,15 @@
                         f.write_str($expecting)
                     }
                     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<$type, E> {
-                        let parse: fn(&str) -> Result<$type, String> = $parse;
-                        parse(text).map_err(E::custom)
+                        <$type>::parse(text).map_err(E::custom)
                     }
                 }
-                from.deserialize_any(Visitor)
+                deserializer.deserialize_any(Visitor)
             }
         }
     };
 }
 
-from_text!(Span, "a span of time in quotes, such as \"2.5 s\"", Span::parse);
-from_text!(
-    Rate,
-    "a rate in quotes, such as \"75/s\"",
-    |text| match number(text, "rate, such as \"75/s\"")? {
-        (n, "/s") if n > 0.0 => Ok(Rate(n)),
-        _ => Err(format!("{text:?} is no rate, such as \"75/s\"")),
-    }
-);
-from_text!(Percent, "a share in quotes, such as \"30%\"", |text| {
-    match number(text, "share, such as \"30%\"")? {
-        (n, "%") => Ok(Percent(n)),
-        _ => Err(format!("{text:?} is no share, such as \"30%\"")),
-    }
-});
+deserialize_from_text!(Span, "a span of time in quotes, such as \"2.5 s\"");
+deserialize_from_text!(Rate, "a rate in quotes, such as \"75/s\"");
+deserialize_from_text!(Percent, "a share in quotes, such as \"30%\"");
--- a/crates/micadrum-membership/benches/foca_comparison.rs
+++ b/crates/micadrum-membership/benches/foca_comparison.rs
@@ -1,5 +1,6 @@
-//! The failure detector of this package beside `foca` 1 in the same simulated fleet: what each finds, how soon, and whom
-//! it accuses wrongly. Run with `cargo bench -p micadrum-membership --bench foca_comparison`.
+//! Compares the failure detector of this package with that of `foca` 1 in one simulated fleet: which failures each
+//! detects, how soon, and which live members it declares dead. Run with
+//! `cargo bench -p micadrum-membership --bench foca_comparison`.
 #[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
 mod simulated_fleet;
@@ -11,143 +12,146 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
-use simulated_fleet::{CLEAN, Path, World, ms};
+use simulated_fleet::{LinkConditions, PERFECT_LINK, SimulatedFleet, ms};
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::num::NonZeroU32;
 use std::time::Duration;
 
 const MEMBERS: usize = 20;
-/// foca waits a fixed time for an answer, and probes no sooner than twice that: one for clean links, with probes as often as
-/// ours, and one that the lossy links keep (110 to 220 ms there and back).
-const QUICK: Duration = ms(50);
-const SLOW: Duration = ms(250);
+/// foca waits a fixed time for an ack, and probes no sooner than twice that. This setting for clean links probes as often
+/// as our detector does.
+const CLEAN_LINK_RTT: Duration = ms(50);
+/// This setting holds on the lossy links, whose round trips take 110 to 220 ms.
+const LOSSY_LINK_RTT: Duration = ms(250);
+const ONE_HOUR: Duration = ms(3_600_000);
+const NOBODY: u16 = u16::MAX;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Id {
-    n: u16,
-    life: u16,
+struct FocaId {
+    member: u16,
+    incarnation: u16,
 }
 
-impl Identity for Id {
+impl Identity for FocaId {
     type Addr = u16;
 
     fn addr(&self) -> u16 {
-        self.n
+        self.member
     }
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { life: self.life + 1, ..*self })
+        Some(Self { incarnation: self.incarnation + 1, ..*self })
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        self.life > other.life
+        self.incarnation > other.incarnation
     }
 }
 
-type Node = Foca<Id, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>;
+type Node = Foca<FocaId, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>;
 
-enum What {
-    Comes(u16, Vec<u8>),
-    Timer(u16, Timer<Id>),
+enum Scheduled {
+    Delivery(u16, Vec<u8>),
+    Timer(u16, Timer<FocaId>),
 }
 
-/// The same world round `foca`.
-struct Other {
+/// A member that is paused, with what is due to it meanwhile.
+struct Paused {
+    member: u16,
+    waiting: Vec<Scheduled>,
+}
+
+/// A member that another one declared dead.
+struct Death {
+    at: Duration,
+    by: u16,
+    of: u16,
+}
+
+/// The simulated fleet with `foca` as the failure detector.
+struct FocaFleet {
     now: Duration,
     nodes: Vec<Option<Node>>,
-    link: Box<dyn Fn(usize, usize) -> Path>,
+    link: Box<dyn Fn(usize, usize) -> LinkConditions>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    what: BTreeMap<u64, What>,
-    count: u64,
-    chance: ChaCha8Rng,
-    paused: Option<(u16, Vec<What>)>,
-    /// Members that were held for gone: when, by whom, of whom.
-    gone: Vec<(Duration, u16, u16)>,
-    sent: u64,
+    scheduled: BTreeMap<u64, Scheduled>,
+    last_scheduled: u64,
+    rng: ChaCha8Rng,
+    paused: Option<Paused>,
+    deaths: Vec<Death>,
     sent_bytes: u64,
 }
 
-impl Other {
-    /// On links whose answers come within `rtt`.
+impl FocaFleet {
+    /// Starts a fleet that expects acks within `rtt`.
     fn started(seed: u64, rtt: Duration) -> Self {
-        let mut config = Config::simple();
-        config.probe_period = rtt * 2;
-        config.probe_rtt = rtt;
-        config.suspect_to_down_after = ms(1000);
-        config.remove_down_after = Duration::from_secs(3600);
-        config.periodic_gossip = Some(foca::PeriodicParams {
-            frequency: ms(200),
-            num_members: NonZeroU32::new(3).unwrap().try_into().unwrap(),
-        });
-        config.periodic_announce = None;
-        config.periodic_announce_to_down_members = Some(foca::PeriodicParams {
-            frequency: ms(800),
-            num_members: NonZeroU32::new(3).unwrap().try_into().unwrap(),
-        });
-        config.notify_down_members = true;
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let config = foca_config(rtt);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nodes = (0..MEMBERS).map(|n| {
-            let chance = ChaCha8Rng::seed_from_u64(chance.next_u64());
-            Some(Foca::new(Id { n: n as u16, life: 0 }, config.clone(), chance, PostcardCodec))
+            let rng = ChaCha8Rng::seed_from_u64(rng.next_u64());
+            Some(Foca::new(FocaId { member: n as u16, incarnation: 0 }, config.clone(), rng, PostcardCodec))
         });
-        let mut world = Self {
+        let mut fleet = Self {
             now: Duration::ZERO,
             nodes: nodes.collect(),
-            link: Box::new(|_, _| CLEAN),
+            link: Box::new(|_, _| PERFECT_LINK),
             queue: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            count: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            scheduled: BTreeMap::new(),
+            last_scheduled: 0,
+            rng: ChaCha8Rng::seed_from_u64(seed),
             paused: None,
-            gone: Vec::new(),
-            sent: 0,
+            deaths: Vec::new(),
             sent_bytes: 0,
         };
         for n in 1..MEMBERS as u16 {
-            world.act(n, |node, runtime| drop(node.announce(Id { n: 0, life: 0 }, runtime)));
+            let first = FocaId { member: 0, incarnation: 0 };
+            fleet.act(n, |node, runtime| drop(node.announce(first, runtime)));
         }
-        world.run(ms(5000));
-        world
+        fleet.run(ms(5000));
+        fleet
     }
 
-    fn unit(&mut self) -> f64 {
-        (self.chance.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    fn random_unit(&mut self) -> f64 {
+        (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn push(&mut self, at: Duration, what: What) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count)));
-        self.what.insert(self.count, what);
+    fn schedule(&mut self, at: Duration, what: Scheduled) {
+        self.last_scheduled += 1;
+        self.queue.push(Reverse((at, self.last_scheduled)));
+        self.scheduled.insert(self.last_scheduled, what);
     }
 
-    fn act(&mut self, n: u16, act: impl FnOnce(&mut Node, &mut AccumulatingRuntime<Id>)) {
+    fn act(&mut self, member: u16, act: impl FnOnce(&mut Node, &mut AccumulatingRuntime<FocaId>)) {
         let mut runtime = AccumulatingRuntime::new();
-        let Some(node) = &mut self.nodes[n as usize] else { return };
+        let Some(node) = &mut self.nodes[member as usize] else { return };
         act(node, &mut runtime);
         while let Some((to, data)) = runtime.to_send() {
-            self.sent += 1;
             self.sent_bytes += data.len() as u64;
-            let link = (self.link)(n as usize, to.n as usize);
-            if !link.cut && self.unit() >= link.lose {
-                let due = self.now + link.delay + link.jitter.mul_f64(self.unit());
-                self.push(due, What::Comes(to.n, data.to_vec()));
+            let link = (self.link)(member as usize, to.member as usize);
+            if !link.is_cut && self.random_unit() >= link.loss {
+                let due = self.now + link.delay + link.jitter.mul_f64(self.random_unit());
+                self.schedule(due, Scheduled::Delivery(to.member, data.to_vec()));
             }
         }
         while let Some((after, timer)) = runtime.to_schedule() {
-            self.push(self.now + after, What::Timer(n, timer));
+            self.schedule(self.now + after, Scheduled::Timer(member, timer));
         }
-        while let Some(said) = runtime.to_notify() {
-            if let OwnedNotification::MemberDown(of) = said {
-                self.gone.push((self.now, n, of.n));
+        while let Some(notification) = runtime.to_notify() {
+            if let OwnedNotification::MemberDown(of) = notification {
+                self.deaths.push(Death { at: self.now, by: member, of: of.member });
             }
         }
     }
 
-    fn take(&mut self, what: What) {
+    fn handle(&mut self, what: Scheduled) {
         match what {
-            What::Comes(n, bytes) => self.act(n, |node, runtime| drop(node.handle_data(&bytes, runtime))),
-            What::Timer(n, timer) => self.act(n, |node, runtime| drop(node.handle_timer(timer, runtime))),
+            Scheduled::Delivery(to, bytes) => {
+                self.act(to, |node, runtime| drop(node.handle_data(&bytes, runtime)));
+            }
+            Scheduled::Timer(of, timer) => {
+                self.act(of, |node, runtime| drop(node.handle_timer(timer, runtime)));
+            }
         }
     }
 
@@ -158,122 +162,165 @@
         {
             self.queue.pop();
             self.now = at;
-            let Some(what) = self.what.remove(&number) else { continue };
-            let (What::Comes(n, _) | What::Timer(n, _)) = &what;
+            let Some(what) = self.scheduled.remove(&number) else { continue };
+            let (Scheduled::Delivery(member, _) | Scheduled::Timer(member, _)) = &what;
             match &mut self.paused {
-                Some((paused, held)) if paused == n => held.push(what),
-                _ => self.take(what),
+                Some(paused) if paused.member == *member => paused.waiting.push(what),
+                _ => self.handle(what),
             }
         }
         self.now = end;
     }
 
+    fn pause(&mut self, member: u16) {
+        self.paused = Some(Paused { member, waiting: Vec::new() });
+    }
+
     fn resume(&mut self) {
-        for what in self.paused.take().map_or(Vec::new(), |(_, held)| held) {
-            self.take(what);
+        for what in self.paused.take().map_or(Vec::new(), |paused| paused.waiting) {
+            self.handle(what);
         }
     }
 
-    fn accused(&self, since: Duration, but: u16) -> usize {
-        self.gone.iter().filter(|(at, _, of)| *at >= since && *of != but).count()
+    /// Counts the deaths since then of members other than `except`.
+    fn deaths_since(&self, since: Duration, except: u16) -> usize {
+        self.deaths.iter().filter(|death| death.at >= since && death.of != except).count()
     }
 }
 
-fn lossy(_: usize, _: usize) -> Path {
-    Path { lose: 0.2, delay: ms(55), jitter: ms(55), ..CLEAN }
+fn foca_config(rtt: Duration) -> Config {
+    let mut config = Config::simple();
+    config.probe_period = rtt * 2;
+    config.probe_rtt = rtt;
+    config.suspect_to_down_after = ms(1000);
+    config.remove_down_after = ONE_HOUR;
+    config.periodic_gossip = Some(foca::PeriodicParams {
+        frequency: ms(200),
+        num_members: NonZeroU32::new(3).unwrap().try_into().unwrap(),
+    });
+    config.periodic_announce = None;
+    config.periodic_announce_to_down_members = Some(foca::PeriodicParams {
+        frequency: ms(800),
+        num_members: NonZeroU32::new(3).unwrap().try_into().unwrap(),
+    });
+    config.notify_down_members = true;
+    config
 }
 
-fn ours(seed: u64) -> World {
-    let mut world = World::started(MEMBERS, seed);
-    world.run(ms(5000));
-    world
+fn lossy_link(_: usize, _: usize) -> LinkConditions {
+    LinkConditions { loss: 0.2, delay: ms(55), jitter: ms(55), ..PERFECT_LINK }
 }
 
-fn deaths(world: &World, since: Duration, but: &str) -> usize {
-    world.deaths(since).iter().filter(|(.., name)| name != but).count()
+fn start_ours(seed: u64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::started(MEMBERS, seed);
+    fleet.run(ms(5000));
+    fleet
 }
 
-fn spread(mut took: Vec<u128>) -> String {
-    took.sort_unstable();
-    format!("median {} ms, worst {} ms of {}", took[took.len() / 2], took[took.len() - 1], took.len())
+/// Counts the deaths since then of members other than `except`.
+fn our_deaths_since(fleet: &SimulatedFleet, since: Duration, except: &str) -> usize {
+    fleet.deaths(since).iter().filter(|(.., name)| name != except).count()
 }
 
-fn main() {
-    let (mut mine, mut theirs) = (Vec::new(), Vec::new());
-    for seed in 0..100 {
-        let mut world = ours(seed);
-        let at = world.now;
-        world.kill(7);
-        world.run(ms(20_000));
-        let last = world
-            .events
-            .iter()
-            .rev()
-            .find(|(_, _, event)| matches!(event, Event::Changed { is: Status::Dead, .. }));
-        mine.extend(last.map(|(when, ..)| (*when - at).as_millis()));
-        let mut other = Other::started(seed, QUICK);
-        let at = other.now;
-        other.nodes[7] = None;
-        other.run(ms(20_000));
-        let by: std::collections::BTreeSet<u16> =
-            other.gone.iter().filter(|(_, _, of)| *of == 7).map(|(_, by, _)| *by).collect();
-        if by.len() == MEMBERS - 1 {
-            theirs.extend(
-                other
-                    .gone
-                    .iter()
-                    .filter(|(_, _, of)| *of == 7)
-                    .map(|(when, ..)| (*when - at).as_millis())
-                    .max(),
-            );
-        }
-    }
-    println!("killed, known to all 19: ours {}; foca {}", spread(mine), spread(theirs));
-    let (mut world, mut other) = (ours(1), Other::started(1, SLOW));
-    world.link = Box::new(lossy);
-    other.link = Box::new(lossy);
-    let (at, then) = (world.now, other.now);
-    let sent = |world: &World| (0..MEMBERS).map(|n| world.view(n).counts.sent_bytes).sum::<u64>();
-    let (before, others_before) = (sent(&world), other.sent_bytes);
-    world.run(ms(3_600_000));
-    other.run(ms(3_600_000));
-    let rate = |bytes: u64| bytes / MEMBERS as u64 / 3600;
+fn summarize(mut times_ms: Vec<u128>) -> String {
+    times_ms.sort_unstable();
+    let (count, median) = (times_ms.len(), times_ms[times_ms.len() / 2]);
+    format!("median {median} ms, worst {} ms of {count}", times_ms[count - 1])
+}
+
+/// Kills member 7, and returns how long our detector takes until all others know, in milliseconds.
+fn our_detection_time(seed: u64) -> Option<u128> {
+    let mut fleet = start_ours(seed);
+    let killed_at = fleet.now;
+    fleet.kill(7);
+    fleet.run(ms(20_000));
+    let is_death = |event: &Event| matches!(event, Event::StatusChanged { current: Status::Dead, .. });
+    let last_death = fleet.events.iter().rev().find(|(_, _, event)| is_death(event));
+    last_death.map(|(at, ..)| (*at - killed_at).as_millis())
+}
+
+/// Kills member 7, and returns how long foca takes until all others know, in milliseconds.
+fn foca_detection_time(seed: u64) -> Option<u128> {
+    let mut fleet = FocaFleet::started(seed, CLEAN_LINK_RTT);
+    let killed_at = fleet.now;
+    fleet.nodes[7] = None;
+    fleet.run(ms(20_000));
+    let deaths = || fleet.deaths.iter().filter(|death| death.of == 7);
+    let detected_by: BTreeSet<u16> = deaths().map(|death| death.by).collect();
+    let is_known_to_all = detected_by.len() == MEMBERS - 1;
+    let times = deaths().map(|death| (death.at - killed_at).as_millis());
+    if is_known_to_all { times.max() } else { None }
+}
+
+fn compare_detection_times() {
+    let ours = (0..100).filter_map(our_detection_time).collect();
+    let foca = (0..100).filter_map(foca_detection_time).collect();
+    println!("killed, known to all 19: ours {}; foca {}", summarize(ours), summarize(foca));
+}
+
+fn compare_lossy_links() {
+    let (mut ours, mut foca) = (start_ours(1), FocaFleet::started(1, LOSSY_LINK_RTT));
+    ours.link = Box::new(lossy_link);
+    foca.link = Box::new(lossy_link);
+    let (our_start, foca_start) = (ours.now, foca.now);
+    let sent = |fleet: &SimulatedFleet| (0..MEMBERS).map(|n| fleet.view(n).counts.sent_bytes).sum::<u64>();
+    let (our_bytes_before, foca_bytes_before) = (sent(&ours), foca.sent_bytes);
+    ours.run(ONE_HOUR);
+    foca.run(ONE_HOUR);
+    let rate = |bytes: u64| bytes / MEMBERS as u64 / ONE_HOUR.as_secs();
     println!(
         "20% loss, one hour: live members held for dead: ours {}, foca {}; bytes a second for each: ours {}, foca {}",
-        deaths(&world, at, ""),
-        other.accused(then, u16::MAX),
-        rate(sent(&world) - before),
-        rate(other.sent_bytes - others_before)
+        our_deaths_since(&ours, our_start, ""),
+        foca.deaths_since(foca_start, NOBODY),
+        rate(sent(&ours) - our_bytes_before),
+        rate(foca.sent_bytes - foca_bytes_before)
     );
-    let (mut mine, mut theirs) = (0, 0);
+}
+
+fn compare_pauses() {
+    let (mut our_deaths, mut foca_deaths) = (0, 0);
     for seed in 0..20 {
-        let (mut world, mut other) = (ours(seed), Other::started(seed, QUICK));
-        let (at, then) = (world.now, other.now);
-        world.pause(2);
-        other.paused = Some((2, Vec::new()));
-        world.run(ms(5000));
-        other.run(ms(5000));
-        world.resume(2);
-        other.resume();
-        world.run(ms(10_000));
-        other.run(ms(10_000));
-        mine += deaths(&world, at, "n2");
-        theirs += other.accused(then, 2);
+        let (mut ours, mut foca) = (start_ours(seed), FocaFleet::started(seed, CLEAN_LINK_RTT));
+        let (our_start, foca_start) = (ours.now, foca.now);
+        ours.pause(2);
+        foca.pause(2);
+        ours.run(ms(5000));
+        foca.run(ms(5000));
+        ours.resume(2);
+        foca.resume();
+        ours.run(ms(10_000));
+        foca.run(ms(10_000));
+        our_deaths += our_deaths_since(&ours, our_start, "n2");
+        foca_deaths += foca.deaths_since(foca_start, 2);
     }
-    println!("one stands still for 5 s, 20 times: others held for dead: ours {mine}, foca {theirs}");
-    let (mut mine, mut theirs) = (0, 0);
+    println!(
+        "one stands still for 5 s, 20 times: others held for dead: ours {our_deaths}, foca {foca_deaths}"
+    );
+}
+
+fn compare_one_way_cuts() {
+    let (mut our_deaths, mut foca_deaths) = (0, 0);
     for seed in 0..20 {
-        let (mut world, mut other) = (ours(seed), Other::started(seed, QUICK));
-        let (at, then) = (world.now, other.now);
-        let cut = |from: usize, to: usize| Path { cut: from == 0 && to != 0, ..CLEAN };
-        world.link = Box::new(cut);
-        other.link = Box::new(cut);
-        world.run(ms(30_000));
-        other.run(ms(30_000));
-        mine += deaths(&world, at, "n0");
-        theirs += other.accused(then, 0);
+        let (mut ours, mut foca) = (start_ours(seed), FocaFleet::started(seed, CLEAN_LINK_RTT));
+        let (our_start, foca_start) = (ours.now, foca.now);
+        let one_way =
+            |from: usize, to: usize| LinkConditions { is_cut: from == 0 && to != 0, ..PERFECT_LINK };
+        ours.link = Box::new(one_way);
+        foca.link = Box::new(one_way);
+        ours.run(ms(30_000));
+        foca.run(ms(30_000));
+        our_deaths += our_deaths_since(&ours, our_start, "n0");
+        foca_deaths += foca.deaths_since(foca_start, 0);
     }
     println!(
-        "one is heard by nobody and hears all for 30 s, 20 times: others held for dead: ours {mine}, foca {theirs}"
+        "one is heard by nobody and hears all for 30 s, 20 times: others held for dead: ours {our_deaths}, \
+         foca {foca_deaths}"
     );
 }
+
+fn main() {
+    compare_detection_times();
+    compare_lossy_links();
+    compare_pauses();
+    compare_one_way_cuts();
+}
--- a/crates/micadrum-membership/benches/large_fleet.rs
+++ b/crates/micadrum-membership/benches/large_fleet.rs
@@ -1,124 +1,150 @@
-//! A fleet of a thousand: what each member sends at rest and in a storm against its ceiling, how soon a hundred that are
-//! killed at once are known to all, what a datagram costs, and what a million forged ones change.
+//! A fleet of a thousand members: what each sends at rest and under stress against its budget, how soon the death of a
+//! hundred at once is known to all, what a datagram costs, and what a million forged ones change.
 //! Run with `cargo bench -p micadrum-membership --bench large_fleet`.
 #[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
 mod simulated_fleet;
 
-use micadrum_membership::Input;
+use micadrum_membership::{Input, PeerView};
 use rand_chacha::rand_core::RngCore;
-use simulated_fleet::{CLEAN, Path, World, ms};
+use simulated_fleet::{LinkConditions, PERFECT_LINK, SimulatedFleet, ms};
 use std::time::{Duration, Instant};
 
 const MEMBERS: usize = 1000;
 const KILLED: usize = 100;
+/// Every n-th member is killed.
+const KILL_STRIDE: usize = 7;
+const FORGED_DATAGRAMS: usize = 1_000_000;
+/// The member that receives the forged datagrams.
+const TARGET: usize = 1;
 
-/// The most that one member sent in a second of a span, in datagrams and bytes.
-fn busiest(world: &mut World, span: Duration) -> (u64, u64) {
-    let counts = |world: &World| -> Vec<(u64, u64)> {
-        let of = |n: &usize| {
-            let counts = world.view(*n).counts;
-            (counts.sent, counts.sent_bytes)
+/// The most that one member sent in a second.
+#[derive(Clone, Copy, Default)]
+struct PeakRate {
+    datagrams: u64,
+    bytes: u64,
+}
+
+/// Runs the fleet for a span, and returns the peak rate of its members.
+fn measure_peak_rate(fleet: &mut SimulatedFleet, span: Duration) -> PeakRate {
+    let sent = |fleet: &SimulatedFleet| -> Vec<PeakRate> {
+        let sent_by = |n: &usize| {
+            let counts = fleet.view(*n).counts;
+            PeakRate { datagrams: counts.sent, bytes: counts.sent_bytes }
         };
-        world.running().iter().map(of).collect()
+        fleet.running().iter().map(sent_by).collect()
     };
-    let mut most = (0, 0);
-    let end = world.now + span;
-    let mut last = counts(world);
-    while world.now < end {
-        world.run(ms(1000));
-        let now = counts(world);
-        for (was, is) in last.iter().zip(&now) {
-            most = (most.0.max(is.0 - was.0), most.1.max(is.1 - was.1));
+    let mut peak = PeakRate::default();
+    let end = fleet.now + span;
+    let mut before = sent(fleet);
+    while fleet.now < end {
+        fleet.run(ms(1000));
+        let after = sent(fleet);
+        for (before, after) in before.iter().zip(&after) {
+            peak.datagrams = peak.datagrams.max(after.datagrams - before.datagrams);
+            peak.bytes = peak.bytes.max(after.bytes - before.bytes);
         }
-        last = now;
+        before = after;
     }
-    most
+    peak
 }
 
-fn main() {
-    let mut world = World::new(MEMBERS, 1);
-    world.link = Box::new(|_, _| Path { delay: ms(1), jitter: ms(4), ..CLEAN });
-    (0..MEMBERS).for_each(|n| world.start(n));
+fn start_all(fleet: &mut SimulatedFleet) {
+    (0..MEMBERS).for_each(|n| fleet.start(n));
     for second in 1..=30 {
-        let storm = busiest(&mut world, ms(1_000));
-        let wrong = world.wrong().len();
+        let PeakRate { datagrams, bytes } = measure_peak_rate(fleet, ms(1_000));
+        let wrong = fleet.wrong_views().len();
         println!(
-            "start of all, {second} s after: {wrong} of {} views wrong; in it at most {} datagrams, {} bytes for one \
-             (ceiling 400, 100000)",
+            "start of all, {second} s after: {wrong} of {} views wrong; in it at most {datagrams} datagrams, {bytes} bytes \
+             for one (ceiling 400, 100000)",
             MEMBERS * (MEMBERS - 1),
-            storm.0,
-            storm.1
         );
         if wrong == 0 {
             break;
         }
     }
-    let rest = busiest(&mut world, ms(4_000));
-    println!("at rest: at most {} datagrams, {} bytes a second for one", rest.0, rest.1);
-    (0..KILLED).for_each(|n| world.kill(n * 7));
-    let at = world.now;
-    let storm = busiest(&mut world, ms(12_000));
-    let wrong = world.wrong().len();
-    let deaths = world.deaths(at);
-    let last = deaths.iter().map(|(when, ..)| (*when - at).as_millis()).max().unwrap_or(0);
-    let (mut took, killed): (Vec<u128>, Vec<String>) = (
-        deaths.iter().map(|(when, ..)| (*when - at).as_millis()).collect(),
-        (0..KILLED).map(|n| format!("n{}", n * 7)).collect(),
-    );
-    took.sort_unstable();
+}
+
+fn measure_at_rest(fleet: &mut SimulatedFleet) {
+    let PeakRate { datagrams, bytes } = measure_peak_rate(fleet, ms(4_000));
+    println!("at rest: at most {datagrams} datagrams, {bytes} bytes a second for one");
+}
+
+fn kill_many(fleet: &mut SimulatedFleet) {
+    (0..KILLED).for_each(|n| fleet.kill(n * KILL_STRIDE));
+    let killed_at = fleet.now;
+    let peak = measure_peak_rate(fleet, ms(12_000));
+    let wrong = fleet.wrong_views().len();
+    let deaths = fleet.deaths(killed_at);
+    let mut times_ms: Vec<u128> = deaths.iter().map(|(at, ..)| (*at - killed_at).as_millis()).collect();
+    times_ms.sort_unstable();
+    let killed: Vec<String> = (0..KILLED).map(|n| format!("n{}", n * KILL_STRIDE)).collect();
     let accused = deaths.iter().filter(|(.., name)| !killed.contains(name)).count();
     println!(
-        "{KILLED} killed at once: {} of {} views know within 12 s (median {} ms, last {last} ms), {accused} others held \
+        "{KILLED} killed at once: {} of {} views know within 12 s (median {} ms, last {} ms), {accused} others held \
          for dead, {wrong} views wrong; at most {} datagrams, {} bytes a second for one",
-        took.len(),
+        times_ms.len(),
         KILLED * (MEMBERS - KILLED),
-        took.get(took.len() / 2).copied().unwrap_or(0),
-        storm.0,
-        storm.1
+        times_ms.get(times_ms.len() / 2).copied().unwrap_or(0),
+        times_ms.last().copied().unwrap_or(0),
+        peak.datagrams,
+        peak.bytes
     );
-    // What a datagram costs: what came to one member in ten seconds, changed, cut and said once more.
-    world.wire = Some(Vec::new());
-    world.run(ms(10_000));
-    let came: Vec<Vec<u8>> = world
-        .wire
-        .take()
-        .unwrap()
-        .into_iter()
-        .filter(|(_, to, _)| *to == 1)
-        .map(|(.., bytes)| bytes)
-        .collect();
-    // What was on its way then comes first.
-    world.run(ms(100));
-    let forged: Vec<Vec<u8>> = (0..1_000_000)
-        .map(|n| {
-            let mut bytes = came[n % came.len()].clone();
-            let place = world.chance.next_u64() as usize % bytes.len();
-            match n % 4 {
-                0 => bytes[place] ^= 1 << (n % 8),
-                1 => bytes.truncate(place),
-                2 => world.chance.fill_bytes(&mut bytes[20..]),
-                _ => {}
-            }
-            bytes
-        })
-        .collect();
-    let before = world.view(1);
-    let begun = Instant::now();
+}
+
+/// Captures what the target receives in ten seconds.
+fn capture_received(fleet: &mut SimulatedFleet) -> Vec<Vec<u8>> {
+    fleet.captured = Some(Vec::new());
+    fleet.run(ms(10_000));
+    let captured = fleet.captured.take().unwrap();
+    // Datagrams still in flight arrive first.
+    fleet.run(ms(100));
+    captured.into_iter().filter(|(_, to, _)| *to == TARGET).map(|(.., bytes)| bytes).collect()
+}
+
+/// Modifies, truncates and repeats captured datagrams.
+fn forge(fleet: &mut SimulatedFleet, captured: &[Vec<u8>]) -> Vec<Vec<u8>> {
+    let forge_one = |n: usize| {
+        let mut bytes = captured[n % captured.len()].clone();
+        let position = fleet.rng.next_u64() as usize % bytes.len();
+        match n % 4 {
+            0 => bytes[position] ^= 1 << (n % 8),
+            1 => bytes.truncate(position),
+            2 => fleet.rng.fill_bytes(&mut bytes[20..]),
+            _ => {}
+        }
+        bytes
+    };
+    (0..FORGED_DATAGRAMS).map(forge_one).collect()
+}
+
+fn receive_forged(fleet: &mut SimulatedFleet) {
+    let captured = capture_received(fleet);
+    let forged = forge(fleet, &captured);
+    let before = fleet.view(TARGET);
+    let started = Instant::now();
     for bytes in &forged {
-        world.nodes[1].as_mut().unwrap().handle(Input::Datagram(bytes), world.now);
+        fleet.nodes[TARGET].as_mut().unwrap().handle(Input::Datagram(bytes), fleet.now);
     }
-    let each = begun.elapsed() / forged.len() as u32;
-    let after = world.view(1);
-    let same = before
-        .peers
-        .iter()
-        .zip(&after.peers)
-        .filter(|(a, b)| (a.status, a.life, a.heard) == (b.status, b.life, b.heard));
+    let time_each = started.elapsed() / forged.len() as u32;
+    let after = fleet.view(TARGET);
+    let state = |peer: &PeerView| (peer.status, peer.incarnation, peer.last_heard);
+    let unchanged =
+        before.peers.iter().zip(&after.peers).filter(|(before, after)| state(before) == state(after));
     println!(
-        "1,000,000 forged, cut, changed and repeated: {each:?} each; {} of {} views as before, {} datagrams sent for them",
-        same.count(),
+        "1,000,000 forged, cut, changed and repeated: {time_each:?} each; {} of {} views as before, {} datagrams sent for \
+         them",
+        unchanged.count(),
         after.peers.len(),
         after.counts.sent - before.counts.sent
     );
 }
+
+fn main() {
+    let mut fleet = SimulatedFleet::new(MEMBERS, 1);
+    fleet.link = Box::new(|_, _| LinkConditions { delay: ms(1), jitter: ms(4), ..PERFECT_LINK });
+    start_all(&mut fleet);
+    measure_at_rest(&mut fleet);
+    kill_many(&mut fleet);
+    receive_forged(&mut fleet);
+}
--- a/crates/micadrum-membership/src/datagram.rs
+++ b/crates/micadrum-membership/src/datagram.rs
@@ -1,123 +1,125 @@
-//! Datagrams between members, byte by byte.
+//! The datagram format between members.
 //!
 //! ```text
-//!  0  2  "mp"          who this is meant for
+//!  0  2  "mp"          protocol marker
 //!  2  1  version       2
-//!  3  1  flags         bit 0: the sender has forgotten earlier lives
-//!  4  8  from          id of the member that says it
-//! 12  8  to            id of the member that it is said to
-//! 20  8  life          its life's number, little-endian as all that follows
-//! 28  8  run           and its run
-//! 36  8  to_run        the run of the receiver that is spoken to; 0 or an old one where it is not known
-//! 44  8  number        counts the datagrams of this life, from 1
-//! 52 16  tag           keyed BLAKE3 of all else, under the key of this way between the two
+//!  3  1  flags         bit 0: the sender has lost the state of earlier incarnations
+//!  4  8  from          id of the sending member
+//! 12  8  to            id of the receiving member
+//! 20  8  number        the sending member's incarnation number, little-endian as all integers below
+//! 28  8  run           the sending member's run
+//! 36  8  to_run        the receiving member's run, as known to the sending one; 0 or an old one where unknown
+//! 44  8  sequence      counts the datagrams of this incarnation, from 1
+//! 52 16  tag           keyed BLAKE3 hash of all other bytes, under the session key of this direction
 //! 68     body          postcard
 //! ```
 use crate::gossip::GossipUpdate;
-use crate::incarnation::{Heard, Incarnation, IncarnationProof};
+use crate::incarnation::{Incarnation, IncarnationProof, KnownIncarnation};
 use crate::member::MemberId;
-use crate::sealing::{same, tag};
+use crate::sealing::{keyed_tag, tags_match};
 use serde::{Deserialize, Serialize};
 
-/// No datagram is longer, in bytes: it passes every link unbroken.
-pub const MOST_DATAGRAM: usize = 1200;
+/// Upper bound on the length of a datagram, small enough to pass every link unfragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+const MARKER: &[u8; 2] = b"mp";
 const VERSION: u8 = 2;
-const FORGOT: u8 = 1;
+const LOST_STATE_FLAG: u8 = 1;
 const TAG: std::ops::Range<usize> = 52..68;
+/// Room reserved for a typical datagram.
+const INITIAL_CAPACITY_BYTES: usize = 256;
 
-/// What stands before the body.
+/// The datagram header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
-    pub forgot: bool,
+    pub lost_state: bool,
     pub from: MemberId,
     pub to: MemberId,
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub to_run: u64,
-    pub number: u64,
+    pub sequence: u64,
 }
 
-/// What is said.
+/// The datagram body. Variants and fields are encoded by position and are never reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// Are you there? My list of members is this one.
-    Ping { nonce: u32, stamp: IncarnationProof, list: u64, rumours: Vec<GossipUpdate> },
-    /// I am; this is the highest life that I know of you.
-    Ack { nonce: u32, stamp: IncarnationProof, known: Option<Heard>, rumours: Vec<GossipUpdate> },
-    /// Pass this on to a third, as it is.
+    /// A probe, with the digest of the sending member's roster.
+    Ping { nonce: u32, proof: IncarnationProof, roster_digest: u64, updates: Vec<GossipUpdate> },
+    /// The answer to a probe, with the highest incarnation known of the probing member.
+    Ack { nonce: u32, proof: IncarnationProof, known: Option<KnownIncarnation>, updates: Vec<GossipUpdate> },
+    /// A request to forward a sealed datagram to a third member.
     Relay { to: MemberId, sealed: Vec<u8> },
-    /// Passed on for a third, as it came.
-    Passed { sealed: Vec<u8> },
-    /// I end, in good order.
+    /// A sealed datagram forwarded for a third member.
+    Relayed { sealed: Vec<u8> },
+    /// The sending member leaves the fleet.
     Leave,
 }
 
-/// Why a datagram counts for nothing.
+/// Why a datagram is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unread {
-    /// It is none of ours, or of another version.
+pub(crate) enum DatagramError {
+    /// The datagram belongs to another protocol or version.
     Foreign,
-    /// Its tag is not that of who it says it is from.
+    /// The authentication tag does not match.
     Forged,
-    /// Sealed rightly, and yet no body.
-    Garbled,
+    /// The datagram is authentic, but its body cannot be decoded.
+    Malformed,
 }
 
-fn word(bytes: &[u8], at: usize) -> [u8; 8] {
+fn eight_bytes(bytes: &[u8], offset: usize) -> [u8; 8] {
     let mut word = [0; 8];
-    word.copy_from_slice(&bytes[at..at + 8]);
+    word.copy_from_slice(&bytes[offset..offset + 8]);
     word
 }
 
-/// Who says that it is from whom, not believed yet.
-pub(crate) fn header(bytes: &[u8]) -> Result<Header, Unread> {
-    if bytes.len() < TAG.end
-        || bytes.len() > MOST_DATAGRAM
-        || &bytes[..3] != b"mp\x02"
-        || bytes[3] & !FORGOT != 0
-    {
-        return Err(Unread::Foreign);
+/// Parses the header. Its claims are not authenticated before [`open`] succeeds.
+pub(crate) fn parse_header(bytes: &[u8]) -> Result<Header, DatagramError> {
+    let has_valid_length = (TAG.end..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
+    if !has_valid_length || &bytes[..2] != MARKER || bytes[2] != VERSION || bytes[3] & !LOST_STATE_FLAG != 0 {
+        return Err(DatagramError::Foreign);
     }
-    let number = |at| u64::from_le_bytes(word(bytes, at));
+    let integer = |offset| u64::from_le_bytes(eight_bytes(bytes, offset));
     Ok(Header {
-        forgot: bytes[3] & FORGOT != 0,
-        from: MemberId(word(bytes, 4)),
-        to: MemberId(word(bytes, 12)),
-        life: Incarnation { number: number(20), run: number(28) },
-        to_run: number(36),
-        number: number(44),
+        lost_state: bytes[3] & LOST_STATE_FLAG != 0,
+        from: MemberId(eight_bytes(bytes, 4)),
+        to: MemberId(eight_bytes(bytes, 12)),
+        incarnation: Incarnation { number: integer(20), run: integer(28) },
+        to_run: integer(36),
+        sequence: integer(44),
     })
 }
 
-fn tag_of(key: &[u8; 32], bytes: &[u8]) -> [u8; 16] {
-    let mut all = Vec::with_capacity(bytes.len());
-    all.extend_from_slice(&bytes[..TAG.start]);
-    all.extend_from_slice(&bytes[TAG.end..]);
-    tag(key, &all)
+fn compute_tag(key: &[u8; 32], bytes: &[u8]) -> [u8; 16] {
+    let mut authenticated = Vec::with_capacity(bytes.len());
+    authenticated.extend_from_slice(&bytes[..TAG.start]);
+    authenticated.extend_from_slice(&bytes[TAG.end..]);
+    keyed_tag(key, &authenticated)
 }
 
-/// The body, once it is shown that only the other of the pair can have sealed it.
-pub(crate) fn open(bytes: &[u8], key: &[u8; 32]) -> Result<Body, Unread> {
-    let mut told = [0; 16];
-    told.copy_from_slice(&bytes[TAG]);
-    if !same(&told, &tag_of(key, bytes)) {
-        return Err(Unread::Forged);
+/// Verifies the authentication tag of a datagram whose header was parsed, and decodes its body.
+pub(crate) fn open(bytes: &[u8], key: &[u8; 32]) -> Result<Body, DatagramError> {
+    let mut received_tag = [0; 16];
+    received_tag.copy_from_slice(&bytes[TAG]);
+    if !tags_match(&received_tag, &compute_tag(key, bytes)) {
+        return Err(DatagramError::Forged);
     }
-    postcard::from_bytes(&bytes[TAG.end..]).map_err(|_| Unread::Garbled)
+    postcard::from_bytes(&bytes[TAG.end..]).map_err(|_| DatagramError::Malformed)
 }
 
-/// A datagram, sealed.
+/// Encodes and authenticates a datagram.
 pub(crate) fn seal(header: &Header, body: &Body, key: &[u8; 32]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(256);
-    bytes.extend_from_slice(&[b'm', b'p', VERSION, u8::from(header.forgot)]);
+    let mut bytes = Vec::with_capacity(INITIAL_CAPACITY_BYTES);
+    bytes.extend_from_slice(MARKER);
+    bytes.extend_from_slice(&[VERSION, u8::from(header.lost_state)]);
     bytes.extend_from_slice(&header.from.0);
     bytes.extend_from_slice(&header.to.0);
-    for number in [header.life.number, header.life.run, header.to_run, header.number] {
-        bytes.extend_from_slice(&number.to_le_bytes());
+    let Incarnation { number, run } = header.incarnation;
+    for integer in [number, run, header.to_run, header.sequence] {
+        bytes.extend_from_slice(&integer.to_le_bytes());
     }
     bytes.extend_from_slice(&[0; 16]);
-    // Numbers and bytes always have a form.
+    // Encoding integers and byte strings cannot fail.
     bytes.extend(postcard::to_allocvec(body).unwrap_or_default());
-    let tag = tag_of(key, &bytes);
+    let tag = compute_tag(key, &bytes);
     bytes[TAG].copy_from_slice(&tag);
     bytes
 }
--- a/crates/micadrum-membership/src/datagram/tests.rs
+++ b/crates/micadrum-membership/src/datagram/tests.rs
@@ -1,27 +1,31 @@
 use super::*;
-use crate::gossip::{GossipStatus, MOST_IN_ONE};
+use crate::gossip::{GossipStatus, MAX_UPDATES_PER_DATAGRAM};
 
 fn sample() -> (Header, Body) {
     let id = |n| MemberId([n; 8]);
-    let rumour = GossipUpdate { about: id(255), life: u64::MAX, word: GossipStatus::Back };
-    let known = Some(Heard { life: Incarnation { number: u64::MAX, run: u64::MAX }, stamp: [7; 16] });
-    let body = Body::Ack { nonce: u32::MAX, stamp: [9; 16], known, rumours: vec![rumour; MOST_IN_ONE] };
-    let life = Incarnation { number: 1, run: 2 };
-    (Header { forgot: true, from: id(1), to: id(2), life, to_run: 3, number: 4 }, body)
+    let update = GossipUpdate { about: id(255), incarnation: u64::MAX, status: GossipStatus::Recovered };
+    let known = Some(KnownIncarnation {
+        incarnation: Incarnation { number: u64::MAX, run: u64::MAX },
+        proof: [7; 16],
+    });
+    let updates = vec![update; MAX_UPDATES_PER_DATAGRAM];
+    let body = Body::Ack { nonce: u32::MAX, proof: [9; 16], known, updates };
+    let incarnation = Incarnation { number: 1, run: 2 };
+    (Header { lost_state: true, from: id(1), to: id(2), incarnation, to_run: 3, sequence: 4 }, body)
 }
 
-/// Guards against a datagram that is believed though it was cut or changed, at every length and byte, and against
-/// one that is too long for a link.
+/// Guards against accepting a truncated or modified datagram, at every length and bit, and against one that exceeds the
+/// length limit.
 #[test]
-fn what_was_cut_or_changed_is_not_read() {
-    let (told, body) = sample();
+fn a_truncated_or_modified_datagram_is_rejected() {
+    let (header, body) = sample();
     let key = [5; 32];
-    let bytes = seal(&told, &body, &key);
-    assert!(bytes.len() <= MOST_DATAGRAM, "{}", bytes.len());
-    assert_eq!((header(&bytes), open(&bytes, &key)), (Ok(told), Ok(body)));
-    assert_eq!(open(&bytes, &[6; 32]), Err(Unread::Forged));
+    let bytes = seal(&header, &body, &key);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
+    assert_eq!((parse_header(&bytes), open(&bytes, &key)), (Ok(header), Ok(body)));
+    assert_eq!(open(&bytes, &[6; 32]), Err(DatagramError::Forged));
     for at in 0..bytes.len() {
-        let read = |bytes: &[u8]| header(bytes).and_then(|_| open(bytes, &key));
+        let read = |bytes: &[u8]| parse_header(bytes).and_then(|_| open(bytes, &key));
         assert!(read(&bytes[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
             let mut changed = bytes.clone();
--- a/crates/micadrum-membership/src/detector/mod.rs
+++ b/crates/micadrum-membership/src/detector/mod.rs
@@ -1,297 +1,191 @@
-//! The state machine: what comes from others, what is asked of them, and what is believed.
+//! The failure detector: a state machine that probes other members, answers their probes, and maintains what is believed
+//! of each.
+//!
+//! | module | task |
+//! | --- | --- |
+//! | `interface` | inputs, outputs and events |
+//! | `local_member`, `schedule` | parts of the state |
+//! | `probing` | probe rounds, indirect probes, suspicion, death |
+//! | `receiving` | incoming datagrams: authentication, freshness, acks |
+//! | `dissemination` | gossip: status changes, pushed updates, received updates |
+//! | `sending` | outgoing datagrams: sealing, send budget |
+//! | `refutation` | this sender's own incarnation: persistence, confirmation, disputes |
+//! | `reconfiguration` | roster changes, stalls of the process |
+mod dissemination;
+mod interface;
+mod local_member;
 mod probing;
 mod receiving;
+mod reconfiguration;
 mod refutation;
+mod schedule;
 mod sending;
 
-use crate::gossip::GossipQueue;
-use crate::incarnation::{Incarnation, IncarnationProof, IncarnationRecord};
-use crate::local_health::Health;
+pub use interface::{Event, Input, Output, Settings};
+
+use crate::incarnation::{Incarnation, IncarnationRecord};
+use crate::local_health::LocalHealth;
 use crate::member::{MemberId, Roster};
-use crate::remote_member::{Peer, RoundTrip};
+use crate::remote_member::RemoteMember;
+use crate::round_trip::RoundTrip;
 use crate::sealing::Secret;
-use crate::send_budget::{Bucket, SendBudget};
-use crate::view::{Counts, Status, View};
+use crate::send_budget::TokenBucket;
+use crate::status::LocalStatus;
+use crate::view::{Counts, View};
+use local_member::LocalMember;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::RngCore;
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use schedule::{Connectivity, GossipSchedule, ProbeSchedule, RecordSchedule};
+use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What the operator's file sets.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settings {
-    /// From one probe to the next.
-    pub probe_every: Duration,
-    /// A suspect that says nothing for so long is dead.
-    pub dead_after: Duration,
-    /// What is sent at the most.
-    pub ceiling: SendBudget,
-}
-
-/// How a sender stands among its peers.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Standing {
-    /// Its life is not written down yet: it says nothing.
-    Writing,
-    /// It asks whether anybody knows a higher life of it.
-    Asking,
-    /// Most members know this life as its highest.
-    Settled,
-    /// A later process speaks under its name: it says nothing any more.
-    Superseded,
-    /// There is no higher life to take: it says nothing.
-    Exhausted,
-    /// It told the others that it ends.
-    Left,
-}
-
-impl Standing {
-    fn speaks(self) -> bool {
-        matches!(self, Self::Asking | Self::Settled)
-    }
-}
-
-/// What happened.
-#[derive(Debug)]
-pub enum Input<'a> {
-    /// A datagram came.
-    Datagram(&'a [u8]),
-    /// It is the time that [`Peers::due`] told, or later.
-    Timer,
-    /// What [`Output::Write`] asked for last is in the folder that lasts, or could not be written.
-    Written(bool),
-    /// The operator's file reads like this now.
-    Follow(Settings, Roster),
-    /// This sender ends, in good order.
-    Leave,
-}
-
-/// What the host is to do.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Output {
-    /// Send a datagram.
-    Send(std::net::SocketAddr, Vec<u8>),
-    /// Put these bytes in place of the book of lives, and say [`Input::Written`].
-    Write(Vec<u8>),
-    /// Tell the layers above, and the log.
-    Event(Event),
-}
-
-/// What the layers above hear.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Event {
-    /// What is believed of a member has changed.
-    Changed {
-        /// Who.
-        name: String,
-        /// What it was.
-        was: Status,
-        /// What it is.
-        is: Status,
-        /// The highest life that was heard of it.
-        life: u64,
-    },
-    /// A member speaks under a new life.
-    Life {
-        /// Who.
-        name: String,
-        /// Which.
-        life: u64,
-        /// It has forgotten what it promised under earlier ones.
-        forgot: bool,
-    },
-    /// A member's list of members is another than this sender's, or is no longer.
-    OtherList {
-        /// Who.
-        name: String,
-        /// Whether it is another.
-        other: bool,
-    },
-    /// Others know a higher life of this sender: its folder was lost, or put back from an older copy. It has taken a
-    /// higher one.
-    Forgotten {
-        /// The life that it took.
-        life: u64,
-        /// The one that others knew.
-        known: u64,
-    },
-    /// How this sender stands has changed.
-    Stands(Standing),
-    /// It stood still, and begins anew what it asked.
-    Stalled {
-        /// So much later than it should it came back, in milliseconds.
-        late_ms: u64,
-    },
-    /// Nobody answers any more, or somebody does again.
-    CutOff(bool),
-}
-
-/// The members as one of them sees them.
+/// The membership of a fleet, as one of its members sees it.
 pub struct Membership {
     settings: Settings,
     secret: Secret,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     roster: Roster,
-    book: IncarnationRecord,
-    life: Incarnation,
-    stamp: IncarnationProof,
-    forgot: bool,
-    standing: Standing,
-    renewals: u32,
-    /// When it was first heard that another process took this number.
-    disputed: Option<Duration>,
-    /// Those that know this life as the highest.
-    confirmed: BTreeSet<MemberId>,
-    /// What links to each building take, for those that were not measured yet.
-    usual: BTreeMap<String, RoundTrip>,
-    peers: BTreeMap<MemberId, Peer>,
-    timers: BTreeSet<(Duration, MemberId)>,
-    rumours: GossipQueue,
-    health: Health,
-    bucket: Bucket,
+    record: IncarnationRecord,
+    record_schedule: RecordSchedule,
+    local: LocalMember,
+    members: BTreeMap<MemberId, RemoteMember>,
+    /// Round-trip times of the links to each zone, for members whose own link is not measured yet.
+    zone_round_trips: BTreeMap<String, RoundTrip>,
+    probes: ProbeSchedule,
+    gossip: GossipSchedule,
+    connectivity: Connectivity,
+    local_health: LocalHealth,
+    send_tokens: TokenBucket,
     counts: Counts,
-    number: u64,
-    nonce: u32,
-    /// Members in the order in which they are asked; drawn anew for each round.
-    ring: Vec<MemberId>,
-    dead_ring: VecDeque<MemberId>,
-    /// Who is to be asked as soon as the ceiling allows.
-    urgent: VecDeque<MemberId>,
-    urgent_at: Option<Duration>,
-    next_probe: Duration,
-    tell_at: Option<Duration>,
-    told_at: Option<Duration>,
-    write_at: Option<Duration>,
-    writing: bool,
-    /// When a question was asked that somebody answered, the last such.
-    touched: Option<Duration>,
-    heard: Option<Duration>,
-    cut_off: bool,
-    begun: Duration,
+    last_nonce: u32,
+    /// When this process began to communicate.
+    started_at: Duration,
     outputs: VecDeque<Output>,
 }
 
 impl Membership {
-    /// A sender that starts now, with the book of its earlier lives; an empty one where there is none.
+    /// Starts the membership of a sender with the record of its earlier incarnations, or an empty one.
     ///
-    /// Its life is to be written down before anything else: the first output asks for that.
+    /// The first output asks the driver to persist the new incarnation; nothing is sent before that is done.
     #[must_use]
     pub fn new(
         settings: Settings,
         secret: Secret,
         roster: Roster,
-        mut book: IncarnationRecord,
-        mut chance: ChaCha8Rng,
+        mut record: IncarnationRecord,
+        mut rng: ChaCha8Rng,
         now: Duration,
     ) -> Self {
-        let run = loop {
-            // 0 stands for a run that is not known.
-            let run = chance.next_u64();
-            if run != 0 {
-                break run;
-            }
-        };
-        let number = book.own.checked_add(1);
-        let life = Incarnation { number: number.unwrap_or(u64::MAX), run };
-        book.own = life.number;
-        let stamp = secret.stamp(life);
-        let mut peers = Self {
-            bucket: Bucket::new(settings.ceiling, now),
+        let run = draw_run(&mut rng);
+        let next_number = record.own_number.checked_add(1);
+        let incarnation = Incarnation { number: next_number.unwrap_or(u64::MAX), run };
+        record.own_number = incarnation.number;
+        let proof = secret.prove(incarnation);
+        let mut membership = Self {
+            send_tokens: TokenBucket::new(settings.send_budget, now),
             settings,
             secret,
-            chance,
-            book,
-            life,
-            stamp,
-            forgot: false,
-            standing: Standing::Writing,
-            renewals: 0,
-            disputed: None,
-            confirmed: BTreeSet::new(),
-            usual: BTreeMap::new(),
-            peers: BTreeMap::new(),
-            timers: BTreeSet::new(),
-            rumours: GossipQueue::default(),
-            health: Health::default(),
+            rng,
+            record,
+            record_schedule: RecordSchedule::default(),
+            local: LocalMember::new(incarnation, proof),
+            members: BTreeMap::new(),
+            zone_round_trips: BTreeMap::new(),
+            probes: ProbeSchedule::new(now),
+            gossip: GossipSchedule::default(),
+            connectivity: Connectivity::default(),
+            local_health: LocalHealth::default(),
             counts: Counts::default(),
-            number: 0,
-            nonce: 0,
-            ring: Vec::new(),
-            dead_ring: VecDeque::new(),
-            urgent: VecDeque::new(),
-            urgent_at: None,
-            next_probe: now,
-            tell_at: None,
-            told_at: None,
-            write_at: None,
-            writing: false,
-            touched: None,
-            heard: None,
-            cut_off: false,
-            begun: now,
+            last_nonce: 0,
+            started_at: now,
             outputs: VecDeque::new(),
             roster,
         };
-        peers.follow_roster(now);
-        if number.is_none() {
-            peers.stand(Standing::Exhausted);
+        membership.apply_roster(now);
+        if next_number.is_none() {
+            membership.set_local_status(LocalStatus::Exhausted);
         } else {
-            peers.write();
+            membership.write_record();
         }
-        peers
+        membership
     }
 
-    /// Takes in what happened. `now` never goes back.
+    /// Handles an input. `now` never goes back.
     pub fn handle(&mut self, input: Input<'_>, now: Duration) {
         let due = self.due();
-        if self.standing.speaks() && self.health.came(due, now) {
-            self.stalled(due.unwrap_or(now), now);
+        if self.is_communicating() && self.local_health.record_wakeup(due, now) {
+            self.restart_probes_after_stall(due.unwrap_or(now), now);
         }
         match input {
             Input::Datagram(bytes) => {
-                self.counts.came += 1;
-                if self.standing.speaks() {
-                    self.datagram(bytes, now, None);
+                self.counts.received += 1;
+                if self.is_communicating() {
+                    self.handle_datagram(bytes, now, None);
                 }
             }
-            Input::Timer => self.timer(now),
-            Input::Written(done) => self.written(done, now),
-            Input::Follow(settings, roster) => {
-                self.bucket = Bucket::new(settings.ceiling, now);
+            Input::Timer => self.handle_timer(now),
+            Input::RecordWritten => self.handle_record_written(now),
+            Input::RecordWriteFailed => self.handle_record_write_failed(now),
+            Input::Reconfigured(settings, roster) => {
+                self.send_tokens = TokenBucket::new(settings.send_budget, now);
                 self.settings = settings;
                 self.roster = roster;
-                self.follow_roster(now);
+                self.apply_roster(now);
             }
             Input::Leave => self.leave(now),
         }
-        self.ask_urgent(now);
+        self.send_urgent_probes(now);
     }
 
-    /// The next thing for the host to do.
+    /// Returns the next effect for the driver to perform.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When to come back with [`Input::Timer`] at the latest.
+    /// Returns when the driver has to report [`Input::Timer`] at the latest.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
-        let timer = self.timers.first().map(|(at, _)| *at);
-        let probe = self.standing.speaks().then_some(self.next_probe);
-        [timer, probe, self.urgent_at, self.tell_at, self.write_at].into_iter().flatten().min()
+        let round_end = self.probes.timers.first().map(|(at, _)| *at);
+        let next_probe = self.is_communicating().then_some(self.probes.next_probe_at);
+        let (urgent, gossip) = (self.probes.urgent_retry_at, self.gossip.push_at);
+        [round_end, next_probe, urgent, gossip, self.record_schedule.write_at].into_iter().flatten().min()
     }
 
-    /// What is believed now.
+    /// Returns a snapshot of the membership state.
     #[must_use]
     pub fn view(&self, now: Duration) -> View {
-        let own = self.roster.get(self.roster.own()).map_or(String::new(), |member| member.name.clone());
-        let life = |id| self.book.heard.get(id).map(|heard| heard.life);
-        let mut peers: Vec<_> = self.peers.iter().map(|(id, peer)| peer.view(life(id))).collect();
+        let own = self.roster.get(self.roster.own());
+        let view_of = |(id, member): (&MemberId, &RemoteMember)| member.view(self.record.incarnation_of(*id));
+        let mut peers: Vec<_> = self.members.iter().map(view_of).collect();
         peers.sort_by(|a, b| a.name.cmp(&b.name));
-        let (life, standing, forgot, cut_off) = (self.life, self.standing, self.forgot, self.cut_off);
-        let (doubt, counts) = (self.health.doubt(), self.counts);
-        View { at: now, own, life, standing, forgot, cut_off, doubt, peers, counts }
+        View {
+            at: now,
+            own_name: own.map_or(String::new(), |member| member.name.clone()),
+            incarnation: self.local.incarnation,
+            local_status: self.local.status,
+            lost_state: self.local.lost_state,
+            isolated: self.connectivity.isolated,
+            local_health_score: self.local_health.score(),
+            peers,
+            counts: self.counts,
+        }
+    }
+
+    fn is_communicating(&self) -> bool {
+        self.local.status.is_communicating()
+    }
+
+    fn emit(&mut self, event: Event) {
+        self.outputs.push_back(Output::Event(event));
+    }
+}
+
+/// Draws the run of a process. 0 is reserved for a run that is not known.
+fn draw_run(rng: &mut ChaCha8Rng) -> u64 {
+    loop {
+        let run = rng.next_u64();
+        if run != 0 {
+            return run;
+        }
     }
 }
--- a/crates/micadrum-membership/src/detector/probing.rs
+++ b/crates/micadrum-membership/src/detector/probing.rs
@@ -1,203 +1,293 @@
-//! Who is asked when, and what it means that no answer comes.
+//! Probing (SWIM, section 3.1): a direct ping first, then repeated and indirect pings, then suspicion and death.
 use super::{Event, Membership};
 use crate::datagram::Body;
-use crate::gossip::MOST_IN_ONE;
+use crate::gossip::GossipUpdate;
 use crate::member::MemberId;
-use crate::remote_member::{Peer, PendingProbe, Stage};
-use crate::send_budget::Rank;
-use crate::view::Status;
+use crate::remote_member::{PendingProbe, ProbePath, ProbeStage, RemoteMember};
+use crate::send_budget::SendPriority;
+use crate::status::Status;
 use std::time::Duration;
 
-/// Members that are asked to pass a question on.
-const THROUGH: usize = 3;
-/// A round of questions to a suspect takes at least this.
-const LEAST_ROUND: Duration = Duration::from_millis(150);
-/// Rounds without an answer before a suspect can be dead.
-const ROUNDS: u32 = 5;
-/// Between two rounds while nobody at all answers.
-const ALONE_ROUND: Duration = Duration::from_millis(500);
-/// Each of the dead is tried once in this, as far as [`MOST_TRIES`] allows.
-const TRY_DEAD: Duration = Duration::from_millis(800);
-/// Dead ones that are tried at one probe.
-const MOST_TRIES: usize = 8;
-/// Up to so many members everybody is told of news at once; of more, a multiple of the logarithm.
-const TELL_ALL: usize = 64;
-/// Urgent questions that the ceiling held back are tried again after this.
-const URGENT_AGAIN: Duration = Duration::from_millis(20);
+/// Members through which an indirect ping is sent.
+const INDIRECT_PROBE_MEMBERS: usize = 3;
+/// The shortest round of pings to a suspect.
+const MIN_ROUND: Duration = Duration::from_millis(150);
+/// The shortest round of pings while no member answers at all.
+const MIN_ROUND_WHILE_ISOLATED: Duration = Duration::from_millis(500);
+/// Rounds without an ack before a suspect can be declared dead.
+const MIN_FAILED_ROUNDS_BEFORE_DEATH: u32 = 5;
+/// The suspicion timeout is at least this multiple of the probe timeout.
+const MIN_SUSPICION_PROBE_TIMEOUTS: u32 = 3;
+/// Each unreachable member is tried once in this time, as far as [`MAX_RECONNECTS_PER_PROBE`] permits.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(800);
+/// Unreachable members tried along with one regular probe.
+const MAX_RECONNECTS_PER_PROBE: usize = 8;
+/// Every n-th attempt to reach an unreachable member is indirect.
+const INDIRECT_RECONNECT_PERIOD: u32 = 4;
+/// How soon urgent probes that exceeded the send budget are retried.
+const URGENT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// A member is isolated after hearing nothing for this multiple of the suspicion timeout, and at least the minimum.
+const ISOLATION_SUSPICION_TIMEOUTS: u32 = 2;
+const MIN_ISOLATION_SILENCE: Duration = Duration::from_secs(2);
+
+/// What the end of a probe round without an ack leads to.
+enum RoundOutcome {
+    /// The probe goes on with another round.
+    Continue(PendingProbe),
+    /// The member is not probed any more.
+    Stop,
+}
 
 impl Membership {
-    pub(super) fn timer(&mut self, now: Duration) {
-        if !self.writing && self.write_at.is_some_and(|at| at <= now) {
-            self.write();
+    pub(super) fn handle_timer(&mut self, now: Duration) {
+        let write_due = self.record_schedule.write_at.is_some_and(|at| at <= now);
+        if !self.record_schedule.is_writing && write_due {
+            self.write_record();
         }
-        if !self.standing.speaks() {
+        if !self.is_communicating() {
             return;
         }
-        while let Some((at, id)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
-            self.timers.remove(&(at, id));
-            self.no_answer(id, now);
+        while let Some((at, id)) = self.probes.timers.first().copied().filter(|(at, _)| *at <= now) {
+            self.probes.timers.remove(&(at, id));
+            self.handle_round_end(id, now);
         }
-        if self.tell_at.take_if(|at| *at <= now).is_some() {
-            self.told_at = Some(now);
-            self.tell(now);
+        if self.gossip.push_at.take_if(|at| *at <= now).is_some() {
+            self.gossip.last_pushed = Some(now);
+            self.push_gossip(now);
         }
-        if self.next_probe <= now {
-            self.next_probe = now + self.settings.probe_every;
-            self.look_at_oneself(now);
-            self.probe(now);
-            self.try_dead(now);
+        if self.probes.next_probe_at <= now {
+            self.probes.next_probe_at = now + self.settings.probe_interval;
+            self.detect_isolation(now);
+            self.probe_next_member(now);
+            self.try_unreachable_members(now);
         }
     }
 
-    pub(super) fn look_at_oneself(&mut self, now: Duration) {
-        let quiet = (self.settings.dead_after * 2).max(Duration::from_secs(2));
-        let since = self.heard.max(self.health.woke()).unwrap_or(self.begun);
-        if !self.cut_off && !self.peers.is_empty() && now.saturating_sub(since) >= quiet {
-            self.cut_off = true;
-            self.event(Event::CutOff(true));
+    fn detect_isolation(&mut self, now: Duration) {
+        let silence =
+            (self.settings.suspicion_timeout * ISOLATION_SUSPICION_TIMEOUTS).max(MIN_ISOLATION_SILENCE);
+        let last_heard = self.connectivity.last_heard.max(self.local_health.last_stall_end());
+        let silent_since = last_heard.unwrap_or(self.started_at);
+        let is_silent = now.saturating_sub(silent_since) >= silence;
+        if !self.connectivity.isolated && !self.members.is_empty() && is_silent {
+            self.connectivity.isolated = true;
+            self.emit(Event::IsolationChanged(true));
         }
     }
 
-    /// Asks the next in turn.
-    pub(super) fn probe(&mut self, now: Duration) {
+    /// Probes the next member of the current round, which is drawn anew once exhausted.
+    fn probe_next_member(&mut self, now: Duration) {
         for _ in 0..2 {
-            while let Some(id) = self.ring.pop() {
-                let free = self.peers.get(&id).is_some_and(|peer| peer.question.is_none() && peer.is_asked());
-                if free {
-                    self.ask(id, now);
+            while let Some(id) = self.probes.round.pop() {
+                let is_probed =
+                    |member: &RemoteMember| member.probe.is_none() && member.is_probed_in_rounds();
+                if self.members.get(&id).is_some_and(is_probed) {
+                    self.start_probe(id, now);
                     return;
                 }
             }
-            self.ring = self.shuffled(Peer::is_asked);
+            self.probes.round = self.shuffled_members(RemoteMember::is_probed_in_rounds);
         }
     }
 
-    /// Those that are dead or have left may be back without a word that came through.
-    pub(super) fn try_dead(&mut self, now: Duration) {
-        let share = self.settings.probe_every.as_secs_f64() / TRY_DEAD.as_secs_f64();
-        let tries = ((self.dead_ring.len() as f64 * share).ceil() as usize).min(MOST_TRIES);
-        for _ in 0..tries {
-            let Some(id) = self.dead_ring.pop_front() else { return };
-            let Some(peer) = self.peers.get_mut(&id).filter(|peer| !peer.is_asked()) else { continue };
-            peer.tries = peer.tries.wrapping_add(1);
-            if peer.tries.is_multiple_of(4) {
-                self.ping_through(id, 1, now);
+    /// Tries members that are dead or have left: they may have returned without any datagram getting through.
+    fn try_unreachable_members(&mut self, now: Duration) {
+        let share = self.settings.probe_interval.as_secs_f64() / RECONNECT_INTERVAL.as_secs_f64();
+        let due = (self.probes.unreachable.len() as f64 * share).ceil() as usize;
+        for _ in 0..due.min(MAX_RECONNECTS_PER_PROBE) {
+            let Some(id) = self.probes.unreachable.pop_front() else { return };
+            let member = self.members.get_mut(&id).filter(|member| !member.is_probed_in_rounds());
+            let Some(member) = member else { continue };
+            member.reconnect_attempts = member.reconnect_attempts.wrapping_add(1);
+            if member.reconnect_attempts.is_multiple_of(INDIRECT_RECONNECT_PERIOD) {
+                self.ping_indirectly(id, 1, now);
             } else {
-                self.ping(id, Rank::Last, now);
+                self.ping(id, SendPriority::Low, now);
             }
-            self.dead_ring.push_back(id);
+            self.probes.unreachable.push_back(id);
         }
     }
 
-    pub(super) fn make_urgent(&mut self, id: MemberId) {
-        if let Some(peer) = self.peers.get_mut(&id)
-            && !std::mem::replace(&mut peer.urgent, true)
+    /// Queues a member for a probe outside the regular rounds.
+    pub(super) fn request_urgent_probe(&mut self, id: MemberId) {
+        if let Some(member) = self.members.get_mut(&id)
+            && !std::mem::replace(&mut member.is_urgent, true)
         {
-            self.urgent.push_back(id);
+            self.probes.urgent.push_back(id);
         }
     }
 
-    /// Asks those that must not wait for their turn, as far as the ceiling allows.
-    pub(super) fn ask_urgent(&mut self, now: Duration) {
-        if !self.standing.speaks() {
+    /// Sends urgent probes as far as the send budget permits.
+    pub(super) fn send_urgent_probes(&mut self, now: Duration) {
+        if !self.is_communicating() {
             return;
         }
-        self.urgent_at = None;
-        while let Some(id) = self.urgent.front().copied() {
-            let asks = self.peers.get(&id).is_some_and(|peer| peer.question.is_none());
-            if asks && !self.ask(id, now) {
-                self.urgent_at = Some(now + URGENT_AGAIN);
+        self.probes.urgent_retry_at = None;
+        while let Some(id) = self.probes.urgent.front().copied() {
+            let is_idle = self.members.get(&id).is_some_and(|member| member.probe.is_none());
+            if is_idle && !self.start_probe(id, now) {
+                self.probes.urgent_retry_at = Some(now + URGENT_RETRY_DELAY);
                 return;
             }
-            self.urgent.pop_front();
-            if let Some(peer) = self.peers.get_mut(&id) {
-                peer.urgent = false;
+            self.probes.urgent.pop_front();
+            if let Some(member) = self.members.get_mut(&id) {
+                member.is_urgent = false;
             }
         }
     }
 
-    /// Asks a member, and waits for its answer; whether the ceiling allowed it.
-    pub(super) fn ask(&mut self, id: MemberId, now: Duration) -> bool {
-        if !self.ping(id, Rank::Usual, now) {
+    /// Starts a probe, and returns whether the send budget permitted it.
+    fn start_probe(&mut self, id: MemberId, now: Duration) -> bool {
+        if !self.ping(id, SendPriority::Normal, now) {
             return false;
         }
-        if let Some(peer) = self.peers.get_mut(&id) {
-            let timer = now + self.health.patience(peer.wait(self.usual.get(&peer.member.building).copied()));
-            peer.question = Some(PendingProbe { began: now, stage: Stage::Straight, rounds: 0, timer });
-            self.timers.insert((timer, id));
+        if let Some(member) = self.members.get_mut(&id) {
+            let zone_round_trip = self.zone_round_trips.get(&member.member.zone).copied();
+            let timeout = self.local_health.scale_timeout(member.probe_timeout(zone_round_trip));
+            let expires_at = now + timeout;
+            member.probe = Some(PendingProbe::new(now, expires_at));
+            self.probes.timers.insert((expires_at, id));
         }
         true
     }
 
-    /// A question got no answer in its time.
-    pub(super) fn no_answer(&mut self, id: MemberId, now: Duration) {
-        let Some(peer) = self.peers.get(&id) else { return };
-        let wait = peer.wait(self.usual.get(&peer.member.building).copied());
-        let patience = self.health.patience(self.settings.dead_after.max(wait * 3));
-        let (Some(mut question), wait) = (peer.question, self.health.patience(wait)) else { return };
-        let status = peer.status;
-        if question.stage == Stage::Through {
-            question.rounds += 1;
-            let touched = self.touched.is_some_and(|asked| asked >= question.began);
-            if !touched {
-                self.health.worse();
-            }
-            if !matches!(status, Status::Live | Status::Unknown | Status::Suspect) {
-                self.drop_question(id);
-                return;
-            }
-            self.change(id, Status::Suspect, now);
-            let silent = now.saturating_sub(question.began);
-            if touched && question.rounds >= ROUNDS && silent >= patience {
-                self.change(id, Status::Dead, now);
-                return;
+    /// Returns how long an ack of a member is waited for, before scaling by local health.
+    pub(super) fn probe_timeout(&self, member: &RemoteMember) -> Duration {
+        member.probe_timeout(self.zone_round_trips.get(&member.member.zone).copied())
+    }
+
+    /// Handles a probe round that ended without an ack.
+    fn handle_round_end(&mut self, id: MemberId, now: Duration) {
+        let Some(member) = self.members.get(&id) else { return };
+        let probe_timeout = self.probe_timeout(member);
+        let suspicion_timeout =
+            self.settings.suspicion_timeout.max(probe_timeout * MIN_SUSPICION_PROBE_TIMEOUTS);
+        let suspicion_timeout = self.local_health.scale_timeout(suspicion_timeout);
+        let probe_timeout = self.local_health.scale_timeout(probe_timeout);
+        let Some(mut probe) = member.probe else { return };
+        if probe.stage == ProbeStage::Indirect {
+            match self.judge_failed_round(id, probe, suspicion_timeout, now) {
+                RoundOutcome::Continue(next) => probe = next,
+                RoundOutcome::Stop => return,
             }
         }
-        question.stage = Stage::Through;
-        let asked = self.ping(id, Rank::First, now);
-        self.ping_through(id, THROUGH, now);
-        if !asked {
-            // Held back by the ceiling: no round.
-            question.rounds = question.rounds.saturating_sub(1);
+        self.start_indirect_round(id, probe, probe_timeout, now);
+    }
+
+    /// Decides after a failed indirect round whether the member is a suspect or dead.
+    fn judge_failed_round(
+        &mut self,
+        id: MemberId,
+        mut probe: PendingProbe,
+        suspicion_timeout: Duration,
+        now: Duration,
+    ) -> RoundOutcome {
+        probe.failed_rounds += 1;
+        // Silence only counts against a member while others answer: otherwise this sender may be cut off itself.
+        let others_answer =
+            self.connectivity.last_answered_probe.is_some_and(|sent_at| sent_at >= probe.started_at);
+        if !others_answer {
+            self.local_health.degrade();
+        }
+        if !self.members.get(&id).is_some_and(RemoteMember::is_probed_in_rounds) {
+            self.cancel_probe(id);
+            return RoundOutcome::Stop;
         }
-        let least = if self.cut_off { ALONE_ROUND } else { LEAST_ROUND };
-        question.timer = now + (wait * 3 / 2).max(least);
-        if let Some(peer) = self.peers.get_mut(&id) {
-            peer.question = Some(question);
-            self.timers.insert((question.timer, id));
+        self.set_status(id, Status::Suspect, now);
+        let silent_for = now.saturating_sub(probe.started_at);
+        let is_dead = others_answer
+            && probe.failed_rounds >= MIN_FAILED_ROUNDS_BEFORE_DEATH
+            && silent_for >= suspicion_timeout;
+        if is_dead {
+            self.set_status(id, Status::Dead, now);
+            return RoundOutcome::Stop;
         }
+        RoundOutcome::Continue(probe)
     }
 
-    pub(super) fn drop_question(&mut self, id: MemberId) {
-        if let Some(question) = self.peers.get_mut(&id).and_then(|peer| peer.question.take()) {
-            self.timers.remove(&(question.timer, id));
+    /// Repeats the ping, and sends it through other members too.
+    fn start_indirect_round(
+        &mut self,
+        id: MemberId,
+        mut probe: PendingProbe,
+        probe_timeout: Duration,
+        now: Duration,
+    ) {
+        probe.stage = ProbeStage::Indirect;
+        let sent = self.ping(id, SendPriority::High, now);
+        self.ping_indirectly(id, INDIRECT_PROBE_MEMBERS, now);
+        if !sent {
+            // A round without a direct ping is no evidence of silence.
+            probe.failed_rounds = probe.failed_rounds.saturating_sub(1);
+        }
+        let min_round = if self.connectivity.isolated { MIN_ROUND_WHILE_ISOLATED } else { MIN_ROUND };
+        probe.expires_at = now + (probe_timeout * 3 / 2).max(min_round);
+        if let Some(member) = self.members.get_mut(&id) {
+            member.probe = Some(probe);
+            self.probes.timers.insert((probe.expires_at, id));
         }
     }
 
-    /// Members who hear of news at once.
-    pub(super) fn told_at_once(&self) -> usize {
-        if self.peers.len() <= TELL_ALL { self.peers.len() } else { 4 * self.doublings() }
+    /// Ends the probe of a member, if one is in progress.
+    pub(super) fn cancel_probe(&mut self, id: MemberId) {
+        if let Some(probe) = self.members.get_mut(&id).and_then(|member| member.probe.take()) {
+            self.probes.timers.remove(&(probe.expires_at, id));
+        }
     }
 
-    pub(super) fn doublings(&self) -> usize {
-        (usize::BITS - self.peers.len().leading_zeros()) as usize
+    /// Sends a direct ping with gossip, and returns whether the send budget permitted it.
+    fn ping(&mut self, id: MemberId, priority: SendPriority, now: Duration) -> bool {
+        let updates = self.next_piggybacked_updates();
+        self.ping_with_updates(id, updates, priority, now)
     }
 
-    pub(super) fn tell(&mut self, now: Duration) {
-        let to = self.some(self.told_at_once(), |_, peer| peer.status == Status::Live);
-        let rank = if self.peers.len() <= TELL_ALL { Rank::Usual } else { Rank::Last };
-        for id in to {
-            let rumours = self.rumours.next(MOST_IN_ONE);
-            if rumours.is_empty() {
-                return;
-            }
+    /// Sends a direct ping that carries the given gossip updates.
+    pub(super) fn ping_with_updates(
+        &mut self,
+        id: MemberId,
+        updates: Vec<GossipUpdate>,
+        priority: SendPriority,
+        now: Duration,
+    ) -> bool {
+        let nonce = self.next_nonce();
+        let ping =
+            Body::Ping { nonce, proof: self.local.proof, roster_digest: self.roster.digest(), updates };
+        let sent = self.send(id, &ping, priority, now);
+        if sent && let Some(member) = self.members.get_mut(&id) {
+            member.record_probe_sent(nonce, now, ProbePath::Direct);
+        }
+        sent
+    }
+
+    /// Sends a ping through up to `max_relays` live members: one in the target's own zone if there is one, the others
+    /// chosen at random.
+    fn ping_indirectly(&mut self, id: MemberId, max_relays: usize, now: Duration) {
+        let Some(zone) = self.members.get(&id).map(|member| member.member.zone.clone()) else { return };
+        let is_live = |member: &RemoteMember| member.status == Status::Live;
+        let mut relays = self
+            .random_members(1, |other, member| other != id && is_live(member) && member.member.zone == zone);
+        let same_zone = relays.first().copied();
+        relays.extend(self.random_members(max_relays - relays.len().min(max_relays), |other, member| {
+            other != id && Some(other) != same_zone && is_live(member)
+        }));
+        for relay in relays {
             let nonce = self.next_nonce();
-            let ping = Body::Ping { nonce, stamp: self.stamp, list: self.roster.mark(), rumours };
-            if self.send(id, &ping, rank, now)
-                && let Some(peer) = self.peers.get_mut(&id)
-            {
-                peer.asked(nonce, now, true);
+            let ping = Body::Ping {
+                nonce,
+                proof: self.local.proof,
+                roster_digest: self.roster.digest(),
+                updates: Vec::new(),
+            };
+            let Some(sealed) = self.seal(id, self.known_run(id), &ping) else { return };
+            let sent = self.send(relay, &Body::Relay { to: id, sealed }, SendPriority::Normal, now);
+            if sent && let Some(member) = self.members.get_mut(&id) {
+                member.record_probe_sent(nonce, now, ProbePath::Indirect);
             }
         }
     }
+
+    fn next_nonce(&mut self) -> u32 {
+        self.last_nonce = self.last_nonce.wrapping_add(1);
+        self.last_nonce
+    }
 }
--- a/crates/micadrum-membership/src/detector/receiving.rs
+++ b/crates/micadrum-membership/src/detector/receiving.rs
@@ -1,213 +1,240 @@
-//! What comes: datagrams, signs of life, rumours; and what is believed by them.
+//! Incoming datagrams: authentication, freshness, and what pings and acks lead to.
 use super::{Event, Membership};
-use crate::datagram::{self, Body, Header, Unread};
-use crate::gossip::{GossipStatus, GossipUpdate, MOST_IN_ONE};
-use crate::incarnation::Heard;
+use crate::datagram::{self, Body, DatagramError, Header};
+use crate::gossip::GossipUpdate;
+use crate::incarnation::{IncarnationProof, KnownIncarnation};
 use crate::member::MemberId;
-use crate::remote_member::RoundTrip;
-use crate::send_budget::Rank;
-use crate::view::{Reach, Status};
+use crate::remote_member::ProbePath;
+use crate::round_trip::RoundTrip;
+use crate::send_budget::SendPriority;
+use crate::status::{Reach, Status};
 use std::time::Duration;
 
-/// News waits so long for more of it.
-const TELL_AFTER: Duration = Duration::from_millis(10);
-/// ... and for the last news to have been told: in a storm most of it goes together.
-const TELL_AGAIN: Duration = Duration::from_millis(200);
-/// A member that was heard within this is not asked for a rumour's sake.
-const FRESH: Duration = Duration::from_millis(300);
-/// From its begin or its waking on, a process does not trust its own clockwork for so long.
-const STEADY: Duration = Duration::from_secs(1);
-/// What was heard of lives is written down so long after it was.
-const WRITE_AFTER: Duration = Duration::from_millis(200);
-/// Bytes of a datagram that is passed on: a question or its answer.
-const MOST_SEALED: usize = 400;
+/// How long after its start or a stall a process does not trust its own time measurements.
+const MEASUREMENT_WARM_UP: Duration = Duration::from_secs(1);
+/// How long after a change the incarnation record is written.
+const RECORD_WRITE_DELAY: Duration = Duration::from_millis(200);
+/// Upper bound on the length of a datagram relayed for another member: a ping or an ack.
+const MAX_RELAYED_BYTES: usize = 400;
+
+/// Why a datagram is dropped.
+enum Rejection {
+    Foreign,
+    Forged,
+    OverLimit,
+}
+
+impl From<DatagramError> for Rejection {
+    fn from(error: DatagramError) -> Self {
+        match error {
+            DatagramError::Forged => Self::Forged,
+            DatagramError::Foreign | DatagramError::Malformed => Self::Foreign,
+        }
+    }
+}
+
+/// Whether a datagram proves that its sender is alive now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Freshness {
+    /// The datagram is addressed to this run and arrived for the first time under its sender's current incarnation.
+    Fresh,
+    /// The datagram is authentic, but may have been recorded earlier.
+    Unproven,
+    /// The datagram has been received before.
+    Replayed,
+}
+
+/// An authentic datagram and how it arrived.
+struct Received {
+    header: Header,
+    /// The member that relayed the datagram, unless it arrived directly.
+    relayed_by: Option<MemberId>,
+    is_fresh: bool,
+}
+
+/// The contents of an ack.
+struct Ack {
+    nonce: u32,
+    known: Option<KnownIncarnation>,
+    updates: Vec<GossipUpdate>,
+    is_fresh: bool,
+}
+
+/// A ping to be answered.
+pub(super) struct PingToAnswer {
+    pub from: MemberId,
+    pub from_run: u64,
+    pub nonce: u32,
+    /// The member that relayed the ping, unless it arrived directly.
+    pub relayed_by: Option<MemberId>,
+    pub is_fresh: bool,
+}
 
 impl Membership {
-    /// Takes a datagram in; `via` passed it on, unless it came straight.
-    pub(super) fn datagram(&mut self, bytes: &[u8], now: Duration, via: Option<MemberId>) {
-        let Ok(Header { forgot, from, to, life, to_run, number }) = datagram::header(bytes) else {
-            self.counts.foreign += 1;
-            return;
+    /// Handles a datagram; `relayed_by` is the member that relayed it, unless it arrived directly.
+    pub(super) fn handle_datagram(&mut self, bytes: &[u8], now: Duration, relayed_by: Option<MemberId>) {
+        let (header, body) = match self.authenticate(bytes, now) {
+            Ok(authentic) => authentic,
+            Err(Rejection::Foreign) => return self.counts.foreign += 1,
+            Err(Rejection::Forged) => return self.counts.forged += 1,
+            Err(Rejection::OverLimit) => return self.counts.over_limit += 1,
         };
-        let own = self.roster.own();
-        let peer = self.peers.get_mut(&from).filter(|_| to == own);
-        let Some((peer, pair)) = peer.and_then(|peer| peer.pair(&self.secret, own).map(|pair| (peer, pair)))
-        else {
-            self.counts.foreign += 1;
-            return;
-        };
-        let body = match datagram::open(bytes, &pair.back) {
-            Ok(body) => body,
-            Err(Unread::Forged) => {
-                self.counts.forged += 1;
-                return;
-            }
-            Err(Unread::Foreign | Unread::Garbled) => {
-                self.counts.foreign += 1;
-                return;
-            }
-        };
-        if !peer.flood.take(now, bytes.len(), Rank::First) {
-            self.counts.flooded += 1;
-            return;
+        if let Body::Ping { proof, .. } | Body::Ack { proof, .. } = &body {
+            self.record_incarnation(&header, *proof, now);
         }
-        if let Body::Ping { stamp, .. } | Body::Ack { stamp, .. } = &body {
-            self.life_of(from, Heard { life, stamp: *stamp }, forgot, now);
+        let freshness = self.check_freshness(&header);
+        let is_fresh = freshness == Freshness::Fresh;
+        if is_fresh {
+            let reach = if relayed_by.is_some() { Reach::Relayed } else { Reach::Direct };
+            self.record_sign_of_life(header.from, now, reach);
+        } else {
+            self.counts.stale += 1;
         }
-        let current = self.book.heard.get(&from).is_some_and(|heard| heard.life == life);
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        if current && peer.speaks != Some(life) {
-            // Known from an earlier process of this sender.
-            peer.begins(life, forgot);
+        if freshness != Freshness::Replayed {
+            self.handle_body(body, &Received { header, relayed_by, is_fresh }, now);
         }
-        // Only what is meant for this run, and comes for the first time, shows that its sender lives now.
-        let fresh = current && to_run == self.life.run;
-        if fresh && !peer.window.take(number) {
-            self.counts.stale += 1;
-            return;
+    }
+
+    /// Verifies that a datagram was sealed by the member that its header names, for this member, within its rate limit.
+    fn authenticate(&mut self, bytes: &[u8], now: Duration) -> Result<(Header, Body), Rejection> {
+        let header = datagram::parse_header(bytes)?;
+        let own = self.roster.own();
+        let member = self.members.get_mut(&header.from).filter(|_| header.to == own);
+        let member = member.ok_or(Rejection::Foreign)?;
+        let keys = member.session_keys(&self.secret, own).ok_or(Rejection::Foreign)?;
+        let body = datagram::open(bytes, &keys.receiving)?;
+        if !member.receive_limit.try_take(now, bytes.len(), SendPriority::High) {
+            return Err(Rejection::OverLimit);
         }
-        if fresh {
-            self.sign_of(from, now, if via.is_some() { Reach::Relayed } else { Reach::Direct });
-        } else {
-            self.counts.stale += 1;
+        Ok((header, body))
+    }
+
+    /// Determines whether an authentic datagram proves that its sender is alive now, and marks it as received.
+    fn check_freshness(&mut self, header: &Header) -> Freshness {
+        let is_current = self.record.incarnation_of(header.from) == Some(header.incarnation);
+        let Some(member) = self.members.get_mut(&header.from) else { return Freshness::Replayed };
+        if is_current && member.active_incarnation != Some(header.incarnation) {
+            // The incarnation was recorded by an earlier process of this sender.
+            member.begin_incarnation(header);
         }
+        if !is_current || header.to_run != self.local.incarnation.run {
+            return Freshness::Unproven;
+        }
+        if member.replay_window.accept(header.sequence) { Freshness::Fresh } else { Freshness::Replayed }
+    }
+
+    fn handle_body(&mut self, body: Body, received: &Received, now: Duration) {
+        let from = received.header.from;
+        let is_fresh = received.is_fresh;
+        let is_direct = received.relayed_by.is_none();
         match body {
-            Body::Ping { nonce, rumours, list, .. } => {
-                if fresh {
-                    self.list_of(from, list);
-                    self.hear(&rumours, now);
+            Body::Ping { nonce, updates, roster_digest, .. } => {
+                if is_fresh {
+                    self.compare_rosters(from, roster_digest);
+                    self.receive_gossip(&updates, now);
                 }
-                self.answer(from, life.run, nonce, via, fresh, now);
+                let from_run = received.header.incarnation.run;
+                let relayed_by = received.relayed_by;
+                self.answer_ping(&PingToAnswer { from, from_run, nonce, relayed_by, is_fresh }, now);
             }
-            // What it knows of this sender it knows now, whatever life it speaks under itself.
-            Body::Ack { nonce, known, rumours, .. } if to_run == self.life.run => {
-                if fresh {
-                    // A process that has just begun, or stood still, is slow itself: what it measures then, it would
-                    // hold against the links for long.
-                    let steady = self.begun.max(self.health.woke().unwrap_or_default()) + STEADY;
-                    let measures = now >= steady;
-                    let asked = self.peers.get_mut(&from).and_then(|peer| peer.answer(nonce, now, measures));
-                    if let Some((asked, straight)) = asked {
-                        if measures && straight {
-                            self.measured(from, now.saturating_sub(asked));
-                        }
-                        self.touched = self.touched.max(Some(asked));
-                        self.health.better();
-                    }
-                    self.hear(&rumours, now);
-                }
-                if let Some(known) = known {
-                    self.known_as(from, known, now);
-                }
+            // An ack to this run counts whatever incarnation the answering member has: what it knows of this sender, it
+            // knows now.
+            Body::Ack { nonce, known, updates, .. }
+                if received.header.to_run == self.local.incarnation.run =>
+            {
+                self.handle_ack(from, &Ack { nonce, known, updates, is_fresh }, now);
             }
-            Body::Relay { to, sealed } if fresh && via.is_none() && sealed.len() <= MOST_SEALED => {
-                self.send(to, &Body::Passed { sealed }, Rank::Usual, now);
+            Body::Relay { to, sealed } if is_fresh && is_direct && sealed.len() <= MAX_RELAYED_BYTES => {
+                self.send(to, &Body::Relayed { sealed }, SendPriority::Normal, now);
             }
-            // Whoever passes it on cannot have changed it.
-            Body::Passed { sealed } if fresh && via.is_none() => self.datagram(&sealed, now, Some(from)),
-            Body::Leave if fresh => self.change(from, Status::Left, now),
-            Body::Ack { .. } | Body::Relay { .. } | Body::Passed { .. } | Body::Leave => {}
+            // The relaying member cannot have modified a sealed datagram.
+            Body::Relayed { sealed } if is_fresh && is_direct => {
+                self.handle_datagram(&sealed, now, Some(from));
+            }
+            Body::Leave if is_fresh => self.set_status(from, Status::Left, now),
+            Body::Ack { .. } | Body::Relay { .. } | Body::Relayed { .. } | Body::Leave => {}
         }
     }
 
-    /// A member speaks under a life. A higher one than was heard can be no replay.
-    pub(super) fn life_of(&mut self, from: MemberId, heard: Heard, forgot: bool, now: Duration) {
-        let roster = &self.roster;
-        if !self.book.note(from, heard, |id| roster.get(id).is_some()) {
-            return;
+    fn handle_ack(&mut self, from: MemberId, ack: &Ack, now: Duration) {
+        if ack.is_fresh {
+            self.match_ack_to_probe(from, ack.nonce, now);
+            self.receive_gossip(&ack.updates, now);
+        }
+        if let Some(known) = ack.known {
+            self.handle_own_incarnation_known(from, known, now);
         }
-        self.write_at = self.write_at.or(Some(now + WRITE_AFTER));
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.begins(heard.life, forgot);
-        let name = peer.member.name.clone();
-        self.event(Event::Life { name, life: heard.life.number, forgot });
-        // That it lives now, only an answer to this run shows.
-        self.make_urgent(from);
     }
 
-    /// A member's list is this one's, or another.
-    fn list_of(&mut self, from: MemberId, list: u64) {
-        let other = list != self.roster.mark();
-        let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.other_list != other) else { return };
-        peer.other_list = other;
-        let name = peer.member.name.clone();
-        self.event(Event::OtherList { name, other });
+    /// Finds the probe that an ack answers, and measures the link with it.
+    fn match_ack_to_probe(&mut self, from: MemberId, nonce: u32, now: Duration) {
+        let Some(member) = self.members.get_mut(&from) else { return };
+        let Some(probe) = member.take_sent_probe(nonce) else { return };
+        if probe.path == ProbePath::Direct {
+            member.last_direct_ack = Some(now);
+            // A process that has just started or resumed is slow itself, which must not count as slowness of the link.
+            let last_disturbance =
+                self.started_at.max(self.local_health.last_stall_end().unwrap_or_default());
+            if now >= last_disturbance + MEASUREMENT_WARM_UP {
+                let sample = now.saturating_sub(probe.sent_at);
+                member.add_round_trip_sample(sample);
+                let zone = member.member.zone.clone();
+                self.add_zone_round_trip_sample(zone, sample);
+            }
+        }
+        let connectivity = &mut self.connectivity;
+        connectivity.last_answered_probe = connectivity.last_answered_probe.max(Some(probe.sent_at));
+        self.local_health.improve();
     }
 
-    pub(super) fn sign_of(&mut self, id: MemberId, now: Duration, reach: Reach) {
-        let Some(peer) = self.peers.get_mut(&id) else { return };
-        if peer.left == peer.speaks && peer.left.is_some() {
-            // Said before it left, and late on the way.
-            return;
+    fn add_zone_round_trip_sample(&mut self, zone: String, sample: Duration) {
+        match self.zone_round_trips.get_mut(&zone) {
+            Some(round_trip) => round_trip.add_sample(sample),
+            None => drop(self.zone_round_trips.insert(zone, RoundTrip::from_first_sample(sample))),
         }
-        peer.came(now, reach);
-        self.drop_question(id);
-        self.heard = Some(now);
-        if std::mem::take(&mut self.cut_off) {
-            self.event(Event::CutOff(false));
-        }
-        self.change(id, Status::Live, now);
     }
 
-    /// An answer took so long, there and back.
-    pub(super) fn measured(&mut self, from: MemberId, took: Duration) {
-        let Some(peer) = self.peers.get(&from) else { return };
-        match self.usual.get_mut(&peer.member.building) {
-            Some(trip) => trip.measure(took),
-            None => drop(self.usual.insert(peer.member.building.clone(), RoundTrip::first(took))),
+    /// Records an incarnation that a member announced. One higher than all known cannot be replayed.
+    fn record_incarnation(&mut self, header: &Header, proof: IncarnationProof, now: Duration) {
+        let Header { from, incarnation, lost_state, .. } = *header;
+        let announced = KnownIncarnation { incarnation, proof };
+        let roster = &self.roster;
+        if !self.record.record(from, announced, |id| roster.get(id).is_some()) {
+            return;
         }
+        let write_at = &mut self.record_schedule.write_at;
+        *write_at = write_at.or(Some(now + RECORD_WRITE_DELAY));
+        let Some(member) = self.members.get_mut(&from) else { return };
+        member.begin_incarnation(header);
+        let name = member.member.name.clone();
+        let incarnation = incarnation.number;
+        self.emit(Event::NewIncarnation { name, incarnation, lost_state });
+        // Only an answer to this run proves that the member is alive now.
+        self.request_urgent_probe(from);
     }
 
-    /// What is believed of a member is another thing now: those who should ask it themselves are told.
-    pub(super) fn change(&mut self, id: MemberId, is: Status, now: Duration) {
-        let Some(peer) = self.peers.get_mut(&id).filter(|peer| peer.status != is) else { return };
-        let was = std::mem::replace(&mut peer.status, is);
-        peer.since = now;
-        peer.left = if is == Status::Left { peer.speaks } else { None };
-        let name = peer.member.name.clone();
-        if matches!(is, Status::Dead | Status::Left) {
-            self.drop_question(id);
-            self.dead_ring.push_back(id);
-        }
-        if is == Status::Dead {
-            self.counts.deaths += 1;
-        }
-        let life = self.book.heard.get(&id).map_or(0, |heard| heard.life.number);
-        self.event(Event::Changed { name, was, is, life });
-        let word = match (was, is) {
-            (_, Status::Suspect | Status::Dead) => GossipStatus::Silent,
-            (Status::Suspect | Status::Dead | Status::Left, Status::Live) => GossipStatus::Back,
-            _ => return,
-        };
-        let times = (self.told_at_once() + 2 * self.doublings()) as u32;
-        self.rumours.add(GossipUpdate { about: id, life, word }, times);
-        let soon = now + TELL_AFTER;
-        let tell_at = self.told_at.map_or(soon, |told| soon.max(told + TELL_AGAIN));
-        self.tell_at = self.tell_at.or(Some(tell_at));
+    /// Compares a member's roster with this sender's.
+    fn compare_rosters(&mut self, from: MemberId, roster_digest: u64) {
+        let differs = roster_digest != self.roster.digest();
+        let member = self.members.get_mut(&from).filter(|member| member.roster_differs != differs);
+        let Some(member) = member else { return };
+        member.roster_differs = differs;
+        let name = member.member.name.clone();
+        self.emit(Event::RosterMismatch { name, differs });
     }
 
-    pub(super) fn hear(&mut self, rumours: &[GossipUpdate], now: Duration) {
-        for rumour in rumours.iter().take(MOST_IN_ONE) {
-            if rumour.about == self.roster.own() {
-                if rumour.word == GossipStatus::Silent && rumour.life == self.life.number {
-                    self.health.worse();
-                }
-                continue;
-            }
-            let known = self.book.heard.get(&rumour.about).map_or(0, |heard| heard.life.number);
-            let Some(peer) = self.peers.get(&rumour.about) else { continue };
-            let of_late = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < FRESH);
-            let points = match rumour.word {
-                GossipStatus::Silent => {
-                    rumour.life >= known
-                        && matches!(peer.status, Status::Live | Status::Unknown)
-                        && !of_late(peer.heard())
-                }
-                GossipStatus::Back => peer.status != Status::Live || rumour.life > known,
-            };
-            if points && peer.question.is_none() && !of_late(peer.asked_at) {
-                self.make_urgent(rumour.about);
-            }
+    fn record_sign_of_life(&mut self, id: MemberId, now: Duration, reach: Reach) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        if member.left_incarnation.is_some() && member.left_incarnation == member.active_incarnation {
+            // Sent before the member left, and delayed on the way.
+            return;
+        }
+        member.record_heard(now, reach);
+        self.cancel_probe(id);
+        self.connectivity.last_heard = Some(now);
+        if std::mem::take(&mut self.connectivity.isolated) {
+            self.emit(Event::IsolationChanged(false));
         }
+        self.set_status(id, Status::Live, now);
     }
 }
--- a/crates/micadrum-membership/src/detector/refutation.rs
+++ b/crates/micadrum-membership/src/detector/refutation.rs
@@ -1,158 +1,138 @@
-//! How this sender stands: its life, who knows it, its end, the list that it follows.
-use super::{Event, Membership, Output, Standing};
+//! This sender's own incarnation: its persistence, its confirmation by other members, and the refutation of a higher
+//! incarnation that others know because the state folder was lost or restored from an older copy.
+use super::{Event, Membership, Output};
 use crate::datagram::Body;
-use crate::incarnation::Heard;
+use crate::incarnation::{Incarnation, KnownIncarnation};
 use crate::member::MemberId;
-use crate::remote_member::{Peer, PendingProbe, Stage};
-use crate::send_budget::Rank;
-use crate::view::Status;
-use std::collections::BTreeSet;
+use crate::send_budget::SendPriority;
+use crate::status::{LocalStatus, Status};
 use std::time::Duration;
 
-/// After a write that failed.
-const WRITE_AGAIN: Duration = Duration::from_secs(1);
-/// A process takes a higher life no more often than this.
-const RENEWALS: u32 = 3;
-/// Two that took one number sort that out between them within this, if both are there.
-const DISPUTE: Duration = Duration::from_secs(2);
+/// How soon a failed write of the incarnation record is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How often one process moves to a higher incarnation.
+const MAX_RENEWALS: u32 = 3;
+/// Two live processes that took one incarnation number settle the dispute between themselves within this time.
+const DISPUTE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Membership {
-    pub(super) fn event(&mut self, event: Event) {
-        self.outputs.push_back(Output::Event(event));
+    pub(super) fn set_local_status(&mut self, status: LocalStatus) {
+        self.local.status = status;
+        if !status.is_communicating() {
+            for member in self.members.values_mut() {
+                member.probe = None;
+                member.is_urgent = false;
+            }
+            self.probes.cancel();
+            self.gossip.push_at = None;
+        }
+        self.emit(Event::LocalStatusChanged(status));
     }
 
-    pub(super) fn stand(&mut self, standing: Standing) {
-        self.standing = standing;
-        if !standing.speaks() {
-            self.timers.clear();
-            self.peers.values_mut().for_each(|peer| (peer.question, peer.urgent) = (None, false));
-            self.urgent.clear();
-            (self.tell_at, self.urgent_at) = (None, None);
-        }
-        self.event(Event::Stands(standing));
+    pub(super) fn write_record(&mut self) {
+        self.record_schedule.write_at = None;
+        self.record_schedule.is_writing = true;
+        self.outputs.push_back(Output::WriteRecord(self.record.to_bytes()));
     }
 
-    pub(super) fn write(&mut self) {
-        self.write_at = None;
-        self.writing = true;
-        self.outputs.push_back(Output::Write(self.book.to_bytes()));
+    pub(super) fn handle_record_write_failed(&mut self, now: Duration) {
+        self.record_schedule.is_writing = false;
+        // Until its incarnation is persisted, a sender stays silent; what it knows of others can wait.
+        self.record_schedule.write_at = Some(now + WRITE_RETRY_DELAY);
     }
 
-    pub(super) fn written(&mut self, done: bool, now: Duration) {
-        self.writing = false;
-        if !done {
-            // Until its life stands in the folder it says nothing; what it heard of others can wait.
-            self.write_at = Some(now + WRITE_AGAIN);
-        } else if self.standing == Standing::Writing {
-            self.begun = now;
-            self.next_probe = now;
-            self.stand(Standing::Asking);
-            // Everybody is told at once, as far as the ceiling allows.
-            self.shuffled(|_| true).into_iter().for_each(|id| self.make_urgent(id));
-            self.settle();
+    pub(super) fn handle_record_written(&mut self, now: Duration) {
+        self.record_schedule.is_writing = false;
+        if self.local.status != LocalStatus::PersistingIncarnation {
+            return;
         }
+        self.started_at = now;
+        self.probes.next_probe_at = now;
+        self.set_local_status(LocalStatus::ConfirmingIncarnation);
+        // All members learn of the incarnation at once, as far as the send budget permits.
+        for id in self.shuffled_members(|_| true) {
+            self.request_urgent_probe(id);
+        }
+        self.check_confirmed();
     }
 
-    /// Somebody knows a life of this sender.
-    pub(super) fn known_as(&mut self, by: MemberId, known: Heard, now: Duration) {
-        if known.life == self.life {
-            self.confirmed.insert(by);
-            self.settle();
+    /// Handles the highest incarnation that the member `by` knows of this sender.
+    pub(super) fn handle_own_incarnation_known(
+        &mut self,
+        by: MemberId,
+        known: KnownIncarnation,
+        now: Duration,
+    ) {
+        let (theirs, ours) = (known.incarnation, self.local.incarnation);
+        if theirs == ours {
+            self.local.confirmed_by.insert(by);
+            self.check_confirmed();
             return;
         }
-        let (theirs, ours) = (known.life, self.life);
-        if theirs.number < ours.number || known.stamp != self.secret.stamp(theirs) {
-            // Not yet heard of this one; or nobody but a liar can have said so.
+        if theirs.number < ours.number || known.proof != self.secret.prove(theirs) {
+            // The member has not heard of this incarnation yet, or claims one that this sender never had.
             return;
         }
-        let disputed = theirs.number == ours.number;
-        if disputed {
-            // Another process took this number, and some know it by that. Where both live, the one that still asks goes
-            // past the other, who hears of that and falls silent. Where that does not happen, the other has ended: this
-            // one goes past it, as those who know the other first would never hear it else.
-            let since = *self.disputed.get_or_insert(now);
-            let waits = self.standing != Standing::Asking || self.renewals > 0 && ours.run > theirs.run;
-            if waits && now.saturating_sub(since) < DISPUTE || self.renewals == RENEWALS {
-                return;
-            }
-            self.disputed = None;
+        let is_disputed = theirs.number == ours.number;
+        if is_disputed && !self.is_dispute_overdue(theirs, now) {
+            return;
         }
-        if (disputed || self.standing == Standing::Asking) && self.renewals < RENEWALS {
-            self.renewals += 1;
-            let Some(number) = known.life.number.checked_add(1) else {
-                self.stand(Standing::Exhausted);
-                return;
-            };
-            self.life.number = number;
-            self.stamp = self.secret.stamp(self.life);
-            self.number = 0;
-            self.forgot = true;
-            self.book.own = number;
-            self.confirmed.clear();
-            self.event(Event::Forgotten { life: number, known: known.life.number });
-            self.stand(Standing::Writing);
-            self.write();
+        let is_unconfirmed = self.local.status == LocalStatus::ConfirmingIncarnation;
+        if (is_disputed || is_unconfirmed) && self.local.renewals < MAX_RENEWALS {
+            self.renew_incarnation(theirs.number);
         } else {
-            self.stand(Standing::Superseded);
+            self.set_local_status(LocalStatus::Superseded);
         }
     }
 
-    /// Known to most, its life is the highest that there is.
-    pub(super) fn settle(&mut self) {
-        if self.standing == Standing::Asking && (self.confirmed.len() + 1) * 2 > self.roster.size() {
-            self.stand(Standing::Settled);
+    /// Whether this process has to move past another process that took the same incarnation number.
+    ///
+    /// Where both processes live, the unconfirmed one moves past the other, which learns of that and falls silent. Where
+    /// that does not happen in time, the other process has ended: this one moves past it, as members that recorded the
+    /// other one first would never accept this one otherwise.
+    fn is_dispute_overdue(&mut self, theirs: Incarnation, now: Duration) -> bool {
+        let since = *self.local.disputed_since.get_or_insert(now);
+        let yields = self.local.status != LocalStatus::ConfirmingIncarnation
+            || self.local.renewals > 0 && self.local.incarnation.run > theirs.run;
+        let is_waiting = yields && now.saturating_sub(since) < DISPUTE_TIMEOUT;
+        if is_waiting || self.local.renewals == MAX_RENEWALS {
+            return false;
         }
+        self.local.disputed_since = None;
+        true
     }
 
-    pub(super) fn leave(&mut self, now: Duration) {
-        if self.standing.speaks() {
-            for id in self.shuffled(|peer| peer.status != Status::Dead) {
-                self.send(id, &Body::Leave, Rank::First, now);
-            }
-        }
-        self.stand(Standing::Left);
-        self.write_at = None;
+    /// Moves past the incarnation number `known` that other members know.
+    fn renew_incarnation(&mut self, known: u64) {
+        let Some(number) = known.checked_add(1) else {
+            self.local.renewals += 1;
+            self.set_local_status(LocalStatus::Exhausted);
+            return;
+        };
+        let incarnation = Incarnation { number, ..self.local.incarnation };
+        self.local.renew(incarnation, self.secret.prove(incarnation));
+        self.record.own_number = number;
+        self.emit(Event::StateLossDetected { incarnation: number, known });
+        self.set_local_status(LocalStatus::PersistingIncarnation);
+        self.write_record();
     }
 
-    pub(super) fn follow_roster(&mut self, now: Duration) {
-        let roster = &self.roster;
-        let rumours = &mut self.rumours;
-        self.peers.retain(|id, peer| {
-            let stays = roster.get(*id).is_some_and(|member| member.key == peer.member.key);
-            if !stays {
-                rumours.forget(*id);
-            }
-            stays
-        });
-        for (id, member) in roster.others() {
-            let peer = self.peers.entry(id).or_insert_with(|| Peer::new(member.clone(), now));
-            peer.member = member.clone();
-        }
-        let known: BTreeSet<MemberId> = self.peers.keys().copied().collect();
-        self.timers.retain(|(_, id)| known.contains(id));
-        self.confirmed.retain(|id| known.contains(id));
-        self.usual.retain(|building, _| self.peers.values().any(|peer| peer.member.building == *building));
-        self.ring.retain(|id| known.contains(id));
-        self.dead_ring.retain(|id| known.contains(id));
-        self.urgent.retain(|id| known.contains(id));
-        if self.standing.speaks() {
-            let new = self.shuffled(|peer| peer.status == Status::Unknown);
-            new.into_iter().for_each(|id| self.make_urgent(id));
-            self.settle();
+    /// Marks the incarnation as confirmed once a majority of members, including this one, knows it as the highest.
+    pub(super) fn check_confirmed(&mut self) {
+        let has_majority = (self.local.confirmed_by.len() + 1) * 2 > self.roster.size();
+        if self.local.status == LocalStatus::ConfirmingIncarnation && has_majority {
+            self.set_local_status(LocalStatus::Confirmed);
         }
     }
 
-    /// It stood still: what was asked before may have been answered since, and nobody is to be blamed for that.
-    pub(super) fn stalled(&mut self, due: Duration, now: Duration) {
-        self.event(Event::Stalled { late_ms: now.saturating_sub(due).as_millis() as u64 });
-        self.touched = None;
-        self.timers.clear();
-        for (id, peer) in &mut self.peers {
-            let wait = peer.wait(self.usual.get(&peer.member.building).copied());
-            if let Some(question) = &mut peer.question {
-                *question = PendingProbe { began: now, stage: Stage::Straight, rounds: 0, timer: now + wait };
-                self.timers.insert((question.timer, *id));
+    /// Announces to the other members that this sender shuts down.
+    pub(super) fn leave(&mut self, now: Duration) {
+        if self.is_communicating() {
+            for id in self.shuffled_members(|member| member.status != Status::Dead) {
+                self.send(id, &Body::Leave, SendPriority::High, now);
             }
         }
+        self.set_local_status(LocalStatus::Left);
+        self.record_schedule.write_at = None;
     }
 }
--- a/crates/micadrum-membership/src/detector/sending.rs
+++ b/crates/micadrum-membership/src/detector/sending.rs
@@ -1,123 +1,92 @@
-//! What goes out: sealed, and as far as the ceiling allows.
+//! Outgoing datagrams: sealing, the send budget, and the random choice of receivers.
+use super::receiving::PingToAnswer;
 use super::{Membership, Output};
-use crate::datagram::{self, Body, Header, MOST_DATAGRAM};
+use crate::datagram::{self, Body, Header, MAX_DATAGRAM_BYTES};
 use crate::member::MemberId;
-use crate::remote_member::Peer;
-use crate::send_budget::Rank;
-use crate::view::Status;
+use crate::remote_member::RemoteMember;
+use crate::send_budget::SendPriority;
 use rand_chacha::rand_core::RngCore;
 use std::time::Duration;
 
-/// Rumours in a question or an answer.
-const FEW: usize = 6;
-
 impl Membership {
-    pub(super) fn next_nonce(&mut self) -> u32 {
-        self.nonce = self.nonce.wrapping_add(1);
-        self.nonce
-    }
-
-    /// A question that goes straight, with some rumours; whether the ceiling allowed it.
-    pub(super) fn ping(&mut self, id: MemberId, rank: Rank, now: Duration) -> bool {
-        let nonce = self.next_nonce();
-        let rumours = self.rumours.next(FEW);
-        let ping = Body::Ping { nonce, stamp: self.stamp, list: self.roster.mark(), rumours };
-        let sent = self.send(id, &ping, rank, now);
-        if sent && let Some(peer) = self.peers.get_mut(&id) {
-            peer.asked(nonce, now, true);
+    /// Answers a ping on the path on which it arrived.
+    ///
+    /// A ping whose freshness is unproven is answered too, as the ack tells a sender that has lost its state about its
+    /// higher incarnation. The ack goes to the address on the roster and to the run that sent the ping, so replaying an
+    /// old ping gains nothing.
+    pub(super) fn answer_ping(&mut self, ping: &PingToAnswer, now: Duration) {
+        let known = self.record.known.get(&ping.from).copied();
+        let carries_gossip = ping.is_fresh && ping.relayed_by.is_none();
+        let updates = if carries_gossip { self.next_piggybacked_updates() } else { Vec::new() };
+        let ack = Body::Ack { nonce: ping.nonce, proof: self.local.proof, known, updates };
+        let priority = if ping.is_fresh { SendPriority::High } else { SendPriority::Low };
+        let Some(sealed) = self.seal(ping.from, ping.from_run, &ack) else { return };
+        match ping.relayed_by {
+            Some(relay) => drop(self.send(relay, &Body::Relay { to: ping.from, sealed }, priority, now)),
+            None => drop(self.transmit(ping.from, sealed, priority, now)),
         }
-        sent
     }
 
-    /// The same through some others: one in its own building, where there is one, and whoever chance picks.
-    pub(super) fn ping_through(&mut self, id: MemberId, through: usize, now: Duration) {
-        let Some(building) = self.peers.get(&id).map(|peer| peer.member.building.clone()) else { return };
-        let suits = |peer: &Peer| peer.status == Status::Live && peer.member.building == building;
-        let mut others = self.some(1, |other, peer| other != id && suits(peer));
-        let beside = others.first().copied();
-        others.extend(self.some(through - others.len().min(through), |other, peer| {
-            other != id && Some(other) != beside && peer.status == Status::Live
-        }));
-        for other in others {
-            let nonce = self.next_nonce();
-            let list = self.roster.mark();
-            let ping = Body::Ping { nonce, stamp: self.stamp, list, rumours: Vec::new() };
-            let Some(sealed) = self.seal(id, self.run_of(id), &ping) else { return };
-            let sent = self.send(other, &Body::Relay { to: id, sealed }, Rank::Usual, now);
-            if sent && let Some(peer) = self.peers.get_mut(&id) {
-                peer.asked(nonce, now, false);
-            }
-        }
-    }
-
-    /// Answers a question, by the way that it came. One that cannot be shown to be fresh is answered all the same: a
-    /// sender that has forgotten learns so of its higher life. The answer goes to the address in the list and to the
-    /// run that asked, so nobody gains by sending an old question once more.
-    pub(super) fn answer(
-        &mut self,
-        id: MemberId,
-        run: u64,
-        nonce: u32,
-        via: Option<MemberId>,
-        fresh: bool,
-        now: Duration,
-    ) {
-        let known = self.book.heard.get(&id).copied();
-        let rumours = if fresh && via.is_none() { self.rumours.next(FEW) } else { Vec::new() };
-        let ack = Body::Ack { nonce, stamp: self.stamp, known, rumours };
-        let rank = if fresh { Rank::First } else { Rank::Last };
-        let Some(sealed) = self.seal(id, run, &ack) else { return };
-        match via {
-            Some(via) => drop(self.send(via, &Body::Relay { to: id, sealed }, rank, now)),
-            None => drop(self.put(id, sealed, rank, now)),
-        }
-    }
-
-    pub(super) fn run_of(&self, id: MemberId) -> u64 {
-        self.book.heard.get(&id).map_or(0, |heard| heard.life.run)
+    /// Returns the run of a member's highest known incarnation, or 0.
+    pub(super) fn known_run(&self, id: MemberId) -> u64 {
+        self.record.incarnation_of(id).map_or(0, |incarnation| incarnation.run)
     }
 
+    /// Seals a datagram to the run `to_run` of a member.
     pub(super) fn seal(&mut self, to: MemberId, to_run: u64, body: &Body) -> Option<Vec<u8>> {
         let from = self.roster.own();
-        let pair = self.peers.get_mut(&to)?.pair(&self.secret, from)?;
-        self.number += 1;
-        let (life, number) = (self.life, self.number);
-        let header = Header { forgot: self.forgot, from, to, life, to_run, number };
-        Some(datagram::seal(&header, body, &pair.out))
+        let keys = self.members.get_mut(&to)?.session_keys(&self.secret, from)?;
+        self.local.last_sequence += 1;
+        let header = Header {
+            lost_state: self.local.lost_state,
+            from,
+            to,
+            incarnation: self.local.incarnation,
+            to_run,
+            sequence: self.local.last_sequence,
+        };
+        Some(datagram::seal(&header, body, &keys.sending))
     }
 
-    pub(super) fn send(&mut self, to: MemberId, body: &Body, rank: Rank, now: Duration) -> bool {
-        let sealed = self.seal(to, self.run_of(to), body);
-        sealed.is_some_and(|sealed| self.put(to, sealed, rank, now))
+    /// Seals and transmits a datagram, and returns whether the send budget permitted it.
+    pub(super) fn send(&mut self, to: MemberId, body: &Body, priority: SendPriority, now: Duration) -> bool {
+        let sealed = self.seal(to, self.known_run(to), body);
+        sealed.is_some_and(|sealed| self.transmit(to, sealed, priority, now))
     }
 
-    pub(super) fn put(&mut self, to: MemberId, sealed: Vec<u8>, rank: Rank, now: Duration) -> bool {
-        let Some(peer) = self.peers.get(&to) else { return false };
-        if sealed.len() > MOST_DATAGRAM || !self.bucket.take(now, sealed.len(), rank) {
-            self.counts.held_back += 1;
+    /// Transmits a sealed datagram, and returns whether the send budget permitted it.
+    fn transmit(&mut self, to: MemberId, sealed: Vec<u8>, priority: SendPriority, now: Duration) -> bool {
+        let Some(member) = self.members.get(&to) else { return false };
+        let length = sealed.len();
+        if length > MAX_DATAGRAM_BYTES || !self.send_tokens.try_take(now, length, priority) {
+            self.counts.over_budget += 1;
             return false;
         }
         self.counts.sent += 1;
-        self.counts.sent_bytes += sealed.len() as u64;
-        self.outputs.push_back(Output::Send(peer.member.address, sealed));
+        self.counts.sent_bytes += length as u64;
+        self.outputs.push_back(Output::Send(member.member.address, sealed));
         true
     }
 
-    /// All of them of whom that holds, in an order that chance picks.
-    pub(super) fn shuffled(&mut self, which: impl Fn(&Peer) -> bool) -> Vec<MemberId> {
-        self.some(usize::MAX, |_, peer| which(peer))
+    /// Returns all members that match, in random order.
+    pub(super) fn shuffled_members(&mut self, matches: impl Fn(&RemoteMember) -> bool) -> Vec<MemberId> {
+        self.random_members(usize::MAX, |_, member| matches(member))
     }
 
-    /// So many of those of whom that holds, picked by chance.
-    pub(super) fn some(&mut self, most: usize, which: impl Fn(MemberId, &Peer) -> bool) -> Vec<MemberId> {
-        let mut ids: Vec<MemberId> =
-            self.peers.iter().filter(|(id, peer)| which(**id, peer)).map(|(id, _)| *id).collect();
-        let picked = most.min(ids.len());
-        for i in 0..picked {
-            let rest = (ids.len() - i) as u64;
-            ids.swap(i, i + (self.chance.next_u64() % rest) as usize);
+    /// Returns up to `max_members` members that match, chosen at random (a partial Fisher-Yates shuffle).
+    pub(super) fn random_members(
+        &mut self,
+        max_members: usize,
+        matches: impl Fn(MemberId, &RemoteMember) -> bool,
+    ) -> Vec<MemberId> {
+        let matching = self.members.iter().filter(|(id, member)| matches(**id, member));
+        let mut ids: Vec<MemberId> = matching.map(|(id, _)| *id).collect();
+        let count = max_members.min(ids.len());
+        for i in 0..count {
+            let remaining = (ids.len() - i) as u64;
+            ids.swap(i, i + (self.rng.next_u64() % remaining) as usize);
         }
-        ids.truncate(picked);
+        ids.truncate(count);
         ids
     }
 }
--- a/crates/micadrum-membership/src/gossip.rs
+++ b/crates/micadrum-membership/src/gossip.rs
@@ -1,70 +1,76 @@
-//! What a sender passes on of third parties. A rumour decides nothing: it points at whom to ask.
+//! Gossip about third members. An update is never evidence: it names a member that the receiver should probe itself.
 use crate::member::MemberId;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many stand in one datagram at the most.
-pub(crate) const MOST_IN_ONE: usize = 24;
+/// Upper bound on updates in one datagram.
+pub(crate) const MAX_UPDATES_PER_DATAGRAM: usize = 24;
 
-/// What is said of a member.
+/// What an update claims about a member. Encoded by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum GossipStatus {
-    /// It does not answer.
-    Silent,
-    /// It answers again, or under a new life.
-    Back,
+    /// The member does not answer.
+    Unresponsive,
+    /// The member answers again, or runs under a new incarnation.
+    Recovered,
 }
 
-/// One rumour.
+/// One claim about one member. Encoded by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GossipUpdate {
     pub about: MemberId,
-    pub life: u64,
-    pub word: GossipStatus,
+    pub incarnation: u64,
+    pub status: GossipStatus,
 }
 
-/// Those that are being passed on: one for each member at the most. A datagram costs what it takes along, not what is held.
+/// An update and how many more times it is sent.
+struct QueuedUpdate {
+    update: GossipUpdate,
+    remaining_sends: u32,
+}
+
+/// The updates being disseminated, at most one per member. Building a datagram costs time in the updates that it carries,
+/// not in the updates queued.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
-    /// By member, with how many more times it is told.
-    held: BTreeMap<MemberId, (GossipUpdate, u32)>,
-    /// The same in the order in which they are told: told least often so far goes first.
+    by_member: BTreeMap<MemberId, QueuedUpdate>,
+    /// The send order: the update that was sent least often so far comes first.
     order: BTreeSet<(Reverse<u32>, MemberId)>,
 }
 
 impl GossipQueue {
-    /// Passes one on, `times` over; it takes the place of what was said of that member before.
-    pub fn add(&mut self, rumour: GossipUpdate, times: u32) {
-        self.forget(rumour.about);
-        if times > 0 {
-            self.held.insert(rumour.about, (rumour, times));
-            self.order.insert((Reverse(times), rumour.about));
+    /// Queues an update for `sends` transmissions, replacing any earlier update about the same member.
+    pub fn insert(&mut self, update: GossipUpdate, sends: u32) {
+        self.remove(update.about);
+        if sends > 0 {
+            self.by_member.insert(update.about, QueuedUpdate { update, remaining_sends: sends });
+            self.order.insert((Reverse(sends), update.about));
         }
     }
 
-    /// Those for the next datagram.
-    pub fn next(&mut self, most: usize) -> Vec<GossipUpdate> {
-        let first: Vec<_> = self.order.iter().take(most).copied().collect();
-        let mut told = Vec::with_capacity(first.len());
-        for (Reverse(left), id) in first {
-            self.order.remove(&(Reverse(left), id));
-            let Some((rumour, kept)) = self.held.get_mut(&id) else { continue };
-            told.push(*rumour);
-            *kept = left - 1;
-            if *kept == 0 {
-                self.held.remove(&id);
+    /// Takes up to `max_updates` updates for the next datagram.
+    pub fn next_batch(&mut self, max_updates: usize) -> Vec<GossipUpdate> {
+        let first: Vec<_> = self.order.iter().take(max_updates).copied().collect();
+        let mut batch = Vec::with_capacity(first.len());
+        for (Reverse(remaining), id) in first {
+            self.order.remove(&(Reverse(remaining), id));
+            let Some(queued) = self.by_member.get_mut(&id) else { continue };
+            batch.push(queued.update);
+            queued.remaining_sends = remaining - 1;
+            if queued.remaining_sends == 0 {
+                self.by_member.remove(&id);
             } else {
-                self.order.insert((Reverse(*kept), id));
+                self.order.insert((Reverse(queued.remaining_sends), id));
             }
         }
-        told
+        batch
     }
 
-    /// Forgets what is said of a member.
-    pub fn forget(&mut self, of: MemberId) {
-        if let Some((_, left)) = self.held.remove(&of) {
-            self.order.remove(&(Reverse(left), of));
+    /// Drops the update about a member.
+    pub fn remove(&mut self, about: MemberId) {
+        if let Some(queued) = self.by_member.remove(&about) {
+            self.order.remove(&(Reverse(queued.remaining_sends), about));
         }
     }
 }
--- a/crates/micadrum-membership/src/incarnation.rs
+++ b/crates/micadrum-membership/src/incarnation.rs
@@ -1,114 +1,141 @@
-//! Lives: a number that grows with every start of a sender, and what is kept of everybody's.
+//! Incarnations: numbers that grow with every start of a sender, and the persisted record of the highest ones known.
 use crate::member::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Lives of members that the list no longer names are kept for so many at the most: they may come back.
-const MOST_HEARD: usize = 4000;
-/// What a book begins with: its form.
+/// Upper bound on recorded incarnations, including those of members that have left the roster and may return.
+const MAX_KNOWN_INCARNATIONS: usize = 4000;
+/// The first bytes of a persisted record, naming its format version.
 const MAGIC: &[u8; 8] = b"mdlives1";
-const CHECK: usize = 32;
+/// Length of the BLAKE3 checksum at the end of a persisted record.
+const CHECKSUM_BYTES: usize = 32;
 
-/// One life of a sender: of two, the one with the higher number is the later one. Two with one number are of two
-/// processes, of which one has forgotten.
+/// One incarnation of a sender. The higher number is the later incarnation. Two incarnations with equal numbers and
+/// different runs belong to two processes, one of which has lost its state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Grows with every start; 0 for none.
+    /// Grows with every start; 0 means none.
     pub number: u64,
-    /// Drawn by chance at the start: tells two processes apart that took the same number from copies of one folder.
+    /// Random value drawn at the start; distinguishes two processes that took one number from copies of one folder.
     pub run: u64,
 }
 
-/// Proof that a life was spoken by its own sender: only that one can make it and check it, so nobody can invent a life
-/// that somebody else is to have had.
+/// A keyed hash proving that an incarnation was announced by its own sender. Only that sender can create and verify it,
+/// so no other member can invent an incarnation that the sender never had.
 pub type IncarnationProof = [u8; 16];
 
-/// A life that was heard of a member.
+/// An incarnation of a member together with its proof, as announced by the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
-    /// The highest.
-    pub life: Incarnation,
-    /// Its proof.
-    pub stamp: IncarnationProof,
+pub struct KnownIncarnation {
+    /// The highest incarnation announced.
+    pub incarnation: Incarnation,
+    /// The proof for that incarnation.
+    pub proof: IncarnationProof,
 }
 
-/// Why a book cannot be read; its sender then begins as one that has forgotten.
+/// Why a persisted record cannot be used. The sender then starts as one that has lost its state.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum IncarnationRecordError {
-    /// It ends too soon, or its checksum is not that of what it holds.
+    /// The record is truncated, or its checksum does not match its contents.
     #[error("it is damaged")]
     Damaged,
-    /// It has a form that this version does not know.
+    /// The record has a format that this version does not support.
     #[error("it is of another version")]
-    Version,
-    /// It is that of another sender.
+    UnsupportedVersion,
+    /// The record belongs to another sender.
     #[error("it belongs to another sender")]
-    Another,
+    WrongOwner,
 }
 
-/// What outlasts the process: this sender's last life, and the highest that it heard of each other.
+/// The part of the membership state that survives a restart: this sender's last incarnation number, and the highest known
+/// incarnation of every other member. Persisted as the file `lives`; fields are encoded by position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRecord {
     owner: Option<MemberId>,
-    pub(crate) own: u64,
-    pub(crate) heard: BTreeMap<MemberId, Heard>,
+    pub(crate) own_number: u64,
+    pub(crate) known: BTreeMap<MemberId, KnownIncarnation>,
 }
 
 impl IncarnationRecord {
-    /// An empty one.
+    /// Creates an empty record.
     #[must_use]
     pub fn new(owner: MemberId) -> Self {
         Self { owner: Some(owner), ..Self::default() }
     }
 
-    /// One whose owner's last life had this number.
+    /// Creates a record whose owner last ran under the incarnation number `last`.
     #[must_use]
     pub fn starting_at(owner: MemberId, last: u64) -> Self {
-        Self { own: last, ..Self::new(owner) }
+        Self { own_number: last, ..Self::new(owner) }
     }
 
-    /// Its bytes.
+    /// Encodes the record for storage.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
-        // Numbers and arrays always have a form.
+        // Encoding integers and arrays cannot fail.
         bytes.extend(postcard::to_allocvec(self).unwrap_or_default());
-        let check = blake3::hash(&bytes);
-        bytes.extend_from_slice(check.as_bytes());
+        let checksum = blake3::hash(&bytes);
+        bytes.extend_from_slice(checksum.as_bytes());
         bytes
     }
 
-    /// Reads the book of `owner`.
+    /// Decodes the record of `owner`.
     ///
     /// # Errors
-    /// Why it cannot be used.
+    /// Returns an error if the bytes are damaged, have another format, or belong to another sender.
     pub fn parse(bytes: &[u8], owner: MemberId) -> Result<Self, IncarnationRecordError> {
-        let at = bytes.len().checked_sub(CHECK).ok_or(IncarnationRecordError::Damaged)?;
-        let (held, check) = bytes.split_at(at);
-        if blake3::hash(held).as_bytes() != check {
+        let checksum_start =
+            bytes.len().checked_sub(CHECKSUM_BYTES).ok_or(IncarnationRecordError::Damaged)?;
+        let (content, checksum) = bytes.split_at(checksum_start);
+        if blake3::hash(content).as_bytes() != checksum {
             return Err(IncarnationRecordError::Damaged);
         }
-        let held = held.strip_prefix(MAGIC).ok_or(IncarnationRecordError::Version)?;
-        let book: Self = postcard::from_bytes(held).map_err(|_| IncarnationRecordError::Damaged)?;
-        if book.owner == Some(owner) { Ok(book) } else { Err(IncarnationRecordError::Another) }
+        let content = content.strip_prefix(MAGIC).ok_or(IncarnationRecordError::UnsupportedVersion)?;
+        let record: Self = postcard::from_bytes(content).map_err(|_| IncarnationRecordError::Damaged)?;
+        if record.owner == Some(owner) { Ok(record) } else { Err(IncarnationRecordError::WrongOwner) }
     }
 
-    /// Notes a life of a member; whether it is a higher one than was known. Of one number the first that was heard stays:
-    /// the other was taken without knowing of it.
-    pub(crate) fn note(&mut self, of: MemberId, heard: Heard, kept: impl Fn(MemberId) -> bool) -> bool {
-        let higher = self.heard.get(&of).is_none_or(|known| heard.life.number > known.life.number);
-        if higher {
-            self.heard.insert(of, heard);
-            if self.heard.len() > MOST_HEARD {
-                // Whoever the list names no more goes first, the shortest-lived among them.
-                let gone =
-                    self.heard.iter().filter(|(id, _)| !kept(**id)).min_by_key(|(_, heard)| heard.life);
-                if let Some(id) = gone.map(|(id, _)| *id) {
-                    self.heard.remove(&id);
-                }
+    /// Returns the highest known incarnation of a member.
+    pub(crate) fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
+        self.known.get(&member).map(|known| known.incarnation)
+    }
+
+    /// Returns the highest known incarnation number of a member, or 0.
+    pub(crate) fn number_of(&self, member: MemberId) -> u64 {
+        self.incarnation_of(member).map_or(0, |incarnation| incarnation.number)
+    }
+
+    /// Records an incarnation of a member, and returns whether its number is higher than the one recorded before.
+    ///
+    /// Of two incarnations with equal numbers the first one recorded stays: the other process took the number without
+    /// knowing of the first. Beyond the size limit, an entry for which `is_member` is false is evicted.
+    pub(crate) fn record(
+        &mut self,
+        member: MemberId,
+        announced: KnownIncarnation,
+        is_member: impl Fn(MemberId) -> bool,
+    ) -> bool {
+        let is_higher = self
+            .known
+            .get(&member)
+            .is_none_or(|known| announced.incarnation.number > known.incarnation.number);
+        if is_higher {
+            self.known.insert(member, announced);
+            if self.known.len() > MAX_KNOWN_INCARNATIONS {
+                self.evict_former_member(is_member);
             }
         }
-        higher
+        is_higher
+    }
+
+    /// Removes the former member with the lowest incarnation.
+    fn evict_former_member(&mut self, is_member: impl Fn(MemberId) -> bool) {
+        let former = self.known.iter().filter(|(id, _)| !is_member(**id));
+        let lowest = former.min_by_key(|(_, known)| known.incarnation).map(|(id, _)| *id);
+        if let Some(id) = lowest {
+            self.known.remove(&id);
+        }
     }
 }
 
--- a/crates/micadrum-membership/src/lib.rs
+++ b/crates/micadrum-membership/src/lib.rs
@@ -1,15 +1,17 @@
-//! Senders that know each other: who may be there, and under which life.
+//! Cluster membership: which senders of a fleet are alive, and under which incarnation.
 //!
-//! [`Peers`] is a state machine free of I/O and clocks. Its host hands it what happened and the time
-//! ([`Peers::handle`]), carries out what it says ([`Peers::poll_output`]), and comes back at [`Peers::due`]. Times are
-//! spans from a start of the host's choosing, on a clock that never goes back; chance is handed in.
+//! [`Membership`] is a failure detector and gossip protocol in the style of SWIM (Das et al., 2002) with the local health
+//! multiplier of Lifeguard (Dadgar et al., 2018). It is a state machine free of I/O, clocks and global randomness: its
+//! driver reports what happened together with the current time ([`Membership::handle`]), performs the requested effects
+//! ([`Membership::poll_output`]), and returns at [`Membership::due`]. Times are durations since an origin that the driver
+//! chooses, on a monotonic clock; the random number generator is handed in.
 //!
-//! **A view may be wrong at any moment.** It says what this sender believes of others and since when; nothing that a
-//! rule rests on may be decided by it alone. What binds are lives: they only grow, and a sender whose folder was lost
-//! or put back is recognised by what its peers heard before.
+//! **A membership view can be wrong at any moment.** It states what this sender believes of other members and since when;
+//! no safety rule may be decided by it alone. What is reliable are incarnations: they only grow, and a sender whose state
+//! folder was lost or restored from an older copy is detected through the incarnations that its peers have recorded.
 //!
-//! Nobody's word decides about a third: a rumour points at whom to ask, and what a member itself answers, straight or
-//! passed on under its own seal, is all the evidence there is.
+//! Gossip never decides about a third member: a gossip update only names a member worth probing. The sole evidence of
+//! liveness is what a member itself answers, directly or relayed under its own seal.
 #![forbid(unsafe_code)]
 
 mod datagram;
@@ -21,15 +23,18 @@
 mod member;
 mod remote_member;
 mod replay_window;
+mod round_trip;
 mod sealing;
 mod send_budget;
+mod status;
 mod view;
 
-pub use datagram::MOST_DATAGRAM;
-pub use detector::{Event, Input, Membership, Output, Settings, Standing};
+pub use datagram::MAX_DATAGRAM_BYTES;
+pub use detector::{Event, Input, Membership, Output, Settings};
 pub use incarnation::{Incarnation, IncarnationRecord, IncarnationRecordError};
-pub use link::{Link, LinkError, LinkEvent, MOST_PAYLOAD, QueueFull};
+pub use link::{Link, LinkError, LinkEvent, LinkIdentity, MAX_PAYLOAD_BYTES, QueueFull};
 pub use member::{Member, MemberId, Roster, RosterError};
 pub use sealing::{Secret, WeakKey};
 pub use send_budget::SendBudget;
-pub use view::{Counts, PeerView, Reach, Status, View};
+pub use status::{LocalStatus, Reach, Status};
+pub use view::{Counts, PeerView, View};
--- a/crates/micadrum-membership/src/local_health.rs
+++ b/crates/micadrum-membership/src/local_health.rs
@@ -1,58 +1,60 @@
-//! How far a sender trusts itself before it doubts others (after Lifeguard, Dadgar et al., 2018).
+//! The local health multiplier of Lifeguard (Dadgar et al., 2018): a member that is slow or cut off itself grants others
+//! more time before it suspects them.
 use std::time::Duration;
 
-/// Doubt grows no further.
-const MOST: u32 = 8;
-/// A process that comes back so much later than it asked for stood still.
-const STALL: Duration = Duration::from_millis(500);
-/// ... and one that does so by this much is starved.
-const LATE: Duration = Duration::from_millis(100);
+/// The worst score.
+const MAX_SCORE: u32 = 8;
+/// A wake-up this late means that the process was stopped.
+const STALL_DELAY: Duration = Duration::from_millis(500);
+/// A wake-up this late means that the process is starved of CPU time.
+const STARVATION_DELAY: Duration = Duration::from_millis(100);
+/// Score added by one stall.
+const STALL_PENALTY: u32 = 2;
 
-/// Doubt in oneself: grows with signs that one is slow or cut off, falls with answers.
+/// The health score of this member: rises with signs that it is slow or cut off, falls with acks.
 #[derive(Default)]
-pub(crate) struct Health {
-    doubt: u32,
-    /// When it last woke from standing still.
-    woke: Option<Duration>,
+pub(crate) struct LocalHealth {
+    score: u32,
+    last_stall_end: Option<Duration>,
 }
 
-impl Health {
-    /// The host came back for something that was due then; whether it had stood still.
-    pub fn came(&mut self, due: Option<Duration>, now: Duration) -> bool {
-        let late = due.map_or(Duration::ZERO, |due| now.saturating_sub(due));
-        if late >= STALL {
-            self.doubt = (self.doubt + 2).min(MOST);
-            self.woke = Some(now);
+impl LocalHealth {
+    /// Records that the driver returned at `now` for an event due at `due`, and returns whether the process had stalled.
+    pub fn record_wakeup(&mut self, due: Option<Duration>, now: Duration) -> bool {
+        let delay = due.map_or(Duration::ZERO, |due| now.saturating_sub(due));
+        if delay >= STALL_DELAY {
+            self.score = (self.score + STALL_PENALTY).min(MAX_SCORE);
+            self.last_stall_end = Some(now);
             return true;
         }
-        if late >= LATE {
-            self.worse();
+        if delay >= STARVATION_DELAY {
+            self.degrade();
         }
         false
     }
 
-    /// Nobody answers, or somebody else doubts this one.
-    pub fn worse(&mut self) {
-        self.doubt = (self.doubt + 1).min(MOST);
+    /// Raises the score: no member answers, or another member suspects this one.
+    pub fn degrade(&mut self) {
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// Somebody answered.
-    pub fn better(&mut self) {
-        self.doubt = self.doubt.saturating_sub(1);
+    /// Lowers the score: a member answered.
+    pub fn improve(&mut self) {
+        self.score = self.score.saturating_sub(1);
     }
 
-    /// How much more time than usual others get: 1 to 3 times.
-    pub fn patience(&self, span: Duration) -> Duration {
-        span + span * self.doubt / 4
+    /// Extends a timeout by the score, to 1 to 3 times its length.
+    pub fn scale_timeout(&self, timeout: Duration) -> Duration {
+        timeout + timeout * self.score / 4
     }
 
-    /// When it last woke from standing still.
-    pub fn woke(&self) -> Option<Duration> {
-        self.woke
+    /// Returns when the process last resumed after a stall.
+    pub fn last_stall_end(&self) -> Option<Duration> {
+        self.last_stall_end
     }
 
-    /// From 0, all is well, to 8.
-    pub fn doubt(&self) -> u32 {
-        self.doubt
+    /// Returns the score, from 0 (healthy) to 8.
+    pub fn score(&self) -> u32 {
+        self.score
     }
 }
