--- a/crates/micadrum-membership/src/member.rs
+++ b/crates/micadrum-membership/src/member.rs
@@ -1,14 +1,14 @@
-//! Who belongs to the fleet, as the operator's file says.
+//! The members of the fleet, as the operator's configuration lists them.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A member's name, short enough to stand in every datagram: the first 64 bits of its BLAKE3 hash.
+/// A member's identifier, short enough for every datagram: the first 64 bits of the BLAKE3 hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub [u8; 8]);
 
 impl MemberId {
-    /// That of a name.
+    /// Returns the identifier of the member called `name`.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let mut id = [0; 8];
@@ -17,98 +17,99 @@
     }
 }
 
-/// A member.
+/// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, the same for as long as it belongs to the fleet.
+    /// The member's name, constant for as long as it belongs to the fleet.
     pub name: String,
-    /// Where it hears datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// The building that it stands in.
-    pub building: String,
-    /// Its public key (X25519).
+    /// The zone in which the member runs.
+    pub zone: String,
+    /// The member's X25519 public key.
     pub key: [u8; 32],
 }
 
 /// Why a list of members cannot be used.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum RosterError {
-    /// The list lacks the one whose process this is.
+    /// The list lacks the member whose process this is.
     #[error("{0:?} is no member")]
-    NotIn(String),
-    /// Two names with one id: one in 2^64 of the pairs.
+    OwnNameMissing(String),
+    /// Two names have one identifier: one in 2^64 pairs of names.
     #[error("the names {0:?} and {1:?} cannot be told apart: rename one")]
-    Alike(String, String),
+    IdCollision(String, String),
 }
 
-fn mark(members: &BTreeMap<MemberId, Member>) -> u64 {
-    let mut hash = blake3::Hasher::new_derive_key("micadrum peers 2: list of members");
+fn digest(members: &BTreeMap<MemberId, Member>) -> u64 {
+    // The context string is part of the protocol and never changes.
+    let mut hasher = blake3::Hasher::new_derive_key("micadrum peers 2: list of members");
     for member in members.values() {
-        for part in [member.name.as_bytes(), member.building.as_bytes(), &member.key] {
-            hash.update(&(part.len() as u64).to_le_bytes());
-            hash.update(part);
+        for part in [member.name.as_bytes(), member.zone.as_bytes(), &member.key] {
+            hasher.update(&(part.len() as u64).to_le_bytes());
+            hasher.update(part);
         }
     }
-    let mut short = [0; 8];
-    short.copy_from_slice(&hash.finalize().as_bytes()[..8]);
-    u64::from_le_bytes(short)
+    let mut first_bytes = [0; 8];
+    first_bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_le_bytes(first_bytes)
 }
 
-/// All members; the order in which they were named means nothing.
+/// All members of the fleet. The order in which the configuration lists them has no meaning.
 #[derive(Clone, Debug)]
 pub struct Roster {
     own: MemberId,
     members: BTreeMap<MemberId, Member>,
-    mark: u64,
+    digest: u64,
 }
 
 impl Roster {
-    /// The list as the sender `own` reads it.
+    /// Creates the roster of the sender called `own`.
     ///
     /// # Errors
-    /// Why it cannot be used.
+    /// Returns an error if `own` is not listed, or two names have one identifier.
     pub fn new(own: &str, list: impl IntoIterator<Item = Member>) -> Result<Self, RosterError> {
         let mut members = BTreeMap::new();
         for member in list {
             let name = member.name.clone();
             if let Some(other) = members.insert(MemberId::of(&name), member) {
-                return Err(RosterError::Alike(other.name, name));
+                return Err(RosterError::IdCollision(other.name, name));
             }
         }
         let id = MemberId::of(own);
         if members.contains_key(&id) {
-            let mark = mark(&members);
-            Ok(Self { own: id, members, mark })
+            let digest = digest(&members);
+            Ok(Self { own: id, members, digest })
         } else {
-            Err(RosterError::NotIn(own.to_owned()))
+            Err(RosterError::OwnNameMissing(own.to_owned()))
         }
     }
 
-    /// The same for all who read the same names, buildings and keys. Addresses may differ: who stands behind a translator is
-    /// reached at another one.
+    /// Returns a digest of the names, zones and keys, by which members notice that their rosters differ. Addresses are
+    /// excluded: behind address translation one member has a different address for different peers.
     #[must_use]
-    pub fn mark(&self) -> u64 {
-        self.mark
+    pub fn digest(&self) -> u64 {
+        self.digest
     }
 
-    /// Whose process this is.
+    /// Returns the member whose process this is.
     #[must_use]
     pub fn own(&self) -> MemberId {
         self.own
     }
 
-    /// A member, this one too.
+    /// Returns a member, which may be this process's own one.
     #[must_use]
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// The others.
+    /// Returns all members other than this process's own one.
     pub fn others(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members.iter().filter(|(id, _)| **id != self.own).map(|(id, member)| (*id, member))
     }
 
-    /// Members, this one too.
+    /// Returns the number of members, including this process's own one.
     #[must_use]
     pub fn size(&self) -> usize {
         self.members.len()
--- a/crates/micadrum-membership/src/remote_member.rs
+++ b/crates/micadrum-membership/src/remote_member.rs
@@ -1,205 +1,217 @@
-//! One other member, as it is known here: what came from it, and the question that is out to it.
+//! What this sender knows of one other member: its state, the probe in progress, and recent probes awaiting an ack.
+use crate::datagram::Header;
 use crate::incarnation::Incarnation;
 use crate::member::{Member, MemberId};
-use crate::replay_window::Window;
+use crate::replay_window::ReplayWindow;
+use crate::round_trip::RoundTrip;
 use crate::sealing::{Secret, SessionKeys};
-use crate::send_budget::{Bucket, SendBudget};
-use crate::view::{PeerView, Reach, Status};
+use crate::send_budget::{SendBudget, TokenBucket};
+use crate::status::{Reach, Status};
+use crate::view::PeerView;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Questions whose answers may still come late: they tell how slow a link is.
-const REMEMBERED: usize = 48;
-/// Bounds of the time that an answer is waited for.
-const LEAST_WAIT: Duration = Duration::from_millis(100);
-const MOST_WAIT: Duration = Duration::from_secs(10);
-/// The same before anything is known of a link.
-const FIRST_WAIT: Duration = Duration::from_millis(300);
-/// A member that says more than this is flooding.
-const FLOOD: SendBudget = SendBudget { datagrams: 400.0, bytes: 200_000.0 };
-
-/// Where a question stands.
+/// Probes remembered for acks that arrive late: such acks still measure the link.
+const MAX_REMEMBERED_PROBES: usize = 48;
+/// Bounds on how long an ack is waited for.
+const MIN_PROBE_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_PROBE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long an ack is waited for before the link was measured.
+const INITIAL_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Datagrams received from one member beyond this rate are dropped.
+const RECEIVE_LIMIT: SendBudget = SendBudget { datagrams_per_second: 400.0, bytes_per_second: 200_000.0 };
+
+/// The stage of a probe (SWIM, section 3.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// Asked straight.
-    Straight,
-    /// Asked again, and through others.
-    Through,
+pub(crate) enum ProbeStage {
+    /// A direct ping was sent.
+    Direct,
+    /// The ping was repeated, and sent through other members.
+    Indirect,
 }
 
-/// A question that has no answer yet.
+/// A probe without an ack so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingProbe {
-    /// When it was first asked.
-    pub began: Duration,
-    pub stage: Stage,
-    /// Rounds, straight and through others, that got no answer.
-    pub rounds: u32,
-    /// When the next thing happens.
-    pub timer: Duration,
+    pub started_at: Duration,
+    pub stage: ProbeStage,
+    /// Rounds of direct and indirect pings that remained without an ack.
+    pub failed_rounds: u32,
+    /// When the current round ends.
+    pub expires_at: Duration,
 }
 
-/// There and back, as it was measured (after RFC 6298).
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct RoundTrip {
-    mean: Duration,
-    spread: Duration,
-}
-
-impl RoundTrip {
-    /// That of a first measurement.
-    pub fn first(took: Duration) -> Self {
-        Self { mean: took, spread: took / 2 }
-    }
-
-    /// Takes one in.
-    pub fn measure(&mut self, took: Duration) {
-        let off = took.abs_diff(self.mean);
-        *self = Self { mean: (self.mean * 7 + took) / 8, spread: (self.spread * 3 + off) / 4 };
+impl PendingProbe {
+    /// Creates a probe whose first, direct round ends at `expires_at`.
+    pub fn new(now: Duration, expires_at: Duration) -> Self {
+        Self { started_at: now, stage: ProbeStage::Direct, failed_rounds: 0, expires_at }
     }
+}
 
-    fn wait(self) -> Duration {
-        self.mean + self.spread * 4
-    }
+/// The path on which a ping was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ProbePath {
+    Direct,
+    Indirect,
 }
 
-/// A question that was sent, for the answer that may come.
-struct Sent {
+/// A ping whose ack may still arrive.
+pub(crate) struct SentProbe {
     nonce: u32,
+    pub sent_at: Duration,
+    pub path: ProbePath,
+}
+
+/// The last sign of life of a member.
+#[derive(Clone, Copy)]
+struct LastHeard {
     at: Duration,
-    straight: bool,
+    reach: Reach,
+}
+
+/// The session keys of a member, derived on first use.
+enum SessionKeyState {
+    NotDerived,
+    /// The member's public key is degenerate.
+    Unavailable,
+    Derived(SessionKeys),
 }
 
-pub(crate) struct Peer {
+/// One other member of the fleet.
+pub(crate) struct RemoteMember {
     pub member: Member,
-    /// What the two of them seal with, once it was needed; none if the member's key is none.
-    pair: Option<Option<SessionKeys>>,
+    session_keys: SessionKeyState,
     pub status: Status,
-    pub since: Duration,
-    pub forgot: bool,
-    /// Its list of members is another than ours.
-    pub other_list: bool,
-    /// The life whose datagrams the window tells apart.
-    pub speaks: Option<Incarnation>,
-    pub window: Window,
-    pub flood: Bucket,
-    pub question: Option<PendingProbe>,
-    heard: Option<(Duration, Reach)>,
-    /// When it was last heard straight.
-    pub straight: Option<Duration>,
-    /// When it last answered what went to it straight.
-    pub answered: Option<Duration>,
-    sent: VecDeque<Sent>,
-    trip: Option<RoundTrip>,
-    /// Tries to reach it while it is dead: every second one goes through another.
-    pub tries: u32,
-    /// It is in line to be asked.
-    pub urgent: bool,
-    /// When it was last asked.
-    pub asked_at: Option<Duration>,
-    /// The life under which it said that it ends.
-    pub left: Option<Incarnation>,
+    pub status_since: Duration,
+    /// The member announced that it has lost the state of earlier incarnations.
+    pub lost_state: bool,
+    /// The member's roster differs from this sender's.
+    pub roster_differs: bool,
+    /// The incarnation whose datagrams `replay_window` covers.
+    pub active_incarnation: Option<Incarnation>,
+    pub replay_window: ReplayWindow,
+    pub receive_limit: TokenBucket,
+    pub probe: Option<PendingProbe>,
+    last_heard: Option<LastHeard>,
+    /// When the member last answered a direct ping.
+    pub last_direct_ack: Option<Duration>,
+    sent_probes: VecDeque<SentProbe>,
+    round_trip: Option<RoundTrip>,
+    /// Attempts to reach the member while it is dead or has left.
+    pub reconnect_attempts: u32,
+    /// The member is queued for a probe outside the regular rounds.
+    pub is_urgent: bool,
+    pub last_probed: Option<Duration>,
+    /// The incarnation under which the member announced that it leaves.
+    pub left_incarnation: Option<Incarnation>,
 }
 
-impl Peer {
+impl RemoteMember {
+    /// Creates a member that has not been heard yet.
     pub fn new(member: Member, now: Duration) -> Self {
         Self {
             member,
-            pair: None,
+            session_keys: SessionKeyState::NotDerived,
             status: Status::Unknown,
-            since: now,
-            forgot: false,
-            other_list: false,
-            speaks: None,
-            window: Window::default(),
-            flood: Bucket::new(FLOOD, now),
-            question: None,
-            heard: None,
-            straight: None,
-            answered: None,
-            sent: VecDeque::new(),
-            trip: None,
-            tries: 0,
-            urgent: false,
-            asked_at: None,
-            left: None,
+            status_since: now,
+            lost_state: false,
+            roster_differs: false,
+            active_incarnation: None,
+            replay_window: ReplayWindow::default(),
+            receive_limit: TokenBucket::new(RECEIVE_LIMIT, now),
+            probe: None,
+            last_heard: None,
+            last_direct_ack: None,
+            sent_probes: VecDeque::new(),
+            round_trip: None,
+            reconnect_attempts: 0,
+            is_urgent: false,
+            last_probed: None,
+            left_incarnation: None,
         }
     }
 
-    /// What the two of them seal with. Agreeing costs some 50 us: that of a thousand at once would hold a start up.
-    pub fn pair(&mut self, secret: &Secret, own: MemberId) -> Option<SessionKeys> {
-        let Member { key, .. } = &self.member;
-        let other = MemberId::of(&self.member.name);
-        *self.pair.get_or_insert_with(|| secret.pair(own, other, key).ok())
+    /// Returns the session keys shared with this member, or `None` if its public key is degenerate.
+    ///
+    /// The keys are derived on first use: a key agreement takes some 50 us, and a thousand at once would delay the start.
+    pub fn session_keys(&mut self, secret: &Secret, own: MemberId) -> Option<SessionKeys> {
+        if matches!(self.session_keys, SessionKeyState::NotDerived) {
+            let other = MemberId::of(&self.member.name);
+            let derived = secret.session_keys(own, other, &self.member.key);
+            self.session_keys = derived.map_or(SessionKeyState::Unavailable, SessionKeyState::Derived);
+        }
+        match &self.session_keys {
+            SessionKeyState::Derived(keys) => Some(*keys),
+            SessionKeyState::NotDerived | SessionKeyState::Unavailable => None,
+        }
     }
 
-    /// Whether it is asked in its turn: those that are dead or have left are tried apart.
-    pub fn is_asked(&self) -> bool {
-        !matches!(self.status, Status::Dead | Status::Left)
+    /// Whether the member takes part in the regular probe rounds.
+    pub fn is_probed_in_rounds(&self) -> bool {
+        self.status.is_probed_in_rounds()
     }
 
-    /// A sign of it came.
-    pub fn came(&mut self, now: Duration, reach: Reach) {
-        self.heard = Some((now, reach));
-        if reach == Reach::Direct {
-            self.straight = Some(now);
-        }
+    /// Records a sign of life.
+    pub fn record_heard(&mut self, now: Duration, reach: Reach) {
+        self.last_heard = Some(LastHeard { at: now, reach });
     }
 
-    pub fn heard(&self) -> Option<Duration> {
-        self.heard.map(|(at, _)| at)
+    /// Returns when the member last gave a sign of life.
+    pub fn last_heard(&self) -> Option<Duration> {
+        self.last_heard.map(|heard| heard.at)
     }
 
-    /// A question went out.
-    pub fn asked(&mut self, nonce: u32, now: Duration, straight: bool) {
-        self.asked_at = Some(now);
-        if self.sent.len() == REMEMBERED {
-            self.sent.pop_front();
+    /// Records a ping that was sent.
+    pub fn record_probe_sent(&mut self, nonce: u32, now: Duration, path: ProbePath) {
+        self.last_probed = Some(now);
+        if self.sent_probes.len() == MAX_REMEMBERED_PROBES {
+            self.sent_probes.pop_front();
         }
-        self.sent.push_back(Sent { nonce, at: now, straight });
+        self.sent_probes.push_back(SentProbe { nonce, sent_at: now, path });
     }
 
-    /// An answer came: whether to a question of ours, when that was asked, and whether it went straight. It tells how slow
-    /// the link is if `measures`.
-    pub fn answer(&mut self, nonce: u32, now: Duration, measures: bool) -> Option<(Duration, bool)> {
-        let place = self.sent.iter().position(|sent| sent.nonce == nonce)?;
-        let Sent { at, straight, .. } = self.sent.remove(place)?;
-        if straight {
-            self.answered = Some(now);
-            let took = now.saturating_sub(at);
-            if measures {
-                self.trip.get_or_insert_with(|| RoundTrip::first(took)).measure(took);
-            }
-        }
-        Some((at, straight))
+    /// Removes and returns the ping that an ack with this nonce answers.
+    pub fn take_sent_probe(&mut self, nonce: u32) -> Option<SentProbe> {
+        let position = self.sent_probes.iter().position(|sent| sent.nonce == nonce)?;
+        self.sent_probes.remove(position)
+    }
+
+    /// Adds a round-trip time sample of the link to this member.
+    pub fn add_round_trip_sample(&mut self, sample: Duration) {
+        self.round_trip.get_or_insert_with(|| RoundTrip::from_first_sample(sample)).add_sample(sample);
     }
 
-    /// How long an answer is waited for; `usual` is that of its building, for a link that was not measured yet.
-    pub fn wait(&self, usual: Option<RoundTrip>) -> Duration {
-        self.trip.or(usual).map_or(FIRST_WAIT, RoundTrip::wait).clamp(LEAST_WAIT, MOST_WAIT)
+    /// Returns how long an ack is waited for. `zone_round_trip` is the estimate for the member's zone, used while the
+    /// link itself is not measured.
+    pub fn probe_timeout(&self, zone_round_trip: Option<RoundTrip>) -> Duration {
+        self.round_trip
+            .or(zone_round_trip)
+            .map_or(INITIAL_PROBE_TIMEOUT, RoundTrip::timeout)
+            .clamp(MIN_PROBE_TIMEOUT, MAX_PROBE_TIMEOUT)
     }
 
-    /// Another life of it speaks: what came under the one before says nothing of this one.
-    pub fn begins(&mut self, life: Incarnation, forgot: bool) {
-        self.speaks = Some(life);
-        self.window = Window::default();
-        self.forgot = forgot;
+    /// Switches to the incarnation of an authentic datagram: datagrams of the previous one do not count against its replay window.
+    pub fn begin_incarnation(&mut self, header: &Header) {
+        self.active_incarnation = Some(header.incarnation);
+        self.replay_window = ReplayWindow::default();
+        self.lost_state = header.lost_state;
     }
 
-    pub fn view(&self, life: Option<Incarnation>) -> PeerView {
+    /// Returns the public view of this member; `incarnation` is the highest one known.
+    pub fn view(&self, incarnation: Option<Incarnation>) -> PeerView {
         PeerView {
             name: self.member.name.clone(),
             address: self.member.address,
-            building: self.member.building.clone(),
+            zone: self.member.zone.clone(),
             status: self.status,
-            since: self.since,
-            heard: self.heard(),
-            reach: self.heard.map(|(_, reach)| reach),
-            answered: self.answered,
-            round_trip: self.trip.map(|trip| trip.mean),
-            life,
-            forgot: self.forgot,
-            other_list: self.other_list,
+            since: self.status_since,
+            last_heard: self.last_heard(),
+            reach: self.last_heard.map(|heard| heard.reach),
+            last_direct_ack: self.last_direct_ack,
+            round_trip: self.round_trip.map(RoundTrip::smoothed),
+            incarnation,
+            lost_state: self.lost_state,
+            roster_differs: self.roster_differs,
         }
     }
 }
--- a/crates/micadrum-membership/src/replay_window.rs
+++ b/crates/micadrum-membership/src/replay_window.rs
@@ -1,47 +1,62 @@
-//! Which datagrams of one life have come: each counts once, also out of turn.
+//! A sliding replay window (as in RFC 4303, section 3.4.3): each datagram of one incarnation is accepted once, in any
+//! order.
 
-/// So many numbers behind the highest are told apart; older ones count as come.
-const BITS: u64 = 1024;
+/// Sequence numbers tracked below the highest one; older ones are rejected.
+const WINDOW_BITS: u64 = 1024;
+const WORD_BITS: u64 = 64;
 
-/// The numbers that have come.
+/// The sequence numbers accepted so far.
 #[derive(Clone, Default)]
-pub(crate) struct Window {
+pub(crate) struct ReplayWindow {
     highest: u64,
-    seen: [u64; (BITS / 64) as usize],
+    bitmap: [u64; (WINDOW_BITS / WORD_BITS) as usize],
 }
 
-impl Window {
-    /// Takes a number in; whether it had not come before. Numbers begin at 1.
-    pub fn take(&mut self, number: u64) -> bool {
-        if number > self.highest {
-            let gap = number - self.highest;
-            if gap >= BITS {
-                self.seen = Default::default();
-            } else {
-                for passed in self.highest + 1..number {
-                    self.set(passed, false);
-                }
-            }
-            self.highest = number;
-            self.set(number, true);
+impl ReplayWindow {
+    /// Accepts a sequence number, and returns whether it is new. Sequence numbers start at 1.
+    pub fn accept(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest {
+            self.advance_to(sequence);
             return true;
         }
-        if number == 0 || self.highest - number >= BITS || self.has(number) {
+        if sequence == 0 || self.highest - sequence >= WINDOW_BITS || self.contains(sequence) {
             return false;
         }
-        self.set(number, true);
+        self.set(sequence);
         true
     }
 
-    fn has(&self, number: u64) -> bool {
-        self.seen[(number % BITS / 64) as usize] >> (number % 64) & 1 == 1
+    fn advance_to(&mut self, sequence: u64) {
+        if sequence - self.highest >= WINDOW_BITS {
+            self.bitmap = Default::default();
+        } else {
+            for skipped in self.highest + 1..sequence {
+                self.clear(skipped);
+            }
+        }
+        self.highest = sequence;
+        self.set(sequence);
+    }
+
+    fn contains(&self, sequence: u64) -> bool {
+        self.bitmap[word_index(sequence)] & bit(sequence) != 0
     }
 
-    fn set(&mut self, number: u64, came: bool) {
-        let bit = 1 << (number % 64);
-        let word = &mut self.seen[(number % BITS / 64) as usize];
-        if came { *word |= bit } else { *word &= !bit }
+    fn set(&mut self, sequence: u64) {
+        self.bitmap[word_index(sequence)] |= bit(sequence);
     }
+
+    fn clear(&mut self, sequence: u64) {
+        self.bitmap[word_index(sequence)] &= !bit(sequence);
+    }
+}
+
+fn word_index(sequence: u64) -> usize {
+    (sequence % WINDOW_BITS / WORD_BITS) as usize
+}
+
+fn bit(sequence: u64) -> u64 {
+    1 << (sequence % WORD_BITS)
 }
 
 #[cfg(test)]
--- a/crates/micadrum-membership/src/replay_window/tests.rs
+++ b/crates/micadrum-membership/src/replay_window/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 use std::collections::BTreeSet;
 
-/// Guards against a replay that is taken, or a late datagram that is not: beside a plain set of all that came.
+/// Guards against a replay that is accepted, or a late datagram that is not, by comparison with a set of all accepted ones.
 #[test]
-fn each_number_counts_once() {
-    let (mut window, mut came, mut highest) = (Window::default(), BTreeSet::new(), 0u64);
-    let mut chance = 12345u64;
+fn each_sequence_number_is_accepted_once() {
+    let (mut window, mut accepted, mut highest) = (ReplayWindow::default(), BTreeSet::new(), 0u64);
+    let mut random = 12345u64;
     for _ in 0..200_000 {
-        chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let draw = chance >> 33;
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let draw = random >> 33;
         let jump = if draw.is_multiple_of(97) { draw % 3000 } else { draw % 40 };
         let number = (highest + jump).saturating_sub(20);
-        let new = number > 0 && number + BITS > highest && came.insert(number);
-        assert_eq!(window.take(number), new, "{number} at {highest}");
+        let is_new = number > 0 && number + WINDOW_BITS > highest && accepted.insert(number);
+        assert_eq!(window.accept(number), is_new, "{number} at {highest}");
         highest = highest.max(number);
     }
-    assert!(window.take(u64::MAX) && !window.take(u64::MAX) && window.take(u64::MAX - 1));
+    assert!(window.accept(u64::MAX) && !window.accept(u64::MAX) && window.accept(u64::MAX - 1));
 }
--- a/crates/micadrum-membership/src/sealing.rs
+++ b/crates/micadrum-membership/src/sealing.rs
@@ -1,12 +1,14 @@
-//! Keys: each member has one of its own, and each pair of members agrees on two more, one for each way.
+//! Keys and message authentication. Each member has a key pair; each pair of members derives two session keys, one for
+//! each direction.
 //!
-//! X25519 (RFC 7748) gives what only the two of them know; BLAKE3 derives a key for each way from it and seals with
-//! it. So a datagram can come from no third, not even a member, and checking one costs a hash.
+//! X25519 (RFC 7748) yields a secret that only the two members share; BLAKE3 derives the session keys from it and
+//! authenticates datagrams with them. A datagram can thus not be forged by a third party, member or not, and verifying
+//! one costs a single hash.
 use crate::incarnation::{Incarnation, IncarnationProof};
 use crate::member::MemberId;
 use x25519_dalek::{PublicKey, StaticSecret};
 
-/// The other's public key is one that gives every secret the same answer.
+/// The other member's public key is degenerate: every secret agrees with it on one shared value.
 #[derive(Clone, Copy, Debug, thiserror::Error, PartialEq, Eq)]
 #[error("its key is none: every secret agrees with it")]
 pub struct WeakKey;
@@ -15,31 +17,35 @@
 #[derive(Clone)]
 pub struct Secret {
     key: StaticSecret,
-    lives: [u8; 32],
+    incarnation_key: [u8; 32],
 }
 
-/// What one pair of members seals with.
+/// The session keys of one pair of members, as seen from one side.
 #[derive(Clone, Copy)]
 pub(crate) struct SessionKeys {
-    pub out: [u8; 32],
-    pub back: [u8; 32],
+    /// Authenticates what this side sends.
+    pub sending: [u8; 32],
+    /// Authenticates what this side receives.
+    pub receiving: [u8; 32],
 }
 
 impl Secret {
-    /// From 32 bytes of chance.
+    /// Creates a secret key from 32 random bytes.
     #[must_use]
     pub fn new(bytes: [u8; 32]) -> Self {
-        let lives = blake3::derive_key("micadrum peers 1: lives", &bytes);
-        Self { key: StaticSecret::from(bytes), lives }
+        // The context strings of derive_key are part of the protocol and never change.
+        let incarnation_key = blake3::derive_key("micadrum peers 1: lives", &bytes);
+        Self { key: StaticSecret::from(bytes), incarnation_key }
     }
 
-    /// The public key that goes with it.
+    /// Returns the public key.
     #[must_use]
     pub fn public(&self) -> [u8; 32] {
         PublicKey::from(&self.key).to_bytes()
     }
 
-    pub(crate) fn pair(
+    /// Derives the session keys between the member `own` and the member `other`, whose public key is `key`.
+    pub(crate) fn session_keys(
         &self,
         own: MemberId,
         other: MemberId,
@@ -49,31 +55,32 @@
         if !shared.was_contributory() {
             return Err(WeakKey);
         }
-        let way = |from: MemberId, to: MemberId| {
+        let direction_key = |from: MemberId, to: MemberId| {
             let material = [shared.as_bytes().as_slice(), &from.0, &to.0].concat();
             blake3::derive_key("micadrum peers 1: datagrams", &material)
         };
-        Ok(SessionKeys { out: way(own, other), back: way(other, own) })
+        Ok(SessionKeys { sending: direction_key(own, other), receiving: direction_key(other, own) })
     }
 
-    pub(crate) fn stamp(&self, life: Incarnation) -> IncarnationProof {
-        let mut spoken = [0; 16];
-        spoken[..8].copy_from_slice(&life.number.to_le_bytes());
-        spoken[8..].copy_from_slice(&life.run.to_le_bytes());
-        tag(&self.lives, &spoken)
+    /// Creates the proof of one of this member's own incarnations.
+    pub(crate) fn prove(&self, incarnation: Incarnation) -> IncarnationProof {
+        let mut bytes = [0; 16];
+        bytes[..8].copy_from_slice(&incarnation.number.to_le_bytes());
+        bytes[8..].copy_from_slice(&incarnation.run.to_le_bytes());
+        keyed_tag(&self.incarnation_key, &bytes)
     }
 }
 
-/// The first 16 bytes of a keyed hash.
-pub(crate) fn tag(key: &[u8; 32], bytes: &[u8]) -> [u8; 16] {
-    let mut short = [0; 16];
-    short.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..16]);
-    short
+/// Returns the first 16 bytes of the keyed hash of `bytes`.
+pub(crate) fn keyed_tag(key: &[u8; 32], bytes: &[u8]) -> [u8; 16] {
+    let mut tag = [0; 16];
+    tag.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..16]);
+    tag
 }
 
-/// Whether two tags are the same, in a time that tells nothing of where they differ.
-pub(crate) fn same(a: &[u8; 16], b: &[u8; 16]) -> bool {
-    a.iter().zip(b).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
+/// Compares two tags in constant time, so that timing does not reveal where they differ.
+pub(crate) fn tags_match(a: &[u8; 16], b: &[u8; 16]) -> bool {
+    a.iter().zip(b).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
 
 #[cfg(test)]
--- a/crates/micadrum-membership/src/sealing/tests.rs
+++ b/crates/micadrum-membership/src/sealing/tests.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// Guards against keys that a third could have, that are the same both ways, or that a key without strength gives.
+/// Guards against session keys that a third member could derive, that are equal in both directions, or that come from a
+/// degenerate public key.
 #[test]
-fn a_pair_agrees_and_nobody_else_does() {
+fn only_the_two_members_of_a_pair_derive_its_session_keys() {
     let [a, b, c] = [1, 2, 3].map(|n| Secret::new([n; 32]));
     let [x, y, z] = [1, 2, 3].map(|n| MemberId([n; 8]));
-    let ours = a.pair(x, y, &b.public()).unwrap();
-    let theirs = b.pair(y, x, &a.public()).unwrap();
-    assert_eq!((ours.out, ours.back), (theirs.back, theirs.out));
-    assert_ne!(ours.out, ours.back);
-    let others = c.pair(z, y, &b.public()).unwrap();
-    assert_ne!(others.out, ours.out);
-    assert_eq!(a.pair(x, y, &[0; 32]).err(), Some(WeakKey));
-    let life = Incarnation { number: 3, run: 9 };
-    assert_ne!(a.stamp(life), b.stamp(life));
-    assert_ne!(a.stamp(life), a.stamp(Incarnation { number: 4, ..life }));
+    let ours = a.session_keys(x, y, &b.public()).unwrap();
+    let theirs = b.session_keys(y, x, &a.public()).unwrap();
+    assert_eq!((ours.sending, ours.receiving), (theirs.receiving, theirs.sending));
+    assert_ne!(ours.sending, ours.receiving);
+    let others = c.session_keys(z, y, &b.public()).unwrap();
+    assert_ne!(others.sending, ours.sending);
+    assert_eq!(a.session_keys(x, y, &[0; 32]).err(), Some(WeakKey));
+    let incarnation = Incarnation { number: 3, run: 9 };
+    assert_ne!(a.prove(incarnation), b.prove(incarnation));
+    assert_ne!(a.prove(incarnation), a.prove(Incarnation { number: 4, ..incarnation }));
 }
--- a/crates/micadrum-membership/src/send_budget.rs
+++ b/crates/micadrum-membership/src/send_budget.rs
@@ -1,73 +1,83 @@
-//! A fixed ceiling of what a member sends, at rest and in a storm.
+//! A fixed upper bound on the traffic that a member sends, at rest and while many members fail at once.
 use std::time::Duration;
 
-/// So much of a second may go out at one moment.
-const BURST: f64 = 0.25;
+/// The burst that may leave at one moment, as a share of the traffic of one second.
+const BURST_SECONDS: f64 = 0.25;
 
-/// What goes first where not all can go.
+/// Which datagrams are sent first when the budget does not suffice for all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Rank {
-    /// Answers, and questions to those in doubt: goes as long as there is anything left.
-    First,
-    /// Rounds of questions, what is passed on for others.
-    Usual,
-    /// Rumours pushed ahead of their turn, tries to reach the dead.
-    Last,
+pub(crate) enum SendPriority {
+    /// Acks, and probes of suspects: sent as long as any budget is left.
+    High,
+    /// Regular probes, and datagrams relayed for other members.
+    Normal,
+    /// Gossip pushed ahead of its turn, and attempts to reach dead members.
+    Low,
 }
 
-impl Rank {
-    /// Share of the burst that must be left after it.
-    fn leaves(self) -> f64 {
+impl SendPriority {
+    /// Returns the share of the burst that has to stay available after a datagram of this priority.
+    fn reserved_share(self) -> f64 {
         match self {
-            Self::First => 0.0,
-            Self::Usual => 0.2,
-            Self::Last => 0.5,
+            Self::High => 0.0,
+            Self::Normal => 0.2,
+            Self::Low => 0.5,
         }
     }
 }
 
-/// Datagrams and bytes a second.
+/// A rate limit on datagrams and on bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SendBudget {
-    /// Datagrams a second.
-    pub datagrams: f64,
-    /// Bytes a second, of the datagrams themselves.
-    pub bytes: f64,
+    /// Datagrams per second.
+    pub datagrams_per_second: f64,
+    /// Bytes per second of datagram payload, without UDP and IP headers.
+    pub bytes_per_second: f64,
 }
 
-/// What is left of a ceiling.
-pub(crate) struct Bucket {
-    most: SendBudget,
-    left: SendBudget,
-    at: Duration,
+/// The amounts that may leave now.
+struct Tokens {
+    datagrams: f64,
+    bytes: f64,
 }
 
-impl Bucket {
-    pub fn new(most: SendBudget, now: Duration) -> Self {
-        let left = SendBudget { datagrams: most.datagrams * BURST, bytes: most.bytes * BURST };
-        Self { most, left, at: now }
+/// A token bucket that enforces a [`SendBudget`].
+pub(crate) struct TokenBucket {
+    budget: SendBudget,
+    available: Tokens,
+    refilled_at: Duration,
+}
+
+impl TokenBucket {
+    /// Creates a full bucket.
+    pub fn new(budget: SendBudget, now: Duration) -> Self {
+        let available = Tokens {
+            datagrams: budget.datagrams_per_second * BURST_SECONDS,
+            bytes: budget.bytes_per_second * BURST_SECONDS,
+        };
+        Self { budget, available, refilled_at: now }
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let fill = |left: f64, rate: f64| (left + rate * passed).min(rate * BURST);
-        self.left.datagrams = fill(self.left.datagrams, self.most.datagrams);
-        self.left.bytes = fill(self.left.bytes, self.most.bytes);
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let refilled = |available: f64, rate: f64| (available + rate * elapsed).min(rate * BURST_SECONDS);
+        self.available.datagrams = refilled(self.available.datagrams, self.budget.datagrams_per_second);
+        self.available.bytes = refilled(self.available.bytes, self.budget.bytes_per_second);
     }
 
-    /// Takes out one datagram, if its rank allows it now.
-    pub fn take(&mut self, now: Duration, bytes: usize, rank: Rank) -> bool {
-        self.fill(now);
-        let SendBudget { datagrams, bytes: room } = self.left;
-        let stays = |most: f64| most * BURST * rank.leaves();
-        let fits =
-            datagrams - 1.0 >= stays(self.most.datagrams) && room - bytes as f64 >= stays(self.most.bytes);
-        if fits {
-            self.left.datagrams -= 1.0;
-            self.left.bytes -= bytes as f64;
+    /// Takes the tokens for one datagram of `bytes` bytes, and returns whether its priority permits it now.
+    pub fn try_take(&mut self, now: Duration, bytes: usize, priority: SendPriority) -> bool {
+        self.refill(now);
+        let reserve = |rate: f64| rate * BURST_SECONDS * priority.reserved_share();
+        let datagrams_left = self.available.datagrams - 1.0;
+        let bytes_left = self.available.bytes - bytes as f64;
+        let permitted = datagrams_left >= reserve(self.budget.datagrams_per_second)
+            && bytes_left >= reserve(self.budget.bytes_per_second);
+        if permitted {
+            self.available = Tokens { datagrams: datagrams_left, bytes: bytes_left };
         }
-        fits
+        permitted
     }
 }
 
--- a/crates/micadrum-membership/src/view.rs
+++ b/crates/micadrum-membership/src/view.rs
@@ -1,107 +1,98 @@
-//! What a sender believes of its peers, for the layers above and for people. It may be wrong at any moment.
-use crate::detector::Standing;
+//! Snapshots of the membership state, for the layers above and for operators. A snapshot can be wrong at any moment.
+//!
+//! Field names in JSON are part of the formats of `/status/peers` and of the links between members.
 use crate::incarnation::Incarnation;
+use crate::status::{LocalStatus, Reach, Status};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is believed of a member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Status {
-    /// Not heard yet.
-    Unknown,
-    /// It answers.
-    Live,
-    /// It does not, for a while.
-    Suspect,
-    /// It has not for as long as the settings want, while others answered.
-    Dead,
-    /// It said that it ends.
-    Left,
-}
-
-/// How it was last heard.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Reach {
-    /// Straight.
-    Direct,
-    /// Passed on by others alone.
-    Relayed,
-}
-
-/// One member, as it is seen from here.
+/// One other member, as seen by this sender. Times are on the clock of the enclosing [`View`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerView {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it is spoken to.
+    /// The address at which the member is reached.
     pub address: SocketAddr,
-    /// Its building.
-    pub building: String,
-    /// What is believed.
+    /// The zone in which the member runs.
+    #[serde(rename = "building")]
+    pub zone: String,
+    /// What is believed of the member.
     pub status: Status,
-    /// Since when, on the clock of the view.
+    /// When `status` last changed.
     pub since: Duration,
-    /// When it last gave a sign itself.
-    pub heard: Option<Duration>,
-    /// How it was last heard.
+    /// When the member last gave a sign of life.
+    #[serde(rename = "heard")]
+    pub last_heard: Option<Duration>,
+    /// The path on which the member was last heard.
     pub reach: Option<Reach>,
-    /// When it last answered a question that went to it straight.
-    pub answered: Option<Duration>,
-    /// There and back, smoothed.
+    /// When the member last answered a direct ping.
+    #[serde(rename = "answered")]
+    pub last_direct_ack: Option<Duration>,
+    /// The smoothed round-trip time.
     pub round_trip: Option<Duration>,
-    /// The highest life that was heard.
-    pub life: Option<Incarnation>,
-    /// It said that it has forgotten earlier lives: its promises and copies no longer count.
-    pub forgot: bool,
-    /// Its list of members is another than this sender's.
-    pub other_list: bool,
+    /// The highest known incarnation.
+    #[serde(rename = "life")]
+    pub incarnation: Option<Incarnation>,
+    /// The member has lost the state of earlier incarnations: its promises and replicas no longer count.
+    #[serde(rename = "forgot")]
+    pub lost_state: bool,
+    /// The member's roster differs from this sender's.
+    #[serde(rename = "other_list")]
+    pub roster_differs: bool,
 }
 
-/// What came and went.
+/// Datagrams sent and received since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes in datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that the ceiling held back.
-    pub held_back: u64,
-    /// Datagrams that came.
-    pub came: u64,
-    /// Of them, none of ours.
+    /// Datagrams not sent because the send budget was exhausted.
+    #[serde(rename = "held_back")]
+    pub over_budget: u64,
+    /// Datagrams received.
+    #[serde(rename = "came")]
+    pub received: u64,
+    /// Datagrams received that do not belong to this protocol or fleet.
     pub foreign: u64,
-    /// Of them, sealed by nobody who may.
+    /// Datagrams received whose authentication failed.
     pub forged: u64,
-    /// Of them, come before, or meant for an earlier run of this sender.
+    /// Datagrams received that are replayed, or addressed to an earlier run of this sender.
     pub stale: u64,
-    /// Of them, more than a member may send.
-    pub flooded: u64,
-    /// Members that were held for dead, so far.
+    /// Datagrams received beyond the rate limit of their sender.
+    #[serde(rename = "flooded")]
+    pub over_limit: u64,
+    /// Members declared dead.
     pub deaths: u64,
 }
 
-/// The whole of it at one moment.
+/// The whole membership state at one moment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// When, on a clock that never goes back and begins where the process chose.
+    /// The time of the snapshot, on a monotonic clock whose origin the process chose.
     pub at: Duration,
     /// This sender's name.
-    pub own: String,
-    /// Its life.
-    pub life: Incarnation,
-    /// How it stands itself.
-    pub standing: Standing,
-    /// It has forgotten earlier lives.
-    pub forgot: bool,
-    /// Nobody answers: what it believes of others says nothing.
-    pub cut_off: bool,
-    /// How far it doubts itself, 0 to 8.
-    pub doubt: u32,
-    /// The others, by name.
+    #[serde(rename = "own")]
+    pub own_name: String,
+    /// This sender's incarnation.
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
+    /// The state of this sender's own membership.
+    #[serde(rename = "standing")]
+    pub local_status: LocalStatus,
+    /// This sender has lost the state of earlier incarnations.
+    #[serde(rename = "forgot")]
+    pub lost_state: bool,
+    /// No member answers: the statuses of other members are not meaningful.
+    #[serde(rename = "cut_off")]
+    pub isolated: bool,
+    /// The local health score, from 0 (healthy) to 8.
+    #[serde(rename = "doubt")]
+    pub local_health_score: u32,
+    /// The other members, by name.
     pub peers: Vec<PeerView>,
-    /// What came and went.
+    /// Datagrams sent and received.
     pub counts: Counts,
 }
--- a/crates/micadrum-membership/tests/fleet/links.rs
+++ b/crates/micadrum-membership/tests/fleet/links.rs
@@ -1,9 +1,19 @@
-//! Links: frames cut anywhere, changed, repeated; strangers; a side that falls silent; one that does not keep up.
+//! Links: streams cut anywhere, modified and replayed frames, impostors, a silent side, a slow reader.
 use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use std::time::Duration;
 
-const LIFE: Incarnation = Incarnation { number: 3, run: 9 };
+const INCARNATION: Incarnation = Incarnation { number: 3, run: 9 };
+
+/// The secret key of member `key_of`, presented as member `member`, with a nonce of equal bytes.
+fn identity(fleet: &SimulatedFleet, key_of: usize, member: usize, nonce: u8) -> LinkIdentity {
+    LinkIdentity {
+        secret: secret(key_of),
+        roster: fleet.roster(member),
+        incarnation: INCARNATION,
+        nonce: [nonce; 16],
+    }
+}
 
 struct Ends {
     dialer: Link,
@@ -11,11 +21,11 @@
 }
 
 fn ends() -> Ends {
-    let world = World::new(3, 1);
+    let fleet = SimulatedFleet::new(3, 1);
     let to = MemberId::of("n1");
     Ends {
-        dialer: Link::dial(secret(0), world.roster(0), LIFE, to, [1; 16], Duration::ZERO),
-        acceptor: Link::accept(secret(1), world.roster(1), LIFE, [2; 16], Duration::ZERO),
+        dialer: Link::dial(identity(&fleet, 0, 0, 1), to, Duration::ZERO),
+        acceptor: Link::accept(identity(&fleet, 1, 1, 2), Duration::ZERO),
     }
 }
 
@@ -27,8 +37,8 @@
     std::iter::from_fn(|| link.poll_event()).collect()
 }
 
-/// Passes on all that both have to say, in pieces of `size`.
-fn talk(ends: &mut Ends, size: usize) -> Result<(), LinkError> {
+/// Exchanges all pending bytes, in pieces of `size`.
+fn exchange(ends: &mut Ends, size: usize) -> Result<(), LinkError> {
     loop {
         let (there, back) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
         if there.is_empty() && back.is_empty() {
@@ -43,26 +53,29 @@
     }
 }
 
-/// Guards against a frame that is taken in parts, and against a payload that is lost where a read ends within it.
+/// Guards against a frame that is handled in parts, and a payload that is lost where a read ends within it.
 #[test]
-fn payloads_come_whole_and_in_order_however_the_stream_is_cut() {
+fn payloads_arrive_whole_and_in_order_however_the_stream_is_cut() {
     for size in [1, 2, 3, 7, 64, 1000, 100_000] {
         let mut ends = ends();
         let payloads: Vec<Vec<u8>> = (0..20u8).map(|n| vec![n; n as usize * 50]).collect();
         for payload in &payloads {
             ends.dialer.send(payload.clone()).unwrap();
         }
-        talk(&mut ends, size).unwrap();
+        exchange(&mut ends, size).unwrap();
         let mut told = events(&mut ends.acceptor);
-        assert_eq!(told.remove(0), LinkEvent::Open { peer: MemberId::of("n0"), life: LIFE });
+        assert_eq!(told.remove(0), LinkEvent::Open { peer: MemberId::of("n0"), incarnation: INCARNATION });
         assert_eq!(told, payloads.into_iter().map(LinkEvent::Payload).collect::<Vec<_>>());
-        assert_eq!(events(&mut ends.dialer), [LinkEvent::Open { peer: MemberId::of("n1"), life: LIFE }]);
+        assert_eq!(
+            events(&mut ends.dialer),
+            [LinkEvent::Open { peer: MemberId::of("n1"), incarnation: INCARNATION }]
+        );
     }
 }
 
-/// Guards against bytes that are believed though they were changed, left out or said before: at every place of a stream.
+/// Guards against accepting modified, truncated or replayed bytes, at every position of a stream.
 #[test]
-fn a_stream_that_was_changed_anywhere_ends() {
+fn a_modified_stream_delivers_nothing() {
     let mut first = ends();
     first.dialer.send(b"payload".to_vec()).unwrap();
     let hello = drain(&mut first.dialer);
@@ -71,7 +84,7 @@
     first.dialer.received(&answer, ms(1)).unwrap();
     let frames = drain(&mut first.dialer);
     let whole = [hello, frames].concat();
-    let open = LinkEvent::Open { peer: MemberId::of("n0"), life: LIFE };
+    let open = LinkEvent::Open { peer: MemberId::of("n0"), incarnation: INCARNATION };
     let read = |bytes: &[u8]| {
         let mut acceptor = ends().acceptor;
         let ended = acceptor.received(bytes, ms(1));
@@ -88,67 +101,67 @@
         let (ended, told) = read(&whole[..at]);
         assert!(ended.is_ok() && told.len() < 2, "cut at {at}");
     }
-    // The same once more: the acceptor has drawn another nonce.
-    let world = World::new(3, 1);
-    let mut other = Link::accept(secret(1), world.roster(1), LIFE, [3; 16], Duration::ZERO);
-    assert_eq!(other.received(&whole, ms(1)), Err(LinkError::Damaged));
+    // A replay of the whole stream fails, as the acceptor has drawn another nonce.
+    let fleet = SimulatedFleet::new(3, 1);
+    let mut other = Link::accept(identity(&fleet, 1, 1, 3), Duration::ZERO);
+    assert_eq!(other.received(&whole, ms(1)), Err(LinkError::InvalidFrame));
     assert!(!events(&mut other).contains(&LinkEvent::Payload(b"payload".to_vec())));
 }
 
-/// Guards against a stranger, another member in a third's place, and whoever answers for the one that was dialed.
+/// Guards against an impostor that dials or answers in place of another member, and against reflection.
 #[test]
-fn only_the_member_that_is_meant_gets_through() {
-    let world = World::new(3, 1);
-    let mut lying = Link::dial(secret(2), world.roster(0), LIFE, MemberId::of("n1"), [1; 16], Duration::ZERO);
+fn only_the_intended_member_is_authenticated() {
+    let fleet = SimulatedFleet::new(3, 1);
+    let mut impostor = Link::dial(identity(&fleet, 2, 0, 1), MemberId::of("n1"), Duration::ZERO);
     let mut ends = ends();
-    assert_eq!(ends.acceptor.received(&drain(&mut lying), ms(1)), Err(LinkError::Stranger));
+    assert_eq!(ends.acceptor.received(&drain(&mut impostor), ms(1)), Err(LinkError::Unauthenticated));
     // n2 answers where n1 was dialed.
-    let mut other = Link::accept(secret(2), world.roster(2), LIFE, [2; 16], Duration::ZERO);
-    assert_eq!(other.received(&drain(&mut ends.dialer), ms(1)), Err(LinkError::Stranger));
+    let mut other = Link::accept(identity(&fleet, 2, 2, 2), Duration::ZERO);
+    assert_eq!(other.received(&drain(&mut ends.dialer), ms(1)), Err(LinkError::Unauthenticated));
     let (mut mirror, hello) = (self::ends(), drain(&mut self::ends().dialer));
-    assert_eq!(mirror.dialer.received(&hello, ms(1)), Err(LinkError::Stranger), "its own words come back");
+    assert_eq!(mirror.dialer.received(&hello, ms(1)), Err(LinkError::Unauthenticated), "a reflected hello");
 }
 
-/// Guards against a half-open peer that is waited for, and an idle link that ends though both are there.
+/// Guards against waiting for a half-open peer, and against ending an idle link whose sides are both alive.
 #[test]
-fn a_silent_side_is_found_and_an_idle_one_is_not() {
+fn a_silent_side_times_out_and_an_idle_one_does_not() {
     let mut ends = ends();
     assert_eq!(ends.acceptor.timer(ms(1999)), Ok(()));
-    assert_eq!(ends.acceptor.timer(ms(2000)), Err(LinkError::Silent), "nobody ever showed who it is");
+    assert_eq!(ends.acceptor.timer(ms(2000)), Err(LinkError::TimedOut), "nobody authenticated");
     let mut ends = self::ends();
-    talk(&mut ends, 100).unwrap();
+    exchange(&mut ends, 100).unwrap();
     for second in 1..60 {
         ends.dialer.timer(ms(second * 1000 + 1)).unwrap();
         ends.acceptor.timer(ms(second * 1000 + 1)).unwrap();
         let (there, back) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
-        assert!(!there.is_empty() && !back.is_empty(), "each says that it is there");
+        assert!(!there.is_empty() && !back.is_empty(), "both send keep-alives");
         ends.acceptor.received(&there, ms(second * 1000 + 1)).unwrap();
         ends.dialer.received(&back, ms(second * 1000 + 1)).unwrap();
     }
     let last = ms(59_001);
     assert!(ends.dialer.due() <= last + ms(1000));
     assert_eq!(ends.dialer.timer(last + ms(3499)), Ok(()));
-    assert_eq!(ends.dialer.timer(last + ms(3500)), Err(LinkError::Silent));
+    assert_eq!(ends.dialer.timer(last + ms(3500)), Err(LinkError::TimedOut));
 }
 
-/// Guards against a reader that does not keep up and costs memory without end, on either side.
+/// Guards against a slow reader that costs unbounded memory on either side.
 #[test]
-fn who_does_not_keep_up_is_sent_no_more() {
+fn a_slow_reader_exhausts_the_credit() {
     let mut ends = ends();
-    talk(&mut ends, 1000).unwrap();
+    exchange(&mut ends, 1000).unwrap();
     events(&mut ends.acceptor);
     let mut sent = 0;
     while ends.dialer.send(vec![7; 10_000]).is_ok() {
         sent += 1;
-        talk(&mut ends, 100_000).unwrap();
+        exchange(&mut ends, 100_000).unwrap();
     }
     let waiting: usize = events(&mut ends.acceptor).len();
     assert!(
         waiting * 10_000 <= 256 * 1024 && sent * 10_000 <= 512 * 1024 && sent > waiting,
         "{waiting} of {sent}"
     );
-    ends.acceptor.done_with(waiting * 10_000);
-    talk(&mut ends, 100_000).unwrap();
+    ends.acceptor.consumed(waiting * 10_000);
+    exchange(&mut ends, 100_000).unwrap();
     assert_eq!(waiting + events(&mut ends.acceptor).len(), sent);
-    assert_eq!(ends.dialer.send(vec![0; MOST_PAYLOAD + 1]), Err(QueueFull));
+    assert_eq!(ends.dialer.send(vec![0; MAX_PAYLOAD_BYTES + 1]), Err(QueueFull));
 }
--- a/crates/micadrum-membership/tests/fleet/main.rs
+++ b/crates/micadrum-membership/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The fleet as its members see it, in simulated time: what each failure does to views and lives.
+//! The fleet as its members see it, in simulated time: the effect of each failure on views and incarnations.
 mod adversaries;
 mod incarnations;
 mod links;
--- a/crates/micadrum-membership/tests/fleet/simulated_fleet.rs
+++ b/crates/micadrum-membership/tests/fleet/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! Many members in one simulated time: links that lose, delay, cut and repeat, processes that pause and start again.
+//! A fleet in simulated time: links that lose, delay, cut and duplicate datagrams, processes that pause and restart.
 use micadrum_membership::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -12,46 +12,47 @@
 }
 
 pub const SETTINGS: Settings = Settings {
-    probe_every: ms(100),
-    dead_after: ms(1000),
-    ceiling: SendBudget { datagrams: 400.0, bytes: 100_000.0 },
+    probe_interval: ms(100),
+    suspicion_timeout: ms(1000),
+    send_budget: SendBudget { datagrams_per_second: 400.0, bytes_per_second: 100_000.0 },
 };
 
-/// What happens to a datagram on its way.
+/// Scheduled happens to a datagram on its way.
 #[derive(Clone, Copy)]
-pub struct Path {
-    pub cut: bool,
-    pub lose: f64,
+pub struct LinkConditions {
+    pub is_cut: bool,
+    pub loss: f64,
     pub delay: Duration,
     pub jitter: Duration,
-    pub twice: f64,
+    pub duplication: f64,
 }
 
-pub const CLEAN: Path = Path { cut: false, lose: 0.0, delay: ms(1), jitter: ms(1), twice: 0.0 };
+pub const PERFECT_LINK: LinkConditions =
+    LinkConditions { is_cut: false, loss: 0.0, delay: ms(1), jitter: ms(1), duplication: 0.0 };
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Comes(usize, Vec<u8>),
-    Wakes(usize, u64),
+enum Scheduled {
+    Delivery(usize, Vec<u8>),
+    Wakeup(usize, u64),
 }
 
-pub struct World {
+pub struct SimulatedFleet {
     pub now: Duration,
     pub settings: Settings,
     pub members: Vec<Member>,
     pub nodes: Vec<Option<Membership>>,
-    pub books: Vec<Vec<u8>>,
-    pub link: Box<dyn Fn(usize, usize) -> Path>,
+    pub records: Vec<Vec<u8>>,
+    pub link: Box<dyn Fn(usize, usize) -> LinkConditions>,
     pub events: Vec<(Duration, usize, Event)>,
     pub paused: BTreeMap<usize, Vec<Vec<u8>>>,
-    /// All that was sent, kept on demand.
-    pub wire: Option<Vec<(usize, usize, Vec<u8>)>>,
+    /// All datagrams sent (from, to, bytes), while capturing is on.
+    pub captured: Option<Vec<(usize, usize, Vec<u8>)>>,
     pub disk_full: bool,
     at: BTreeMap<SocketAddr, usize>,
-    queue: BinaryHeap<Reverse<(Duration, u64, What)>>,
-    wakes: Vec<u64>,
+    queue: BinaryHeap<Reverse<(Duration, u64, Scheduled)>>,
+    wakeup_numbers: Vec<u64>,
     count: u64,
-    pub chance: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
 }
 
 pub fn secret(n: usize) -> Secret {
@@ -65,12 +66,12 @@
     Member {
         name: format!("n{n}"),
         address: SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7000)),
-        building: ["a", "b"][n % 2].to_owned(),
+        zone: ["a", "b"][n % 2].to_owned(),
         key: secret(n).public(),
     }
 }
 
-impl World {
+impl SimulatedFleet {
     pub fn new(count: usize, seed: u64) -> Self {
         let members: Vec<Member> = (0..count).map(member).collect();
         Self {
@@ -79,38 +80,37 @@
             at: members.iter().enumerate().map(|(n, member)| (member.address, n)).collect(),
             members,
             nodes: (0..count).map(|_| None).collect(),
-            books: vec![Vec::new(); count],
-            link: Box::new(|_, _| CLEAN),
+            records: vec![Vec::new(); count],
+            link: Box::new(|_, _| PERFECT_LINK),
             events: Vec::new(),
             paused: BTreeMap::new(),
-            wire: None,
+            captured: None,
             disk_full: false,
             queue: BinaryHeap::new(),
-            wakes: vec![0; count],
+            wakeup_numbers: vec![0; count],
             count: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// All started, and known to each other.
+    /// Creates a fleet whose members are all started.
     pub fn started(count: usize, seed: u64) -> Self {
-        let mut world = Self::new(count, seed);
-        (0..count).for_each(|n| world.start(n));
-        world
+        let mut fleet = Self::new(count, seed);
+        (0..count).for_each(|n| fleet.start(n));
+        fleet
     }
 
     pub fn roster(&self, n: usize) -> Roster {
         Roster::new(&self.members[n].name, self.members.iter().cloned()).unwrap()
     }
 
-    /// Starts one from its book; from none if that is damaged.
+    /// Starts a member from its record, or an empty one if that is damaged.
     pub fn start(&mut self, n: usize) {
         let id = MemberId::of(&self.members[n].name);
-        let book = IncarnationRecord::parse(&self.books[n], id).unwrap_or(IncarnationRecord::new(id));
-        let chance = ChaCha8Rng::seed_from_u64(self.chance.next_u64());
-        self.nodes[n] =
-            Some(Membership::new(self.settings, secret(n), self.roster(n), book, chance, self.now));
-        self.drain(n);
+        let book = IncarnationRecord::parse(&self.records[n], id).unwrap_or(IncarnationRecord::new(id));
+        let rng = ChaCha8Rng::seed_from_u64(self.rng.next_u64());
+        self.nodes[n] = Some(Membership::new(self.settings, secret(n), self.roster(n), book, rng, self.now));
+        self.perform_outputs(n);
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -122,7 +122,7 @@
         self.paused.insert(n, Vec::new());
     }
 
-    /// It goes on where it stood; what came meanwhile lay in its socket.
+    /// Resumes a paused member; datagrams that arrived meanwhile are in its socket buffer.
     pub fn resume(&mut self, n: usize) {
         for bytes in self.paused.remove(&n).unwrap() {
             self.input(n, Input::Datagram(&bytes));
@@ -133,49 +133,50 @@
     pub fn input(&mut self, n: usize, input: Input<'_>) {
         if let Some(node) = &mut self.nodes[n] {
             node.handle(input, self.now);
-            self.drain(n);
+            self.perform_outputs(n);
         }
     }
 
-    fn push(&mut self, at: Duration, what: What) {
+    fn push(&mut self, at: Duration, what: Scheduled) {
         self.count += 1;
         self.queue.push(Reverse((at, self.count, what)));
     }
 
-    pub fn unit(&mut self) -> f64 {
-        (self.chance.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn random_unit(&mut self) -> f64 {
+        (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn drain(&mut self, n: usize) {
+    fn perform_outputs(&mut self, n: usize) {
         while let Some(output) = self.nodes[n].as_mut().and_then(Membership::poll_output) {
             match output {
                 Output::Send(to, bytes) => {
-                    assert!(bytes.len() <= MOST_DATAGRAM);
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     let Some(to) = self.at.get(&to).copied() else { continue };
-                    if let Some(wire) = &mut self.wire {
-                        wire.push((n, to, bytes.clone()));
+                    if let Some(captured) = &mut self.captured {
+                        captured.push((n, to, bytes.clone()));
                     }
                     let link = (self.link)(n, to);
-                    for _ in 0..if self.unit() < link.twice { 2 } else { 1 } {
-                        if !link.cut && self.unit() >= link.lose {
-                            let due = self.now + link.delay + link.jitter.mul_f64(self.unit());
-                            self.push(due, What::Comes(to, bytes.clone()));
+                    for _ in 0..if self.random_unit() < link.duplication { 2 } else { 1 } {
+                        if !link.is_cut && self.random_unit() >= link.loss {
+                            let due = self.now + link.delay + link.jitter.mul_f64(self.random_unit());
+                            self.push(due, Scheduled::Delivery(to, bytes.clone()));
                         }
                     }
                 }
-                Output::Write(bytes) => {
+                Output::WriteRecord(bytes) => {
                     let done = !self.disk_full;
                     if done {
-                        self.books[n] = bytes;
+                        self.records[n] = bytes;
                     }
-                    self.nodes[n].as_mut().unwrap().handle(Input::Written(done), self.now);
+                    let input = if done { Input::RecordWritten } else { Input::RecordWriteFailed };
+                    self.nodes[n].as_mut().unwrap().handle(input, self.now);
                 }
                 Output::Event(event) => self.events.push((self.now, n, event)),
             }
         }
         if let Some(due) = self.nodes[n].as_ref().and_then(Membership::due) {
-            self.wakes[n] += 1;
-            self.push(due.max(self.now), What::Wakes(n, self.wakes[n]));
+            self.wakeup_numbers[n] += 1;
+            self.push(due.max(self.now), Scheduled::Wakeup(n, self.wakeup_numbers[n]));
         }
     }
 
@@ -187,14 +188,16 @@
             let Some(Reverse((at, _, what))) = self.queue.pop() else { return };
             self.now = at;
             match what {
-                What::Comes(n, bytes) => match self.paused.get_mut(&n) {
+                Scheduled::Delivery(n, bytes) => match self.paused.get_mut(&n) {
                     Some(socket) => socket.push(bytes),
                     None => self.input(n, Input::Datagram(&bytes)),
                 },
-                What::Wakes(n, which) if which == self.wakes[n] && !self.paused.contains_key(&n) => {
+                Scheduled::Wakeup(n, which)
+                    if which == self.wakeup_numbers[n] && !self.paused.contains_key(&n) =>
+                {
                     self.input(n, Input::Timer);
                 }
-                What::Wakes(..) => {}
+                Scheduled::Wakeup(..) => {}
             }
         }
         self.now = end;
@@ -204,21 +207,21 @@
         self.nodes[n].as_ref().unwrap().view(self.now)
     }
 
-    pub fn sees(&self, n: usize, other: usize) -> PeerView {
+    pub fn view_of(&self, n: usize, other: usize) -> PeerView {
         let name = &self.members[other].name;
         self.view(n).peers.into_iter().find(|peer| peer.name == *name).unwrap()
     }
 
     pub fn status(&self, n: usize, other: usize) -> Status {
-        self.sees(n, other).status
+        self.view_of(n, other).status
     }
 
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect()
     }
 
-    /// Whom the views of those that run are wrong about: live ones that are not held for live, gone ones that are.
-    pub fn wrong(&self) -> Vec<(usize, usize, Status)> {
+    /// Returns the views (of, about, status) that are wrong: running members not seen live, stopped ones seen live.
+    pub fn wrong_views(&self) -> Vec<(usize, usize, Status)> {
         let mut wrong = Vec::new();
         let numbers: BTreeMap<&str, usize> =
             self.members.iter().enumerate().map(|(n, member)| (&*member.name, n)).collect();
@@ -235,11 +238,11 @@
         wrong
     }
 
-    /// How long it takes until no view is wrong; none if that takes longer than `most`.
-    pub fn agree_within(&mut self, most: Duration) -> Option<Duration> {
+    /// Runs until no view is wrong, and returns how long that took, or `None` after `limit`.
+    pub fn converge_within(&mut self, limit: Duration) -> Option<Duration> {
         let from = self.now;
-        while self.now - from <= most {
-            if self.wrong().is_empty() {
+        while self.now - from <= limit {
+            if self.wrong_views().is_empty() {
                 return Some(self.now - from);
             }
             self.run(ms(20));
@@ -247,11 +250,11 @@
         None
     }
 
-    /// Members that were held for dead since then: when, by whom, of whom.
+    /// Returns the members declared dead since then: when, by whom, and the name.
     pub fn deaths(&self, since: Duration) -> Vec<(Duration, usize, String)> {
         let dead =
             self.events.iter().filter(|(at, ..)| *at >= since).filter_map(|(at, by, event)| match event {
-                Event::Changed { name, is: Status::Dead, .. } => Some((*at, *by, name.clone())),
+                Event::StatusChanged { name, current: Status::Dead, .. } => Some((*at, *by, name.clone())),
                 _ => None,
             });
         dead.collect()
--- a/crates/micadrum-testkit/src/ground.rs
+++ b/crates/micadrum-testkit/src/ground.rs
@@ -168,7 +168,7 @@
     let mut table = table.clone();
     let Some(peers) = table.get_mut("peers") else {
         let text = toml::to_string(&table).map_err(|e| e.to_string())?;
-        return OperatorConfig::parse("", &text, "n0").map(|_| text).map_err(|e| e.what);
+        return OperatorConfig::parse("", &text, "n0").map(|_| text).map_err(|e| e.message);
     };
     let Value::Table(peers) = peers else { return Err("`peers` is a table".to_owned()) };
     for filled in ["member", "secret", "listen"] {
@@ -200,7 +200,7 @@
     peers.insert("member".to_owned(), Value::Array(named.iter().map(member).collect()));
     let text = toml::to_string(&table).map_err(|e| e.to_string())?;
     if members.is_empty() {
-        OperatorConfig::parse("", &text, "n0").map_err(|e| e.what)?;
+        OperatorConfig::parse("", &text, "n0").map_err(|e| e.message)?;
     }
     Ok(text)
 }
--- a/crates/micadrum-testkit/src/history.rs
+++ b/crates/micadrum-testkit/src/history.rs
@@ -235,7 +235,7 @@
                     runs.remove(&record.sender);
                     calm_since = record.at;
                 }
-                What::Peers(Event::Changed { name, is: Status::Dead, .. }) => {
+                What::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) => {
                     let of = self.names.get(name).copied().unwrap_or(u32::MAX);
                     // Of one that has ended it is true, however late.
                     if struck == 0 && record.at > calm_since + grace && runs.contains(&of) {
@@ -275,7 +275,7 @@
                     self.look(other, sender);
                 }
             }
-            What::Peers(Event::Changed { name, is, .. }) => {
+            What::Peers(Event::StatusChanged { name, current: is, .. }) => {
                 if let Some(of) = names.get(name) {
                     self.believed[sender][*of as usize] = *is;
                     self.look(sender, *of as usize);
--- a/crates/micadrum-testkit/src/history/tests.rs
+++ b/crates/micadrum-testkit/src/history/tests.rs
@@ -9,7 +9,12 @@
 }
 
 fn changed(history: &mut History, at: At, by: u32, of: u32, is: Status) {
-    let event = Event::Changed { name: format!("n{of}"), was: Status::Unknown, is, life: 1 };
+    let event = Event::StatusChanged {
+        name: format!("n{of}"),
+        previous: Status::Unknown,
+        current: is,
+        incarnation: 1,
+    };
     let line = format!("trace peers at=7 {}", serde_json::to_string(&event).unwrap());
     assert!(history.add_line(at, by, &line));
 }
@@ -18,7 +23,7 @@
 #[test]
 fn views_are_right_from_the_last_change_that_made_them_so() {
     let mut history = history();
-    assert!(!history.add_line(1, 0, "peers: n1 is Live"));
+    assert!(!history.add_line(1, 0, "membership: status changed member=n1 status=Live"));
     changed(&mut history, 10, 0, 1, Status::Live);
     assert_eq!(history.right_after(0, 100), Err(vec![(1, 0, Status::Unknown)]));
     changed(&mut history, 30, 1, 0, Status::Live);
--- a/crates/micadrum-testkit/src/judge/views/tests.rs
+++ b/crates/micadrum-testkit/src/judge/views/tests.rs
@@ -11,7 +11,12 @@
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
     (0..2).for_each(|sender| history.add(0, sender, What::Started));
     for (at, by, of, is) in changes {
-        let event = Event::Changed { name: format!("n{of}"), was: Status::Unknown, is: *is, life: 1 };
+        let event = Event::StatusChanged {
+            name: format!("n{of}"),
+            previous: Status::Unknown,
+            current: *is,
+            incarnation: 1,
+        };
         history.add(*at, *by, What::Peers(event));
     }
     let mut verdict = Verdict::default();
@@ -34,7 +39,7 @@
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
     (0..2).for_each(|sender| history.add(0, sender, What::Started));
     history.add(S, 0, What::Ended);
-    let dead = Event::Changed { name: "n0".to_owned(), was: Live, is: Dead, life: 1 };
+    let dead = Event::StatusChanged { name: "n0".to_owned(), previous: Live, current: Dead, incarnation: 1 };
     history.add(9 * S, 1, What::Peers(dead));
     assert_eq!(history.false_deaths(4 * S), []);
 }
--- a/crates/micadrum-testkit/src/live/relays.rs
+++ b/crates/micadrum-testkit/src/live/relays.rs
@@ -56,7 +56,7 @@
 
     /// A line of a sender's log may tell where it hears.
     pub fn logged(&self, sender: u32, line: &str) {
-        if let Some(at) = line.strip_prefix("peers: speaking at ").and_then(|at| at.parse().ok()) {
+        if let Some(at) = line.strip_prefix("membership: listening address=").and_then(|at| at.parse().ok()) {
             self.homes[sender as usize].set(Some(at));
         }
     }
--- a/crates/micadrum-testkit/tests/peers.rs
+++ b/crates/micadrum-testkit/tests/peers.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::daemon;
-use micadrum_membership::{Event, Standing};
+use micadrum_membership::{Event, LocalStatus};
 use micadrum_testkit::history::{History, What};
 use micadrum_testkit::live;
 use micadrum_testkit::plan::Plan;
@@ -87,7 +87,8 @@
     // Heard by nobody, sender 2 hears all the same: it accuses nobody.
     let accused = |by: u32, from: u64, until: u64| {
         let deaths = history.events(by, from).filter(|(when, event)| {
-            *when < until && matches!(event, Event::Changed { is: micadrum_membership::Status::Dead, .. })
+            *when < until
+                && matches!(event, Event::StatusChanged { current: micadrum_membership::Status::Dead, .. })
         });
         deaths.count()
     };
@@ -98,21 +99,26 @@
     right(report, at(37) + slack, at(41), "a restart within the time of detection");
     let deaths_of_4 = history.records().iter().filter(|r| {
         r.at >= at(37) && r.at < at(41)
-            && matches!(&r.what, What::Peers(Event::Changed { name, is: micadrum_membership::Status::Dead, .. }) if name == "n4")
+            && matches!(&r.what, What::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name == "n4")
     });
     assert_eq!(deaths_of_4.count(), 0, "{}", history.text());
-    let forgot =
-        history.events(5, at(41)).any(|(_, event)| matches!(event, Event::Forgotten { life: 2, known: 1 }));
+    let forgot = history
+        .events(5, at(41))
+        .any(|(_, event)| matches!(event, Event::StateLossDetected { incarnation: 2, known: 1 }));
     assert!(forgot, "a lost folder is recognised: {}", history.text());
     right(report, at(42) + slack, at(45), "a lost folder");
     let left = history.events(1, at(45)).any(|(_, event)| {
-        matches!(event, Event::Changed { name, is: micadrum_membership::Status::Left, .. } if name == "n0")
+        matches!(event, Event::StatusChanged { name, current: micadrum_membership::Status::Left, .. } if name == "n0")
     });
     assert!(left, "who ends in good order says so: {}", history.text());
     right(report, at(54), at(59), "after loss");
     assert!(right(report, at(59), at(64), "one that sees half of the others") < SECOND);
     assert_eq!(history.false_deaths(3 * SECOND), [], "{}", history.text());
-    assert!(history.events(6, at(3)).all(|(_, e)| !matches!(e, Event::Stands(Standing::Superseded))));
+    assert!(
+        history
+            .events(6, at(3))
+            .all(|(_, e)| !matches!(e, Event::LocalStatusChanged(LocalStatus::Superseded)))
+    );
     assert!(report.verdict.kept, "{}", report.text());
 }
 
@@ -170,14 +176,16 @@
 fn judge_slow_and_lossy(report: &Report) {
     let history = &report.history;
     let at = |seconds: u64| begun(history) + seconds * SECOND;
-    let forgot = history.events(1, at(8)).any(|(_, e)| matches!(e, Event::Forgotten { life: 3, known: 2 }));
+    let forgot = history
+        .events(1, at(8))
+        .any(|(_, e)| matches!(e, Event::StateLossDetected { incarnation: 3, known: 2 }));
     assert!(forgot, "a folder of yesterday is recognised: {}", history.text());
     right(report, at(9) + SECOND, at(11), "a folder of yesterday");
     // Behind loss a live one may be suspect at any moment: what counts is that the dead one is found, by all.
     let found = |by: u32| {
         history.events(by, at(16)).any(|(when, event)| {
             when < at(25)
-                && matches!(event, Event::Changed { name, is: micadrum_membership::Status::Dead, .. } if name == "n2")
+                && matches!(event, Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. } if name == "n2")
         })
     };
     let missed: Vec<u32> = (0..8).filter(|by| *by != 2 && !found(*by)).collect();
@@ -185,7 +193,7 @@
     right(report, at(29), at(32), "after loss");
     let deaths = history.records().iter().filter(|r| {
         r.at > at(11)
-            && matches!(&r.what, What::Peers(Event::Changed { name, is: micadrum_membership::Status::Dead, .. }) if name != "n2")
+            && matches!(&r.what, What::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name != "n2")
     });
     assert_eq!(deaths.count(), 0, "loss kills nobody: {}", history.text());
     assert!(report.verdict.kept, "{}", report.text());
--- a/crates/micadrum-testkit/tests/power.rs
+++ b/crates/micadrum-testkit/tests/power.rs
@@ -46,7 +46,8 @@
         let report = common::play(Plan::new(Scenario::parse("lives.toml", text).unwrap(), seed));
         assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
         for sender in 0..5 {
-            let forgot = report.history.events(sender, 0).any(|(_, e)| matches!(e, Event::Forgotten { .. }));
+            let forgot =
+                report.history.events(sender, 0).any(|(_, e)| matches!(e, Event::StateLossDetected { .. }));
             assert!(!forgot, "seed {seed}, sender {sender}\n{}", report.history.text());
         }
     }
--- a/src/command/peers.rs
+++ b/src/command/peers.rs
@@ -1,92 +1,90 @@
-//! What a sender believes of its peers, as a table.
-use micadrum_membership::{PeerView, Reach, Standing, Status, View};
+//! The membership view of a running sender, as a table for the terminal.
+use micadrum_membership::{LocalStatus, PeerView, Reach, Status, View};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// A member that has not answered straight for so long, and is heard straight all the same, does not hear this one.
-const ONE_WAY: Duration = Duration::from_secs(30);
+/// A member that is heard directly, but has not answered a direct ping for this long, does not receive our datagrams.
+const ONE_WAY_THRESHOLD: Duration = Duration::from_secs(30);
+const COLUMNS: usize = 9;
+const HEADINGS: [&str; COLUMNS] =
+    ["member", "status", "since", "heard", "way", "there and back", "life", "building", "address"];
+const NO_VIEW: &str = "peers: not speaking yet: the address is not free\n";
 
-/// The table, with how the sender stands itself above it.
+/// Formats a view as a table, below a summary of the sender's own state.
 pub fn table(view: &Option<View>) -> String {
-    let Some(view) = view else { return "peers: not speaking yet: the address is not free\n".to_owned() };
-    let mut text = format!("{}: life {}, {}", view.own, view.life.number, standing(view.standing));
-    let mut add = |what: &str| {
-        let _ = write!(text, "; {what}");
-    };
-    if view.forgot {
-        add("has forgotten earlier lives");
+    let Some(view) = view else { return NO_VIEW.to_owned() };
+    let mut text = summary(view);
+    text.push_str(&traffic(view));
+    let mut rows = vec![HEADINGS.map(str::to_owned)];
+    rows.extend(view.peers.iter().map(|peer| row(view.at, peer)));
+    let widths: Vec<usize> =
+        (0..COLUMNS).map(|column| rows.iter().map(|row| row[column].len()).max().unwrap_or(0)).collect();
+    for row in rows {
+        let cells: Vec<String> =
+            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+        let _ = writeln!(text, "{}", cells.join("  ").trim_end());
     }
-    if view.cut_off {
-        add("hears nobody: what stands below says nothing of the others");
+    text
+}
+
+fn summary(view: &View) -> String {
+    let mut parts =
+        vec![format!("{}: life {}, {}", view.own_name, view.incarnation.number, describe(view.local_status))];
+    if view.lost_state {
+        parts.push("has forgotten earlier lives".to_owned());
     }
-    if view.doubt > 0 {
-        add(&format!("doubts itself ({} of 8)", view.doubt));
+    if view.isolated {
+        parts.push("hears nobody: what stands below says nothing of the others".to_owned());
     }
+    if view.local_health_score > 0 {
+        parts.push(format!("doubts itself ({} of 8)", view.local_health_score));
+    }
+    parts.join("; ") + "\n"
+}
+
+fn traffic(view: &View) -> String {
     let counts = view.counts;
-    let _ = writeln!(
-        text,
-        "\nsent {} datagrams, {} bytes, held back {}; came {}: {} foreign, {} forged, {} stale, {} too many",
+    format!(
+        "sent {} datagrams, {} bytes, held back {}; came {}: {} foreign, {} forged, {} stale, {} too many\n",
         counts.sent,
         counts.sent_bytes,
-        counts.held_back,
-        counts.came,
+        counts.over_budget,
+        counts.received,
         counts.foreign,
         counts.forged,
         counts.stale,
-        counts.flooded
-    );
-    let mut rows = vec![
-        ["member", "status", "since", "heard", "way", "there and back", "life", "building", "address"]
-            .map(str::to_owned),
-    ];
-    rows.extend(view.peers.iter().map(|peer| row(view.at, peer)));
-    let widths: Vec<usize> = (0..9).map(|n| rows.iter().map(|row| row[n].len()).max().unwrap_or(0)).collect();
-    for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
-        let _ = writeln!(text, "{}", cells.join("  ").trim_end());
-    }
-    text
+        counts.over_limit
+    )
 }
 
-/// What one member sees, or why it did not say, as the door tells it.
+/// A member's answer in `/status/peers/all`.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Seen {
+pub enum PeerAnswer {
+    /// The member's view.
     View(Box<View>),
+    /// Why the member gave no view.
     Silent(String),
 }
 
-/// Who sees whom: a row a member that was asked, a column a member that is seen.
-pub fn matrix(all: &Option<BTreeMap<String, Seen>>) -> String {
-    let Some(all) = all else { return "peers: not speaking yet: the address is not free\n".to_owned() };
-    let width = all.keys().map(String::len).max().unwrap_or(0).max(4);
+/// Formats the views of all members as a matrix: a row per member queried, a column per member seen.
+pub fn matrix(answers: &Option<BTreeMap<String, PeerAnswer>>) -> String {
+    let Some(answers) = answers else { return NO_VIEW.to_owned() };
+    let width = answers.keys().map(String::len).max().unwrap_or(0).max(4);
     let mut text = format!("{:width$}", "");
-    for name in all.keys() {
+    for name in answers.keys() {
         let _ = write!(text, " {name:>width$}");
     }
     text.push('\n');
-    for (name, seen) in all {
+    for (name, answer) in answers {
         let _ = write!(text, "{name:width$}");
-        match seen {
-            Seen::Silent(why) => drop(write!(text, " {why}")),
-            Seen::View(view) => {
-                let cell = |other: &String| {
-                    let peer = view.peers.iter().find(|peer| peer.name == *other);
-                    match peer.map(|peer| peer.status) {
-                        None if other == name => "-",
-                        None => "?",
-                        Some(Status::Unknown) => ".",
-                        Some(Status::Live) => "live",
-                        Some(Status::Suspect) => "susp",
-                        Some(Status::Dead) => "DEAD",
-                        Some(Status::Left) => "left",
-                    }
-                };
-                for other in all.keys() {
-                    let _ = write!(text, " {:>width$}", cell(other));
+        match answer {
+            PeerAnswer::Silent(reason) => drop(write!(text, " {reason}")),
+            PeerAnswer::View(view) => {
+                for other in answers.keys() {
+                    let _ = write!(text, " {:>width$}", cell(view, name, other));
                 }
             }
         }
@@ -95,18 +93,31 @@
     text
 }
 
-fn standing(standing: Standing) -> &'static str {
-    match standing {
-        Standing::Writing => "silent until its life is written down",
-        Standing::Asking => "not yet known to most",
-        Standing::Settled => "known to most",
-        Standing::Superseded => "silent: a later process speaks under this name",
-        Standing::Exhausted => "silent: there is no higher life",
-        Standing::Left => "has left",
+/// Returns what the member `name` sees of the member `other`.
+fn cell(view: &View, name: &str, other: &str) -> &'static str {
+    match view.peers.iter().find(|peer| peer.name == *other).map(|peer| peer.status) {
+        None if other == name => "-",
+        None => "?",
+        Some(Status::Unknown) => ".",
+        Some(Status::Live) => "live",
+        Some(Status::Suspect) => "susp",
+        Some(Status::Dead) => "DEAD",
+        Some(Status::Left) => "left",
+    }
+}
+
+fn describe(status: LocalStatus) -> &'static str {
+    match status {
+        LocalStatus::PersistingIncarnation => "silent until its life is written down",
+        LocalStatus::ConfirmingIncarnation => "not yet known to most",
+        LocalStatus::Confirmed => "known to most",
+        LocalStatus::Superseded => "silent: a later process speaks under this name",
+        LocalStatus::Exhausted => "silent: there is no higher life",
+        LocalStatus::Left => "has left",
     }
 }
 
-fn row(now: Duration, peer: &PeerView) -> [String; 9] {
+fn row(now: Duration, peer: &PeerView) -> [String; COLUMNS] {
     let ago = |at: Option<Duration>| at.map_or("-".to_owned(), |at| span(now.saturating_sub(at)));
     let status = match peer.status {
         Status::Unknown => "unknown",
@@ -115,37 +126,43 @@
         Status::Dead => "dead",
         Status::Left => "left",
     };
-    let unanswered = peer.answered.is_none_or(|at| now.saturating_sub(at) > ONE_WAY);
-    let way = match peer.reach {
-        None => "-",
-        Some(Reach::Relayed) => "through others",
-        Some(Reach::Direct) if unanswered && now > ONE_WAY => "does not hear this one",
-        Some(Reach::Direct) => "straight",
-    };
-    let life = peer.life.map_or("-".to_owned(), |life| {
-        let forgot = if peer.forgot { " (forgot)" } else { "" };
-        format!("{}{forgot}{}", life.number, if peer.other_list { " (other list)" } else { "" })
-    });
     let round_trip =
         peer.round_trip.map_or("-".to_owned(), |span| format!("{:.1} ms", span.as_secs_f64() * 1e3));
     [
         peer.name.clone(),
         status.to_owned(),
         ago(Some(peer.since)),
-        ago(peer.heard),
-        way.to_owned(),
+        ago(peer.last_heard),
+        path(now, peer).to_owned(),
         round_trip,
-        life,
-        peer.building.clone(),
+        incarnation(peer),
+        peer.zone.clone(),
         peer.address.to_string(),
     ]
 }
 
+fn path(now: Duration, peer: &PeerView) -> &'static str {
+    let is_unanswered = peer.last_direct_ack.is_none_or(|at| now.saturating_sub(at) > ONE_WAY_THRESHOLD);
+    match peer.reach {
+        None => "-",
+        Some(Reach::Relayed) => "through others",
+        Some(Reach::Direct) if is_unanswered && now > ONE_WAY_THRESHOLD => "does not hear this one",
+        Some(Reach::Direct) => "straight",
+    }
+}
+
+fn incarnation(peer: &PeerView) -> String {
+    let Some(incarnation) = peer.incarnation else { return "-".to_owned() };
+    let lost_state = if peer.lost_state { " (forgot)" } else { "" };
+    let roster = if peer.roster_differs { " (other list)" } else { "" };
+    format!("{}{lost_state}{roster}", incarnation.number)
+}
+
 fn span(span: Duration) -> String {
     match span.as_secs() {
         0 => format!("{} ms", span.as_millis()),
-        s @ 1..=599 => format!("{s} s"),
-        s @ 600..=35_999 => format!("{} min", s / 60),
-        s => format!("{} h", s / 3600),
+        seconds @ 1..=599 => format!("{seconds} s"),
+        seconds @ 600..=35_999 => format!("{} min", seconds / 60),
+        seconds => format!("{} h", seconds / 3600),
     }
 }
--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -1,7 +1,7 @@
 //! The door for operators: one call to a connection, beside the clients' and bounded for itself.
 use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent};
 use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, collect, plain};
-use super::membership::{Gathering, Views};
+use super::membership::{ViewQuery, Views};
 use super::ports::{Listener, Log, Stream};
 use super::recovery::RecoveryStatus;
 use super::resource_budget::OPERATORS;
@@ -30,7 +30,7 @@
 const MOST_ID: usize = 1024;
 
 /// What is believed of the peers, and a way to ask them what they believe.
-type Peers = (Views, Gathering);
+type Peers = (Views, ViewQuery);
 
 /// Serves operators for as long as the process runs. With all places taken, the caller who came first goes.
 pub async fn serve(
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -49,8 +49,8 @@
             return Err(format!("{key} is missing"));
         }
         let (profile, names) = (&config.settings, config.settings.names());
-        self.config.operator.may_become(&config.operator).map_err(|e| e.to_string())?;
-        let members = membership::follow(&config.operator).map_err(|e| e.to_string())?;
+        self.config.operator.check_reload(&config.operator).map_err(|e| e.to_string())?;
+        let members = membership::Members::from_config(&config.operator).map_err(|e| e.to_string())?;
         if names.kinds != self.names.kinds || names.zones != self.names.zones {
             return Err("kinds and zones cannot change while a sender runs".to_owned());
         }
--- a/src/daemon/membership/event_log.rs
+++ b/src/daemon/membership/event_log.rs
@@ -1,68 +1,80 @@
-//! What people on call and programs hear of the peers.
+//! Log and trace lines about membership events.
 use crate::daemon::ports::Log;
-use micadrum_membership::{Event, Standing};
+use micadrum_membership::{Event, LocalStatus};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Writes it to the log.
+/// Writes membership events to the log.
 pub struct EventLog {
     log: Rc<dyn Log>,
-    trace: bool,
-    /// The last write failed, and that was told.
-    unwritten: bool,
+    writes_traces: bool,
+    /// The last write of the incarnation record failed, and the failure was logged.
+    write_failed: bool,
 }
 
 impl EventLog {
-    /// To that log; with records for programs if `trace`.
-    pub fn new(log: Rc<dyn Log>, trace: bool) -> Self {
-        Self { log, trace, unwritten: false }
+    /// Creates an event log without trace records.
+    pub fn new(log: Rc<dyn Log>) -> Self {
+        Self { log, writes_traces: false, write_failed: false }
     }
 
-    /// The book of lives was written, or was not.
-    pub fn written(&mut self, written: &io::Result<()>) {
-        let failed = written.is_err();
-        if let Err(e) = written
-            && !self.unwritten
+    /// Creates an event log that also writes a trace record for each event, as JSON.
+    pub fn with_traces(log: Rc<dyn Log>) -> Self {
+        Self { writes_traces: true, ..Self::new(log) }
+    }
+
+    /// Logs the first of several consecutive failures to write the incarnation record.
+    pub fn record_written(&mut self, result: &io::Result<()>) {
+        if let Err(error) = result
+            && !self.write_failed
         {
             self.log.line(&format!(
-                "peers: the book of lives: {e}; nothing is said under a life that is not written"
+                "membership: incarnation not persisted, nothing is sent under it error=\"{error}\""
             ));
         }
-        self.unwritten = failed;
+        self.write_failed = result.is_err();
     }
 
-    /// Something changed.
+    /// Logs an event that occurred at `at` on the clock of the membership state machine.
     pub fn event(&self, at: Duration, event: &Event) {
-        if self.trace {
-            // Names and numbers always have a JSON form.
-            let event = serde_json::to_string(event).unwrap_or_default();
-            self.log.line(&format!("trace peers at={} {event}", at.as_micros()));
+        if self.writes_traces {
+            // Encoding strings and integers as JSON cannot fail.
+            let json = serde_json::to_string(event).unwrap_or_default();
+            self.log.line(&format!("trace peers at={} {json}", at.as_micros()));
+        }
+        self.log.line(&format!("membership: {}", describe(event)));
+    }
+}
+
+/// Returns the log line of an event, without its component.
+fn describe(event: &Event) -> String {
+    match event {
+        Event::StatusChanged { name, previous, current, incarnation } => format!(
+            "status changed member={name} status={current:?} previous={previous:?} incarnation={incarnation}"
+        ),
+        Event::NewIncarnation { name, incarnation, lost_state } => {
+            format!("new incarnation member={name} incarnation={incarnation} lost_state={lost_state}")
+        }
+        Event::StateLossDetected { incarnation, known } => format!(
+            "the state folder was lost or restored from an older copy, continuing under a higher incarnation \
+             incarnation={incarnation} known={known}"
+        ),
+        Event::RosterMismatch { name, differs: true } => format!(
+            "roster differs, the operator files of a fleet have to list the same members member={name}"
+        ),
+        Event::RosterMismatch { name, differs: false } => format!("roster matches again member={name}"),
+        Event::LocalStatusChanged(LocalStatus::Superseded) => {
+            "superseded by a later process under this sender's name, nothing is sent any more".to_owned()
+        }
+        Event::LocalStatusChanged(LocalStatus::Exhausted) => {
+            "no higher incarnation number is left, nothing is sent".to_owned()
+        }
+        Event::LocalStatusChanged(status) => format!("local status changed status={status:?}"),
+        Event::Stalled { late_ms } => format!("process stalled late_ms={late_ms}"),
+        Event::IsolationChanged(true) => {
+            "isolated, no member answers and the statuses of others are not meaningful".to_owned()
         }
-        let line = match event {
-            Event::Changed { name, was, is, life } => format!("{name} is {is:?} (was {was:?}), life {life}"),
-            Event::Life { name, life, forgot: false } => format!("{name} speaks under life {life}"),
-            Event::Life { name, life, forgot: true } => {
-                format!("{name} speaks under life {life}, and has forgotten those before")
-            }
-            Event::Forgotten { life, known } => format!(
-                "others know life {known} of this sender: its folder was lost or put back; it goes on under life {life}"
-            ),
-            Event::OtherList { name, other: true } => format!(
-                "{name} has another list of members: the operators' files of a fleet have to name the same ones"
-            ),
-            Event::OtherList { name, other: false } => format!("{name} has the same list of members again"),
-            Event::Stands(Standing::Superseded) => {
-                "a later process speaks under this sender's name: this one says nothing any more".to_owned()
-            }
-            Event::Stands(Standing::Exhausted) => {
-                "there is no higher life to take: nothing is said".to_owned()
-            }
-            Event::Stands(standing) => format!("this sender is {standing:?}"),
-            Event::Stalled { late_ms } => format!("this process stood still for {late_ms} ms"),
-            Event::CutOff(true) => "nobody answers: what is believed of the others says nothing".to_owned(),
-            Event::CutOff(false) => "somebody answers again".to_owned(),
-        };
-        self.log.line(&format!("peers: {line}"));
+        Event::IsolationChanged(false) => "no longer isolated, a member answers again".to_owned(),
     }
 }
--- a/src/daemon/membership/incarnation_store.rs
+++ b/src/daemon/membership/incarnation_store.rs
@@ -1,57 +1,57 @@
-//! The book of lives in the folder that lasts.
+//! The persisted incarnation record: the file `lives` in the state folder.
 use crate::daemon::maintenance::put;
 use crate::daemon::ports::Storage;
 use micadrum_membership::{IncarnationRecord, IncarnationRecordError, MemberId};
 use std::io;
 use std::rc::Rc;
 
-const NAME: &str = "lives";
-const NEW: &str = "lives.new";
-/// Bytes of a book beside its members, and for each of them.
-const HEAD: u64 = 128;
-const EACH: u64 = 64;
+const FILE: &str = "lives";
+const TEMPORARY_FILE: &str = "lives.new";
+/// Upper bounds on the size of a record: its fixed part, and the part for each member.
+const FIXED_BYTES: u64 = 128;
+const BYTES_PER_MEMBER: u64 = 64;
 
-/// Bytes that it may take, with the one that takes its place.
-pub fn room(members: usize) -> u64 {
-    2 * (HEAD + EACH * members as u64)
+/// Returns the disk space in bytes that the record may take, together with the one that replaces it.
+pub fn disk_bytes(members: usize) -> u64 {
+    2 * (FIXED_BYTES + BYTES_PER_MEMBER * members as u64)
 }
 
-/// Why it cannot be used.
+/// Why the persisted record cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum IncarnationStoreError {
-    /// It cannot be read.
-    #[error("{NAME}: {0}")]
+    /// The file cannot be read.
+    #[error("{FILE}: {0}")]
     Unreadable(#[from] io::Error),
-    /// What it holds is no book of this sender's.
-    #[error("{NAME}: {0}")]
-    NoBook(#[from] IncarnationRecordError),
+    /// The contents are not a record of this sender.
+    #[error("{FILE}: {0}")]
+    Invalid(#[from] IncarnationRecordError),
 }
 
-/// Where the book lies.
+/// The store of the incarnation record.
 pub struct IncarnationStore(Rc<dyn Storage>);
 
 impl IncarnationStore {
-    /// In that folder.
+    /// Creates a store in the given state folder.
     pub fn new(folder: Rc<dyn Storage>) -> Self {
         Self(folder)
     }
 
-    /// The book of a member; an empty one where there is none.
+    /// Reads the record of a member, or returns an empty one if there is none.
     ///
     /// # Errors
-    /// Why it cannot be used.
+    /// Returns an error if the record cannot be used.
     pub fn read(&self, owner: MemberId) -> Result<IncarnationRecord, IncarnationStoreError> {
-        match self.0.read(NAME)? {
+        match self.0.read(FILE)? {
             Some(bytes) => Ok(IncarnationRecord::parse(&bytes, owner)?),
             None => Ok(IncarnationRecord::new(owner)),
         }
     }
 
-    /// Puts another in its place, in one step.
+    /// Replaces the record atomically.
     ///
     /// # Errors
-    /// What the system says; the one before stays.
+    /// Returns the storage error; the previous record stays.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        put(&*self.0, NAME, NEW, bytes)
+        put(&*self.0, FILE, TEMPORARY_FILE, bytes)
     }
 }
--- a/src/daemon/membership/links.rs
+++ b/src/daemon/membership/links.rs
@@ -1,8 +1,11 @@
-//! Links to other members on real streams, and what goes over them today: each member's view, for operators who want to
-//! see who sees whom, and its word for one that comes back.
-use super::{Ask, Views};
+//! Links to other members, and the two queries that are sent over them: a member's membership view, for operators who
+//! want to see who sees whom, and its peer report, for a restarted sender.
+use super::link_stream::{LinkFailure, LinkStream};
+use super::{Request, Views};
 use crate::daemon::ports::{Listener, LocalFuture, Log, Network, Stream};
-use micadrum_membership::{Link, LinkError, LinkEvent, MOST_PAYLOAD, MemberId, Roster, Secret, Status, View};
+use micadrum_membership::{
+    Link, LinkIdentity, MAX_PAYLOAD_BYTES, MemberId, PeerView, Roster, Secret, Status, View,
+};
 use micadrum_recovery::PeerReport;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -14,326 +17,260 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::sync::Semaphore;
 use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::{Semaphore, oneshot};
 use tokio::task::{JoinSet, spawn_local};
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{sleep, timeout};
 
-/// Links that others have open to this sender at once: the next waits until one ends.
-pub const MOST_ACCEPTED: usize = 16;
-/// Links that one look at all members has open at once.
-const MOST_DIALED: usize = 16;
-/// A member whose view has not come by then is told as one that did not answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// After an accept that failed.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
-/// An answer is sent in pieces, and is no longer, in bytes.
-const PIECE: usize = MOST_PAYLOAD / 4;
-const MOST_ANSWER: usize = 4 << 20;
-/// What is asked: whom it sees, and what it has to say to one that comes back.
-const ASK_VIEW: &[u8] = b"view?";
-const ASK_WORD: &[u8] = b"word?";
+/// Upper bound on links accepted at once: further ones wait until one ends.
+pub const MAX_ACCEPTED_LINKS: usize = 16;
+/// Upper bound on links that one query of all members opens at once.
+const MAX_DIALED_LINKS: usize = 16;
+/// A member that has not answered a query within this time is reported as silent.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// How soon a failed listen or accept is retried.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Answers are sent in chunks of this length.
+const ANSWER_CHUNK_BYTES: usize = MAX_PAYLOAD_BYTES / 4;
+/// Upper bound on the length of an answer.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// The query for a member's view. Query names are part of the protocol between members.
+const VIEW_QUERY: &[u8] = b"view?";
+/// The query for a member's peer report.
+const REPORT_QUERY: &[u8] = b"word?";
+/// The random stream from which nonces are drawn; stream 0 belongs to the membership state machine.
+const NONCE_RNG_STREAM: u64 = 1;
 
-/// Gives this sender's word.
+/// Produces this sender's peer report.
 pub type PeerReportSource = Rc<dyn Fn() -> LocalFuture<'static, PeerReport>>;
 
-/// What is needed to open links, as the operator's file reads now.
-pub struct Linking {
+/// Serves links from other members, and opens links to them.
+pub struct LinkService {
     network: Rc<dyn Network>,
     secret: Secret,
     roster: RefCell<Roster>,
-    chance: RefCell<ChaCha8Rng>,
+    rng: RefCell<ChaCha8Rng>,
     views: Views,
-    speaker: PeerReportSource,
+    report_source: PeerReportSource,
 }
 
-/// What one member sees, or that it did not say.
+/// A member's answer to a view query. JSON names are part of the `/status/peers/all` format.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerAnswer {
-    /// Its view.
+    /// The member's view.
     View(Box<View>),
-    /// Why it is not there.
+    /// Why the member gave no view.
     Silent(String),
 }
 
-#[derive(Debug, thiserror::Error)]
-enum LinkFailure {
-    #[error("{0}")]
-    Stream(#[from] std::io::Error),
-    #[error("{0}")]
-    Link(#[from] LinkError),
-    #[error("it has not answered in time")]
-    Late,
-    #[error("it ended the link")]
-    Ended,
-    #[error("what it sent cannot be read")]
-    Unreadable,
-    #[error("too much waits to be sent")]
-    Full,
-}
-
-impl Linking {
-    /// With that secret, among those members.
+impl LinkService {
+    /// Creates a service among the members of `roster`.
     pub fn new(
         network: Rc<dyn Network>,
         secret: Secret,
         roster: Roster,
         entropy: [u8; 32],
         views: Views,
-        speaker: PeerReportSource,
+        report_source: PeerReportSource,
     ) -> Rc<Self> {
-        // Another stream of chance than the one that lives are drawn from.
-        let mut chance = ChaCha8Rng::from_seed(entropy);
-        chance.set_stream(1);
+        let mut rng = ChaCha8Rng::from_seed(entropy);
+        rng.set_stream(NONCE_RNG_STREAM);
         Rc::new(Self {
             network,
             secret,
             roster: RefCell::new(roster),
-            chance: RefCell::new(chance),
+            rng: RefCell::new(rng),
             views,
-            speaker,
+            report_source,
         })
     }
 
-    /// The list of members is another one now.
-    pub fn follow(&self, roster: Roster) {
+    /// Replaces the roster. Open links keep the one that they started with.
+    pub fn set_roster(&self, roster: Roster) {
         *self.roster.borrow_mut() = roster;
     }
 
-    fn nonce(&self) -> [u8; 16] {
+    /// Returns what a new link authenticates itself with, or `None` before this sender has an incarnation.
+    fn link_identity(&self) -> Option<LinkIdentity> {
+        let incarnation = self.views.now()?.incarnation;
         let mut nonce = [0; 16];
-        self.chance.borrow_mut().fill_bytes(&mut nonce);
-        nonce
+        self.rng.borrow_mut().fill_bytes(&mut nonce);
+        let (secret, roster) = (self.secret.clone(), self.roster.borrow().clone());
+        Some(LinkIdentity { secret, roster, incarnation, nonce })
     }
 
-    fn link(&self, to: Option<MemberId>) -> Option<Link> {
-        let life = self.views.now()?.life;
-        let (secret, roster, nonce) = (self.secret.clone(), self.roster.borrow().clone(), self.nonce());
-        let now = self.views.origin.elapsed();
-        Some(match to {
-            Some(to) => Link::dial(secret, roster, life, to, nonce, now),
-            None => Link::accept(secret, roster, life, nonce, now),
-        })
+    fn link_stream(&self, link: Link, stream: Box<dyn Stream>) -> LinkStream {
+        LinkStream::new(link, stream, self.views.origin)
     }
 
-    /// Takes links from others for as long as it is polled, at that address or with what listens already.
+    /// Accepts links for as long as the future is polled, from `listener`, or at `address` if there is none yet.
     pub async fn serve(
         self: Rc<Self>,
-        at: SocketAddr,
-        mut listener: Option<Box<dyn Listener>>,
+        address: SocketAddr,
+        listener: Option<Box<dyn Listener>>,
         log: Rc<dyn Log>,
     ) {
-        let mut told = false;
-        let listener = loop {
-            if let Some(listener) = listener.take() {
-                break listener;
-            }
-            match self.network.listen(at).await {
-                Ok(listener) => break listener,
-                // The process before may still hold it.
-                Err(e) if !std::mem::replace(&mut told, true) => {
-                    log.line(&format!("peers: links at {at}: {e}"))
-                }
-                Err(_) => {}
-            }
-            sleep(ACCEPT_AGAIN).await;
+        let listener = match listener {
+            Some(listener) => listener,
+            None => self.listen(address, &*log).await,
         };
-        let places = Arc::new(Semaphore::new(MOST_ACCEPTED));
+        let permits = Arc::new(Semaphore::new(MAX_ACCEPTED_LINKS));
         let mut links = JoinSet::new();
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             match listener.accept().await {
                 Ok(stream) => {
                     let this = self.clone();
                     links.spawn_local(async move {
-                        // Whoever is there may be a stranger: there is nobody to tell.
-                        let _ = this.answer(stream).await;
-                        drop(place);
+                        // The other side may be an impostor, so its failures are nobody's concern.
+                        let _ = this.answer_queries(stream).await;
+                        drop(permit);
                     });
                 }
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
             while links.try_join_next().is_some() {}
         }
     }
 
-    async fn answer(&self, stream: Box<dyn Stream>) -> Result<(), LinkFailure> {
-        let Some(link) = self.link(None) else { return Ok(()) };
-        let mut way = Way { link, stream, origin: self.views.origin };
+    /// Listens at an address, as soon as the previous process has released it.
+    async fn listen(&self, address: SocketAddr, log: &dyn Log) -> Box<dyn Listener> {
+        let mut is_logged = false;
+        loop {
+            match self.network.listen(address).await {
+                Ok(listener) => return listener,
+                Err(error) if !std::mem::replace(&mut is_logged, true) => log.line(&format!(
+                    "membership: listening for links failed, retrying address={address} error=\"{error}\""
+                )),
+                Err(_) => {}
+            }
+            sleep(ACCEPT_RETRY_DELAY).await;
+        }
+    }
+
+    async fn answer_queries(&self, stream: Box<dyn Stream>) -> Result<(), LinkFailure> {
+        let Some(identity) = self.link_identity() else { return Ok(()) };
+        let link = Link::accept(identity, self.views.origin.elapsed());
+        let mut stream = self.link_stream(link, stream);
         loop {
-            // Names and numbers always have a JSON form.
-            let bytes = match &*way.next().await? {
-                ASK_VIEW => serde_json::to_vec(&self.views.now()),
-                ASK_WORD => serde_json::to_vec(&(self.speaker)().await),
-                _ => return Err(LinkFailure::Unreadable),
+            let answer = match &*stream.receive().await? {
+                VIEW_QUERY => serde_json::to_vec(&self.views.now()),
+                REPORT_QUERY => serde_json::to_vec(&(self.report_source)().await),
+                _ => return Err(LinkFailure::Malformed),
             };
-            let bytes = bytes.unwrap_or_default();
-            way.say(&(bytes.len() as u64).to_le_bytes()).await?;
-            for piece in bytes.chunks(PIECE) {
-                way.say(piece).await?;
+            // Encoding strings and integers as JSON cannot fail.
+            let answer = answer.unwrap_or_default();
+            stream.send(&(answer.len() as u64).to_le_bytes()).await?;
+            for chunk in answer.chunks(ANSWER_CHUNK_BYTES) {
+                stream.send(chunk).await?;
             }
         }
     }
 
-    async fn ask<T: DeserializeOwned>(
+    /// Sends a query to a member, and returns its answer.
+    async fn query<T: DeserializeOwned>(
         &self,
-        what: &[u8],
+        query: &[u8],
         to: MemberId,
-        at: SocketAddr,
+        address: SocketAddr,
     ) -> Result<T, LinkFailure> {
-        let Some(link) = self.link(Some(to)) else { return Err(LinkFailure::Late) };
-        let stream = self.network.connect(at).await?;
-        let mut way = Way { link, stream, origin: self.views.origin };
-        way.say(what).await?;
-        let length = way.next().await?.try_into().map_err(|_| LinkFailure::Unreadable)?;
-        let length = usize::try_from(u64::from_le_bytes(length)).ok().filter(|length| *length <= MOST_ANSWER);
-        let length = length.ok_or(LinkFailure::Unreadable)?;
-        let mut bytes = Vec::new();
-        while bytes.len() < length {
-            bytes.extend(way.next().await?);
+        let Some(identity) = self.link_identity() else { return Err(LinkFailure::TimedOut) };
+        let link = Link::dial(identity, to, self.views.origin.elapsed());
+        let stream = self.network.connect(address).await?;
+        let mut stream = self.link_stream(link, stream);
+        stream.send(query).await?;
+        let length = stream.receive().await?.try_into().map_err(|_| LinkFailure::Malformed)?;
+        let length = usize::try_from(u64::from_le_bytes(length)).map_err(|_| LinkFailure::Malformed)?;
+        if length > MAX_ANSWER_BYTES {
+            return Err(LinkFailure::Malformed);
+        }
+        let mut answer = Vec::new();
+        while answer.len() < length {
+            answer.extend(stream.receive().await?);
         }
-        serde_json::from_slice(&bytes).map_err(|_| LinkFailure::Unreadable)
+        serde_json::from_slice(&answer).map_err(|_| LinkFailure::Malformed)
     }
 
-    /// What a member has to say to one that comes back; none if it does not answer.
-    async fn word(&self, name: &str) -> Option<PeerReport> {
+    /// Returns a member's peer report, or `None` if the member does not answer.
+    async fn query_report(&self, name: &str) -> Option<PeerReport> {
         let id = MemberId::of(name);
-        let at = self.roster.borrow().get(id)?.address;
-        timeout(PATIENCE, self.ask(ASK_WORD, id, at)).await.ok()?.ok()
+        let address = self.roster.borrow().get(id)?.address;
+        timeout(QUERY_TIMEOUT, self.query(REPORT_QUERY, id, address)).await.ok()?.ok()
     }
 
-    /// What all members see, each as it says itself; those that this one holds for dead are asked too.
-    pub async fn all(self: Rc<Self>) -> BTreeMap<String, PeerAnswer> {
-        let mut seen = BTreeMap::new();
-        let Some(own) = self.views.now() else { return seen };
-        let places = Arc::new(Semaphore::new(MOST_DIALED));
-        let mut asks = JoinSet::new();
-        for peer in own.peers.iter().filter(|peer| peer.status != Status::Left) {
-            let (this, name, at, places) = (self.clone(), peer.name.clone(), peer.address, places.clone());
-            asks.spawn_local(async move {
-                let _place = places.acquire_owned().await;
-                let asked =
-                    timeout(PATIENCE, this.ask::<Option<View>>(ASK_VIEW, MemberId::of(&name), at)).await;
-                let asked = asked.unwrap_or(Err(LinkFailure::Late));
-                (name, asked.and_then(|view| view.ok_or(LinkFailure::Late)))
-            });
-        }
-        seen.insert(own.own.clone(), PeerAnswer::View(Box::new(own)));
-        while let Some(asked) = asks.join_next().await {
-            let Ok((name, asked)) = asked else { continue };
-            let what = match asked {
-                Ok(view) => PeerAnswer::View(Box::new(view)),
-                Err(e) => PeerAnswer::Silent(e.to_string()),
-            };
-            seen.insert(name, what);
+    async fn query_view(&self, name: &str, address: SocketAddr) -> PeerAnswer {
+        let query = self.query::<Option<View>>(VIEW_QUERY, MemberId::of(name), address);
+        let answer = timeout(QUERY_TIMEOUT, query).await.unwrap_or(Err(LinkFailure::TimedOut));
+        match answer.and_then(|view| view.ok_or(LinkFailure::TimedOut)) {
+            Ok(view) => PeerAnswer::View(Box::new(view)),
+            Err(failure) => PeerAnswer::Silent(failure.to_string()),
         }
-        seen
     }
-}
-
-/// A link on its stream.
-struct Way {
-    link: Link,
-    stream: Box<dyn Stream>,
-    origin: Instant,
-}
 
-impl Way {
-    /// Sends a payload, as soon as there is room for it.
-    async fn say(&mut self, payload: &[u8]) -> Result<(), LinkFailure> {
-        while self.link.send(payload.to_vec()).is_err() {
-            if payload.len() > MOST_PAYLOAD {
-                return Err(LinkFailure::Full);
-            }
-            self.turn().await?;
+    /// Returns the views of all members that have not left. Members believed dead are queried too.
+    async fn query_all_views(self: Rc<Self>) -> BTreeMap<String, PeerAnswer> {
+        let mut answers = BTreeMap::new();
+        let Some(own_view) = self.views.now() else { return answers };
+        let permits = Arc::new(Semaphore::new(MAX_DIALED_LINKS));
+        let mut queries = JoinSet::new();
+        for peer in own_view.peers.iter().filter(|peer| peer.status != Status::Left) {
+            let (this, permits) = (self.clone(), permits.clone());
+            let PeerView { name, address, .. } = peer.clone();
+            queries.spawn_local(async move {
+                let _permit = permits.acquire_owned().await;
+                let answer = this.query_view(&name, address).await;
+                (name, answer)
+            });
         }
-        self.flush().await
-    }
-
-    /// The next payload.
-    async fn next(&mut self) -> Result<Vec<u8>, LinkFailure> {
-        loop {
-            match self.link.poll_event() {
-                Some(LinkEvent::Payload(payload)) => {
-                    self.link.done_with(payload.len());
-                    self.flush().await?;
-                    return Ok(payload);
-                }
-                Some(LinkEvent::Open { .. }) => {}
-                None => self.turn().await?,
+        answers.insert(own_view.own_name.clone(), PeerAnswer::View(Box::new(own_view)));
+        while let Some(finished) = queries.join_next().await {
+            if let Ok((name, answer)) = finished {
+                answers.insert(name, answer);
             }
         }
+        answers
     }
 
-    async fn flush(&mut self) -> Result<(), LinkFailure> {
-        while let Some(bytes) = self.link.poll_transmit() {
-            // One that does not read holds no place for longer than this.
-            timeout(PATIENCE, self.stream.write_all(&bytes)).await.map_err(|_| LinkFailure::Late)??;
-        }
-        Ok(())
+    /// Answers a request for the views of all members, in a task of its own.
+    pub fn spawn_view_query(self: &Rc<Self>, reply: oneshot::Sender<BTreeMap<String, PeerAnswer>>) {
+        let this = self.clone();
+        spawn_local(async move {
+            let _ = reply.send(this.query_all_views().await);
+        });
     }
 
-    /// Waits for what comes, or for the time of the next thing to do.
-    async fn turn(&mut self) -> Result<(), LinkFailure> {
-        self.flush().await?;
-        let mut buffer = vec![0; 16 * 1024];
-        let due = self.origin + self.link.due();
-        tokio::select! {
-            biased;
-            read = self.stream.read(&mut buffer) => match read? {
-                0 => return Err(LinkFailure::Ended),
-                length => self.link.received(&buffer[..length], self.origin.elapsed())?,
-            },
-            () = sleep_until(due) => self.link.timer(self.origin.elapsed())?,
-        }
-        self.flush().await
+    /// Answers a request for a member's peer report, in a task of its own.
+    pub fn spawn_report_query(self: &Rc<Self>, name: String, reply: oneshot::Sender<Option<PeerReport>>) {
+        let this = self.clone();
+        spawn_local(async move {
+            let _ = reply.send(this.query_report(&name).await);
+        });
     }
 }
 
-/// Asks the members for their views, for whoever stands at the door.
+/// Requests the views of all members, for the admin endpoint.
 #[derive(Clone)]
-pub struct Gathering(pub(super) UnboundedSender<Ask>);
+pub struct ViewQuery(pub(super) UnboundedSender<Request>);
 
-impl Gathering {
-    /// What all members see; none before this one speaks with them.
+impl ViewQuery {
+    /// Returns the views of all members, or `None` while this sender does not communicate with them.
     pub async fn all(&self) -> Option<BTreeMap<String, PeerAnswer>> {
-        let (answer, answered) = tokio::sync::oneshot::channel();
-        let _ = self.0.send(Ask::All(answer));
-        answered.await.ok()
+        let (reply, answer) = oneshot::channel();
+        let _ = self.0.send(Request::QueryAllViews(reply));
+        answer.await.ok()
     }
 }
 
-/// Asks single members for their word.
+/// Requests the peer reports of single members.
 #[derive(Clone)]
-pub struct Asker(pub(super) UnboundedSender<Ask>);
+pub struct ReportQuery(pub(super) UnboundedSender<Request>);
 
-impl Asker {
-    /// What a member has to say; none if it does not answer, or before this one speaks with them.
-    pub async fn word(&self, name: &str) -> Option<PeerReport> {
-        let (answer, answered) = tokio::sync::oneshot::channel();
-        let _ = self.0.send(Ask::Word(name.to_owned(), answer));
-        answered.await.ok().flatten()
+impl ReportQuery {
+    /// Returns a member's peer report, or `None` if it does not answer or this sender does not communicate yet.
+    pub async fn report_of(&self, name: &str) -> Option<PeerReport> {
+        let (reply, answer) = oneshot::channel();
+        let _ = self.0.send(Request::QueryReport(name.to_owned(), reply));
+        answer.await.ok().flatten()
     }
 }
-
-/// Asks one for its word.
-pub fn ask_for_word(
-    linking: &Rc<Linking>,
-    name: String,
-    answer: tokio::sync::oneshot::Sender<Option<PeerReport>>,
-) {
-    let linking = linking.clone();
-    spawn_local(async move {
-        let _ = answer.send(linking.word(&name).await);
-    });
-}
-
-/// Looks at all members, one look at a time for each that asks.
-pub fn gather(linking: &Rc<Linking>, answer: tokio::sync::oneshot::Sender<BTreeMap<String, PeerAnswer>>) {
-    let linking = linking.clone();
-    spawn_local(async move {
-        let _ = answer.send(linking.all().await);
-    });
-}
--- a/src/daemon/membership/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -1,18 +1,21 @@
-//! The senders that know each other, on a real socket: feeds [`Peers`] what comes and when, and carries out what it
-//! says. It decides nothing.
+//! The membership of this sender on real sockets: a driver that feeds datagrams and time to
+//! [`Membership`](micadrum_membership::Membership) and performs its outputs. The driver decides nothing.
 mod event_log;
 mod incarnation_store;
+mod link_stream;
 mod links;
 
 use super::config::Config;
 use super::ports::{Datagrams, Listener, Ports};
 use event_log::EventLog;
 use incarnation_store::IncarnationStore;
-pub use links::{Asker, Gathering, PeerReportSource};
-use links::{Linking, PeerAnswer};
+pub use incarnation_store::disk_bytes;
+use links::{LinkService, PeerAnswer};
+pub use links::{PeerReportSource, ReportQuery, ViewQuery};
 use micadrum_config::OperatorConfig;
+use micadrum_config::peers::PeerMember;
 use micadrum_membership::{
-    IncarnationRecord, Input, MOST_DATAGRAM, Member, Membership, Output, Roster, RosterError, Secret,
+    IncarnationRecord, Input, MAX_DATAGRAM_BYTES, Member, Membership, Output, Roster, RosterError, Secret,
     SendBudget, Settings, View,
 };
 use micadrum_recovery::PeerReport;
@@ -28,120 +31,123 @@
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The address may be held by the process before: it is asked for again after this.
-const BIND_AGAIN: Duration = Duration::from_millis(100);
-/// Ports that are looked at for one that is free for datagrams and for links.
-const MOST_TRIES: usize = 32;
-/// After a receive that failed.
-const RECEIVE_AGAIN: Duration = Duration::from_millis(20);
+/// How soon binding an address that another process holds is retried.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Upper bound on ephemeral ports tried until one is free for datagrams and for links.
+const MAX_PORT_ATTEMPTS: usize = 32;
+/// How soon receiving is retried after an error.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// File descriptors that the membership sockets and links may take.
+pub const MAX_DESCRIPTORS: usize = 2 + 2 * links::MAX_ACCEPTED_LINKS;
 
-/// Why peers cannot be turned on.
+/// Why membership cannot be enabled.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// The list cannot be used.
+    /// The list of members cannot be used.
     #[error(transparent)]
     Roster(#[from] RosterError),
-    /// The file with the secret was not read.
+    /// The file with the secret key was not read.
     #[error("the secret {0} was not read")]
-    NoSecret(String),
-    /// The secret is that of another member.
+    SecretMissing(String),
+    /// The secret key does not belong to this member.
     #[error("the secret is not that of {0:?}: its key in the list is another")]
-    NotOurs(String),
+    SecretMismatch(String),
 }
 
-/// The members and what binds this sender's traffic with them, as the operator's file reads now.
+/// The settings and the roster, as the operator's configuration has them.
 pub struct Members {
     settings: Settings,
     roster: Roster,
 }
 
-/// Reads them; none where peers are off.
-///
-/// # Errors
-/// Why they cannot be used.
-pub fn follow(operator: &OperatorConfig) -> Result<Option<Members>, MembershipError> {
-    let Some(peers) = &operator.peers else { return Ok(None) };
-    let micros = |span: micadrum_config::units::Span| Duration::from_micros(span.0);
-    let settings = Settings {
-        probe_every: micros(peers.probe_every),
-        dead_after: micros(peers.dead_after),
-        ceiling: SendBudget { datagrams: peers.datagrams, bytes: peers.bytes },
-    };
-    let member = |member: &micadrum_config::peers::PeerMember| Member {
-        name: member.name.clone(),
-        address: member.address,
-        building: member.building.clone(),
-        key: member.key,
-    };
-    let roster = Roster::new(&peers.own, peers.members.values().map(member))?;
-    Ok(Some(Members { settings, roster }))
-}
-
-/// Descriptors that the sockets of peers and links to them may take.
-pub const DESCRIPTORS: usize = 2 + 2 * links::MOST_ACCEPTED;
-
-/// Bytes of the folder that lasts that the book of lives may take, with the one that takes its place.
-pub fn room(members: usize) -> u64 {
-    incarnation_store::room(members)
+impl Members {
+    /// Reads the members from the operator's configuration, or returns `None` if membership is disabled.
+    ///
+    /// # Errors
+    /// Returns an error if the list of members cannot be used.
+    pub fn from_config(operator: &OperatorConfig) -> Result<Option<Self>, MembershipError> {
+        let Some(peers) = &operator.peers else { return Ok(None) };
+        let settings = Settings {
+            probe_interval: peers.probe_interval.as_duration(),
+            suspicion_timeout: peers.suspicion_timeout.as_duration(),
+            send_budget: SendBudget {
+                datagrams_per_second: peers.datagrams_per_second,
+                bytes_per_second: peers.bytes_per_second,
+            },
+        };
+        let member = |member: &PeerMember| Member {
+            name: member.name.clone(),
+            address: member.address,
+            zone: member.zone.clone(),
+            key: member.key,
+        };
+        let roster = Roster::new(&peers.own_name, peers.members.values().map(member))?;
+        Ok(Some(Self { settings, roster }))
+    }
 }
 
-/// Shows what is believed to whoever holds it.
+/// Provides snapshots of the membership state.
 #[derive(Clone)]
 pub struct Views {
-    core: Rc<RefCell<Option<Membership>>>,
+    membership: Rc<RefCell<Option<Membership>>>,
+    /// The origin of the membership clock.
     origin: Instant,
 }
 
 impl Views {
-    /// What is believed now; none before the socket is bound.
+    /// Returns the current view, or `None` before the socket is bound.
     pub fn now(&self) -> Option<View> {
-        self.core.borrow().as_ref().map(|peers| peers.view(self.origin.elapsed()))
+        self.membership.borrow().as_ref().map(|membership| membership.view(self.origin.elapsed()))
     }
 }
 
-/// A socket for datagrams, and for links where that has to be at the same free port.
-type Bound = (Box<dyn Datagrams>, Option<Box<dyn Listener>>);
+/// The sockets of a member.
+struct BoundSockets {
+    datagrams: Box<dyn Datagrams>,
+    /// The listener for links, if it had to be bound together with the datagram socket.
+    links: Option<Box<dyn Listener>>,
+}
 
-enum Ask {
-    Follow(Members),
-    All(oneshot::Sender<BTreeMap<String, PeerAnswer>>),
-    Word(String, oneshot::Sender<Option<PeerReport>>),
+/// A request to the membership task.
+enum Request {
+    Reconfigure(Members),
+    QueryAllViews(oneshot::Sender<BTreeMap<String, PeerAnswer>>),
+    QueryReport(String, oneshot::Sender<Option<PeerReport>>),
     Leave,
 }
 
-/// The task that speaks with the peers; dropping it ends it without a word.
+/// A handle to the membership task. Dropping it ends the task without announcing that this sender leaves.
 pub struct Handle {
     views: Views,
-    follows: UnboundedSender<Members>,
-    asks: UnboundedSender<Ask>,
+    reconfigurations: UnboundedSender<Members>,
+    requests: UnboundedSender<Request>,
     task: JoinHandle<()>,
 }
 
 impl Handle {
-    /// What is believed, for those who look.
+    /// Returns a source of membership snapshots.
     pub fn views(&self) -> Views {
         self.views.clone()
     }
 
-    /// Asks all members what they see.
-    pub fn gathering(&self) -> Gathering {
-        Gathering(self.asks.clone())
+    /// Returns a handle that queries the views of all members.
+    pub fn view_query(&self) -> ViewQuery {
+        ViewQuery(self.requests.clone())
     }
 
-    /// Asks single members what they know.
-    pub fn asker(&self) -> Asker {
-        Asker(self.asks.clone())
+    /// Returns a handle that queries the peer reports of single members.
+    pub fn report_query(&self) -> ReportQuery {
+        ReportQuery(self.requests.clone())
     }
 
-    /// Takes lists of members.
-    pub fn follows(&self) -> UnboundedSender<Members> {
-        self.follows.clone()
+    /// Returns a channel for changed settings and rosters.
+    pub fn reconfigurations(&self) -> UnboundedSender<Members> {
+        self.reconfigurations.clone()
     }
 
-    /// Tells the others that this sender ends.
+    /// Announces to the other members that this sender leaves, and waits for the task to end.
     pub async fn leave(mut self) {
-        let _ = self.asks.send(Ask::Leave);
-        // It ends by itself.
+        let _ = self.requests.send(Request::Leave);
         let _ = (&mut self.task).await;
     }
 }
@@ -152,165 +158,216 @@
     }
 }
 
-/// Starts to speak with the peers, if the operator's file names any.
+/// Starts the membership task, if the operator's configuration lists members.
+///
+/// A damaged incarnation record, or an address that another process holds, do not prevent the start.
 ///
 /// # Errors
-/// What is wrong with the list or the secret. A book that is damaged, and an address that another process holds, stop
-/// nothing.
+/// Returns an error if the list of members or the secret key cannot be used.
 pub fn start(
     config: &Config,
     ports: &Ports,
-    speaker: PeerReportSource,
+    report_source: PeerReportSource,
 ) -> Result<Option<Handle>, MembershipError> {
-    let (Some(peers), Some(members)) = (&config.operator.peers, follow(&config.operator)?) else {
-        return Ok(None);
-    };
-    let secret =
-        config.secret.map(Secret::new).ok_or_else(|| MembershipError::NoSecret(peers.secret.clone()))?;
-    let own = &peers.members[&peers.own];
+    let members = Members::from_config(&config.operator)?;
+    let (Some(peers), Some(members)) = (&config.operator.peers, members) else { return Ok(None) };
+    let secret = config.secret.map(Secret::new);
+    let secret = secret.ok_or_else(|| MembershipError::SecretMissing(peers.secret_file.clone()))?;
+    let own = &peers.members[&peers.own_name];
     if secret.public() != own.key {
-        return Err(MembershipError::NotOurs(peers.own.clone()));
+        return Err(MembershipError::SecretMismatch(peers.own_name.clone()));
     }
-    let views = Views { core: Rc::default(), origin: Instant::now() };
-    let (follows, mut lists) = unbounded_channel();
-    let (asks, from_daemon) = unbounded_channel();
-    let on_list = asks.clone();
-    spawn_local(async move {
-        while let Some(members) = lists.recv().await {
-            let _ = on_list.send(Ask::Follow(members));
-        }
-    });
+    let views = Views { membership: Rc::default(), origin: Instant::now() };
+    let (requests, received_requests) = unbounded_channel();
+    let reconfigurations = forward_reconfigurations(requests.clone());
+    let log = ports.log.clone();
     let task = MembershipTask {
         views: views.clone(),
-        shelf: IncarnationStore::new(ports.storage.clone()),
-        tell: EventLog::new(ports.log.clone(), ports.traces.peers),
+        incarnation_store: IncarnationStore::new(ports.storage.clone()),
+        event_log: if ports.traces.peers { EventLog::with_traces(log) } else { EventLog::new(log) },
         ports: ports.clone(),
-        from_daemon,
-        speaker,
+        requests: received_requests,
+        report_source,
     };
     let task = spawn_local(task.run(peers.listen.unwrap_or(own.address), members, secret));
-    Ok(Some(Handle { views, follows, asks, task }))
+    Ok(Some(Handle { views, reconfigurations, requests, task }))
+}
+
+/// Returns a channel whose values are forwarded as requests.
+fn forward_reconfigurations(requests: UnboundedSender<Request>) -> UnboundedSender<Members> {
+    let (reconfigurations, mut received) = unbounded_channel();
+    spawn_local(async move {
+        while let Some(members) = received.recv().await {
+            let _ = requests.send(Request::Reconfigure(members));
+        }
+    });
+    reconfigurations
+}
+
+/// Whether the membership task goes on.
+#[derive(PartialEq, Eq)]
+enum Flow {
+    Continue,
+    Stop,
 }
 
 struct MembershipTask {
     views: Views,
-    shelf: IncarnationStore,
-    tell: EventLog,
+    incarnation_store: IncarnationStore,
+    event_log: EventLog,
     ports: Ports,
-    from_daemon: UnboundedReceiver<Ask>,
-    speaker: PeerReportSource,
+    requests: UnboundedReceiver<Request>,
+    report_source: PeerReportSource,
 }
 
 impl MembershipTask {
-    async fn run(mut self, at: SocketAddr, mut members: Members, secret: Secret) {
-        let Some((socket, links)) = self.bind(at, &mut members).await else { return };
-        // Only now: a process before this one may have written in it until it gave the address up.
-        let own = members.roster.own();
-        let book = self.shelf.read(own).unwrap_or_else(|wrong| {
-            self.ports.log.line(&format!("peers: {wrong}; the peers are asked for this sender's life"));
-            IncarnationRecord::new(own)
-        });
-        let chance = ChaCha8Rng::from_seed(self.ports.entropy);
+    async fn run(mut self, address: SocketAddr, mut members: Members, secret: Secret) {
+        let Some(sockets) = self.bind(address, &mut members).await else { return };
+        let socket = sockets.datagrams;
+        // The record is read only now: a previous process may have written it until it released the address.
+        let record = self.read_record(&members.roster);
         let Members { settings, roster } = members;
-        let (network, views) = (self.ports.network.clone(), self.views.clone());
-        let speaker = self.speaker.clone();
-        let linking =
-            Linking::new(network, secret.clone(), roster.clone(), self.ports.entropy, views, speaker);
-        // Links are taken where datagrams are; they end with this task.
+        let link_service = self.create_link_service(secret.clone(), roster.clone());
+        // Links are accepted at the address for datagrams, until this task ends.
         let mut serving = JoinSet::new();
-        if let Ok(at) = socket.local_addr() {
-            serving.spawn_local(linking.clone().serve(at, links, self.ports.log.clone()));
+        if let Ok(address) = socket.local_addr() {
+            let log = self.ports.log.clone();
+            serving.spawn_local(link_service.clone().serve(address, sockets.links, log));
         }
-        let core = Membership::new(settings, secret, roster, book, chance, self.views.origin.elapsed());
-        *self.views.core.borrow_mut() = Some(core);
-        let mut buffer = vec![0; MOST_DATAGRAM + 1];
+        let rng = ChaCha8Rng::from_seed(self.ports.entropy);
+        let now = self.views.origin.elapsed();
+        let membership = Membership::new(settings, secret, roster, record, rng, now);
+        *self.views.membership.borrow_mut() = Some(membership);
+        self.process_inputs(&*socket, &link_service).await;
+    }
+
+    fn read_record(&self, roster: &Roster) -> IncarnationRecord {
+        let own = roster.own();
+        self.incarnation_store.read(own).unwrap_or_else(|error| {
+            self.ports.log.line(&format!(
+                "membership: incarnation record unusable, asking peers for this sender's incarnation error=\"{error}\""
+            ));
+            IncarnationRecord::new(own)
+        })
+    }
+
+    fn create_link_service(&self, secret: Secret, roster: Roster) -> Rc<LinkService> {
+        let (network, entropy) = (self.ports.network.clone(), self.ports.entropy);
+        LinkService::new(network, secret, roster, entropy, self.views.clone(), self.report_source.clone())
+    }
+
+    async fn process_inputs(&mut self, socket: &dyn Datagrams, link_service: &Rc<LinkService>) {
+        // One byte more than the longest datagram, so that a longer one is recognised.
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            self.carry_out(&*socket);
-            let due = self.with(|peers, _| peers.due()).map(|due| self.views.origin + due);
-            // The time that something is due first: no flood may put it off.
+            self.perform_outputs(socket);
+            let due = self.with_membership(|membership, _| membership.due());
+            let due = due.map(|due| self.views.origin + due);
+            // Requests and timers come first: no flood of datagrams may delay them.
             tokio::select! {
                 biased;
-                ask = self.from_daemon.recv() => match ask {
-                    Some(Ask::All(answer)) => links::gather(&linking, answer),
-                    Some(Ask::Word(name, answer)) => links::ask_for_word(&linking, name, answer),
-                    Some(Ask::Follow(Members { settings, roster })) => {
-                        linking.follow(roster.clone());
-                        self.with(|peers, now| peers.handle(Input::Follow(settings, roster), now));
-                    }
-                    Some(Ask::Leave) => {
-                        self.with(|peers, now| peers.handle(Input::Leave, now));
-                        return self.carry_out(&*socket);
+                request = self.requests.recv() => {
+                    let Some(request) = request else { return };
+                    if self.handle_request(request, link_service) == Flow::Stop {
+                        return self.perform_outputs(socket);
                     }
-                    None => return,
-                },
+                }
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                    self.with(|peers, now| peers.handle(Input::Timer, now));
+                    self.with_membership(|membership, now| membership.handle(Input::Timer, now));
                 }
-                came = socket.receive(&mut buffer) => match came {
-                    Ok(length) => self.with(|peers, now| peers.handle(Input::Datagram(&buffer[..length]), now)),
-                    Err(e) => {
-                        self.ports.log.line(&format!("peers: receiving: {e}"));
-                        sleep(RECEIVE_AGAIN).await;
+                received = socket.receive(&mut buffer) => match received {
+                    Ok(length) => self.with_membership(|membership, now| {
+                        membership.handle(Input::Datagram(&buffer[..length]), now);
+                    }),
+                    Err(error) => {
+                        self.ports.log.line(&format!("membership: receiving failed error=\"{error}\""));
+                        sleep(RECEIVE_RETRY_DELAY).await;
                     }
                 },
             }
         }
     }
 
-    /// Binds the address, as soon as the process before has given it up; none where this one ends first.
-    async fn bind(&mut self, at: SocketAddr, members: &mut Members) -> Option<Bound> {
-        let mut told = false;
-        let mut tries = 0;
+    fn handle_request(&mut self, request: Request, link_service: &Rc<LinkService>) -> Flow {
+        match request {
+            Request::QueryAllViews(reply) => link_service.spawn_view_query(reply),
+            Request::QueryReport(name, reply) => link_service.spawn_report_query(name, reply),
+            Request::Reconfigure(Members { settings, roster }) => {
+                link_service.set_roster(roster.clone());
+                self.with_membership(|membership, now| {
+                    membership.handle(Input::Reconfigured(settings, roster), now);
+                });
+            }
+            Request::Leave => {
+                self.with_membership(|membership, now| membership.handle(Input::Leave, now));
+                return Flow::Stop;
+            }
+        }
+        Flow::Continue
+    }
+
+    /// Binds the address as soon as the previous process has released it, or returns `None` if this sender ends before.
+    async fn bind(&mut self, address: SocketAddr, members: &mut Members) -> Option<BoundSockets> {
+        let mut is_logged = false;
+        let mut attempts = 0;
         loop {
-            match self.ports.network.bind(at).await {
-                Ok(socket) => {
-                    let free = socket.local_addr().unwrap_or(at);
-                    let links = match at.port() {
-                        // Any port will do that is free for datagrams and for links.
-                        0 => self.ports.network.listen(free).await.ok(),
-                        _ => None,
-                    };
-                    tries += 1;
-                    if at.port() == 0 && links.is_none() && tries < MOST_TRIES {
+            match self.ports.network.bind(address).await {
+                Ok(datagrams) => {
+                    let bound = datagrams.local_addr().unwrap_or(address);
+                    let is_ephemeral = address.port() == 0;
+                    // An ephemeral port has to be free for links too.
+                    let links = if is_ephemeral { self.ports.network.listen(bound).await.ok() } else { None };
+                    attempts += 1;
+                    if is_ephemeral && links.is_none() && attempts < MAX_PORT_ATTEMPTS {
                         continue;
                     }
-                    self.ports.log.line(&format!("peers: speaking at {free}"));
-                    return Some((socket, links));
-                }
-                Err(e) if !std::mem::replace(&mut told, true) => {
-                    self.ports.log.line(&format!("peers: {at}: {e}; tried again until it can be had"));
+                    self.ports.log.line(&format!("membership: listening address={bound}"));
+                    return Some(BoundSockets { datagrams, links });
                 }
+                Err(error) if !std::mem::replace(&mut is_logged, true) => self.ports.log.line(&format!(
+                    "membership: binding failed, retrying address={address} error=\"{error}\""
+                )),
                 Err(_) => {}
             }
-            tokio::select! {
-                biased;
-                ask = self.from_daemon.recv() => match ask {
-                    Some(Ask::Follow(next)) => *members = next,
-                    // Whoever asked hears that there is nothing to see yet.
-                    Some(Ask::All(_) | Ask::Word(..)) => {}
-                    Some(Ask::Leave) | None => return None,
-                },
-                () = sleep(BIND_AGAIN) => {}
+            if self.wait_to_bind(members).await == Flow::Stop {
+                return None;
             }
         }
     }
 
-    fn with<T: Default>(&self, act: impl FnOnce(&mut Membership, Duration) -> T) -> T {
+    /// Waits until binding is retried, and handles a request that arrives meanwhile.
+    async fn wait_to_bind(&mut self, members: &mut Members) -> Flow {
+        tokio::select! {
+            biased;
+            request = self.requests.recv() => match request {
+                Some(Request::Reconfigure(next)) => *members = next,
+                // The dropped reply tells the caller that there is no view yet.
+                Some(Request::QueryAllViews(_) | Request::QueryReport(..)) => {}
+                Some(Request::Leave) | None => return Flow::Stop,
+            },
+            () = sleep(BIND_RETRY_DELAY) => {}
+        }
+        Flow::Continue
+    }
+
+    fn with_membership<T: Default>(&self, act: impl FnOnce(&mut Membership, Duration) -> T) -> T {
         let now = self.views.origin.elapsed();
-        self.views.core.borrow_mut().as_mut().map_or_else(T::default, |peers| act(peers, now))
+        let mut membership = self.views.membership.borrow_mut();
+        membership.as_mut().map_or_else(T::default, |membership| act(membership, now))
     }
 
-    fn carry_out(&mut self, socket: &dyn Datagrams) {
-        while let Some(output) = self.with(|peers, _| peers.poll_output()) {
+    fn perform_outputs(&mut self, socket: &dyn Datagrams) {
+        while let Some(output) = self.with_membership(|membership, _| membership.poll_output()) {
             match output {
-                // Lost, as on any link: who does not answer is asked again.
+                // A datagram that cannot be sent counts as lost on the link; the protocol recovers from that.
                 Output::Send(to, bytes) => drop(socket.send(to, &bytes)),
-                Output::Write(bytes) => {
-                    let written = self.shelf.write(&bytes);
-                    self.tell.written(&written);
-                    self.with(|peers, now| peers.handle(Input::Written(written.is_ok()), now));
+                Output::WriteRecord(bytes) => {
+                    let result = self.incarnation_store.write(&bytes);
+                    self.event_log.record_written(&result);
+                    let input = if result.is_ok() { Input::RecordWritten } else { Input::RecordWriteFailed };
+                    self.with_membership(|membership, now| membership.handle(input, now));
                 }
-                Output::Event(event) => self.tell.event(self.views.origin.elapsed(), &event),
+                Output::Event(event) => self.event_log.event(self.views.origin.elapsed(), &event),
             }
         }
     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -122,7 +122,7 @@
     let mut budget =
         ResourceBudget::new(&config.limits, config.settings.most_calls(), config.management.is_some());
     if let Some(peers) = &config.operator.peers {
-        budget.set_aside(membership::DESCRIPTORS, membership::room(peers.members.len()));
+        budget.set_aside(membership::MAX_DESCRIPTORS, membership::disk_bytes(peers.members.len()));
     }
     let shape = config.shape();
     let (inputs, mut from_all) = unbounded_channel();
@@ -151,7 +151,7 @@
             listener,
             inputs.clone(),
             doors.clone(),
-            peers.as_ref().map(|peers| (peers.views(), peers.gathering())),
+            peers.as_ref().map(|peers| (peers.views(), peers.view_query())),
             returning.clone(),
             ports.log.clone(),
         ));
@@ -205,7 +205,7 @@
             notices,
             doors: doors.clone(),
             platform: platform.clone(),
-            peers: peers.as_ref().map(membership::Handle::follows),
+            peers: peers.as_ref().map(membership::Handle::reconfigurations),
         };
         let start = EventLoopConfig {
             config: config.clone(),
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -208,7 +208,7 @@
         own: &config.name,
         boot: ports.boot,
         wall: wall(),
-        clock_vouched: set.clock_vouched,
+        clock_vouched: set.trusts_clock,
         stamp: store.stamped(),
         latest: store.latest(),
         empty: store.is_empty(),
@@ -222,11 +222,11 @@
     }
     let micros = |span: micadrum_config::units::Span| Duration::from_micros(span.0);
     let settings = Settings {
-        ask_for: micros(set.ask_for),
-        list_for: micros(set.list_for),
-        finish_for: micros(set.finish_for),
-        full_after: micros(set.full_after),
-        newcomers: set.newcomers,
+        ask_for: micros(set.peer_query_timeout),
+        list_for: micros(set.endpoint_list_timeout),
+        finish_for: micros(set.backlog_timeout),
+        full_after: micros(set.admission_ramp),
+        newcomers: set.initial_admissions_per_second,
     };
     // Others begin to ask this one by now.
     *returning.0.borrow_mut() = Some(Inner {
@@ -234,7 +234,7 @@
         stages: Phases::new(settings, Duration::ZERO),
         asked: None,
         origin,
-        wait_out: micros(set.wait_out),
+        wait_out: micros(set.deduplication_hold),
         full_since: None,
         log: ports.log.clone(),
         trace: ports.traces.recovery,
--- a/src/daemon/recovery/peer_queries.rs
+++ b/src/daemon/recovery/peer_queries.rs
@@ -2,7 +2,7 @@
 use crate::daemon::membership::Handle;
 use crate::daemon::ports::Ports;
 use micadrum_config::Peers;
-use micadrum_membership::Standing;
+use micadrum_membership::LocalStatus;
 use micadrum_recovery::peer_query::{Candidate, Ended};
 use micadrum_recovery::{PeerQuery, PeerReport};
 use rand_chacha::ChaCha8Rng;
@@ -57,11 +57,14 @@
     let views = peers.views();
     loop {
         if let Some(view) = views.now() {
-            if view.forgot {
+            if view.lost_state {
                 // It went past the one that they knew.
-                return Some(view.life.number.saturating_sub(1));
+                return Some(view.incarnation.number.saturating_sub(1));
             }
-            if !matches!(view.standing, Standing::Writing | Standing::Asking) {
+            if !matches!(
+                view.local_status,
+                LocalStatus::PersistingIncarnation | LocalStatus::ConfirmingIncarnation
+            ) {
                 return None;
             }
         }
@@ -79,13 +82,13 @@
     let mut chance = ChaCha8Rng::from_seed(ports.entropy);
     // Another stream than those of the peers' own.
     chance.set_stream(2);
-    let others = members.members.values().filter(|member| member.name != members.own);
+    let others = members.members.values().filter(|member| member.name != members.own_name);
     let mut candidates: Vec<(u64, Candidate)> = others
-        .map(|member| Candidate { name: member.name.clone(), building: member.building.clone() })
+        .map(|member| Candidate { name: member.name.clone(), building: member.zone.clone() })
         .map(|candidate| (chance.next_u64(), candidate))
         .collect();
     candidates.sort_by_key(|(place, _)| *place);
-    let own = members.members.get(&members.own).map_or("", |member| &member.building);
+    let own = members.members.get(&members.own_name).map_or("", |member| &member.zone);
     let now = || begun.elapsed();
     let mut asking = PeerQuery::new(
         candidates.into_iter().map(|(_, candidate)| candidate),
@@ -96,9 +99,9 @@
     let mut asks = JoinSet::new();
     let ended = loop {
         while let Some(name) = asking.next_to_ask(now()) {
-            let (asker, said) = (peers.asker(), said.clone());
+            let (asker, said) = (peers.report_query(), said.clone());
             asks.spawn_local(async move {
-                let word = asker.word(&name).await;
+                let word = asker.report_of(&name).await;
                 let _ = said.send((name, word));
             });
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -75,9 +75,9 @@
     let operator = operator(&path, &config.name)?;
     let secret = match &operator.peers {
         Some(peers) => {
-            let path = path.parent().unwrap_or(Path::new("")).join(&peers.secret);
+            let path = path.parent().unwrap_or(Path::new("")).join(&peers.secret_file);
             let text = String::from_utf8_lossy(&read("secret", &path)?).into_owned();
-            Some(micadrum_config::peers::key(text.trim()).ok_or(StartError::NotSecret(path))?)
+            Some(micadrum_config::peers::parse_key(text.trim()).ok_or(StartError::NotSecret(path))?)
         }
         None => None,
     };
@@ -95,7 +95,7 @@
         getrandom::fill(&mut entropy).map_err(|e| StartError::Runtime(std::io::Error::other(e)))?;
     }
     let boot = config.operator.recovery.as_ref().and_then(|recovery| {
-        let text = std::fs::read_to_string(&recovery.boot_id);
+        let text = std::fs::read_to_string(&recovery.boot_id_file);
         text.ok().and_then(|text| Boot::parse(&text))
     });
     let (reread, mut rereads) = unbounded_channel();
--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -117,7 +117,7 @@
     let public = String::from_utf8(made.stdout).unwrap().trim().to_owned();
     let secret = std::fs::read_to_string(path("n1.secret")).unwrap();
     assert_ne!(secret.trim(), public);
-    let bytes = micadrum_config::peers::key(secret.trim()).unwrap();
+    let bytes = micadrum_config::peers::parse_key(secret.trim()).unwrap();
     assert_eq!(hex(&Secret::new(bytes).public()), public);
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(path("n1.secret")).unwrap().permissions().mode() & 0o777, 0o600);
