--- a/crates/micadrum-recovery/src/admission.rs
+++ b/crates/micadrum-recovery/src/admission.rs
@@ -1,60 +1,72 @@
-//! Newcomers while a sender comes back: admitted at a rate that grows, the rest told when to come again, each a moment of
-//! its own, rather than left to time out.
+//! Admission of new messages while a sender recovers: the rate grows exponentially, and each rejected client is given a
+//! moment of its own to retry at.
 use std::time::Duration;
 
-/// Nobody is told to come again later than this.
-const LATEST: Duration = Duration::from_secs(10);
+/// Upper bound on the wait given to a rejected client.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+/// How often the rate doubles until the limit is lifted.
+const DOUBLINGS: f64 = 5.0;
+/// The burst admitted at one moment, as a fraction of the rate per second.
+const BURSTS_PER_SECOND: f64 = 10.0;
+const MIN_RATE_PER_SECOND: f64 = 1.0;
 
-/// Who is let in.
+/// A token bucket whose rate grows.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    begun: Duration,
-    first: f64,
-    over: Duration,
+    started_at: Duration,
+    initial_rate: f64,
+    ramp: Duration,
     tokens: f64,
-    at: Duration,
-    /// The place in time that was last given away.
-    next: Duration,
+    refilled_at: Duration,
+    /// The latest moment given to a rejected client.
+    last_retry_at: Duration,
 }
 
 impl Admission {
-    /// From now on `first` newcomers a second, twice as many for each fifth of `over` that passes, and without a limit
-    /// after it.
+    /// Starts with `initial_rate` messages per second. The rate doubles with each fifth of `ramp` that passes, and is
+    /// unlimited after it.
     #[must_use]
-    pub fn new(first: f64, over: Duration, now: Duration) -> Self {
-        Self { begun: now, first: first.max(1.0), over, tokens: 1.0, at: now, next: now }
+    pub fn new(initial_rate: f64, ramp: Duration, now: Duration) -> Self {
+        Self {
+            started_at: now,
+            initial_rate: initial_rate.max(MIN_RATE_PER_SECOND),
+            ramp,
+            tokens: 1.0,
+            refilled_at: now,
+            last_retry_at: now,
+        }
     }
 
-    /// Whether there is no limit any more.
+    /// Whether the rate is unlimited.
     #[must_use]
     pub fn is_over(&self, now: Duration) -> bool {
-        now.saturating_sub(self.begun) >= self.over
+        now.saturating_sub(self.started_at) >= self.ramp
     }
 
     fn rate(&self, now: Duration) -> f64 {
-        let part = now.saturating_sub(self.begun).as_secs_f64() / self.over.as_secs_f64().max(1e-6);
-        self.first * (5.0 * part.min(1.0)).exp2()
+        let elapsed = now.saturating_sub(self.started_at).as_secs_f64();
+        let progress = elapsed / self.ramp.as_secs_f64().max(1e-6);
+        self.initial_rate * (DOUBLINGS * progress.min(1.0)).exp2()
     }
 
-    /// Lets a newcomer in, or says when to come again.
+    /// Admits a new message.
     ///
     /// # Errors
-    /// How long to wait.
+    /// Returns how long the client has to wait before it retries.
     pub fn admit(&mut self, now: Duration) -> Result<(), Duration> {
         if self.is_over(now) {
             return Ok(());
         }
         let rate = self.rate(now);
-        let since = now.saturating_sub(std::mem::replace(&mut self.at, now)).as_secs_f64();
-        // A tenth of a second's worth may come at once.
-        self.tokens = (self.tokens + rate * since).min((rate / 10.0).max(1.0));
+        let elapsed = now.saturating_sub(std::mem::replace(&mut self.refilled_at, now)).as_secs_f64();
+        self.tokens = (self.tokens + rate * elapsed).min((rate / BURSTS_PER_SECOND).max(1.0));
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        let place = Duration::from_secs_f64(1.0 / rate);
-        self.next = (self.next.max(now) + place).min(now + LATEST);
-        Err(self.next - now)
+        let interval = Duration::from_secs_f64(1.0 / rate);
+        self.last_retry_at = (self.last_retry_at.max(now) + interval).min(now + MAX_RETRY_AFTER);
+        Err(self.last_retry_at - now)
     }
 }
 
--- a/crates/micadrum-recovery/src/journal_trust/tests.rs
+++ b/crates/micadrum-recovery/src/journal_trust/tests.rs
@@ -3,117 +3,132 @@
 const BEFORE: Boot = Boot([1; 16]);
 const NOW: u64 = 1_700_000_000_000_000;
 
-fn stamp(outlasts_machine: bool) -> JournalStamp {
-    JournalStamp { sender: "n1".to_owned(), boot: Some(BEFORE), wall: NOW - 60_000_000, outlasts_machine }
+fn stamp(survives_machine_crash: bool) -> JournalStamp {
+    JournalStamp {
+        sender: "n1".to_owned(),
+        boot: Some(BEFORE),
+        wall: NOW - 60_000_000,
+        survives_machine_crash,
+    }
 }
 
-fn found(stamp: Option<&JournalStamp>, boot: Option<Boot>) -> RecoveryInputs<'_> {
+fn inputs(stamp: Option<&JournalStamp>, boot: Option<Boot>) -> RecoveryInputs<'_> {
     RecoveryInputs {
-        own: "n1",
+        own_name: "n1",
         boot,
         wall: NOW,
-        clock_vouched: false,
+        trusts_clock: false,
         stamp,
-        latest: NOW - 5_000_000,
-        empty: false,
-        skipped: 0,
-        torn: 0,
+        latest_wall: NOW - 5_000_000,
+        is_empty: false,
+        corrupt_bytes: 0,
+        torn_bytes: 0,
     }
 }
 
-/// Guards against trusting what a power loss may have taken, and against distrust after a mere crash.
+/// Guards against trusting what a power loss may have destroyed, and against distrust after a crash of the process.
 #[test]
-fn a_journal_binds_as_far_as_what_was_written_is_there() {
+fn a_journal_is_trusted_as_far_as_its_records_survived() {
     let cases = [
-        (false, Some(BEFORE), Machine::Same, JournalTrust::Binds, Clock::Believed),
-        (true, Some(BEFORE), Machine::Same, JournalTrust::Binds, Clock::Believed),
-        (false, Some(Boot([2; 16])), Machine::Another, JournalTrust::Hint, Clock::Unchecked),
-        (true, Some(Boot([2; 16])), Machine::Another, JournalTrust::Binds, Clock::Unchecked),
-        (false, None, Machine::Unknown, JournalTrust::Hint, Clock::Unchecked),
-        (true, None, Machine::Unknown, JournalTrust::Binds, Clock::Unchecked),
+        (false, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
+        (true, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
+        (false, Some(Boot([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, Clock::Unverified),
+        (true, Some(Boot([2; 16])), Machine::Rebooted, JournalTrust::Complete, Clock::Unverified),
+        (false, None, Machine::Unknown, JournalTrust::Incomplete, Clock::Unverified),
+        (true, None, Machine::Unknown, JournalTrust::Complete, Clock::Unverified),
     ];
-    for (outlasts, boot, machine, journal, clock) in cases {
-        let stamp = stamp(outlasts);
-        let trust = Trust::judge(&found(Some(&stamp), boot));
+    for (survives, boot, machine, journal, clock) in cases {
+        let stamp = stamp(survives);
+        let trust = Trust::assess(&inputs(Some(&stamp), boot));
         assert_eq!(
             (trust.machine, trust.journal, trust.clock),
             (machine, journal, clock),
-            "{outlasts} {boot:?}"
+            "{survives} {boot:?}"
         );
-        let vouched = RecoveryInputs { clock_vouched: true, ..found(Some(&stamp), boot) };
-        assert_eq!(Trust::judge(&vouched).clock, Clock::Believed);
+        let vouched = RecoveryInputs { trusts_clock: true, ..inputs(Some(&stamp), boot) };
+        assert_eq!(Trust::assess(&vouched).clock, Clock::Trusted);
     }
     let stamped = stamp(true);
-    assert_eq!(Trust::judge(&found(Some(&stamped), None)).findings[0], RecoveryFinding::NoBoot);
-    let trust = Trust::judge(&found(None, Some(BEFORE)));
-    assert_eq!((trust.journal, trust.findings[0].clone()), (JournalTrust::Hint, RecoveryFinding::Unstamped));
+    assert_eq!(Trust::assess(&inputs(Some(&stamped), None)).findings[0], RecoveryFinding::BootIdMissing);
+    let trust = Trust::assess(&inputs(None, Some(BEFORE)));
+    assert_eq!(
+        (trust.journal, trust.findings[0].clone()),
+        (JournalTrust::Incomplete, RecoveryFinding::StampMissing)
+    );
 }
 
-/// Guards against sending what another sender owes, and against a folder that is not named for what it is.
+/// Guards against sending the messages of another sender, and against a missing or wrong finding.
 #[test]
-fn each_kind_of_folder_is_named_once() {
+fn each_kind_of_folder_has_its_finding() {
     let other = JournalStamp { sender: "n2".to_owned(), ..stamp(true) };
-    let trust = Trust::judge(&found(Some(&other), Some(BEFORE)));
+    let trust = Trust::assess(&inputs(Some(&other), Some(BEFORE)));
     assert_eq!(
         (trust.journal, &trust.findings[..]),
-        (JournalTrust::Void, &[RecoveryFinding::Foreign("n2".to_owned())][..])
+        (JournalTrust::Foreign, &[RecoveryFinding::Foreign("n2".to_owned())][..])
     );
-    let empty = Trust::judge(&RecoveryInputs { empty: true, ..found(None, Some(BEFORE)) });
-    assert_eq!((empty.journal, &empty.findings[..]), (JournalTrust::Binds, &[RecoveryFinding::Empty][..]));
-    assert!(!empty.is_return() && empty.knows_ids());
+    let empty = Trust::assess(&RecoveryInputs { is_empty: true, ..inputs(None, Some(BEFORE)) });
+    assert_eq!((empty.journal, &empty.findings[..]), (JournalTrust::Complete, &[RecoveryFinding::Empty][..]));
+    assert!(!empty.follows_machine_restart() && empty.has_all_completed_ids());
     let mut lost = empty.clone();
-    lost.others_know(3);
-    assert!(!lost.knows_ids());
+    lost.apply_known_incarnation(3);
+    assert!(!lost.has_all_completed_ids());
     let stamp = stamp(false);
-    let damaged = Trust::judge(&RecoveryInputs { skipped: 9, torn: 3, ..found(Some(&stamp), Some(BEFORE)) });
-    assert_eq!(damaged.findings, [RecoveryFinding::Damaged(9), RecoveryFinding::Torn(3)]);
-    assert_eq!(damaged.journal, JournalTrust::Hint);
-    let torn = Trust::judge(&RecoveryInputs { torn: 3, ..found(Some(&stamp), Some(BEFORE)) });
-    assert_eq!((torn.journal, torn.is_return()), (JournalTrust::Binds, false));
-    let both = |trust: &Trust| (trust.asks(), trust.takes_stages());
+    let damaged = Trust::assess(&RecoveryInputs {
+        corrupt_bytes: 9,
+        torn_bytes: 3,
+        ..inputs(Some(&stamp), Some(BEFORE))
+    });
+    assert_eq!(damaged.findings, [RecoveryFinding::CorruptRecords(9), RecoveryFinding::TornRecord(3)]);
+    assert_eq!(damaged.journal, JournalTrust::Incomplete);
+    let torn = Trust::assess(&RecoveryInputs { torn_bytes: 3, ..inputs(Some(&stamp), Some(BEFORE)) });
+    assert_eq!((torn.journal, torn.follows_machine_restart()), (JournalTrust::Complete, false));
+    let both = |trust: &Trust| (trust.queries_peers(), trust.recovers_in_phases());
     assert_eq!(
         [&torn, &empty, &lost, &damaged, &trust].map(both),
         [(false, false), (false, false), (true, true), (true, true), (false, true),]
     );
-    let mut older = Trust::judge(&found(Some(&stamp), Some(BEFORE)));
-    older.others_know(9);
+    let mut older = Trust::assess(&inputs(Some(&stamp), Some(BEFORE)));
+    older.apply_known_incarnation(9);
     assert_eq!(
         (older.journal, &older.findings[..]),
-        (JournalTrust::Hint, &[RecoveryFinding::Older { known: 9 }][..])
+        (JournalTrust::Incomplete, &[RecoveryFinding::OutdatedFolder { known: 9 }][..])
     );
     for finding in older.findings.iter().chain(&damaged.findings).chain(&empty.findings) {
         assert!(!finding.to_string().contains('\n'));
     }
 }
 
-/// Guards against believing a clock that others show to be wrong, and against a peer that makes one believed.
+/// Guards against trusting a clock that peers show to be wrong, and against a peer that makes one trusted.
 #[test]
-fn others_can_only_take_the_clock_away() {
+fn peers_can_only_reduce_the_trust_in_the_clock() {
     let stamp = stamp(false);
     let at = |wall, boot, vouched| {
-        Trust::judge(&RecoveryInputs { wall, clock_vouched: vouched, ..found(Some(&stamp), Some(boot)) })
+        Trust::assess(&RecoveryInputs { wall, trusts_clock: vouched, ..inputs(Some(&stamp), Some(boot)) })
     };
     assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, Clock::Behind(3_595_000_000));
-    assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, Clock::Believed, "set right by a step");
+    assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, Clock::Trusted, "set right by a step");
     let mut unchecked = at(NOW, Boot([2; 16]), false);
-    unchecked.others_have(&[0, 10, -10]);
+    unchecked.apply_clock_offsets(&[0, 10, -10]);
     assert_eq!(
-        (unchecked.clock, unchecked.offset, unchecked.now(NOW)),
-        (Clock::Unchecked, Some(0), Some(NOW))
+        (unchecked.clock, unchecked.clock_offset_us, unchecked.journal_time(NOW)),
+        (Clock::Unverified, Some(0), Some(NOW))
     );
     let mut vouched = at(NOW, Boot([2; 16]), true);
-    vouched.others_have(&[]);
-    vouched.others_have(&[3_600_000_000, 0, 100]);
-    assert_eq!(vouched.clock, Clock::Believed, "one of three lies");
-    vouched.others_have(&[3_600_000_000, 3_600_000_001, 100]);
-    assert_eq!(vouched.clock, Clock::Off(3_600_000_000));
-    assert_eq!(vouched.now(NOW), Some(NOW - 3_600_000_000));
-    assert_eq!(vouched.findings.iter().filter(|f| matches!(f, RecoveryFinding::Clock(_))).count(), 1);
+    vouched.apply_clock_offsets(&[]);
+    vouched.apply_clock_offsets(&[3_600_000_000, 0, 100]);
+    assert_eq!(vouched.clock, Clock::Trusted, "one of three lies");
+    vouched.apply_clock_offsets(&[3_600_000_000, 3_600_000_001, 100]);
+    assert_eq!(vouched.clock, Clock::Skewed(3_600_000_000));
+    assert_eq!(vouched.journal_time(NOW), Some(NOW - 3_600_000_000));
+    assert_eq!(
+        vouched.findings.iter().filter(|f| matches!(f, RecoveryFinding::ClockUntrusted(_))).count(),
+        1
+    );
 }
 
 /// Guards against a boot id that reads as another one, or as none.
 #[test]
-fn a_boot_id_is_read_as_the_kernel_writes_it() {
+fn a_boot_id_is_parsed_as_the_kernel_writes_it() {
     let text = "2f6e3c1a-0b4d-4e8f-9a7c-1234567890ab\n";
     assert_eq!(Boot::parse(text).map(|boot| boot.0[..3].to_owned()), Some(vec![0x2f, 0x6e, 0x3c]));
     assert_eq!(Boot::parse(&text.replace('-', "")), Boot::parse(text));
--- a/crates/micadrum-recovery/src/lib.rs
+++ b/crates/micadrum-recovery/src/lib.rs
@@ -1,12 +1,12 @@
-//! After a restart: what a sender trusts of the folder that it finds, what it asks other senders, and the order in which
-//! service returns.
+//! Recovery after a restart: what a sender trusts of the state folder that it finds, what it asks other senders, and the
+//! order in which service returns.
 //!
-//! Four parts, each by itself and free of I/O and clocks: [`journal_trust`] says what a kept fact is worth, [`message_recovery`] what follows
-//! from that for a message, [`peer_report`] what others can add to it, [`phases`] when what may happen. Wall times are
-//! microseconds since 1970, as the journal has them; spans and moments of this process are [`std::time::Duration`]s on a
-//! clock that never goes back.
+//! The parts are free of I/O and clocks: [`journal_trust`] assesses the journal and the clock, [`message_recovery`] derives
+//! what happens to each pending message, [`peer_query`] and [`peer_report`] collect what other senders know, [`phases`]
+//! decides when what is permitted, and [`admission`] limits the rate of new messages. Wall times are microseconds since
+//! 1970, as in the journal; other times are [`std::time::Duration`]s since an origin on a monotonic clock.
 //!
-//! All of it only ever adds caution. A sender of which nobody knows anything, and that is alone, serves all the same.
+//! Recovery only ever adds caution. A sender that no other sender knows anything about, or that is alone, still serves.
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -16,20 +16,20 @@
 pub mod peer_report;
 pub mod phases;
 
+pub use admission::Admission;
+pub use journal_trust::{Boot, JournalStamp, Trust};
+pub use peer_query::PeerQuery;
+pub use peer_report::{EndpointRestrictions, PeerReport};
+pub use phases::{Phases, RecoveryPhase};
 use serde::{Deserialize, Serialize};
 
-/// What a process says of its return, for programs that judge it.
+/// A trace record about the recovery of a process. JSON names are part of the trace format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
-    /// What it found, and what it makes of it.
+    /// What the process found and how far it trusts that.
     Trust(Trust),
-    /// A stage is over.
-    Step(phases::Step),
+    /// A phase has ended.
+    #[serde(rename = "step")]
+    PhaseEnded(phases::PhaseRecord),
 }
-
-pub use admission::Admission;
-pub use journal_trust::{Boot, JournalStamp, Trust};
-pub use peer_query::PeerQuery;
-pub use peer_report::{EndpointRestrictions, PeerReport};
-pub use phases::{Phases, RecoveryPhase};
--- a/crates/micadrum-recovery/src/message_recovery.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -1,106 +1,139 @@
-//! What follows from the folder's worth for one message that it says is owed.
+//! What happens to a pending message of before the start, by the trust in journal and clock.
 //!
-//! | journal | clock | freely | within a window | never |
+//! | journal | clock | idempotent | idempotent within a window | not idempotent |
 //! | --- | --- | --- | --- | --- |
-//! | binds | believed | as written | as written | as written |
-//! | binds | not, others tell the time | as written | begun: fails; else as written | as written |
-//! | binds | not, nobody does | returned | begun: fails; else returned | the same |
-//! | hint | believed | may have run since it was taken on | the same | fails |
-//! | hint | not, others tell the time | may have run since it was taken on | fails | fails |
-//! | hint | not, nobody does | returned | fails | fails |
-//! | void | any | not sent, nothing said | the same | the same |
+//! | complete | trusted | unchanged | unchanged | unchanged |
+//! | complete | not trusted, time known from peers | unchanged | attempted: fails; else unchanged | unchanged |
+//! | complete | not trusted, time unknown | returned | attempted: fails; else returned | attempted: fails; else returned |
+//! | incomplete | trusted | uncertain since its acceptance | uncertain since its acceptance | fails |
+//! | incomplete | not trusted, time known from peers | uncertain since its acceptance | fails | fails |
+//! | incomplete | not trusted, time unknown | returned | fails | fails |
+//! | foreign | any | discarded | discarded | discarded |
 //!
-//! "Fails" is the final answer that promises nothing, "returned" the one by which a client may safely come again. Where
-//! nobody can tell the time, both come at once: nobody knows how long the machine was away, and an answer after a message's
-//! time is none. A message that has its end keeps it: only the notice is owed.
+//! "Fails" is the final outcome that promises nothing; "returned" is the one after which a client may safely submit again.
+//! Where the time is unknown, both happen immediately: nobody knows how long the machine was down, and an outcome after a
+//! message's deadline is useless. A completed message keeps its outcome: only its notification is pending.
 use crate::journal_trust::{Clock, JournalTrust, Trust};
 use std::time::Duration;
 
-/// What a second copy of a message does (the decision module's `Repeat`, without who drops it).
+/// The effect of delivering a message twice: the decision core's idempotency, without the scope of deduplication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    /// Nothing.
-    Freely,
-    /// Nothing, for a while from the first: whether that is over the decision module knows.
-    Within,
-    /// A second effect.
-    Never,
+pub enum Redelivery {
+    /// A second delivery has no effect.
+    Harmless,
+    /// A second delivery has no effect within a window after the first one; the decision core tracks that window.
+    HarmlessWithinWindow,
+    /// A second delivery has a second effect.
+    Harmful,
 }
 
-/// What the journal has of a message.
+/// What the journal has of a message. Times are wall times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeftoverMessage {
-    /// It is over, and only its notice owed.
-    pub ended: bool,
-    /// When the first attempt began that may have run, wall clock.
-    pub begun: Option<u64>,
-    /// It was not taken on before this, wall clock.
-    pub not_before: Option<u64>,
+    /// The message is completed, and only its notification is pending.
+    pub is_completed: bool,
+    /// When the first attempt began that may have been delivered.
+    pub first_attempt_at: Option<u64>,
+    /// A time before which the message was not accepted.
+    pub not_accepted_before: Option<u64>,
 }
 
-/// What becomes of it.
+/// What happens to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// As the journal has it.
-    AsWritten,
-    /// It may have run, first at this wall time.
-    MayHaveRun(u64),
-    /// It ends as failed, at once.
-    Fails,
-    /// It goes back to its client, at once.
-    Returns,
-    /// It is another sender's.
-    NotOurs,
+    /// The message is kept as the journal has it.
+    Unchanged,
+    /// The message may have been delivered, first at this wall time in microseconds.
+    Uncertain(u64),
+    /// The message fails immediately.
+    Fail,
+    /// The message is returned to its client immediately.
+    Return,
+    /// The message belongs to another sender.
+    Discard,
 }
 
-/// Judges one.
+/// Decides what happens to a message.
 #[must_use]
-pub fn judge(trust: &Trust, repeats: Repeats, left: LeftoverMessage) -> Verdict {
-    let believed = trust.clock == Clock::Believed;
-    let earliest = || left.begun.into_iter().chain(left.not_before).min();
-    match (trust.journal, repeats) {
-        (JournalTrust::Void, _) => Verdict::NotOurs,
-        _ if left.ended => Verdict::AsWritten,
-        (JournalTrust::Binds | JournalTrust::Hint, Repeats::Freely) if !trust.tells_time() => {
-            Verdict::Returns
+pub fn assess_message(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+    match trust.journal {
+        JournalTrust::Foreign => Verdict::Discard,
+        _ if message.is_completed => Verdict::Unchanged,
+        JournalTrust::Complete => assess_in_complete_journal(trust, redelivery, message),
+        JournalTrust::Incomplete => assess_in_incomplete_journal(trust, redelivery, message),
+    }
+}
+
+fn assess_in_complete_journal(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+    let was_attempted = message.first_attempt_at.is_some();
+    if !trust.knows_time() {
+        return match redelivery {
+            Redelivery::Harmless => Verdict::Return,
+            _ if was_attempted => Verdict::Fail,
+            _ => Verdict::Return,
+        };
+    }
+    let is_window_unknown = trust.clock != Clock::Trusted && was_attempted;
+    match redelivery {
+        Redelivery::HarmlessWithinWindow if is_window_unknown => Verdict::Fail,
+        _ => Verdict::Unchanged,
+    }
+}
+
+fn assess_in_incomplete_journal(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+    let earliest = message.first_attempt_at.into_iter().chain(message.not_accepted_before).min();
+    let uncertain = Verdict::Uncertain(earliest.unwrap_or(0));
+    match redelivery {
+        Redelivery::Harmless if !trust.knows_time() => Verdict::Return,
+        Redelivery::Harmless => uncertain,
+        // An attempt before the first known one may be among the missing records, so only the acceptance bounds it.
+        Redelivery::HarmlessWithinWindow
+            if trust.clock == Clock::Trusted && message.not_accepted_before.is_some() =>
+        {
+            uncertain
         }
-        (JournalTrust::Binds, _) if !trust.tells_time() && left.begun.is_none() => Verdict::Returns,
-        (JournalTrust::Binds, _) if !trust.tells_time() => Verdict::Fails,
-        (JournalTrust::Binds, Repeats::Within) if !believed && left.begun.is_some() => Verdict::Fails,
-        (JournalTrust::Binds, _) => Verdict::AsWritten,
-        (JournalTrust::Hint, Repeats::Never) => Verdict::Fails,
-        (JournalTrust::Hint, Repeats::Freely) => Verdict::MayHaveRun(earliest().unwrap_or(0)),
-        (JournalTrust::Hint, Repeats::Within) => match left.not_before {
-            // An attempt before the one that is known may be among what is missing.
-            Some(_) if believed => Verdict::MayHaveRun(earliest().unwrap_or(0)),
-            _ => Verdict::Fails,
-        },
+        Redelivery::HarmlessWithinWindow | Redelivery::Harmful => Verdict::Fail,
     }
 }
 
-/// How much longer newcomers of a class are turned away where ids of messages that are over may be missing: one that is
-/// handed in a second time cannot be told from a new one then. `wait_out` is how long the operators want to wait after the
-/// start for the last of those, `since` how long ago that was.
+/// Returns how much longer new messages of a class are rejected because the ids of completed messages may be missing: a
+/// message submitted again cannot be told from a new one then.
+///
+/// `hold` is how long after the start the operators want such messages to be rejected; `elapsed` is the time since the
+/// start.
 #[must_use]
-pub fn turned_away_for(
-    repeats: Repeats,
-    knows_ids: bool,
-    wait_out: Duration,
-    since: Duration,
+pub fn rejected_for(
+    trust: &Trust,
+    redelivery: Redelivery,
+    hold: Duration,
+    elapsed: Duration,
 ) -> Option<Duration> {
-    let harms = repeats != Repeats::Freely;
-    (harms && !knows_ids).then(|| wait_out.saturating_sub(since)).filter(|left| *left > Duration::ZERO)
+    let is_at_risk = redelivery != Redelivery::Harmless && !trust.has_all_completed_ids();
+    is_at_risk.then(|| hold.saturating_sub(elapsed)).filter(|remaining| *remaining > Duration::ZERO)
+}
+
+/// The times that bound what is left to a message of before the start, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MessageTimes {
+    /// The deadline, by the clock under which the journal was written.
+    pub deadline: u64,
+    /// The latest wall time in the journal.
+    pub latest_wall: u64,
+    /// The current wall clock.
+    pub wall: u64,
+    /// The time to live of the message's class.
+    pub time_to_live: u64,
 }
 
-/// The time that is left to a message of before, in microseconds. Its `deadline` is by the clock under which the journal was
-/// written, `latest` the last moment that it tells of, `wall` the clock now; its class has `most` in all.
+/// Returns the time left to a message of before the start, in microseconds.
 #[must_use]
-pub fn time_left(trust: &Trust, deadline: u64, latest: u64, wall: u64, most: u64) -> u64 {
-    let now = trust.now(wall).unwrap_or(u64::MAX);
-    if trust.clock == Clock::Believed {
+pub fn time_left(trust: &Trust, times: MessageTimes) -> u64 {
+    let MessageTimes { deadline, latest_wall, wall, time_to_live } = times;
+    let now = trust.journal_time(wall).unwrap_or(u64::MAX);
+    if trust.clock == Clock::Trusted {
         return deadline.saturating_sub(now);
     }
-    deadline.saturating_sub(now.max(latest)).min(most)
+    deadline.saturating_sub(now.max(latest_wall)).min(time_to_live)
 }
 
 #[cfg(test)]
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -2,102 +2,126 @@
 use crate::journal_trust::Machine;
 
 fn trust(journal: JournalTrust, clock: Clock) -> Trust {
-    Trust { machine: Machine::Another, journal, clock, offset: Some(0), findings: Vec::new() }
+    Trust { machine: Machine::Rebooted, journal, clock, clock_offset_us: Some(0), findings: Vec::new() }
 }
 
-/// Guards against less caution with less known: whatever is sent again where little is known, is where more is.
+fn times(deadline: u64, latest_wall: u64, wall: u64, time_to_live: u64) -> MessageTimes {
+    MessageTimes { deadline, latest_wall, wall, time_to_live }
+}
+
+/// Guards against less caution where less is known: what is sent again then is also sent again where more is known.
 #[test]
-fn less_known_never_sends_more() {
-    let clocks = [Clock::Believed, Clock::Unchecked, Clock::Behind(9), Clock::Off(9)];
+fn less_knowledge_never_leads_to_more_sends() {
+    let clocks = [Clock::Trusted, Clock::Unverified, Clock::Behind(9), Clock::Skewed(9)];
     let caution = |verdict| match verdict {
-        Verdict::AsWritten => 0,
-        Verdict::MayHaveRun(_) => 1,
-        Verdict::Returns => 2,
-        Verdict::Fails => 3,
-        Verdict::NotOurs => 4,
+        Verdict::Unchanged => 0,
+        Verdict::Uncertain(_) => 1,
+        Verdict::Return => 2,
+        Verdict::Fail => 3,
+        Verdict::Discard => 4,
     };
-    for repeats in [Repeats::Freely, Repeats::Within, Repeats::Never] {
-        for (begun, not_before) in [(None, None), (Some(7), None), (None, Some(5)), (Some(7), Some(5))] {
-            let left = LeftoverMessage { ended: false, begun, not_before };
+    for redelivery in [Redelivery::Harmless, Redelivery::HarmlessWithinWindow, Redelivery::Harmful] {
+        for (first_attempt_at, not_accepted_before) in
+            [(None, None), (Some(7), None), (None, Some(5)), (Some(7), Some(5))]
+        {
+            let left = LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before };
             for clock in clocks {
-                for offset in [Some(0), None] {
-                    let trust = |faith| Trust { offset, ..trust(faith, clock) };
-                    let of = |faith| caution(judge(&trust(faith), repeats, left));
+                for clock_offset_us in [Some(0), None] {
+                    let trust = |journal| Trust { clock_offset_us, ..trust(journal, clock) };
+                    let of = |journal| caution(assess_message(&trust(journal), redelivery, left));
                     assert!(
-                        of(JournalTrust::Binds) <= of(JournalTrust::Hint)
-                            && of(JournalTrust::Hint) <= of(JournalTrust::Void)
+                        of(JournalTrust::Complete) <= of(JournalTrust::Incomplete)
+                            && of(JournalTrust::Incomplete) <= of(JournalTrust::Foreign)
                     );
                 }
-                for faith in [JournalTrust::Binds, JournalTrust::Hint] {
-                    let [best, here] = [Clock::Believed, clock]
-                        .map(|clock| caution(judge(&trust(faith, clock), repeats, left)));
-                    assert!(best <= here, "{faith:?} {repeats:?} {left:?} {clock:?}");
+                for journal in [JournalTrust::Complete, JournalTrust::Incomplete] {
+                    let [best, here] = [Clock::Trusted, clock]
+                        .map(|clock| caution(assess_message(&trust(journal, clock), redelivery, left)));
+                    assert!(best <= here, "{journal:?} {redelivery:?} {left:?} {clock:?}");
                 }
             }
         }
     }
 }
 
-/// Guards against a table that says one thing and code that does another.
+/// Guards against code that deviates from the table in the module documentation.
 #[test]
-fn the_table_holds() {
-    let of = |journal, clock, repeats, begun, not_before| {
-        judge(&trust(journal, clock), repeats, LeftoverMessage { ended: false, begun, not_before })
+fn verdicts_match_the_documented_table() {
+    let of = |journal, clock, redelivery, first_attempt_at, not_accepted_before| {
+        assess_message(
+            &trust(journal, clock),
+            redelivery,
+            LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before },
+        )
     };
-    use Clock::{Believed, Unchecked};
-    use JournalTrust::{Binds, Hint, Void};
-    use Repeats::{Freely, Never, Within};
-    use Verdict::{AsWritten, Fails, MayHaveRun, NotOurs};
-    assert_eq!(of(Binds, Believed, Within, Some(7), None), AsWritten);
-    assert_eq!(of(Binds, Unchecked, Within, Some(7), None), Fails);
-    assert_eq!(of(Binds, Unchecked, Within, None, Some(5)), AsWritten);
-    assert_eq!(of(Binds, Unchecked, Never, Some(7), None), AsWritten, "the module fails what may have run");
-    assert_eq!(of(Hint, Believed, Freely, None, None), MayHaveRun(0));
-    assert_eq!(of(Hint, Believed, Within, Some(7), Some(5)), MayHaveRun(5));
-    assert_eq!(of(Hint, Believed, Within, Some(7), None), Fails);
-    assert_eq!(of(Hint, Unchecked, Within, None, Some(5)), Fails);
-    assert_eq!(of(Hint, Believed, Never, None, Some(5)), Fails);
-    assert_eq!(of(Void, Believed, Freely, None, None), NotOurs);
-    let dark = |journal, repeats, begun| {
-        let trust = Trust { offset: None, ..trust(journal, Unchecked) };
-        judge(&trust, repeats, LeftoverMessage { ended: false, begun, not_before: Some(5) })
+    use Clock::{Trusted, Unverified};
+    use JournalTrust::{Complete, Foreign, Incomplete};
+    use Redelivery::{Harmful, Harmless, HarmlessWithinWindow};
+    use Verdict::{Discard, Fail, Uncertain, Unchanged};
+    assert_eq!(of(Complete, Trusted, HarmlessWithinWindow, Some(7), None), Unchanged);
+    assert_eq!(of(Complete, Unverified, HarmlessWithinWindow, Some(7), None), Fail);
+    assert_eq!(of(Complete, Unverified, HarmlessWithinWindow, None, Some(5)), Unchanged);
+    assert_eq!(
+        of(Complete, Unverified, Harmful, Some(7), None),
+        Unchanged,
+        "the module fails what may have run"
+    );
+    assert_eq!(of(Incomplete, Trusted, Harmless, None, None), Uncertain(0));
+    assert_eq!(of(Incomplete, Trusted, HarmlessWithinWindow, Some(7), Some(5)), Uncertain(5));
+    assert_eq!(of(Incomplete, Trusted, HarmlessWithinWindow, Some(7), None), Fail);
+    assert_eq!(of(Incomplete, Unverified, HarmlessWithinWindow, None, Some(5)), Fail);
+    assert_eq!(of(Incomplete, Trusted, Harmful, None, Some(5)), Fail);
+    assert_eq!(of(Foreign, Trusted, Harmless, None, None), Discard);
+    let dark = |journal, redelivery, first_attempt_at| {
+        let trust = Trust { clock_offset_us: None, ..trust(journal, Unverified) };
+        assess_message(
+            &trust,
+            redelivery,
+            LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before: Some(5) },
+        )
     };
-    use Verdict::Returns;
-    assert_eq!((dark(Binds, Freely, Some(7)), dark(Hint, Freely, Some(7))), (Returns, Returns));
-    assert_eq!((dark(Binds, Within, None), dark(Binds, Never, None)), (Returns, Returns));
-    assert_eq!((dark(Binds, Within, Some(7)), dark(Binds, Never, Some(7))), (Fails, Fails));
-    assert_eq!((dark(Hint, Within, None), dark(Hint, Never, None)), (Fails, Fails));
-    let over = LeftoverMessage { ended: true, begun: None, not_before: None };
-    assert_eq!(judge(&trust(Hint, Unchecked), Never, over), AsWritten);
+    use Verdict::Return;
+    assert_eq!((dark(Complete, Harmless, Some(7)), dark(Incomplete, Harmless, Some(7))), (Return, Return));
+    assert_eq!((dark(Complete, HarmlessWithinWindow, None), dark(Complete, Harmful, None)), (Return, Return));
+    assert_eq!(
+        (dark(Complete, HarmlessWithinWindow, Some(7)), dark(Complete, Harmful, Some(7))),
+        (Fail, Fail)
+    );
+    assert_eq!((dark(Incomplete, HarmlessWithinWindow, None), dark(Incomplete, Harmful, None)), (Fail, Fail));
+    let over = LeftoverMessage { is_completed: true, first_attempt_at: None, not_accepted_before: None };
+    assert_eq!(assess_message(&trust(Incomplete, Unverified), Harmful, over), Unchanged);
 }
 
-/// Guards against a client's second try of what was delivered before the journal was lost, where the operators want
-/// that waited out; and against turning away without need.
+/// Guards against resubmissions of messages that were delivered before the journal was lost, where the operators want to
+/// wait for those, and against needless rejections.
 #[test]
-fn what_may_come_a_second_time_is_waited_out() {
+fn resubmissions_are_rejected_during_the_hold() {
     let s = Duration::from_secs;
-    for repeats in [Repeats::Within, Repeats::Never] {
-        assert_eq!(turned_away_for(repeats, false, s(12), s(5)), Some(s(7)));
-        assert_eq!(turned_away_for(repeats, false, s(12), s(12)), None);
-        assert_eq!(turned_away_for(repeats, true, s(12), s(5)), None);
-        assert_eq!(turned_away_for(repeats, false, s(0), s(0)), None);
+    let complete = trust(JournalTrust::Complete, Clock::Trusted);
+    let incomplete = trust(JournalTrust::Incomplete, Clock::Trusted);
+    for redelivery in [Redelivery::HarmlessWithinWindow, Redelivery::Harmful] {
+        assert_eq!(rejected_for(&incomplete, redelivery, s(12), s(5)), Some(s(7)));
+        assert_eq!(rejected_for(&incomplete, redelivery, s(12), s(12)), None);
+        assert_eq!(rejected_for(&complete, redelivery, s(12), s(5)), None);
+        assert_eq!(rejected_for(&incomplete, redelivery, s(0), s(0)), None);
     }
-    assert_eq!(turned_away_for(Repeats::Freely, false, s(12), s(5)), None);
+    assert_eq!(rejected_for(&incomplete, Redelivery::Harmless, s(12), s(5)), None);
 }
 
-/// Guards against a message that is sent on past its time, or for hours, as the clock was set back or has jumped.
+/// Guards against a message that is sent past its deadline because the clock was set back or has jumped.
 #[test]
-fn no_message_has_more_time_than_it_had() {
-    let believed = trust(JournalTrust::Binds, Clock::Believed);
-    assert_eq!(time_left(&believed, 100, 0, 40, 30), 60, "as ever");
-    assert_eq!(time_left(&believed, 100, 0, 140, 30), 0);
-    let told = |offset| Trust { offset: Some(offset), ..trust(JournalTrust::Binds, Clock::Unchecked) };
+fn no_message_gains_time() {
+    let believed = trust(JournalTrust::Complete, Clock::Trusted);
+    assert_eq!(time_left(&believed, times(100, 0, 40, 30)), 60, "as ever");
+    assert_eq!(time_left(&believed, times(100, 0, 140, 30)), 0);
+    let told =
+        |offset| Trust { clock_offset_us: Some(offset), ..trust(JournalTrust::Complete, Clock::Unverified) };
     // Its clock stands 1000 ahead, or behind; it is 60 by the others.
-    assert_eq!(time_left(&told(1_000), 100, 50, 1_060, 500), 40);
-    assert_eq!(time_left(&told(-40), 100, 50, 20, 500), 40);
+    assert_eq!(time_left(&told(1_000), times(100, 50, 1_060, 500)), 40);
+    assert_eq!(time_left(&told(-40), times(100, 50, 20, 500)), 40);
     // A liar makes it no more than there was when the journal ended.
-    assert_eq!(time_left(&told(1_000_000), 100, 50, 60, 500), 50);
-    assert_eq!(time_left(&told(1_000_000), 1_000_000, 50, 60, 500), 500);
-    let dark = Trust { offset: None, ..trust(JournalTrust::Binds, Clock::Unchecked) };
-    assert_eq!(time_left(&dark, 100, 50, 60, 500), 0);
+    assert_eq!(time_left(&told(1_000_000), times(100, 50, 60, 500)), 50);
+    assert_eq!(time_left(&told(1_000_000), times(1_000_000, 50, 60, 500)), 500);
+    let dark = Trust { clock_offset_us: None, ..trust(JournalTrust::Complete, Clock::Unverified) };
+    assert_eq!(time_left(&dark, times(100, 50, 60, 500)), 0);
 }
--- a/crates/micadrum-recovery/src/peer_query/tests.rs
+++ b/crates/micadrum-recovery/src/peer_query/tests.rs
@@ -5,59 +5,63 @@
 }
 
 fn candidates(count: usize) -> Vec<Candidate> {
-    let of = |n: usize| Candidate { name: format!("n{n}"), building: ["a", "b"][n % 2].to_owned() };
+    let of = |n: usize| Candidate { name: format!("n{n}"), zone: ["a", "b"][n % 2].to_owned() };
     (0..count).map(of).collect()
 }
 
-fn steady() -> PeerReport {
-    PeerReport { steady_for: Some(1), ..PeerReport::default() }
+fn counts(answered: usize, at_full_service: usize, unanswered: usize) -> QueryCounts {
+    QueryCounts { answered, at_full_service, unanswered }
 }
 
-/// Guards against asking the whole fleet, or first those whom the same power loss took.
+fn report_at_full_service() -> PeerReport {
+    PeerReport { at_full_service_us: Some(1), ..PeerReport::default() }
+}
+
+/// Guards against querying the whole fleet, or first the peers that the same power loss affected.
 #[test]
-fn a_few_are_asked_in_both_buildings() {
-    let mut asking = PeerQuery::new(candidates(300), "a", ms(1000));
-    let first: Vec<String> = std::iter::from_fn(|| asking.next_to_ask(ms(0))).collect();
+fn a_few_peers_are_queried_in_both_zones() {
+    let mut query = PeerQuery::new(candidates(300), "a", ms(1000));
+    let first: Vec<String> = std::iter::from_fn(|| query.next_to_query(ms(0))).collect();
     assert_eq!(first, ["n1", "n0", "n3", "n2"]);
-    let mut asked = first.len();
-    let mut out: VecDeque<String> = first.into();
-    while let Some(name) = out.pop_front() {
-        asking.answered(&name, Some(PeerReport::default()), ms(1));
-        while let Some(next) = asking.next_to_ask(ms(1)) {
-            asked += 1;
-            out.push_back(next);
+    let mut queried = first.len();
+    let mut in_flight: VecDeque<String> = first.into();
+    while let Some(name) = in_flight.pop_front() {
+        query.handle_answer(&name, Some(PeerReport::default()), ms(1));
+        while let Some(next) = query.next_to_query(ms(1)) {
+            queried += 1;
+            in_flight.push_back(next);
         }
     }
-    assert_eq!((asked, asking.ended(ms(1))), (MOST_ASKED, Some(Ended::Nobody)));
-    assert_eq!(asking.counts(), (MOST_ASKED, 0, 0));
+    assert_eq!((queried, query.end(ms(1))), (MAX_QUERIES, Some(QueryEnd::Exhausted)));
+    assert_eq!(query.counts(), counts(MAX_QUERIES, 0, 0));
 }
 
-/// Guards against waiting on when enough is known, and for ever when nobody answers.
+/// Guards against waiting although enough is known, and forever when no peer answers.
 #[test]
-fn it_ends_with_enough_or_with_its_time() {
-    let mut asking = PeerQuery::new(candidates(9), "a", ms(1000));
-    let names: Vec<String> = std::iter::from_fn(|| asking.next_to_ask(ms(0))).collect();
-    for name in &names[..ENOUGH] {
-        assert_eq!(asking.ended(ms(5)), None);
-        asking.answered(name, Some(steady()), ms(5));
+fn a_query_ends_with_enough_reports_or_its_time() {
+    let mut query = PeerQuery::new(candidates(9), "a", ms(1000));
+    let names: Vec<String> = std::iter::from_fn(|| query.next_to_query(ms(0))).collect();
+    for name in &names[..SUFFICIENT_REPORTS] {
+        assert_eq!(query.end(ms(5)), None);
+        query.handle_answer(name, Some(report_at_full_service()), ms(5));
     }
-    assert_eq!(asking.ended(ms(5)), Some(Ended::Heard));
-    assert_eq!(asking.next_to_ask(ms(5)), None);
-    assert_eq!(asking.words(ms(9))[0].1, ms(4));
+    assert_eq!(query.end(ms(5)), Some(QueryEnd::Sufficient));
+    assert_eq!(query.next_to_query(ms(5)), None);
+    assert_eq!(query.reports(ms(9))[0].age, ms(4));
     let mut silent = PeerQuery::new(candidates(9), "a", ms(1000));
-    while silent.next_to_ask(ms(0)).is_some() {}
-    assert_eq!((silent.ended(ms(999)), silent.ended(ms(1000))), (None, Some(Ended::Late)));
-    assert_eq!(silent.counts(), (0, 0, 4));
-    assert_eq!(PeerQuery::new([], "a", ms(1000)).ended(ms(0)), Some(Ended::Nobody), "alone in the dark");
+    while silent.next_to_query(ms(0)).is_some() {}
+    assert_eq!((silent.end(ms(999)), silent.end(ms(1000))), (None, Some(QueryEnd::TimedOut)));
+    assert_eq!(silent.counts(), counts(0, 0, 4));
+    assert_eq!(PeerQuery::new([], "a", ms(1000)).end(ms(0)), Some(QueryEnd::Exhausted), "no peers at all");
 }
 
-/// Guards against an answer that nobody asked for, or that comes twice.
+/// Guards against unsolicited and duplicate answers.
 #[test]
-fn only_answers_to_questions_count() {
-    let mut asking = PeerQuery::new(candidates(9), "a", ms(1000));
-    asking.answered("n1", Some(steady()), ms(0));
-    let name = asking.next_to_ask(ms(0)).unwrap();
-    asking.answered(&name, None, ms(1));
-    asking.answered(&name, Some(steady()), ms(2));
-    assert_eq!(asking.counts(), (0, 0, 1));
+fn only_answers_to_queries_count() {
+    let mut query = PeerQuery::new(candidates(9), "a", ms(1000));
+    query.handle_answer("n1", Some(report_at_full_service()), ms(0));
+    let name = query.next_to_query(ms(0)).unwrap();
+    query.handle_answer(&name, None, ms(1));
+    query.handle_answer(&name, Some(report_at_full_service()), ms(2));
+    assert_eq!(query.counts(), counts(0, 0, 1));
 }
--- a/crates/micadrum-recovery/src/phases.rs
+++ b/crates/micadrum-recovery/src/phases.rs
@@ -1,225 +1,237 @@
-//! The order in which service returns, as one state machine.
+//! The order in which service returns after a restart, as a state machine.
 //!
-//! | stage | what happens in it | ends with | at the latest after |
+//! | phase | what happens | ends with | timeout |
 //! | --- | --- | --- | --- |
-//! | asking | peers are asked; nobody is served, nothing is sent | the asking's end | `ask_for` |
-//! | listing | what has run out, or must fail, gets its final answer; nothing is sent | the first word of this sender's own agent | `list_for` |
-//! | finishing | what is owed is sent; the door is shut | no notice is owed and nothing waits for a call | `finish_for` |
-//! | admitting | newcomers come in at a rate that grows | the rate's end | `full_after` |
-//! | full | as ever | the process's end | |
+//! | querying peers | peers are queried; no client is served, nothing is sent | the end of the query | `peer_query_timeout` |
+//! | awaiting endpoints | expired or failed messages are completed; nothing is sent | the first word of the own discovery agent | `endpoint_list_timeout` |
+//! | draining the backlog | pending messages are sent; new ones are rejected | an empty backlog | `backlog_timeout` |
+//! | admitting gradually | new messages are admitted at a growing rate | the end of the ramp | `admission_ramp` |
+//! | full service | normal operation | the end of the process | |
 //!
-//! A process that finds its machine as it left it is full at once. Another loss of power in the midst of it is another
-//! start, and begins the same way again: nothing of these stages is kept.
+//! A process whose machine was not restarted begins at full service. Nothing of the phases is persisted: a power loss in
+//! the middle is another restart, which begins with the first phase.
 use crate::admission::Admission;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How long each stage may take, and the rate at which newcomers come in.
+/// The timeouts of the phases, and the rate at which new messages are admitted at first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Asking.
-    pub ask_for: Duration,
-    /// Listing.
-    pub list_for: Duration,
-    /// Finishing.
-    pub finish_for: Duration,
-    /// Admitting.
-    pub full_after: Duration,
-    /// Newcomers a second at its begin.
-    pub newcomers: f64,
+    /// The timeout of querying peers.
+    pub peer_query_timeout: Duration,
+    /// The timeout of awaiting endpoints.
+    pub endpoint_list_timeout: Duration,
+    /// The timeout of draining the backlog.
+    pub backlog_timeout: Duration,
+    /// The length of the gradual admission.
+    pub admission_ramp: Duration,
+    /// New messages per second at the beginning of the gradual admission.
+    pub initial_admissions_per_second: f64,
 }
 
-/// How far service has returned.
+/// How far service has returned. JSON names are part of the `/status/recovery` and trace formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
 pub enum RecoveryPhase {
-    /// Peers are asked.
-    Asking,
-    /// The list is waited for.
-    Listing,
-    /// What is owed is brought to its end.
-    Finishing,
-    /// Newcomers come in at a rate.
-    Admitting,
-    /// As ever.
-    Full,
+    /// Peers are queried.
+    #[serde(rename = "asking")]
+    QueryingPeers,
+    /// The endpoint list is awaited.
+    #[serde(rename = "listing")]
+    AwaitingEndpoints,
+    /// Pending messages of before the restart are sent.
+    #[serde(rename = "finishing")]
+    DrainingBacklog,
+    /// New messages are admitted at a growing rate.
+    #[serde(rename = "admitting")]
+    AdmittingGradually,
+    /// Normal operation.
+    #[serde(rename = "full")]
+    FullService,
 }
 
 impl RecoveryPhase {
-    /// What it waits for, in words.
+    /// Returns what the phase waits for, as shown to operators.
     #[must_use]
     pub fn waits_for(self) -> &'static str {
         match self {
-            Self::Asking => "what other senders know",
-            Self::Listing => "the list of this sender's own agent",
-            Self::Finishing => "what is owed from before",
-            Self::Admitting => "nothing: newcomers come in at a rate that grows",
-            Self::Full => "nothing",
+            Self::QueryingPeers => "what other senders know",
+            Self::AwaitingEndpoints => "the list of this sender's own agent",
+            Self::DrainingBacklog => "what is owed from before",
+            Self::AdmittingGradually => "nothing: newcomers come in at a rate that grows",
+            Self::FullService => "nothing",
+        }
+    }
+
+    /// Returns the phase after this one.
+    fn next(self) -> Self {
+        match self {
+            Self::QueryingPeers => Self::AwaitingEndpoints,
+            Self::AwaitingEndpoints => Self::DrainingBacklog,
+            Self::DrainingBacklog => Self::AdmittingGradually,
+            Self::AdmittingGradually | Self::FullService => Self::FullService,
         }
     }
 }
 
-/// Why a stage ended.
+/// Why a phase ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Why {
-    /// What it waited for came.
-    Done,
-    /// Its time was over.
-    Late,
+pub enum PhaseEnd {
+    /// The awaited condition occurred.
+    #[serde(rename = "done")]
+    Completed,
+    /// The timeout expired.
+    #[serde(rename = "late")]
+    TimedOut,
 }
 
-/// Something happened.
+/// An input to the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The asking has ended.
-    Asked,
-    /// This sender's own agent has said something of the list.
-    Listed,
-    /// So many messages of before wait for a call or for their notice.
-    Left(usize),
+    /// The query of peers has ended.
+    PeersQueried,
+    /// The own discovery agent has sent a first message about the endpoint list.
+    EndpointListReceived,
+    /// This many messages of before the restart still wait for a call or for their notification.
+    Backlog(usize),
     /// Time has passed.
     Timer,
 }
 
-/// One stage that has ended.
+/// A phase that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Step {
-    /// Which.
-    pub stage: RecoveryPhase,
-    /// How long it took, in microseconds.
-    pub took: u64,
-    /// Why it ended.
-    pub why: Why,
+pub struct PhaseRecord {
+    /// The phase.
+    #[serde(rename = "stage")]
+    pub phase: RecoveryPhase,
+    /// The length of the phase, in microseconds.
+    #[serde(rename = "took")]
+    pub took_us: u64,
+    /// Why the phase ended.
+    #[serde(rename = "why")]
+    pub end: PhaseEnd,
 }
 
-/// Where the return stands.
+/// The phases of one process.
 #[derive(Clone, Debug)]
 pub struct Phases {
     settings: Settings,
-    stage: RecoveryPhase,
+    phase: RecoveryPhase,
     since: Duration,
-    listed: bool,
+    has_endpoint_list: bool,
     admission: Option<Admission>,
-    steps: Vec<Step>,
+    ended: Vec<PhaseRecord>,
 }
 
 impl Phases {
-    /// One that begins to ask now.
+    /// Creates the phases of a process that begins with querying peers.
     #[must_use]
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
             settings,
-            stage: RecoveryPhase::Asking,
+            phase: RecoveryPhase::QueryingPeers,
             since: now,
-            listed: false,
+            has_endpoint_list: false,
             admission: None,
-            steps: Vec::new(),
+            ended: Vec::new(),
         }
     }
 
-    /// One that has nothing to return from.
+    /// Creates the phases of a process that begins at full service.
     #[must_use]
-    pub fn full(settings: Settings, now: Duration) -> Self {
-        Self { stage: RecoveryPhase::Full, ..Self::new(settings, now) }
+    pub fn at_full_service(settings: Settings, now: Duration) -> Self {
+        Self { phase: RecoveryPhase::FullService, ..Self::new(settings, now) }
     }
 
-    /// The stage.
+    /// Returns the current phase.
     #[must_use]
-    pub fn stage(&self) -> RecoveryPhase {
-        self.stage
+    pub fn phase(&self) -> RecoveryPhase {
+        self.phase
     }
 
-    /// Since when.
+    /// Returns when the current phase began.
     #[must_use]
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// Those that have ended, in their order.
+    /// Returns the phases that have ended, in their order.
     #[must_use]
-    pub fn steps(&self) -> &[Step] {
-        &self.steps
+    pub fn ended(&self) -> &[PhaseRecord] {
+        &self.ended
     }
 
-    fn most(&self) -> Option<Duration> {
-        match self.stage {
-            RecoveryPhase::Asking => Some(self.settings.ask_for),
-            RecoveryPhase::Listing => Some(self.settings.list_for),
-            RecoveryPhase::Finishing => Some(self.settings.finish_for),
-            RecoveryPhase::Admitting => Some(self.settings.full_after),
-            RecoveryPhase::Full => None,
+    fn timeout(&self) -> Option<Duration> {
+        match self.phase {
+            RecoveryPhase::QueryingPeers => Some(self.settings.peer_query_timeout),
+            RecoveryPhase::AwaitingEndpoints => Some(self.settings.endpoint_list_timeout),
+            RecoveryPhase::DrainingBacklog => Some(self.settings.backlog_timeout),
+            RecoveryPhase::AdmittingGradually => Some(self.settings.admission_ramp),
+            RecoveryPhase::FullService => None,
         }
     }
 
-    /// When it wants [`Input::Timer`].
+    /// Returns when [`Input::Timer`] is due.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
-        self.most().map(|most| self.since + most)
+        self.timeout().map(|timeout| self.since + timeout)
     }
 
-    /// Takes in what happened; whether the stage has changed. `now` never goes back.
+    /// Handles an input, and returns whether the phase has changed. `now` never goes back.
     pub fn handle(&mut self, input: Input, now: Duration) -> bool {
-        let before = self.stage;
-        self.listed |= input == Input::Listed;
-        let done = match (self.stage, input) {
-            // An asking that ended with its time is late.
-            (RecoveryPhase::Asking, Input::Asked) => self.due().is_some_and(|due| now < due),
-            (RecoveryPhase::Listing, _) => self.listed,
-            (RecoveryPhase::Finishing, Input::Left(0)) => true,
+        let before = self.phase;
+        self.has_endpoint_list |= input == Input::EndpointListReceived;
+        let is_timed_out = self.due().is_some_and(|due| due <= now);
+        let is_completed = match (self.phase, input) {
+            // A query that ended with its time has timed out.
+            (RecoveryPhase::QueryingPeers, Input::PeersQueried) => !is_timed_out,
+            (RecoveryPhase::AwaitingEndpoints, _) => self.has_endpoint_list,
+            (RecoveryPhase::DrainingBacklog, Input::Backlog(0)) => true,
             _ => false,
         };
-        if done {
-            self.next(Why::Done, now);
-            // The list may have come while others were asked.
-            if self.stage == RecoveryPhase::Listing && self.listed {
-                self.next(Why::Done, now);
+        if is_completed {
+            self.end_phase(PhaseEnd::Completed, now);
+            // The endpoint list may have arrived while peers were queried.
+            if self.phase == RecoveryPhase::AwaitingEndpoints && self.has_endpoint_list {
+                self.end_phase(PhaseEnd::Completed, now);
             }
-        } else if self.due().is_some_and(|due| due <= now) {
-            // The rate at which newcomers come in ends as it should.
-            let why = if self.stage == RecoveryPhase::Admitting { Why::Done } else { Why::Late };
-            self.next(why, now);
+        } else if is_timed_out {
+            // The gradual admission ends with its time as intended.
+            let is_intended = self.phase == RecoveryPhase::AdmittingGradually;
+            self.end_phase(if is_intended { PhaseEnd::Completed } else { PhaseEnd::TimedOut }, now);
         }
-        before != self.stage
+        before != self.phase
     }
 
-    fn next(&mut self, why: Why, now: Duration) {
-        let took = now.saturating_sub(self.since).as_micros() as u64;
-        self.steps.push(Step { stage: self.stage, took, why });
+    fn end_phase(&mut self, end: PhaseEnd, now: Duration) {
+        let took_us = now.saturating_sub(self.since).as_micros() as u64;
+        self.ended.push(PhaseRecord { phase: self.phase, took_us, end });
         self.since = now;
-        self.stage = match self.stage {
-            RecoveryPhase::Asking => RecoveryPhase::Listing,
-            RecoveryPhase::Listing => RecoveryPhase::Finishing,
-            RecoveryPhase::Finishing => {
-                self.admission = Some(Admission::new(self.settings.newcomers, self.settings.full_after, now));
-                RecoveryPhase::Admitting
-            }
-            RecoveryPhase::Admitting | RecoveryPhase::Full => {
-                self.admission = None;
-                RecoveryPhase::Full
-            }
-        };
+        self.phase = self.phase.next();
+        self.admission = (self.phase == RecoveryPhase::AdmittingGradually).then(|| {
+            let Settings { initial_admissions_per_second, admission_ramp, .. } = self.settings;
+            Admission::new(initial_admissions_per_second, admission_ramp, now)
+        });
     }
 
-    /// Whether what is owed may be sent.
+    /// Whether pending messages of before the restart may be sent.
     #[must_use]
-    pub fn may_send(&self) -> bool {
-        self.stage >= RecoveryPhase::Finishing
+    pub fn sends_backlog(&self) -> bool {
+        self.phase >= RecoveryPhase::DrainingBacklog
     }
 
-    /// Whether clients may come.
+    /// Whether new messages are admitted.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.stage >= RecoveryPhase::Admitting
+        self.phase >= RecoveryPhase::AdmittingGradually
     }
 
-    /// Lets a newcomer in, or says when to come again.
+    /// Admits a new message.
     ///
     /// # Errors
-    /// How long to wait; at the latest the stage's own end where the door is shut.
+    /// Returns how long the client has to wait; if no message is admitted in this phase, until its timeout.
     pub fn admit(&mut self, now: Duration) -> Result<(), Duration> {
-        match (&mut self.admission, self.stage) {
-            (_, RecoveryPhase::Full) => Ok(()),
+        match (&mut self.admission, self.phase) {
+            (_, RecoveryPhase::FullService) => Ok(()),
             (Some(admission), _) => admission.admit(now),
             (None, _) => Err(self.due().unwrap_or(now).saturating_sub(now)),
         }
--- a/crates/micadrum-recovery/src/phases/tests.rs
+++ b/crates/micadrum-recovery/src/phases/tests.rs
@@ -7,98 +7,107 @@
 }
 
 const SETTINGS: Settings = Settings {
-    ask_for: ms(1000),
-    list_for: ms(2000),
-    finish_for: ms(3000),
-    full_after: ms(5000),
-    newcomers: 20.0,
+    peer_query_timeout: ms(1000),
+    endpoint_list_timeout: ms(2000),
+    backlog_timeout: ms(3000),
+    admission_ramp: ms(5000),
+    initial_admissions_per_second: 20.0,
 };
 
-/// Guards against service that returns in another order, or stays away though nothing is waited for.
+/// Guards against service that returns in another order, or is withheld although nothing is awaited.
 #[test]
-fn each_stage_ends_with_what_it_waits_for() {
-    let mut stages = Phases::new(SETTINGS, ms(0));
-    assert!(!stages.handle(Input::Left(0), ms(10)), "nothing owed does not end the asking");
+fn each_phase_ends_with_what_it_waits_for() {
+    let mut phases = Phases::new(SETTINGS, ms(0));
+    assert!(!phases.handle(Input::Backlog(0), ms(10)), "an empty backlog does not end the query");
     assert!(
-        stages.handle(Input::Asked, ms(100))
-            && stages.stage() == RecoveryPhase::Listing
-            && !stages.may_send()
+        phases.handle(Input::PeersQueried, ms(100))
+            && phases.phase() == RecoveryPhase::AwaitingEndpoints
+            && !phases.sends_backlog()
     );
-    assert!(stages.handle(Input::Listed, ms(200)) && stages.stage() == RecoveryPhase::Finishing);
-    assert!(stages.may_send() && !stages.is_open() && stages.admit(ms(200)) == Err(ms(3000)));
-    assert!(!stages.handle(Input::Left(3), ms(300)));
     assert!(
-        stages.handle(Input::Left(0), ms(400))
-            && stages.stage() == RecoveryPhase::Admitting
-            && stages.is_open()
+        phases.handle(Input::EndpointListReceived, ms(200))
+            && phases.phase() == RecoveryPhase::DrainingBacklog
     );
-    assert!(stages.admit(ms(400)).is_ok() && stages.admit(ms(400)).is_err());
-    assert!(!stages.handle(Input::Timer, ms(5399)) && stages.handle(Input::Timer, ms(5400)));
-    assert_eq!((stages.stage(), stages.due()), (RecoveryPhase::Full, None));
-    assert!((0..100).all(|_| stages.admit(ms(5400)).is_ok()));
-    let took: Vec<_> = stages.steps().iter().map(|step| (step.stage, step.took / 1000, step.why)).collect();
-    let done = Why::Done;
+    assert!(phases.sends_backlog() && !phases.is_open() && phases.admit(ms(200)) == Err(ms(3000)));
+    assert!(!phases.handle(Input::Backlog(3), ms(300)));
+    assert!(
+        phases.handle(Input::Backlog(0), ms(400))
+            && phases.phase() == RecoveryPhase::AdmittingGradually
+            && phases.is_open()
+    );
+    assert!(phases.admit(ms(400)).is_ok() && phases.admit(ms(400)).is_err());
+    assert!(!phases.handle(Input::Timer, ms(5399)) && phases.handle(Input::Timer, ms(5400)));
+    assert_eq!((phases.phase(), phases.due()), (RecoveryPhase::FullService, None));
+    assert!((0..100).all(|_| phases.admit(ms(5400)).is_ok()));
+    let took: Vec<_> =
+        phases.ended().iter().map(|step| (step.phase, step.took_us / 1000, step.end)).collect();
+    let done = PhaseEnd::Completed;
     let expected = [
-        (RecoveryPhase::Asking, 100, done),
-        (RecoveryPhase::Listing, 100, done),
-        (RecoveryPhase::Finishing, 200, done),
-        (RecoveryPhase::Admitting, 5000, done),
+        (RecoveryPhase::QueryingPeers, 100, done),
+        (RecoveryPhase::AwaitingEndpoints, 100, done),
+        (RecoveryPhase::DrainingBacklog, 200, done),
+        (RecoveryPhase::AdmittingGradually, 5000, done),
     ];
     assert_eq!(took, expected);
 }
 
-/// Guards against an asking that nobody answered in its time being told as one that was done.
+/// Guards against a query that timed out and is reported as completed.
 #[test]
-fn an_asking_that_took_all_its_time_is_late() {
-    for (at, why) in [(999, Why::Done), (1000, Why::Late)] {
-        let mut stages = Phases::new(SETTINGS, ms(0));
-        assert!(stages.handle(Input::Asked, ms(at)));
-        assert_eq!((stages.stage(), stages.steps()[0].why), (RecoveryPhase::Listing, why));
+fn a_query_that_took_all_its_time_has_timed_out() {
+    for (at, end) in [(999, PhaseEnd::Completed), (1000, PhaseEnd::TimedOut)] {
+        let mut phases = Phases::new(SETTINGS, ms(0));
+        assert!(phases.handle(Input::PeersQueried, ms(at)));
+        assert_eq!((phases.phase(), phases.ended()[0].end), (RecoveryPhase::AwaitingEndpoints, end));
     }
 }
 
-/// Guards against waiting for a list that came before it was its turn.
+/// Guards against waiting for an endpoint list that has already arrived.
 #[test]
-fn a_list_that_came_early_counts() {
-    let mut stages = Phases::new(SETTINGS, ms(0));
-    assert!(!stages.handle(Input::Listed, ms(10)));
-    stages.handle(Input::Asked, ms(20));
-    assert_eq!(stages.stage(), RecoveryPhase::Finishing);
+fn an_endpoint_list_that_arrived_early_counts() {
+    let mut phases = Phases::new(SETTINGS, ms(0));
+    assert!(!phases.handle(Input::EndpointListReceived, ms(10)));
+    phases.handle(Input::PeersQueried, ms(20));
+    assert_eq!(phases.phase(), RecoveryPhase::DrainingBacklog);
 }
 
-/// Guards against a sender that stays away for good, whatever does or does not happen: its stages end in their order
-/// and in their times.
+/// Guards against a sender that never returns to service: phases end in their order and in their time.
 #[test]
-fn whatever_happens_service_is_back_in_time() {
-    let most = SETTINGS.ask_for + SETTINGS.list_for + SETTINGS.finish_for + SETTINGS.full_after;
+fn service_returns_in_time_whatever_happens() {
+    let most = SETTINGS.peer_query_timeout
+        + SETTINGS.endpoint_list_timeout
+        + SETTINGS.backlog_timeout
+        + SETTINGS.admission_ramp;
     for seed in 0..2000 {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut stages = Phases::new(SETTINGS, ms(0));
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut phases = Phases::new(SETTINGS, ms(0));
         let mut now = ms(0);
-        let mut last = stages.stage();
-        while stages.stage() != RecoveryPhase::Full {
-            let due = stages.due().unwrap();
-            let step = Duration::from_micros(u64::from(chance.next_u32()) % 1_500_000);
-            now = if chance.next_u32().is_multiple_of(3) { due } else { (now + step).min(due) };
-            let input = match chance.next_u32() % 4 {
-                0 => Input::Asked,
-                1 => Input::Listed,
-                2 => Input::Left(chance.next_u32() as usize % 2),
+        let mut last = phases.phase();
+        while phases.phase() != RecoveryPhase::FullService {
+            let due = phases.due().unwrap();
+            let step = Duration::from_micros(u64::from(rng.next_u32()) % 1_500_000);
+            now = if rng.next_u32().is_multiple_of(3) { due } else { (now + step).min(due) };
+            let input = match rng.next_u32() % 4 {
+                0 => Input::PeersQueried,
+                1 => Input::EndpointListReceived,
+                2 => Input::Backlog(rng.next_u32() as usize % 2),
                 _ => Input::Timer,
             };
-            stages.handle(input, now);
-            assert!(stages.stage() >= last && now <= most, "seed {seed}");
-            assert!(stages.stage() == RecoveryPhase::Full || stages.due().unwrap() > now, "seed {seed}");
-            last = stages.stage();
+            phases.handle(input, now);
+            assert!(phases.phase() >= last && now <= most, "seed {seed}");
+            assert!(
+                phases.phase() == RecoveryPhase::FullService || phases.due().unwrap() > now,
+                "seed {seed}"
+            );
+            last = phases.phase();
         }
-        let order: Vec<RecoveryPhase> = stages.steps().iter().map(|step| step.stage).collect();
+        let order: Vec<RecoveryPhase> = phases.ended().iter().map(|step| step.phase).collect();
         assert_eq!(
             order,
             [
-                RecoveryPhase::Asking,
-                RecoveryPhase::Listing,
-                RecoveryPhase::Finishing,
-                RecoveryPhase::Admitting
+                RecoveryPhase::QueryingPeers,
+                RecoveryPhase::AwaitingEndpoints,
+                RecoveryPhase::DrainingBacklog,
+                RecoveryPhase::AdmittingGradually
             ],
             "seed {seed}"
         );
--- a/crates/micadrum-testkit/src/history.rs
+++ b/crates/micadrum-testkit/src/history.rs
@@ -56,7 +56,7 @@
     /// What it made of its folder; none where that part is off, or it ended before.
     pub trust: Option<micadrum_recovery::Trust>,
     /// The stages that it went through, with when each was over.
-    pub steps: Vec<(At, micadrum_recovery::phases::Step)>,
+    pub steps: Vec<(At, micadrum_recovery::phases::PhaseRecord)>,
 }
 
 /// A view that is wrong: who holds whom for what.
@@ -145,7 +145,7 @@
                     let Some(of) = open.get(sender).map(|place| &mut returns[*place]) else { continue };
                     match said {
                         micadrum_recovery::Record::Trust(trust) => of.trust = Some(trust.clone()),
-                        micadrum_recovery::Record::Step(step) => of.steps.push((*at, *step)),
+                        micadrum_recovery::Record::PhaseEnded(step) => of.steps.push((*at, *step)),
                     }
                 }
                 _ => {}
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -4,7 +4,7 @@
 
 use common::daemon;
 use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine, RecoveryFinding};
-use micadrum_recovery::phases::{RecoveryPhase, Why};
+use micadrum_recovery::phases::{PhaseEnd, RecoveryPhase};
 use micadrum_testkit::history::{History, Return};
 use micadrum_testkit::judge::Rule;
 use micadrum_testkit::live;
@@ -39,11 +39,15 @@
 
 /// Each return went through its stages in their order, and those that were not cut short by another loss to the end.
 fn in_order(report: &Report, whole: usize) {
-    let order =
-        [RecoveryPhase::Asking, RecoveryPhase::Listing, RecoveryPhase::Finishing, RecoveryPhase::Admitting];
+    let order = [
+        RecoveryPhase::QueryingPeers,
+        RecoveryPhase::AwaitingEndpoints,
+        RecoveryPhase::DrainingBacklog,
+        RecoveryPhase::AdmittingGradually,
+    ];
     let returned = returned(&report.history);
     for of in &returned {
-        let stages: Vec<RecoveryPhase> = of.steps.iter().map(|(_, step)| step.stage).collect();
+        let stages: Vec<RecoveryPhase> = of.steps.iter().map(|(_, step)| step.phase).collect();
         assert_eq!(stages, order[..stages.len()], "{}", report.history.text());
     }
     let to_the_end = returned.iter().filter(|of| of.steps.len() == 4).count();
@@ -66,16 +70,16 @@
         let trust = of.trust.as_ref().unwrap();
         assert_eq!(
             (trust.machine, trust.journal),
-            (Machine::Another, JournalTrust::Binds),
+            (Machine::Rebooted, JournalTrust::Complete),
             "{}",
             report.history.text()
         );
     }
     in_order(report, 8);
     // The building's senders asked in time, and heard the time from those that never stopped.
-    assert!(returned[8..].iter().all(|of| of.steps[0].1.why == Why::Done));
+    assert!(returned[8..].iter().all(|of| of.steps[0].1.end == PhaseEnd::Completed));
     assert!(
-        returned[8..].iter().all(|of| of.trust.as_ref().unwrap().offset.is_some()),
+        returned[8..].iter().all(|of| of.trust.as_ref().unwrap().clock_offset_us.is_some()),
         "{}",
         report.history.text()
     );
@@ -111,7 +115,7 @@
         assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
         assert_eq!(returned(&report.history).len(), 5);
         let off =
-            returned(&report.history).iter().all(|of| of.trust.as_ref().unwrap().clock != Clock::Believed);
+            returned(&report.history).iter().all(|of| of.trust.as_ref().unwrap().clock != Clock::Trusted);
         assert!(off, "seed {seed}\n{}", report.history.text());
     }
 }
@@ -139,8 +143,14 @@
         };
         for (sender, from) in [(0, 12), (1, 16)] {
             let Some(trust) = back(sender, from) else { continue };
-            let older = trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::Older { .. }));
-            assert!(older && trust.journal == JournalTrust::Hint, "seed {seed}, sender {sender}: {trust:?}");
+            let older = trust
+                .findings
+                .iter()
+                .any(|finding| matches!(finding, RecoveryFinding::OutdatedFolder { .. }));
+            assert!(
+                older && trust.journal == JournalTrust::Incomplete,
+                "seed {seed}, sender {sender}: {trust:?}"
+            );
             judged += 1;
         }
         in_order(&report, 4);
@@ -163,9 +173,9 @@
             assert!(report.verdict.kept, "{kind}, seed {seed}\n{}", report.text());
             in_order(&report, 3);
             for of in returned(&report.history) {
-                let asked = of.steps[0].1.took;
+                let asked = of.steps[0].1.took_us;
                 assert!(asked <= SECOND + SECOND / 10, "{kind}, seed {seed}: {asked}");
-                let told = of.trust.unwrap().offset.is_some();
+                let told = of.trust.unwrap().clock_offset_us.is_some();
                 assert!(kind != "cut" || !told, "{kind}, seed {seed}: nobody can have told the time");
             }
         }
@@ -186,9 +196,12 @@
         assert_eq!(returned.len(), 3);
         for of in returned {
             let trust = of.trust.unwrap();
-            assert!(trust.offset.is_some(), "seed {seed}: the other building tells the time: {trust:?}");
-            let (Clock::Off(by) | Clock::Behind(by)) = trust.clock else { continue };
-            let told = trust.offset.unwrap().unsigned_abs();
+            assert!(
+                trust.clock_offset_us.is_some(),
+                "seed {seed}: the other building tells the time: {trust:?}"
+            );
+            let (Clock::Skewed(by) | Clock::Behind(by)) = trust.clock else { continue };
+            let told = trust.clock_offset_us.unwrap().unsigned_abs();
             assert!(told > 5 * SECOND && by > SECOND, "seed {seed}: {trust:?}");
             off += 1;
         }
@@ -211,9 +224,9 @@
     for of in report.history.returns() {
         let Some(trust) = of.trust else { continue };
         forgot += usize::from(
-            trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::Older { .. })),
+            trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::OutdatedFolder { .. })),
         );
-        away += usize::from(trust.machine == Machine::Another);
+        away += usize::from(trust.machine == Machine::Rebooted);
     }
     // Of the four that are struck later one may be gone for good.
     assert!(forgot >= 3 && away >= 4, "{forgot} {away}\n{}", report.history.text());
@@ -249,7 +262,7 @@
             let report = common::play(Plan::new(day(27, MACHINE, &faults), seed));
             assert!(report.verdict.kept, "{what}, seed {seed}\n{}", report.text());
             in_order(&report, 5);
-            let late = returned(&report.history).iter().all(|of| of.steps[1].1.why == Why::Late);
+            let late = returned(&report.history).iter().all(|of| of.steps[1].1.end == PhaseEnd::TimedOut);
             assert!(what != "silent" || late, "{}", report.history.text());
         }
     }
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,9 +1,9 @@
-//! What can be asked for on the command line besides running a sender.
-mod door;
+//! The subcommands of the command line.
+mod admin_client;
 mod peers;
 mod recovery;
 
-use crate::{StartError, operator, platform};
+use crate::{StartError, read_operator_config, read_platform_config};
 use clap::Subcommand;
 use micadrum_membership::Secret;
 use std::io::Write;
@@ -11,9 +11,9 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// What is asked for.
+/// A subcommand. The comments of variants and fields are the help texts.
 #[derive(Subcommand)]
-pub enum What {
+pub enum Command {
     /// Reads an operator's file, and says what is wrong with it
     Check {
         /// The file
@@ -44,42 +44,43 @@
     },
 }
 
-/// Why it could not be done.
+/// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A file cannot be used.
+    /// A configuration file cannot be used.
     #[error(transparent)]
     File(#[from] StartError),
-    /// Chance, or a file that is to be written.
+    /// Random bytes are not available, or a file cannot be written.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The sender says no.
+    /// The request to the admin endpoint failed.
     #[error(transparent)]
-    Door(#[from] door::DoorError),
-    /// Nothing says where the sender's door is.
+    AdminClient(#[from] admin_client::AdminClientError),
+    /// The address of the admin endpoint is not known.
     #[error("the configuration names no `management`: say where with --door")]
-    NoDoor,
+    AdminAddressMissing,
 }
 
-impl What {
-    /// Does it.
+impl Command {
+    /// Executes the subcommand.
     ///
     /// # Errors
-    /// Why it could not be done.
-    pub fn carry_out(self) -> Result<(), CommandError> {
+    /// Returns why the subcommand failed.
+    pub fn execute(self) -> Result<(), CommandError> {
         match self {
             Self::Check { file, name } => check(&file, name),
-            Self::Key { file } => key(&file),
+            Self::Key { file } => create_key(&file),
             Self::Recovery { door } => {
-                print!("{}", recovery::told(&door::get(door_of(door)?, "/status/recovery")?));
+                let report = admin_client::get(admin_address(door)?, "/status/recovery")?;
+                print!("{}", recovery::format(&report));
                 Ok(())
             }
             Self::Peers { door, all } => {
-                let door = door_of(door)?;
+                let address = admin_address(door)?;
                 if all {
-                    print!("{}", peers::matrix(&door::get(door, "/status/peers/all")?));
+                    print!("{}", peers::matrix(&admin_client::get(address, "/status/peers/all")?));
                 } else {
-                    print!("{}", peers::table(&door::get(door, "/status/peers")?));
+                    print!("{}", peers::table(&admin_client::get(address, "/status/peers")?));
                 }
                 Ok(())
             }
@@ -87,19 +88,21 @@
     }
 }
 
-fn door_of(given: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
+/// Returns the address of the admin endpoint: the given one, or that in the platform configuration.
+fn admin_address(given: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
     match given {
-        Some(door) => Ok(door),
-        None => platform()?.management.ok_or(CommandError::NoDoor),
+        Some(address) => Ok(address),
+        None => read_platform_config()?.management.ok_or(CommandError::AdminAddressMissing),
     }
 }
 
+/// Validates an operator's file.
 fn check(file: &Path, name: Option<String>) -> Result<(), CommandError> {
     let name = match name {
         Some(name) => name,
-        None => platform()?.name,
+        None => read_platform_config()?.name,
     };
-    let operator = operator(file, &name)?;
+    let operator = read_operator_config(file, &name)?;
     match &operator.peers {
         Some(peers) => println!("{}: fine: {} of {} members", file.display(), name, peers.members.len()),
         None => println!("{}: fine: peers are off", file.display()),
@@ -107,12 +110,13 @@
     Ok(())
 }
 
-fn key(file: &Path) -> Result<(), CommandError> {
-    let mut bytes = [0; 32];
-    getrandom::fill(&mut bytes).map_err(std::io::Error::other)?;
+/// Creates a secret key file that only its owner may read, and prints the public key.
+fn create_key(file: &Path) -> Result<(), CommandError> {
+    let mut secret = [0; 32];
+    getrandom::fill(&mut secret).map_err(std::io::Error::other)?;
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let mut to = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(file)?;
-    writeln!(to, "{}", hex(&bytes))?;
-    println!("{}", hex(&Secret::new(bytes).public()));
+    let mut output = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(file)?;
+    writeln!(output, "{}", hex(&secret))?;
+    println!("{}", hex(&Secret::new(secret).public()));
     Ok(())
 }
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,69 +1,103 @@
-//! How far service has returned, in words.
+//! The recovery status of a running sender, as text for the terminal.
 use micadrum_recovery::Trust;
 use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine};
-use micadrum_recovery::phases::{RecoveryPhase, Step};
+use micadrum_recovery::phases::{PhaseEnd, PhaseRecord, RecoveryPhase};
 use serde::Deserialize;
 use std::fmt::Write as _;
 
-/// What the door tells.
+const MICROS_PER_MILLI: u64 = 1_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// The answer of `/status/recovery`.
 #[derive(Deserialize)]
 pub struct Report {
-    stage: RecoveryPhase,
+    #[serde(rename = "stage")]
+    phase: RecoveryPhase,
     for_us: u64,
     waits_for: String,
     trust: Trust,
-    asked: Option<Asked>,
-    steps: Vec<Step>,
+    #[serde(rename = "asked")]
+    peer_query: Option<PeerQuerySummary>,
+    #[serde(rename = "steps")]
+    ended_phases: Vec<PhaseRecord>,
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct PeerQuerySummary {
     answered: usize,
-    steady: usize,
-    silent: usize,
-    took: u64,
-    late: bool,
+    #[serde(rename = "steady")]
+    at_full_service: usize,
+    #[serde(rename = "silent")]
+    unanswered: usize,
+    #[serde(rename = "took")]
+    took_us: u64,
+    #[serde(rename = "late")]
+    timed_out: bool,
+}
+
+/// Formats a recovery status.
+pub fn format(report: &Report) -> String {
+    let phase = phase_label(report.phase);
+    let for_ms = report.for_us / MICROS_PER_MILLI;
+    let mut text = format!("{phase} for {for_ms} ms, waits for {}\n", report.waits_for);
+    text.push_str(&format_trust(&report.trust));
+    text.push_str(&format_peer_query(report.peer_query.as_ref()));
+    for finding in &report.trust.findings {
+        let _ = writeln!(text, "found    {finding}");
+    }
+    for PhaseRecord { phase, took_us, end } in &report.ended_phases {
+        let (phase, took_ms) = (phase_label(*phase), took_us / MICROS_PER_MILLI);
+        let _ = writeln!(text, "stage    {phase}: {took_ms} ms, {}", end_label(*end));
+    }
+    text
 }
 
-/// The whole of it.
-pub fn told(report: &Report) -> String {
-    let Report { stage, for_us, waits_for, trust, asked, steps } = report;
-    let mut text = format!("{stage:?} for {} ms, waits for {waits_for}\n", for_us / 1000);
+fn format_trust(trust: &Trust) -> String {
     let machine = match trust.machine {
-        Machine::Same => "as it was",
-        Machine::Another => "began anew",
+        Machine::SameBoot => "as it was",
+        Machine::Rebooted => "began anew",
         Machine::Unknown => "not known",
     };
     let journal = match trust.journal {
-        JournalTrust::Binds => "binds",
-        JournalTrust::Hint => "a hint: what it holds may have run, and more may be missing",
-        JournalTrust::Void => "another sender's, set aside",
+        JournalTrust::Complete => "binds",
+        JournalTrust::Incomplete => "a hint: what it holds may have run, and more may be missing",
+        JournalTrust::Foreign => "another sender's, set aside",
     };
     let clock = match trust.clock {
-        Clock::Believed => "believed".to_owned(),
-        Clock::Unchecked => "not vouched for".to_owned(),
-        Clock::Behind(by) => format!("{} s before what was written", by.div_ceil(1_000_000)),
-        Clock::Off(by) => format!("{} s off that of the others", by.div_ceil(1_000_000)),
+        Clock::Trusted => "believed".to_owned(),
+        Clock::Unverified => "not vouched for".to_owned(),
+        Clock::Behind(by) => format!("{} s before what was written", by.div_ceil(MICROS_PER_SECOND)),
+        Clock::Skewed(by) => format!("{} s off that of the others", by.div_ceil(MICROS_PER_SECOND)),
     };
-    let _ = writeln!(text, "machine  {machine}\njournal  {journal}\nclock    {clock}");
-    match asked {
-        Some(Asked { answered, steady, silent, took, late }) => {
-            let late = if *late { ", until its time was over" } else { "" };
-            let _ = writeln!(
-                text,
-                "peers    {answered} answered, {steady} of them at full service, {silent} did not; {} ms{late}",
-                took / 1000
-            );
-        }
-        None => text.push_str("peers    not asked\n"),
-    }
-    for finding in &trust.findings {
-        let _ = writeln!(text, "found    {finding}");
+    format!("machine  {machine}\njournal  {journal}\nclock    {clock}\n")
+}
+
+fn format_peer_query(summary: Option<&PeerQuerySummary>) -> String {
+    let Some(summary) = summary else { return "peers    not asked\n".to_owned() };
+    let PeerQuerySummary { answered, at_full_service, unanswered, took_us, timed_out } = summary;
+    let late = if *timed_out { ", until its time was over" } else { "" };
+    format!(
+        "peers    {answered} answered, {at_full_service} of them at full service, {unanswered} did not; {} ms{late}\n",
+        took_us / MICROS_PER_MILLI
+    )
+}
+
+/// Returns the name of a phase in the output of the command, which scripts may rely on.
+fn phase_label(phase: RecoveryPhase) -> &'static str {
+    match phase {
+        RecoveryPhase::QueryingPeers => "Asking",
+        RecoveryPhase::AwaitingEndpoints => "Listing",
+        RecoveryPhase::DrainingBacklog => "Finishing",
+        RecoveryPhase::AdmittingGradually => "Admitting",
+        RecoveryPhase::FullService => "Full",
     }
-    for step in steps {
-        let _ = writeln!(text, "stage    {:?}: {} ms, {:?}", step.stage, step.took / 1000, step.why);
+}
+
+fn end_label(end: PhaseEnd) -> &'static str {
+    match end {
+        PhaseEnd::Completed => "Done",
+        PhaseEnd::TimedOut => "Late",
     }
-    text
 }
 
 #[cfg(test)]
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -32,7 +32,7 @@
             self.figures.refused(&owed.message.class);
             return SubmitResponse::Rejected;
         }
-        let away = self.returning.turns_away(self.repeats(class));
+        let away = self.returning.rejects_for(self.repeats(class));
         if let Some(wait) = away.or_else(|| self.returning.admit().err()) {
             self.figures.refused(&owed.message.class);
             return SubmitResponse::RetryAfter(wait);
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -39,7 +39,7 @@
             let mut worth = |line: RouteSnapshot| match &mut chance {
                 Some(random) => {
                     let chance = f64::from(random.next_u32()) / f64::from(u32::MAX);
-                    if self.returning.believes_clock() {
+                    if self.returning.trusts_clock() {
                         line.recalled(written, now, chance, &self.settings)
                     } else {
                         line.recalled_unclocked(written, now, chance, &self.settings)
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -62,7 +62,7 @@
             self.pending.push((now, Event::EndpointUpdates(entries)));
         }
         if let Some(version) = version {
-            self.returning.handle(Input::Listed);
+            self.returning.handle(Input::EndpointListReceived);
             self.heard(version, news);
         }
     }
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -268,7 +268,7 @@
             host.store.enable_durability().map_err(|e| e.to_string())?;
         }
         host.start_from(memory, &config, chance);
-        host.heed(found.caution);
+        host.heed(found.restrictions);
         host.resume();
         host.keep_classes();
         host.stamp(found.stamp);
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -4,7 +4,7 @@
 use crate::daemon::events::ListenerState;
 use crate::daemon::journal::{Attempt, FinalOutcome, PendingMessage};
 use crate::{ClassId, Event, Idempotency, RecoveredMessage, TimeDelta, Timestamp};
-use micadrum_recovery::message_recovery::{LeftoverMessage, Repeats, Verdict};
+use micadrum_recovery::message_recovery::{LeftoverMessage, MessageTimes, Redelivery, Verdict};
 use micadrum_recovery::peer_report::EndpointReport;
 use micadrum_recovery::phases::Input;
 use micadrum_recovery::{EndpointRestrictions, JournalStamp};
@@ -12,11 +12,11 @@
 use tokio::time::Instant;
 
 impl EventLoop {
-    pub(super) fn repeats(&self, class: ClassId) -> Repeats {
+    pub(super) fn repeats(&self, class: ClassId) -> Redelivery {
         match self.settings.classes[class.0].idempotency {
-            Idempotency::Idempotent => Repeats::Freely,
-            Idempotency::WithKey { .. } => Repeats::Within,
-            Idempotency::NonIdempotent => Repeats::Never,
+            Idempotency::Idempotent => Redelivery::Harmless,
+            Idempotency::WithKey { .. } => Redelivery::HarmlessWithinWindow,
+            Idempotency::NonIdempotent => Redelivery::Harmful,
         }
     }
 
@@ -29,15 +29,16 @@
     ) -> Option<FinalOutcome> {
         let repeats = self.repeats(class);
         let first = owed.ran.as_ref().or(owed.out.as_ref()).cloned();
-        let begun = first.as_ref().map(|first| first.at);
-        let not_before = self.store.not_before(number);
-        match self.returning.judge(repeats, LeftoverMessage { ended: owed.end.is_some(), begun, not_before })
-        {
-            Verdict::AsWritten => {
+        let first_attempt_at = first.as_ref().map(|first| first.at);
+        let not_accepted_before = self.store.not_before(number);
+        let is_completed = owed.end.is_some();
+        let message = LeftoverMessage { is_completed, first_attempt_at, not_accepted_before };
+        match self.returning.assess_message(repeats, message) {
+            Verdict::Unchanged => {
                 self.reset_deadline(number, class, owed);
                 None
             }
-            Verdict::MayHaveRun(at) => {
+            Verdict::Uncertain(at) => {
                 let attempt = Attempt { at, zone: first.map(|first| first.zone).unwrap_or_default() };
                 owed.attempts = owed.attempts.max(1);
                 (owed.ran, owed.out) = (Some(attempt.clone()), None);
@@ -47,9 +48,9 @@
                 self.reset_deadline(number, class, owed);
                 None
             }
-            Verdict::Returns => Some(FinalOutcome::Returned(None)),
+            Verdict::Return => Some(FinalOutcome::Returned(None)),
             // The journal of another sender is set aside before it is read here.
-            Verdict::Fails | Verdict::NotOurs => Some(FinalOutcome::Failed),
+            Verdict::Fail | Verdict::Discard => Some(FinalOutcome::Failed),
         }
     }
 
@@ -57,7 +58,7 @@
     /// that ends before finds it the same way again.
     pub(super) fn stamp(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
-        if !self.returning.believes_clock() {
+        if !self.returning.trusts_clock() {
             self.store.new_clock(self.now().0);
             if let Err(e) = self.store.rewrite() {
                 self.log(&format!("{e}; ids of messages that are over may be forgotten early"));
@@ -82,7 +83,7 @@
     }
 
     fn sends_what_is_owed(&self) -> bool {
-        self.returning.may_send() || self.winding_down.is_some()
+        self.returning.sends_backlog() || self.winding_down.is_some()
     }
 
     /// When the next thing happens to the return without anything from outside: its stage's time, or that of a message that
@@ -98,7 +99,7 @@
         if self.returning.is_full() && self.resting.is_empty() {
             return;
         }
-        let moved = self.returning.handle(Input::Left(self.numbers.len()));
+        let moved = self.returning.handle(Input::Backlog(self.numbers.len()));
         self.wake_the_rested();
         if moved && self.returning.is_open() && self.winding_down.is_none() {
             self.doors.set(ListenerState::Accepting);
@@ -124,19 +125,21 @@
     /// Puts a deadline of before on the clock of now, once and for all: a next process on this run of the machine believes its
     /// clock.
     fn reset_deadline(&mut self, number: u32, class: ClassId, owed: &mut PendingMessage) {
-        if self.returning.believes_clock() || owed.end.is_some() {
+        if self.returning.trusts_clock() || owed.end.is_some() {
             return;
         }
         let now = self.now().0;
-        let most = self.settings.classes[class.0].deadline.0;
-        owed.deadline = now + self.returning.time_left(owed.deadline, self.latest, now, most);
+        let time_to_live = self.settings.classes[class.0].deadline.0;
+        let times =
+            MessageTimes { deadline: owed.deadline, latest_wall: self.latest, wall: now, time_to_live };
+        owed.deadline = now + self.returning.time_left(times);
         let booked = self.store.deadline(number, owed.deadline);
         self.booked(booked);
     }
 
     /// Heeds what others warn of. What this sender knows itself stands beside it, and its own list counts before it.
     pub(super) fn heed(&mut self, caution: EndpointRestrictions) {
-        if !self.returning.may_send() {
+        if !self.returning.sends_backlog() {
             // Changes since a version come when there are some: only the whole list is an answer at once.
             self.version = None;
         }
@@ -144,7 +147,7 @@
         let mut entries = Vec::new();
         for (name, of) in caution.endpoints {
             let Some(id) = self.endpoint_ids.get(&name).copied() else { continue };
-            if of.out
+            if of.is_withdrawn
                 && let Some(at) = self.endpoints.get_mut(&id)
                 && at.member.phase == Phase::Serving
             {
@@ -153,8 +156,9 @@
                 // Only the whole list can say that it is not so.
                 self.version = None;
             }
-            if of.told > 0 {
-                self.pending.push((now, Event::RetryAfter { endpoint: id, wait: TimeDelta(of.told) }));
+            if of.retry_after_us > 0 {
+                self.pending
+                    .push((now, Event::RetryAfter { endpoint: id, wait: TimeDelta(of.retry_after_us) }));
             }
             self.sender.warned(now, id, of.health);
         }
@@ -171,12 +175,12 @@
     pub(super) fn word(&self) -> BTreeMap<String, EndpointReport> {
         let now = self.now();
         let of = |id, out| {
-            let mut word = EndpointReport { out, ..EndpointReport::default() };
+            let mut word = EndpointReport { is_withdrawn: out, ..EndpointReport::default() };
             for (place, learned) in self.sender.learned(id).iter().enumerate() {
                 let Some((told, health)) = learned.as_ref().map(|learned| learned.word(now)) else {
                     continue;
                 };
-                word.told = word.told.max(told.0);
+                word.retry_after_us = word.retry_after_us.max(told.0);
                 // Whether it answers is of its own line.
                 if place == 0 {
                     word.health = health;
@@ -188,6 +192,6 @@
             .endpoints
             .iter()
             .map(|(id, at)| (at.member.id.clone(), of(*id, at.member.phase != Phase::Serving)));
-        all.filter(|(_, word)| !word.says_nothing()).collect()
+        all.filter(|(_, word)| !word.is_empty()).collect()
     }
 }
--- a/src/daemon/journal/tests.rs
+++ b/src/daemon/journal/tests.rs
@@ -36,7 +36,8 @@
 #[test]
 fn stamps_and_moments_outlast_a_new_file() {
     let folder = tempfile::tempdir().unwrap();
-    let stamp = |wall| JournalStamp { sender: "n1".to_owned(), boot: None, wall, outlasts_machine: true };
+    let stamp =
+        |wall| JournalStamp { sender: "n1".to_owned(), boot: None, wall, survives_machine_crash: true };
     let (mut store, _) = open(folder.path());
     assert!(store.is_empty() && store.stamped().is_none());
     store.stamp(stamp(NOW)).unwrap();
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -46,7 +46,7 @@
 use micadrum_recovery::PeerReport;
 use poll_schedule::PollSchedule;
 use ports::{Listener, Ports, WallClock};
-use recovery::RecoveryStatus;
+use recovery::{RecoveredJournal, RecoveryContext, RecoveryStatus};
 use resource_budget::ResourceBudget;
 use std::future::pending;
 use std::io;
@@ -188,8 +188,12 @@
         // After a handover, or one that failed, this machine's folder is this very moment's.
         let begins_anew = inheritance.is_none();
         let (store, damage, found) = match &config.operator.recovery {
-            Some(set) if begins_anew => {
-                recovery::begin(&returning, set, &config, &ports, budget.disk, peers.as_ref()).await?
+            Some(settings) if begins_anew => {
+                let (disk_bytes, peers) = (budget.disk, peers.as_ref());
+                let context = RecoveryContext { settings, config: &config, ports: &ports, disk_bytes, peers };
+                let RecoveredJournal { journal, corruption, start } =
+                    recovery::recover(&returning, &context).await?;
+                (journal, corruption, start)
             }
             _ => {
                 let (store, damage) = Journal::open(ports.storage.clone(), budget.disk)?;
@@ -327,13 +331,13 @@
         Box::pin(async move {
             let mut word = PeerReport::default();
             // From then on it sees to its own messages.
-            if returning.may_send() {
+            if returning.sends_backlog() {
                 let (answer, answered) = oneshot::channel();
                 let _ = host.send(LoopEvent::Admin(AdminRequest::PeerReport(answer)));
                 word.endpoints = answered.await.unwrap_or_default();
-                word.steady_for = returning.steady_for(started.elapsed());
+                word.at_full_service_us = returning.at_full_service_us(started.elapsed());
             }
-            word.wall = wall.now().as_micros() as u64;
+            word.wall_us = wall.now().as_micros() as u64;
             word.bounded()
         })
     })
--- a/src/daemon/recovery/peer_queries.rs
+++ b/src/daemon/recovery/peer_queries.rs
@@ -1,127 +1,140 @@
-//! Asks the peers, over links, what they know.
-use crate::daemon::membership::Handle;
+//! Queries other members, over links, for what they know.
+use crate::daemon::membership::{Handle, ReportQuery};
 use crate::daemon::ports::Ports;
 use micadrum_config::Peers;
 use micadrum_membership::LocalStatus;
-use micadrum_recovery::peer_query::{Candidate, Ended};
+use micadrum_recovery::peer_query::{AgedReport, Candidate, QueryCounts, QueryEnd};
+use micadrum_recovery::peer_report::ClockPair;
 use micadrum_recovery::{PeerQuery, PeerReport};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::Serialize;
 use std::time::Duration;
-use tokio::sync::mpsc::unbounded_channel;
+use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Between two looks how this sender stands among its peers.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often this sender's own membership status is checked.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The random stream that orders the candidates; streams 0 and 1 belong to membership.
+const CANDIDATE_RNG_STREAM: u64 = 2;
 
-/// Who was asked, and what came of it.
+/// A summary of the query, for `/status/recovery`.
 #[derive(Clone, Debug, Serialize)]
-pub struct Asked {
-    /// How many answered.
+pub struct QuerySummary {
+    /// Peers that answered.
     pub answered: usize,
-    /// Of them, those that never stopped.
-    pub steady: usize,
-    /// How many did not.
-    pub silent: usize,
-    /// How long it took, in microseconds.
-    pub took: u64,
-    /// Whether it ended with its time.
-    pub late: bool,
+    /// Peers among them at full service.
+    #[serde(rename = "steady")]
+    pub at_full_service: usize,
+    /// Peers that were queried and did not answer.
+    #[serde(rename = "silent")]
+    pub unanswered: usize,
+    /// The duration of the query, in microseconds.
+    #[serde(rename = "took")]
+    pub took_us: u64,
+    /// The query ended because its time was over.
+    #[serde(rename = "late")]
+    pub timed_out: bool,
 }
 
-/// One word, as it was heard.
-pub struct Heard {
-    word: PeerReport,
-    /// How long ago.
-    ago: Duration,
-    /// The wall clock here then, microseconds.
-    here: u64,
+/// The reports of the peers that answered.
+pub struct QueryResult {
+    pub reports: Vec<AgedReport>,
+    pub summary: QuerySummary,
+    /// This machine's wall clock at the end of the query, in microseconds.
+    wall_us: u64,
 }
 
-impl Heard {
-    /// Their wall clock and that of this machine at one moment; only of those that never stopped.
-    pub fn clocks(&self) -> Option<(u64, u64)> {
-        self.word.steady_for.map(|_| (self.word.wall, self.here))
-    }
-
-    /// What was said, and how long ago.
-    pub fn word(&self) -> (PeerReport, Duration) {
-        (self.word.clone(), self.ago)
+impl QueryResult {
+    /// Returns how far this machine's clock is ahead of the clocks of peers at full service, in microseconds.
+    pub fn clock_offsets_us(&self) -> Vec<i64> {
+        let at_full_service = self.reports.iter().filter(|aged| aged.report.is_at_full_service());
+        let clocks = |aged: &AgedReport| ClockPair {
+            peer_us: aged.report.wall_us,
+            own_us: self.wall_us.saturating_sub(aged.age.as_micros() as u64),
+        };
+        at_full_service.map(|aged| clocks(aged).offset_us()).collect()
     }
 }
 
-/// Waits until most know this sender's life; the life that others knew of it, if its folder did not.
-pub async fn lives(peers: &Handle, until: Instant) -> Option<u64> {
+/// Waits until a majority of members has confirmed this sender's incarnation. Returns the number of the incarnation that
+/// others knew, if the state folder did not have it.
+pub async fn wait_for_known_incarnation(peers: &Handle, deadline: Instant) -> Option<u64> {
     let views = peers.views();
     loop {
         if let Some(view) = views.now() {
             if view.lost_state {
-                // It went past the one that they knew.
+                // This sender has moved past the incarnation that others knew.
                 return Some(view.incarnation.number.saturating_sub(1));
             }
-            if !matches!(
+            let is_pending = matches!(
                 view.local_status,
                 LocalStatus::PersistingIncarnation | LocalStatus::ConfirmingIncarnation
-            ) {
+            );
+            if !is_pending {
                 return None;
             }
         }
         let now = Instant::now();
-        if now >= until {
+        if now >= deadline {
             return None;
         }
-        sleep(LOOK.min(until - now)).await;
+        sleep(STATUS_POLL_INTERVAL.min(deadline - now)).await;
     }
 }
 
-/// Asks some of them, until `until` at the latest.
-pub async fn words(peers: &Handle, members: &Peers, ports: &Ports, until: Instant) -> (Vec<Heard>, Asked) {
-    let begun = Instant::now();
-    let mut chance = ChaCha8Rng::from_seed(ports.entropy);
-    // Another stream than those of the peers' own.
-    chance.set_stream(2);
-    let others = members.members.values().filter(|member| member.name != members.own_name);
-    let mut candidates: Vec<(u64, Candidate)> = others
-        .map(|member| Candidate { name: member.name.clone(), building: member.zone.clone() })
-        .map(|candidate| (chance.next_u64(), candidate))
-        .collect();
-    candidates.sort_by_key(|(place, _)| *place);
-    let own = members.members.get(&members.own_name).map_or("", |member| &member.zone);
-    let now = || begun.elapsed();
-    let mut asking = PeerQuery::new(
-        candidates.into_iter().map(|(_, candidate)| candidate),
-        own,
-        until.saturating_duration_since(begun),
-    );
-    let (said, mut answers) = unbounded_channel();
-    let mut asks = JoinSet::new();
-    let ended = loop {
-        while let Some(name) = asking.next_to_ask(now()) {
-            let (asker, said) = (peers.report_query(), said.clone());
-            asks.spawn_local(async move {
-                let word = asker.report_of(&name).await;
-                let _ = said.send((name, word));
-            });
+/// Queries some peers for their reports, until `deadline` at the latest.
+pub async fn query_peers(peers: &Handle, members: &Peers, ports: &Ports, deadline: Instant) -> QueryResult {
+    let started_at = Instant::now();
+    let elapsed = || started_at.elapsed();
+    let own_zone = members.members.get(&members.own_name).map_or("", |member| &member.zone);
+    let timeout = deadline.saturating_duration_since(started_at);
+    let mut query = PeerQuery::new(shuffled_candidates(members, ports), own_zone, timeout);
+    let (answers, mut received_answers) = unbounded_channel();
+    let mut in_flight = JoinSet::new();
+    let end = loop {
+        while let Some(name) = query.next_to_query(elapsed()) {
+            in_flight.spawn_local(query_peer(peers.report_query(), name, answers.clone()));
         }
-        if let Some(ended) = asking.ended(now()) {
-            break ended;
+        if let Some(end) = query.end(elapsed()) {
+            break end;
         }
         tokio::select! {
             biased;
-            Some((name, word)) = answers.recv() => asking.answered(&name, word, now()),
-            () = sleep_until(begun + asking.due()) => {}
+            Some(Answer { name, report }) = received_answers.recv() => {
+                query.handle_answer(&name, report, elapsed());
+            }
+            () = sleep_until(started_at + query.deadline()) => {}
         }
     };
-    let wall = ports.wall.now().as_micros() as u64;
-    let heard = |(word, ago): (PeerReport, Duration)| Heard {
-        word,
-        ago,
-        here: wall.saturating_sub(ago.as_micros() as u64),
-    };
-    let (answered, steady, silent) = asking.counts();
-    let took = now().as_micros() as u64;
-    let asked = Asked { answered, steady, silent, took, late: ended == Ended::Late };
-    (asking.words(now()).into_iter().map(heard).collect(), asked)
+    let wall_us = ports.wall.now().as_micros() as u64;
+    let QueryCounts { answered, at_full_service, unanswered } = query.counts();
+    let took_us = elapsed().as_micros() as u64;
+    let timed_out = end == QueryEnd::TimedOut;
+    let summary = QuerySummary { answered, at_full_service, unanswered, took_us, timed_out };
+    QueryResult { reports: query.reports(elapsed()), summary, wall_us }
+}
+
+/// The answer of a peer; without a report if it failed to answer.
+struct Answer {
+    name: String,
+    report: Option<PeerReport>,
+}
+
+async fn query_peer(query: ReportQuery, name: String, answers: UnboundedSender<Answer>) {
+    let report = query.report_of(&name).await;
+    let _ = answers.send(Answer { name, report });
+}
+
+/// Returns all other members in random order.
+fn shuffled_candidates(members: &Peers, ports: &Ports) -> Vec<Candidate> {
+    let mut rng = ChaCha8Rng::from_seed(ports.entropy);
+    rng.set_stream(CANDIDATE_RNG_STREAM);
+    let others = members.members.values().filter(|member| member.name != members.own_name);
+    let candidate = |name: &str, zone: &str| Candidate { name: name.to_owned(), zone: zone.to_owned() };
+    let mut keyed: Vec<(u64, Candidate)> =
+        others.map(|member| (rng.next_u64(), candidate(&member.name, &member.zone))).collect();
+    keyed.sort_by_key(|(key, _)| *key);
+    keyed.into_iter().map(|(_, candidate)| candidate).collect()
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,21 +1,25 @@
-//! One real sender: takes messages on from clients and delivers them to endpoints, over sockets.
+//! The `micadrum` binary: runs one sender on real sockets, or executes a subcommand.
 mod command;
 
 use clap::Parser;
-use command::What;
+use command::Command;
 use micadrum::daemon::config::Config;
 use micadrum::daemon::ports::{HandoverConfig, Ports, Traces};
 use micadrum::daemon::system::{Folder, StandardError, SystemClock, Tcp};
 use micadrum::daemon::{self, Signal};
 use micadrum_config::OperatorConfig;
+use micadrum_config::peers::parse_key;
 use micadrum_recovery::Boot;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::rc::Rc;
-use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::mpsc::unbounded_channel;
+use tokio::signal::unix::{Signal as Signals, SignalKind, signal};
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{LocalSet, spawn_local};
 
+/// The exit code of a failed subcommand; a sender that does not start exits with 1.
+const COMMAND_FAILED: u8 = 2;
+
 /// One sender: takes messages on from clients and delivers them to endpoints.
 ///
 /// Without a command it runs. It reads its configuration from the file that PROXY_CONFIG names, what its operators turn
@@ -26,128 +30,158 @@
 #[command(name = "micadrum", version)]
 struct Arguments {
     #[command(subcommand)]
-    what: Option<What>,
+    command: Option<Command>,
 }
 
+/// Why the sender did not start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("${0} is not set")]
-    Unset(&'static str),
-    #[error("{what} {path}: {source}")]
-    Unreadable { what: &'static str, path: PathBuf, source: std::io::Error },
+    VariableUnset(&'static str),
+    #[error("{kind} {path}: {source}")]
+    Unreadable { kind: &'static str, path: PathBuf, source: std::io::Error },
     #[error("configuration {path}: {source}")]
-    NotConfig { path: PathBuf, source: serde_json::Error },
+    InvalidPlatformConfig { path: PathBuf, source: serde_json::Error },
     #[error("operator's file {0}")]
-    NotOperator(#[from] micadrum_config::FileError),
+    InvalidOperatorConfig(#[from] micadrum_config::FileError),
     #[error("secret {0}: no key: 64 hexadecimal digits, as `micadrum key FILE` writes them")]
-    NotSecret(PathBuf),
+    InvalidSecret(PathBuf),
     #[error(transparent)]
     Daemon(#[from] daemon::StartError),
     #[error("starting: {0}")]
     Runtime(#[from] std::io::Error),
 }
 
-fn variable(name: &'static str) -> Result<PathBuf, StartError> {
-    std::env::var_os(name).map(PathBuf::from).ok_or(StartError::Unset(name))
+/// Returns the path in an environment variable.
+fn path_variable(name: &'static str) -> Result<PathBuf, StartError> {
+    std::env::var_os(name).map(PathBuf::from).ok_or(StartError::VariableUnset(name))
 }
 
-fn read(what: &'static str, path: &Path) -> Result<Vec<u8>, StartError> {
-    std::fs::read(path).map_err(|source| StartError::Unreadable { what, path: path.to_owned(), source })
+/// Reads a file; `kind` names it in errors.
+fn read_file(kind: &'static str, path: &Path) -> Result<Vec<u8>, StartError> {
+    std::fs::read(path).map_err(|source| StartError::Unreadable { kind, path: path.to_owned(), source })
 }
 
-/// The platform's configuration.
-fn platform() -> Result<Config, StartError> {
-    let path = variable("PROXY_CONFIG")?;
-    let text = read("configuration", &path)?;
-    Config::parse(&text).map_err(|source| StartError::NotConfig { path, source })
+/// Reads the platform's configuration.
+fn read_platform_config() -> Result<Config, StartError> {
+    let path = path_variable("PROXY_CONFIG")?;
+    let text = read_file("configuration", &path)?;
+    Config::parse(&text).map_err(|source| StartError::InvalidPlatformConfig { path, source })
 }
 
-/// The operator's file for the sender of that name.
-fn operator(path: &Path, own: &str) -> Result<OperatorConfig, StartError> {
-    let text = String::from_utf8_lossy(&read("operator's file", path)?).into_owned();
-    Ok(OperatorConfig::parse(&path.display().to_string(), &text, own)?)
+/// Reads the operator's configuration for the sender `own_name`.
+fn read_operator_config(path: &Path, own_name: &str) -> Result<OperatorConfig, StartError> {
+    let text = String::from_utf8_lossy(&read_file("operator's file", path)?).into_owned();
+    Ok(OperatorConfig::parse(&path.display().to_string(), &text, own_name)?)
 }
 
-/// The platform's configuration with what the operators turn on.
-fn config() -> Result<Config, StartError> {
-    let config = platform()?;
+/// Reads the platform's and the operator's configuration.
+fn read_config() -> Result<Config, StartError> {
+    let config = read_platform_config()?;
     let Some(path) = std::env::var_os("MICADRUM_OPERATOR").map(PathBuf::from) else { return Ok(config) };
-    let operator = operator(&path, &config.name)?;
-    let secret = match &operator.peers {
-        Some(peers) => {
-            let path = path.parent().unwrap_or(Path::new("")).join(&peers.secret_file);
-            let text = String::from_utf8_lossy(&read("secret", &path)?).into_owned();
-            Some(micadrum_config::peers::parse_key(text.trim()).ok_or(StartError::NotSecret(path))?)
-        }
-        None => None,
-    };
-    Ok(config.with_operator(operator, secret))
+    let operator = read_operator_config(&path, &config.name)?;
+    let folder = path.parent().unwrap_or(Path::new(""));
+    let secret = operator.peers.as_ref().map(|peers| read_secret(&folder.join(&peers.secret_file)));
+    Ok(config.with_operator(operator, secret.transpose()?))
 }
 
-async fn run() -> Result<(), StartError> {
-    // First of all, as without a handler a signal ends the process.
-    let mut reloads = signal(SignalKind::hangup())?;
-    let (mut terminated, mut interrupted) =
-        (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    let config = config()?;
+/// Reads a member's secret key.
+fn read_secret(path: &Path) -> Result<[u8; 32], StartError> {
+    let text = String::from_utf8_lossy(&read_file("secret", path)?).into_owned();
+    parse_key(text.trim()).ok_or_else(|| StartError::InvalidSecret(path.to_owned()))
+}
+
+/// Reads the kernel's boot id, if recovery is enabled and the id is available.
+fn read_boot(operator: &OperatorConfig) -> Option<Boot> {
+    let text = std::fs::read_to_string(&operator.recovery.as_ref()?.boot_id_file).ok()?;
+    Boot::parse(&text)
+}
+
+/// Returns random bytes, or zeros where no enabled feature needs them.
+fn draw_entropy(operator: &OperatorConfig) -> Result<[u8; 32], StartError> {
     let mut entropy = [0; 32];
-    if config.operator != OperatorConfig::default() {
-        getrandom::fill(&mut entropy).map_err(|e| StartError::Runtime(std::io::Error::other(e)))?;
+    if *operator != OperatorConfig::default() {
+        getrandom::fill(&mut entropy).map_err(std::io::Error::other)?;
+    }
+    Ok(entropy)
+}
+
+/// The signals that a sender handles.
+struct ProcessSignals {
+    hangup: Signals,
+    terminate: Signals,
+    interrupt: Signals,
+}
+
+impl ProcessSignals {
+    fn install() -> std::io::Result<Self> {
+        Ok(Self {
+            hangup: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+        })
+    }
+
+    /// Forwards signals and reload requests to the daemon until it has ended.
+    async fn forward(mut self, mut reloads: UnboundedReceiver<()>, daemon: UnboundedSender<Signal>) {
+        let config = || read_config().map(Box::new).map_err(|error| error.to_string());
+        loop {
+            let signal = tokio::select! {
+                _ = self.terminate.recv() => Signal::Shutdown,
+                _ = self.interrupt.recv() => Signal::Shutdown,
+                _ = self.hangup.recv() => Signal::Reload(config()),
+                Some(()) = reloads.recv() => Signal::ReloadIfChanged(config()),
+            };
+            if daemon.send(signal).is_err() {
+                return;
+            }
+        }
     }
-    let boot = config.operator.recovery.as_ref().and_then(|recovery| {
-        let text = std::fs::read_to_string(&recovery.boot_id_file);
-        text.ok().and_then(|text| Boot::parse(&text))
-    });
-    let (reread, mut rereads) = unbounded_channel();
+}
+
+async fn run() -> Result<(), StartError> {
+    // Signal handlers come first: a signal without a handler ends the process.
+    let process_signals = ProcessSignals::install()?;
+    let config = read_config()?;
+    let (request_reload, reload_requests) = unbounded_channel();
+    let state_folder = path_variable("PROXY_STATE")?;
     let ports = Ports {
         wall: Rc::new(SystemClock),
         network: Rc::new(Tcp),
-        storage: Rc::new(Folder(variable("PROXY_STATE")?)),
+        storage: Rc::new(Folder(state_folder.clone())),
         log: Rc::new(StandardError),
         handover: Some(HandoverConfig {
-            folder: variable("PROXY_STATE")?,
+            folder: state_folder,
             reread: Rc::new(move || {
-                let _ = reread.send(());
+                let _ = request_reload.send(());
             }),
         }),
         traces: Traces::named(&std::env::var("MICADRUM_TRACE").unwrap_or_default()),
-        boot,
-        entropy,
+        boot: read_boot(&config.operator),
+        entropy: draw_entropy(&config.operator)?,
     };
     let (to_daemon, signals) = unbounded_channel();
-    let read = || self::config().map(Box::new).map_err(|e| e.to_string());
-    spawn_local(async move {
-        loop {
-            let signal = tokio::select! {
-                _ = terminated.recv() => Signal::Shutdown,
-                _ = interrupted.recv() => Signal::Shutdown,
-                _ = reloads.recv() => Signal::Reload(read()),
-                Some(()) = rereads.recv() => Signal::ReloadIfChanged(read()),
-            };
-            if to_daemon.send(signal).is_err() {
-                return;
-            }
-        }
-    });
+    spawn_local(process_signals.forward(reload_requests, to_daemon));
     Ok(daemon::run(config, ports, signals).await?)
 }
 
 fn main() -> ExitCode {
-    if let Some(what) = Arguments::parse().what {
-        return match what.carry_out() {
+    if let Some(command) = Arguments::parse().command {
+        return match command.execute() {
             Ok(()) => ExitCode::SUCCESS,
-            Err(e) => {
-                eprintln!("micadrum: {e}");
-                ExitCode::from(2)
+            Err(error) => {
+                eprintln!("micadrum: {error}");
+                ExitCode::from(COMMAND_FAILED)
             }
         };
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ran = runtime.map_err(StartError::from).and_then(|rt| LocalSet::new().block_on(&rt, run()));
-    match ran {
+    let result =
+        runtime.map_err(StartError::from).and_then(|runtime| LocalSet::new().block_on(&runtime, run()));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("micadrum: {e}");
+        Err(error) => {
+            eprintln!("micadrum: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -62,9 +62,9 @@
     /// What another sender is told of it: how long a told wait goes on, and whether it answers.
     pub fn word(&self, now: Timestamp) -> (TimeDelta, Spoken) {
         let spoken = match self.0.pacer.health {
-            Health::Healthy => Spoken::Up,
-            Health::Ejected(_) => Spoken::Down,
-            Health::SlowStart(at) => Spoken::Returning(since(now, at)),
+            Health::Healthy => Spoken::Healthy,
+            Health::Ejected(_) => Spoken::Ejected,
+            Health::SlowStart(at) => Spoken::SlowStart(since(now, at)),
         };
         (TimeDelta(since(self.0.retry_after_until, now)), spoken)
     }
@@ -100,11 +100,11 @@
         let flow = self.directory.route(place).pacer_at(now, &self.settings);
         let health = match (flow.health, word) {
             // A trial as soon as there is something to try it with.
-            (Health::Healthy | Health::SlowStart(_), Spoken::Down) => Health::Ejected(now),
-            (Health::Healthy, Spoken::Returning(since)) => {
+            (Health::Healthy | Health::SlowStart(_), Spoken::Ejected) => Health::Ejected(now),
+            (Health::Healthy, Spoken::SlowStart(since)) => {
                 Health::SlowStart(Timestamp(now.0.saturating_sub(since)))
             }
-            (Health::SlowStart(own), Spoken::Returning(since)) => {
+            (Health::SlowStart(own), Spoken::SlowStart(since)) => {
                 Health::SlowStart(own.max(Timestamp(now.0.saturating_sub(since))))
             }
             (own, _) => own,
--- a/src/restore/tests.rs
+++ b/src/restore/tests.rs
@@ -109,12 +109,12 @@
     assert_eq!(told.0.retry_after_until, Timestamp(now.0 + 2 * S));
     assert!(matches!(told.0.pacer.health, Health::Ejected(at) if at >= now), "{:?}", told.0.pacer.health);
     assert_eq!((told.0.limit, told.0.latency, told.0.remaining_share), (0.0, 0.0, 0.0));
-    assert_eq!(told.word(now), (TimeDelta(2 * S), Spoken::Down));
+    assert_eq!(told.word(now), (TimeDelta(2 * S), Spoken::Ejected));
     let mut over = line();
     (over.retry_after_until, over.pacer.health) = (Timestamp(NOW.0 - S), Health::SlowStart(NOW));
     let over = RouteSnapshot(over).recalled_unclocked(NOW, now, 0.25, &settings());
     assert!(over.0.retry_after_until <= now);
-    assert_eq!(over.word(Timestamp(now.0 + S)), (TimeDelta(0), Spoken::Returning(S)));
+    assert_eq!(over.word(Timestamp(now.0 + S)), (TimeDelta(0), Spoken::SlowStart(S)));
     // Set back instead: the same as ever.
     let mut back = line();
     back.retry_after_until = wait;
