--- /dev/null
+++ b/crates/micadrum-membership/src/send_budget.rs
@@ -0,0 +1,85 @@
+//! A fixed upper bound on the traffic that a member sends, at rest and while many members fail at once.
+use std::time::Duration;
+
+/// The burst that may leave at one moment, as a share of the traffic of one second.
+const BURST_SECONDS: f64 = 0.25;
+
+/// Which datagrams are sent first when the budget does not suffice for all of them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SendPriority {
+    /// Acks, and probes of suspects: sent as long as any budget is left.
+    High,
+    /// Regular probes, and datagrams relayed for other members.
+    Normal,
+    /// Gossip pushed ahead of its turn, and attempts to reach dead members.
+    Low,
+}
+
+impl SendPriority {
+    /// Returns the share of the burst that has to stay available after a datagram of this priority.
+    fn reserved_share(self) -> f64 {
+        match self {
+            Self::High => 0.0,
+            Self::Normal => 0.2,
+            Self::Low => 0.5,
+        }
+    }
+}
+
+/// A rate limit on datagrams and on bytes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SendBudget {
+    /// Datagrams per second.
+    pub datagrams_per_second: f64,
+    /// Bytes per second of datagram payload, without UDP and IP headers.
+    pub bytes_per_second: f64,
+}
+
+/// The amounts that may leave now.
+struct Tokens {
+    datagrams: f64,
+    bytes: f64,
+}
+
+/// A token bucket that enforces a [`SendBudget`].
+pub(crate) struct TokenBucket {
+    budget: SendBudget,
+    available: Tokens,
+    refilled_at: Duration,
+}
+
+impl TokenBucket {
+    /// Creates a full bucket.
+    pub fn new(budget: SendBudget, now: Duration) -> Self {
+        let available = Tokens {
+            datagrams: budget.datagrams_per_second * BURST_SECONDS,
+            bytes: budget.bytes_per_second * BURST_SECONDS,
+        };
+        Self { budget, available, refilled_at: now }
+    }
+
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let refilled = |available: f64, rate: f64| (available + rate * elapsed).min(rate * BURST_SECONDS);
+        self.available.datagrams = refilled(self.available.datagrams, self.budget.datagrams_per_second);
+        self.available.bytes = refilled(self.available.bytes, self.budget.bytes_per_second);
+    }
+
+    /// Takes the tokens for one datagram of `bytes` bytes, and returns whether its priority permits it now.
+    pub fn try_take(&mut self, now: Duration, bytes: usize, priority: SendPriority) -> bool {
+        self.refill(now);
+        let reserve = |rate: f64| rate * BURST_SECONDS * priority.reserved_share();
+        let datagrams_left = self.available.datagrams - 1.0;
+        let bytes_left = self.available.bytes - bytes as f64;
+        let permitted = datagrams_left >= reserve(self.budget.datagrams_per_second)
+            && bytes_left >= reserve(self.budget.bytes_per_second);
+        if permitted {
+            self.available = Tokens { datagrams: datagrams_left, bytes: bytes_left };
+        }
+        permitted
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/micadrum-testkit/src/history.rs
+++ b/crates/micadrum-testkit/src/history.rs
@@ -56,7 +56,7 @@
     /// What it made of its folder; none where that part is off, or it ended before.
     pub trust: Option<micadrum_recovery::Trust>,
     /// The stages that it went through, with when each was over.
-    pub steps: Vec<(At, micadrum_recovery::stages::Step)>,
+    pub steps: Vec<(At, micadrum_recovery::phases::PhaseRecord)>,
 }
 
 /// A view that is wrong: who holds whom for what.
@@ -145,7 +145,7 @@
                     let Some(of) = open.get(sender).map(|place| &mut returns[*place]) else { continue };
                     match said {
                         micadrum_recovery::Record::Trust(trust) => of.trust = Some(trust.clone()),
-                        micadrum_recovery::Record::Step(step) => of.steps.push((*at, *step)),
+                        micadrum_recovery::Record::PhaseEnded(step) => of.steps.push((*at, *step)),
                     }
                 }
                 _ => {}
@@ -235,7 +235,7 @@
                     runs.remove(&record.sender);
                     calm_since = record.at;
                 }
-                What::Peers(Event::Changed { name, is: Status::Dead, .. }) => {
+                What::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) => {
                     let of = self.names.get(name).copied().unwrap_or(u32::MAX);
                     // Of one that has ended it is true, however late.
                     if struck == 0 && record.at > calm_since + grace && runs.contains(&of) {
@@ -275,7 +275,7 @@
                     self.look(other, sender);
                 }
             }
-            What::Peers(Event::Changed { name, is, .. }) => {
+            What::Peers(Event::StatusChanged { name, current: is, .. }) => {
                 if let Some(of) = names.get(name) {
                     self.believed[sender][*of as usize] = *is;
                     self.look(sender, *of as usize);
--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -3,7 +3,7 @@
 //! It serves one request a connection and has limits of its own, so that neither clients nor operators keep each other out.
 use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent, MaintenanceChange};
 use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, collect, plain};
-use super::membership::{Gathering, Views};
+use super::membership::{ViewQuery, Views};
 use super::ports::{Listener, Log, Stream};
 use super::recovery::RecoveryStatus;
 use super::resource_budget::MAX_OPERATOR_CONNECTIONS;
@@ -34,7 +34,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The views of this sender's members, and a way to ask the members for theirs.
-type MemberViews = (Views, Gathering);
+type MemberViews = (Views, ViewQuery);
 
 /// What the responses to operators are made of.
 pub struct AdminContext {
--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -12,7 +12,7 @@
 use super::notifications::{self, Notification};
 use super::poll_schedule::PollSchedule;
 use super::ports::{Listener, Ports};
-use super::recovery::{self, RecoveryStart, RecoveryStatus};
+use super::recovery::{self, RecoveryContext, RecoveryStart, RecoveryStatus};
 use super::resource_budget::ResourceBudget;
 use super::watch_cell::WatchCell;
 use super::{Signal, StartError, admin_server, membership, peer_reporting};
@@ -103,7 +103,7 @@
         let context = AdminContext {
             events: self.events.clone(),
             state: self.listener_state.clone(),
-            members: membership.map(|membership| (membership.views(), membership.gathering())),
+            members: membership.map(|membership| (membership.views(), membership.view_query())),
             recovery: self.recovery.clone(),
         };
         spawn_local(admin_server::serve(listener, context, self.ports.log.clone()));
@@ -137,7 +137,10 @@
         let (ports, config, disk) = (&self.ports, &start.config, self.budget.disk_bytes);
         let (journal, corruption, recovery_start) = match &config.operator.recovery {
             Some(settings) if start.inheritance.is_none() => {
-                recovery::begin(&self.recovery, settings, config, ports, disk, membership).await?
+                let context =
+                    RecoveryContext { settings, config, ports, disk_bytes: disk, peers: membership };
+                let recovered = recovery::recover(&self.recovery, &context).await?;
+                (recovered.journal, recovered.corruption, recovered.start)
             }
             _ => {
                 let (journal, corruption) = Journal::open(ports.storage.clone(), disk)?;
@@ -168,7 +171,7 @@
             notifications,
             listener: self.listener_state.clone(),
             discovery: self.discovery.clone(),
-            members: membership.map(membership::Handle::follows),
+            members: membership.map(membership::Handle::reconfigurations),
         };
         let start = EventLoopConfig {
             config,
@@ -261,7 +264,7 @@
     let mut budget =
         ResourceBudget::new(&config.limits, config.settings.max_concurrent_calls(), has_admin_endpoint);
     if let Some(peers) = &config.operator.peers {
-        budget.reserve(membership::DESCRIPTORS, membership::room(peers.members.len()));
+        budget.reserve(membership::MAX_DESCRIPTORS, membership::disk_bytes(peers.members.len()));
     }
     budget
 }
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -48,7 +48,7 @@
             return Some(SubmitResponse::Rejected);
         }
         let status = &self.recovery.status;
-        let wait = status.turns_away(self.repeats(message.class)).or_else(|| status.admit().err());
+        let wait = status.rejects_for(self.repeats(message.class)).or_else(|| status.admit().err());
         if let Some(wait) = wait {
             return Some(SubmitResponse::RetryAfter(wait));
         }
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -120,7 +120,7 @@
         let CheckpointAge::Restart(random) = age else { return route };
         let fraction = f64::from(random.next_u32()) / f64::from(u32::MAX);
         let settings = &self.configuration.settings;
-        if self.recovery.status.believes_clock() {
+        if self.recovery.status.trusts_clock() {
             route.recalled(written_at, now, fraction, settings)
         } else {
             route.recalled_unclocked(written_at, now, fraction, settings)
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -146,8 +146,8 @@
             return Err(ReloadError::MissingKey(key));
         }
         let (profile, names) = (&config.settings, config.settings.names());
-        self.config.operator.may_become(&config.operator)?;
-        let members = membership::follow(&config.operator)?;
+        self.config.operator.check_reload(&config.operator)?;
+        let members = membership::Members::from_config(&config.operator)?;
         if names.kinds != self.names.kinds || names.zones != self.names.zones {
             return Err(ReloadError::KindsOrZonesChanged);
         }
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -131,7 +131,7 @@
             self.messages.journal.enable_durability()?;
         }
         self.restore_checkpoint(checkpoint, age);
-        self.apply_restrictions(recovery_start.caution);
+        self.apply_restrictions(recovery_start.restrictions);
         self.recover_messages();
         self.store_classes();
         self.stamp_journal(recovery_start.stamp);
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint, Phase};
 use crate::daemon::events::{AdminError, MaintenanceChange};
 use crate::{EndpointEntry, EndpointId, Event, Timestamp};
-use micadrum_recovery::stages::Input;
+use micadrum_recovery::phases::Input;
 use std::collections::BTreeSet;
 
 impl EventLoop {
@@ -26,7 +26,7 @@
             self.queue.push(now, Event::EndpointUpdates(entries));
         }
         if let Some(version) = version {
-            self.recovery.status.handle(Input::Listed);
+            self.recovery.status.handle(Input::EndpointListReceived);
             self.record_list_version(version, changed);
         }
     }
--- a/src/daemon/event_loop/peer_reports.rs
+++ b/src/daemon/event_loop/peer_reports.rs
@@ -3,14 +3,14 @@
 use crate::daemon::endpoint_list::Phase;
 use crate::{EndpointEntry, EndpointId, Event, TimeDelta, Timestamp};
 use micadrum_recovery::EndpointRestrictions;
-use micadrum_recovery::words::EndpointReport;
+use micadrum_recovery::peer_report::EndpointReport;
 use std::collections::BTreeMap;
 
 impl EventLoop {
     /// Applies what peers warn of. What this sender knows itself stands beside that, and its own list
     /// overrides it.
     pub(super) fn apply_restrictions(&mut self, restrictions: EndpointRestrictions) {
-        if !self.recovery.status.may_send() {
+        if !self.recovery.status.sends_backlog() {
             // Changes since a version come when there are some: only a request for the whole list is answered
             // at once.
             self.checkpointing.version = None;
@@ -19,11 +19,12 @@
         let mut entries = Vec::new();
         for (name, report) in restrictions.endpoints {
             let Some(id) = self.endpoints.id_of(&name) else { continue };
-            if report.out {
+            if report.is_withdrawn {
                 entries.extend(self.drain_restricted(id));
             }
-            if report.told > 0 {
-                self.queue.push(now, Event::RetryAfter { endpoint: id, wait: TimeDelta(report.told) });
+            if report.retry_after_us > 0 {
+                self.queue
+                    .push(now, Event::RetryAfter { endpoint: id, wait: TimeDelta(report.retry_after_us) });
             }
             self.engine.warned(now, id, report.health);
         }
@@ -52,14 +53,14 @@
             let is_out = tracked.listed.phase != Phase::Serving;
             (tracked.listed.id.clone(), self.endpoint_report(id, is_out, now))
         });
-        reports.filter(|(_, report)| !report.says_nothing()).collect()
+        reports.filter(|(_, report)| !report.is_empty()).collect()
     }
 
     fn endpoint_report(&self, id: EndpointId, is_out: bool, now: Timestamp) -> EndpointReport {
         let [own, shared] = self.engine.learned(id).map(|learned| learned.map(|route| route.word(now)));
-        let mut report = EndpointReport { out: is_out, ..EndpointReport::default() };
+        let mut report = EndpointReport { is_withdrawn: is_out, ..EndpointReport::default() };
         for (wait, _) in own.iter().chain(&shared) {
-            report.told = report.told.max(wait.0);
+            report.retry_after_us = report.retry_after_us.max(wait.0);
         }
         // Only the endpoint's own route says whether it answers.
         if let Some((_, health)) = own {
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -7,8 +7,8 @@
 use crate::daemon::recovery::{Marks, RecoveryStatus};
 use crate::{ClassId, Event, Idempotency, Message, RecoveredMessage, TimeDelta, Timestamp, ZoneId};
 use micadrum_recovery::JournalStamp;
-use micadrum_recovery::owed::{LeftoverMessage, Repeats, Verdict};
-use micadrum_recovery::stages::Input;
+use micadrum_recovery::message_recovery::{LeftoverMessage, MessageTimes, Redelivery, Verdict};
+use micadrum_recovery::phases::Input;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
@@ -43,11 +43,11 @@
 
 impl EventLoop {
     /// Returns whether a message of that class may be sent twice.
-    pub(super) fn repeats(&self, class: ClassId) -> Repeats {
+    pub(super) fn repeats(&self, class: ClassId) -> Redelivery {
         match self.configuration.settings.classes[class.0].idempotency {
-            Idempotency::Idempotent => Repeats::Freely,
-            Idempotency::WithKey { .. } => Repeats::Within,
-            Idempotency::NonIdempotent => Repeats::Never,
+            Idempotency::Idempotent => Redelivery::Harmless,
+            Idempotency::WithKey { .. } => Redelivery::HarmlessWithinWindow,
+            Idempotency::NonIdempotent => Redelivery::Harmful,
         }
     }
 
@@ -129,19 +129,19 @@
         let first_attempt =
             pending.first_uncertain_attempt.as_ref().or(pending.active_attempt.as_ref()).cloned();
         let leftover = LeftoverMessage {
-            ended: pending.final_outcome.is_some(),
-            begun: first_attempt.as_ref().map(|attempt| attempt.started_at),
-            not_before: self.messages.journal.accepted_not_before(number),
+            is_completed: pending.final_outcome.is_some(),
+            first_attempt_at: first_attempt.as_ref().map(|attempt| attempt.started_at),
+            not_accepted_before: self.messages.journal.accepted_not_before(number),
         };
-        match self.recovery.status.judge(self.repeats(class), leftover) {
-            Verdict::AsWritten => {}
-            Verdict::MayHaveRun(at) => {
+        match self.recovery.status.assess_message(self.repeats(class), leftover) {
+            Verdict::Unchanged => {}
+            Verdict::Uncertain(at) => {
                 let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
                 self.record_uncertain_attempt(number, Attempt { started_at: at, zone }, pending);
             }
-            Verdict::Returns => return Some(FinalOutcome::Returned(None)),
+            Verdict::Return => return Some(FinalOutcome::Returned(None)),
             // The journal of another sender is set aside before it is read here.
-            Verdict::Fails | Verdict::NotOurs => return Some(FinalOutcome::Failed),
+            Verdict::Fail | Verdict::Discard => return Some(FinalOutcome::Failed),
         }
         self.reset_deadline(number, class, pending);
         None
@@ -159,15 +159,17 @@
     /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the
     /// machine trusts its clock.
     fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
-        if self.recovery.status.believes_clock() || pending.final_outcome.is_some() {
+        if self.recovery.status.trusts_clock() || pending.final_outcome.is_some() {
             return;
         }
         let now = self.clock.now().0;
-        let max_time_left = self.configuration.settings.classes[class.0].deadline.0;
-        let last_journal_time = self.recovery.last_journal_time;
-        let time_left =
-            self.recovery.status.time_left(pending.deadline, last_journal_time, now, max_time_left);
-        pending.deadline = now + time_left;
+        let times = MessageTimes {
+            deadline: pending.deadline,
+            latest_wall: self.recovery.last_journal_time,
+            wall: now,
+            time_to_live: self.configuration.settings.classes[class.0].deadline.0,
+        };
+        pending.deadline = now + self.recovery.status.time_left(times);
         let recorded = self.messages.journal.set_deadline(number, pending.deadline);
         self.check_recorded(recorded);
     }
@@ -176,7 +178,7 @@
     /// that ends before finds the journal in that state again.
     pub(super) fn stamp_journal(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
-        if !self.recovery.status.believes_clock() {
+        if !self.recovery.status.trusts_clock() {
             self.messages.journal.reset_clock(self.clock.now().0);
             if let Err(error) = self.messages.journal.rewrite() {
                 self.log(format_args!(
@@ -209,7 +211,7 @@
     }
 
     fn sends_recovered(&self) -> bool {
-        self.recovery.status.may_send() || self.lifecycle.is_shutting_down()
+        self.recovery.status.sends_backlog() || self.lifecycle.is_shutting_down()
     }
 
     /// Returns when the recovery proceeds by time alone: at the end of a phase, or at the deadline of a held
@@ -224,7 +226,7 @@
         if self.recovery.is_finished() {
             return;
         }
-        let has_moved = self.recovery.status.handle(Input::Left(self.messages.len()));
+        let has_moved = self.recovery.status.handle(Input::Backlog(self.messages.len()));
         self.release_held_messages();
         if has_moved && self.recovery.status.is_open() && !self.lifecycle.is_shutting_down() {
             self.lifecycle.listener.set(ListenerState::Accepting);
--- a/src/daemon/journal/tests/compaction.rs
+++ b/src/daemon/journal/tests/compaction.rs
@@ -8,7 +8,8 @@
 #[test]
 fn compaction_preserves_stamp_times_and_deadlines() {
     let folder = tempfile::tempdir().unwrap();
-    let stamp = |wall| JournalStamp { sender: "n1".to_owned(), boot: None, wall, outlasts_machine: true };
+    let stamp =
+        |wall| JournalStamp { sender: "n1".to_owned(), boot: None, wall, survives_machine_crash: true };
     let (mut journal, _) = open(folder.path());
     assert!(journal.is_empty() && journal.last_stamp().is_none());
     journal.stamp(stamp(NOW)).unwrap();
--- a/src/daemon/journal/tests/record.rs
+++ b/src/daemon/journal/tests/record.rs
@@ -49,7 +49,7 @@
                 sender: "n1".to_owned(),
                 boot: None,
                 wall: 9,
-                outlasts_machine: true,
+                survives_machine_crash: true,
             }),
             "07000000dde6830207026e31000901",
         ),
--- a/src/daemon/peer_reporting.rs
+++ b/src/daemon/peer_reporting.rs
@@ -21,13 +21,13 @@
         Box::pin(async move {
             let mut report = PeerReport::default();
             // Once it may send, this sender knows the endpoints.
-            if recovery.may_send() {
+            if recovery.sends_backlog() {
                 let (reply, replied) = oneshot::channel();
                 let _ = events.send(LoopEvent::Admin(AdminRequest::PeerReport(reply)));
                 report.endpoints = replied.await.unwrap_or_default();
-                report.steady_for = recovery.steady_for(started_at.elapsed());
+                report.at_full_service_us = recovery.at_full_service_us(started_at.elapsed());
             }
-            report.wall = wall.now().as_micros() as u64;
+            report.wall_us = wall.now().as_micros() as u64;
             report.bounded()
         })
     })
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -7,7 +7,7 @@
 use crate::observe::RouteSnapshot;
 use crate::pacing::{Health, Pacer};
 use crate::{DeliveryEngine, EndpointId, Settings, TimeDelta, Timestamp};
-use micadrum_recovery::words::ReportedHealth;
+use micadrum_recovery::peer_report::ReportedHealth;
 
 impl RouteSnapshot {
     /// Returns what the snapshot is worth at `now`, to a process that starts now, if it was `written` then.
@@ -60,9 +60,9 @@
     /// Returns what other senders are told of the route: how long a Retry-After goes on, and whether it answers.
     pub fn word(&self, now: Timestamp) -> (TimeDelta, ReportedHealth) {
         let health = match self.0.pacer.health {
-            Health::Healthy => ReportedHealth::Up,
-            Health::Ejected(_) => ReportedHealth::Down,
-            Health::SlowStart(began) => ReportedHealth::Returning(since(now, began)),
+            Health::Healthy => ReportedHealth::Healthy,
+            Health::Ejected(_) => ReportedHealth::Ejected,
+            Health::SlowStart(began) => ReportedHealth::SlowStart(since(now, began)),
         };
         (TimeDelta(since(self.0.retry_after_until, now)), health)
     }
@@ -99,9 +99,9 @@
         let began = |age| Timestamp(now.0.saturating_sub(age));
         let health = match (pacer.health, reported) {
             // A trial as soon as there is a message for it.
-            (Health::Healthy | Health::SlowStart(_), ReportedHealth::Down) => Health::Ejected(now),
-            (Health::Healthy, ReportedHealth::Returning(age)) => Health::SlowStart(began(age)),
-            (Health::SlowStart(own), ReportedHealth::Returning(age)) => {
+            (Health::Healthy | Health::SlowStart(_), ReportedHealth::Ejected) => Health::Ejected(now),
+            (Health::Healthy, ReportedHealth::SlowStart(age)) => Health::SlowStart(began(age)),
+            (Health::SlowStart(own), ReportedHealth::SlowStart(age)) => {
                 Health::SlowStart(own.max(began(age)))
             }
             (own, _) => own,
