--- a/src/daemon/resource_budget/tests.rs
+++ b/src/daemon/resource_budget/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Guards against a part that grows past the whole: each gets something, and together they stay under
-/// the descriptors.
+/// Guards against parts that exceed the limits together: each part gets something, and all of them stay within
+/// the descriptors and the memory.
 #[test]
-fn the_parts_stay_under_the_limits() {
+fn all_parts_together_stay_within_the_limits() {
     for sockets in [256, 384, 1024] {
         for calls in [4, 40] {
             let limits = ResourceLimits { memory_mb: 32.0, sockets, disk_mb: 3.0 };
--- a/src/daemon/watch_cell/tests.rs
+++ b/src/daemon/watch_cell/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards against a change that is missed between a look and the wait for the next.
+/// Guards against a change that is missed between reading the value and waiting for the next one.
 #[tokio::test]
-async fn a_follower_sees_what_it_waits_for() {
+async fn a_waiting_task_sees_the_value_that_it_waits_for() {
     let value = WatchCell::new(1);
     assert!(!value.set(1));
     let other = value.clone();
