--- a/src/daemon/checkpoint/file/tests.rs
+++ b/src/daemon/checkpoint/file/tests.rs
@@ -92,8 +92,8 @@
         (checkpoint.endpoints.len(), error),
         (0, Some(CheckpointReadError::OtherSender("n1".to_owned())))
     );
-    let head = Record::Header { format_version: FORMAT_VERSION + 1, sender: "n1".to_owned() };
-    let other = append_frame(&Record::IsComplete(true), append_frame(&head, Vec::new()).unwrap()).unwrap();
+    let header = Record::Header { format_version: FORMAT_VERSION + 1, sender: "n1".to_owned() };
+    let other = append_frame(&Record::IsComplete(true), append_frame(&header, Vec::new()).unwrap()).unwrap();
     for bytes in [&other[..], b"", b"{\"json\": true}"] {
         std::fs::write(folder.path().join(NAME), bytes).unwrap();
         let OpenedCheckpoint { checkpoint, error, .. } = open(folder.path(), "n1");
--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -89,8 +89,8 @@
     ) {
         for listed in &configured.members {
             match checkpointed.remove(&listed.id) {
-                Some(state) => self.add_known(listed, state, precedence, now),
-                None => self.add_unknown(listed, precedence, now),
+                Some(state) => self.add_checkpointed(listed, state, precedence, now),
+                None => self.add_configured(listed, precedence, now),
             }
         }
         // An endpoint that the configuration does not list is of use only if the configuration is older.
@@ -101,7 +101,7 @@
         }
     }
 
-    fn add_known(
+    fn add_checkpointed(
         &mut self,
         listed: &ListedEndpoint,
         state: EndpointCheckpoint,
@@ -122,7 +122,7 @@
     }
 
     /// Adds an endpoint that the checkpoint does not have.
-    fn add_unknown(&mut self, listed: &ListedEndpoint, precedence: Precedence, now: Timestamp) {
+    fn add_configured(&mut self, listed: &ListedEndpoint, precedence: Precedence, now: Timestamp) {
         let phase = match precedence {
             // The newer list is complete, and does not name the endpoint any more.
             Precedence::Checkpoint { is_complete: true } => Phase::Deleted,
--- a/src/daemon/journal/completed_ids.rs
+++ b/src/daemon/journal/completed_ids.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct CompletedIds {
     expiry_by_id: BTreeMap<Arc<str>, u64>,
-    by_expiry: BTreeSet<(u64, Arc<str>)>,
+    ids_by_expiry: BTreeSet<(u64, Arc<str>)>,
     bytes: u64,
     limits: CompletedIdLimits,
 }
@@ -33,7 +33,7 @@
 impl CompletedIds {
     /// Creates an empty set.
     pub fn new(limits: CompletedIdLimits) -> Self {
-        Self { expiry_by_id: BTreeMap::new(), by_expiry: BTreeSet::new(), bytes: 0, limits }
+        Self { expiry_by_id: BTreeMap::new(), ids_by_expiry: BTreeSet::new(), bytes: 0, limits }
     }
 
     /// Whether the message of that id is completed, as far as the set remembers.
@@ -50,42 +50,44 @@
     /// Remembers an id until `expires_at`, and forgets ids that have expired `now`.
     pub fn insert(&mut self, id: Arc<str>, expires_at: u64, now: u64) {
         if let Some(replaced) = self.expiry_by_id.insert(id.clone(), expires_at) {
-            self.by_expiry.remove(&(replaced, id.clone()));
+            self.ids_by_expiry.remove(&(replaced, id.clone()));
         } else {
             self.bytes += stored_bytes(&id);
         }
-        self.by_expiry.insert((expires_at, id));
+        self.ids_by_expiry.insert((expires_at, id));
         while self.is_over_limit() || self.first_has_expired(now) {
-            let Some((_, id)) = self.by_expiry.pop_first() else { return };
+            let Some((_, id)) = self.ids_by_expiry.pop_first() else { return };
             self.expiry_by_id.remove(&id);
             self.bytes -= stored_bytes(&id);
         }
     }
 
     fn is_over_limit(&self) -> bool {
-        self.by_expiry.len() > self.limits.max_ids || self.bytes > self.limits.max_bytes
+        self.ids_by_expiry.len() > self.limits.max_ids || self.bytes > self.limits.max_bytes
     }
 
     fn first_has_expired(&self, now: u64) -> bool {
-        self.by_expiry.first().is_some_and(|(expires_at, _)| *expires_at < now)
+        self.ids_by_expiry.first().is_some_and(|(expires_at, _)| *expires_at < now)
     }
 
     /// Remembers every id for at least as long as if its message were completed `now`.
     pub fn extend_all(&mut self, now: u64) {
         let expires_at = now + MIN_RETENTION_US;
-        let earlier = self.by_expiry.iter().take_while(|(expiry, _)| *expiry < expires_at);
+        let earlier = self.ids_by_expiry.iter().take_while(|(expiry, _)| *expiry < expires_at);
         for id in earlier.map(|(_, id)| id.clone()).collect::<Vec<_>>() {
             self.insert(id, expires_at, 0);
         }
     }
 
     pub fn is_empty(&self) -> bool {
-        self.by_expiry.is_empty()
+        self.ids_by_expiry.is_empty()
     }
 
     /// Returns the ids, the one that expires first before the others.
     pub fn iter(&self) -> impl Iterator<Item = CompletedId> {
-        self.by_expiry.iter().map(|(expires_at, id)| CompletedId { id: id.clone(), expires_at: *expires_at })
+        self.ids_by_expiry
+            .iter()
+            .map(|(expires_at, id)| CompletedId { id: id.clone(), expires_at: *expires_at })
     }
 
     /// Returns the bytes that the ids take at most in a file.
--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -313,7 +313,7 @@
     /// happen without it: the next compaction, which is tried at once, writes the state.
     fn append(&mut self, record: Record) -> Result<(), JournalError> {
         // What may not use the space of the reserve must not be written while the reserve is released, either.
-        if !record.may_use_reserve() {
+        if !record.uses_reserve() {
             self.acquire_reserve();
         }
         let written = self.write_record(&record);
@@ -331,7 +331,7 @@
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
         let frame = append_frame(record, buffer)?;
-        let written = if record.may_use_reserve() {
+        let written = if record.uses_reserve() {
             self.write_with_reserve(&frame)
         } else if self.reserve.is_held() {
             self.write(&frame)
--- a/src/daemon/journal/record.rs
+++ b/src/daemon/journal/record.rs
@@ -78,7 +78,7 @@
 impl Record {
     /// Whether the record may use the space of the reserve: it ends something that an earlier record started, and would be
     /// repeated after a restart if it were lost.
-    pub(super) fn may_use_reserve(&self) -> bool {
+    pub(super) fn uses_reserve(&self) -> bool {
         matches!(
             self,
             Self::AttemptEnded { .. }
--- a/src/daemon/poll_schedule.rs
+++ b/src/daemon/poll_schedule.rs
@@ -133,9 +133,9 @@
                 let max_delay = MAX_DELAY_PER_SENDER * senders;
                 Self {
                     mode: terms.discovery,
-                    max_initial_delay: at_most_share(spread, limit, INITIAL_DELAY_STALENESS_SHARE),
+                    max_initial_delay: capped_at_share(spread, limit, INITIAL_DELAY_STALENESS_SHARE),
                     base_delay: DELAY_PER_SENDER * senders,
-                    max_delay: at_most_share(max_delay, limit_after_failure, MAX_DELAY_STALENESS_SHARE),
+                    max_delay: capped_at_share(max_delay, limit_after_failure, MAX_DELAY_STALENESS_SHARE),
                     immediate_timeout: QUEUED_ANSWER_TIMEOUT,
                 }
             }
@@ -144,7 +144,7 @@
 }
 
 /// Returns `delay`, or the share of `limit` if that is shorter; a limit of zero is none.
-fn at_most_share(delay: Duration, limit: Duration, share: f64) -> Duration {
+fn capped_at_share(delay: Duration, limit: Duration, share: f64) -> Duration {
     if limit.is_zero() { delay } else { delay.min(limit.mul_f64(share)) }
 }
 
