--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -149,6 +149,6 @@
     }
 
     fn avoids(&self, endpoint: EndpointId, now: Instant) -> bool {
-        self.engine.avoids(self.clock.timestamp(now), endpoint)
+        self.engine.is_avoided(self.clock.timestamp(now), endpoint)
     }
 }
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -91,7 +91,7 @@
             let aged = restored
                 .routes
                 .map(|route| route.map(|route| self.age_route(route, captured_at, now, &mut age)));
-            self.engine.take_up(id, aged);
+            self.engine.restore_routes(id, aged);
         }
     }
 
@@ -121,9 +121,9 @@
         let fraction = f64::from(random.next_u32()) / f64::from(u32::MAX);
         let settings = &self.configuration.settings;
         if self.recovery.status.trusts_clock() {
-            route.recalled(written_at, now, fraction, settings)
+            route.aged(written_at, now, fraction, settings)
         } else {
-            route.recalled_unclocked(written_at, now, fraction, settings)
+            route.aged_without_clock(written_at, now, fraction, settings)
         }
     }
 
@@ -187,7 +187,7 @@
         tracked: &TrackedEndpoint,
         now: Timestamp,
     ) -> EndpointCheckpoint {
-        let learned = self.engine.learned(id);
+        let learned = self.engine.route_snapshots(id);
         EndpointCheckpoint {
             endpoint: tracked.listed.clone(),
             observed_at: tracked.phase_since,
--- a/src/daemon/event_loop/peer_reports.rs
+++ b/src/daemon/event_loop/peer_reports.rs
@@ -26,7 +26,7 @@
                 self.queue
                     .push(now, Event::RetryAfter { endpoint: id, wait: TimeDelta(report.retry_after_us) });
             }
-            self.engine.warned(now, id, report.health);
+            self.engine.apply_peer_report(now, id, report.health);
         }
         if !entries.is_empty() {
             self.log(format_args!(
@@ -57,7 +57,8 @@
     }
 
     fn endpoint_report(&self, id: EndpointId, is_out: bool, now: Timestamp) -> EndpointReport {
-        let [own, shared] = self.engine.learned(id).map(|learned| learned.map(|route| route.word(now)));
+        let [own, shared] =
+            self.engine.route_snapshots(id).map(|learned| learned.map(|route| route.report(now)));
         let mut report = EndpointReport { is_withdrawn: is_out, ..EndpointReport::default() };
         for (wait, _) in own.iter().chain(&shared) {
             report.retry_after_us = report.retry_after_us.max(wait.0);
--- a/src/observe.rs
+++ b/src/observe.rs
@@ -10,7 +10,7 @@
 
 impl DeliveryEngine {
     /// Returns whether nothing is sent to an endpoint at `now`, or nothing but a trial.
-    pub fn avoids(&self, now: Timestamp, endpoint: EndpointId) -> bool {
+    pub fn is_avoided(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.directory.endpoint(endpoint) else { return true };
         let is_closed = |route: &Route| {
             let pacer = route.pacer_at(now, &self.settings);
@@ -26,7 +26,7 @@
     }
 
     /// Returns what was learned of an endpoint's own route and of the one that it shares, for the next process.
-    pub fn learned(&self, endpoint: EndpointId) -> [Option<RouteSnapshot>; 2] {
+    pub fn route_snapshots(&self, endpoint: EndpointId) -> [Option<RouteSnapshot>; 2] {
         self.slots_of(endpoint).map(|slot| {
             let mut route = self.directory.route(slot?).clone();
             // Calls in flight end with their process.
@@ -36,7 +36,7 @@
     }
 
     /// Restores what an earlier process learned of an endpoint that discovery has named by now.
-    pub fn take_up(&mut self, endpoint: EndpointId, learned: [Option<RouteSnapshot>; 2]) {
+    pub fn restore_routes(&mut self, endpoint: EndpointId, learned: [Option<RouteSnapshot>; 2]) {
         for (slot, learned) in self.slots_of(endpoint).into_iter().zip(learned) {
             if let (Some(slot), Some(RouteSnapshot(mut route))) = (slot, learned) {
                 let own = self.directory.route_mut(slot);
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -13,7 +13,7 @@
     /// Returns what the snapshot is worth at `now`, to a process that starts now, if it was `written` then.
     ///
     /// `jitter`, from 0 to 1, keeps senders apart that start together: none has a token saved up.
-    pub fn recalled(mut self, written: Timestamp, now: Timestamp, jitter: f64, settings: &Settings) -> Self {
+    pub fn aged(mut self, written: Timestamp, now: Timestamp, jitter: f64, settings: &Settings) -> Self {
         // The clock was set back, or the file is from the future: as if it had been written just now.
         self.shift_back(TimeDelta(since(written, now)));
         let age = since(now, written);
@@ -35,7 +35,7 @@
 
     /// Returns the same where nobody can tell how long ago the snapshot was written: what binds does so for all of its
     /// time from `now` on, and estimates are worth nothing.
-    pub fn recalled_unclocked(
+    pub fn aged_without_clock(
         mut self,
         written: Timestamp,
         now: Timestamp,
@@ -54,11 +54,11 @@
         shift(&mut route.pacer.updated_at);
         route.forget_estimates();
         route.remaining_share = 0.0;
-        self.recalled(now.max(written), now, jitter, settings)
+        self.aged(now.max(written), now, jitter, settings)
     }
 
     /// Returns what other senders are told of the route: how long a Retry-After goes on, and whether it answers.
-    pub fn word(&self, now: Timestamp) -> (TimeDelta, ReportedHealth) {
+    pub fn report(&self, now: Timestamp) -> (TimeDelta, ReportedHealth) {
         let health = match self.0.pacer.health {
             Health::Healthy => ReportedHealth::Healthy,
             Health::Ejected(_) => ReportedHealth::Ejected,
@@ -92,7 +92,7 @@
 
 impl DeliveryEngine {
     /// Applies another sender's report on an endpoint: it may add caution, and never takes it away.
-    pub fn warned(&mut self, now: Timestamp, endpoint: EndpointId, reported: ReportedHealth) {
+    pub fn apply_peer_report(&mut self, now: Timestamp, endpoint: EndpointId, reported: ReportedHealth) {
         let endpoint = self.directory.endpoint(endpoint);
         let Some(slot) = endpoint.map(|endpoint| endpoint.route) else { return };
         let pacer = self.directory.route(slot).pacer_at(now, &self.settings);
--- a/src/restore/tests.rs
+++ b/src/restore/tests.rs
@@ -25,7 +25,7 @@
 }
 
 fn recalled(line: Route, age: u64) -> Route {
-    RouteSnapshot(line).recalled(NOW, Timestamp(NOW.0 + age), 0.25, &settings()).0
+    RouteSnapshot(line).aged(NOW, Timestamp(NOW.0 + age), 0.25, &settings()).0
 }
 
 /// Guards against a process that sends during a wait that its predecessor was told, or forgets an outage or where a
@@ -91,7 +91,7 @@
     (told.retry_after_until, told.pacer.health) =
         (Timestamp(NOW.0 + 2 * S), Health::Ejected(Timestamp(NOW.0 + S)));
     let now = Timestamp(NOW.0 - 3_600 * S);
-    let told = RouteSnapshot(told).recalled(NOW, now, 0.25, &settings()).0;
+    let told = RouteSnapshot(told).aged(NOW, now, 0.25, &settings()).0;
     assert_eq!(told.retry_after_until, Timestamp(now.0 + 2 * S));
     assert!(matches!(told.pacer.health, Health::Ejected(at) if at.0 <= now.0 + S), "{:?}", told.pacer.health);
     assert_eq!(told.pacer.updated_at, now);
@@ -105,22 +105,22 @@
     let now = Timestamp(NOW.0 + age);
     let mut told = line();
     (told.retry_after_until, told.pacer.health) = (wait, Health::Ejected(Timestamp(NOW.0 + S)));
-    let told = RouteSnapshot(told).recalled_unclocked(NOW, now, 0.25, &settings());
+    let told = RouteSnapshot(told).aged_without_clock(NOW, now, 0.25, &settings());
     assert_eq!(told.0.retry_after_until, Timestamp(now.0 + 2 * S));
     assert!(matches!(told.0.pacer.health, Health::Ejected(at) if at >= now), "{:?}", told.0.pacer.health);
     assert_eq!((told.0.limit, told.0.latency, told.0.remaining_share), (0.0, 0.0, 0.0));
-    assert_eq!(told.word(now), (TimeDelta(2 * S), ReportedHealth::Ejected));
+    assert_eq!(told.report(now), (TimeDelta(2 * S), ReportedHealth::Ejected));
     let mut over = line();
     (over.retry_after_until, over.pacer.health) = (Timestamp(NOW.0 - S), Health::SlowStart(NOW));
-    let over = RouteSnapshot(over).recalled_unclocked(NOW, now, 0.25, &settings());
+    let over = RouteSnapshot(over).aged_without_clock(NOW, now, 0.25, &settings());
     assert!(over.0.retry_after_until <= now);
-    assert_eq!(over.word(Timestamp(now.0 + S)), (TimeDelta(0), ReportedHealth::SlowStart(S)));
+    assert_eq!(over.report(Timestamp(now.0 + S)), (TimeDelta(0), ReportedHealth::SlowStart(S)));
     // Set back instead: the same as ever.
     let mut back = line();
     back.retry_after_until = wait;
     let now = Timestamp(NOW.0 - age);
     assert_eq!(
-        RouteSnapshot(back).recalled_unclocked(NOW, now, 0.25, &settings()).0.retry_after_until,
+        RouteSnapshot(back).aged_without_clock(NOW, now, 0.25, &settings()).0.retry_after_until,
         Timestamp(now.0 + 2 * S)
     );
 }
