--- a/crates/micadrum-testkit/src/http.rs
+++ b/crates/micadrum-testkit/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as the stand-ins need it: requests and answers read byte by byte, with when they were sent, and
 //! answers written as they are wanted, also spoilt.
-use crate::wire::Line;
+use crate::stand_in_network::StandInConnection;
 use std::io;
 use std::pin::pin;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,7 +12,7 @@
 
 /// A connection that reads messages one after another.
 pub struct Conversation {
-    line: Box<dyn Line>,
+    line: Box<dyn StandInConnection>,
     buffer: Vec<u8>,
 }
 
@@ -43,7 +43,7 @@
 
 impl Conversation {
     /// On an open connection.
-    pub fn new(line: Box<dyn Line>) -> Self {
+    pub fn new(line: Box<dyn StandInConnection>) -> Self {
         Self { line, buffer: Vec::new() }
     }
 
--- a/crates/micadrum-testkit/src/judge/attempts.rs
+++ b/crates/micadrum-testkit/src/invariants/attempts.rs
@@ -1,14 +1,14 @@
 //! Attempts: too many (`Attempts`), after an end (`SentAfterEnd`), or where an earlier one may have run (`Doubled`).
-use super::{Hold, Judge, Rule, TOLERANCE, Wait, seconds};
+use super::{Hold, Invariant, InvariantChecker, TOLERANCE, Wait, seconds};
 use crate::observation::{At, MessageEnd};
 use crate::plan::{Class, KEY_WINDOW, MAX_ATTEMPTS};
 
-impl Judge {
+impl InvariantChecker {
     /// One message of a call that began.
     pub(super) fn sent(&mut self, at: At, call: u64, id: &str, sender: u32, endpoint: &str, sent: At) {
         let Some(message) = self.messages.get_mut(id) else {
             self.convict(
-                Rule::SentAfterEnd,
+                Invariant::SentAfterEnd,
                 at,
                 Some(id),
                 format!("sender {sender} sent an unknown message"),
@@ -26,34 +26,35 @@
         }
         let mut broken = Vec::new();
         if message.attempts > MAX_ATTEMPTS {
-            broken.push((Rule::Attempts, format!("attempt {} of {MAX_ATTEMPTS}", message.attempts)));
+            broken.push((Invariant::Attempts, format!("attempt {} of {MAX_ATTEMPTS}", message.attempts)));
         }
         if message.noticed.is_some_and(|noticed| noticed < sent) {
-            broken.push((Rule::SentAfterEnd, "it was sent after the notice of its end".to_owned()));
+            broken.push((Invariant::SentAfterEnd, "it was sent after the notice of its end".to_owned()));
         }
         if message.hold == Hold::Refused {
-            broken.push((Rule::SentAfterEnd, "it was sent though refused".to_owned()));
+            broken.push((Invariant::SentAfterEnd, "it was sent though refused".to_owned()));
         }
         match (message.class, message.ran_sent) {
             (Class::Charge, Some(_)) => {
-                broken.push((Rule::Doubled, "it was sent again though it may have run".to_owned()));
+                broken.push((Invariant::Doubled, "it was sent again though it may have run".to_owned()));
             }
             (Class::TripRecord, Some(first)) if sent > first + KEY_WINDOW.0 + TOLERANCE => {
                 let what = format!("it was sent again {} after it may have run", seconds(sent - first));
-                broken.push((Rule::Doubled, what));
+                broken.push((Invariant::Doubled, what));
             }
             _ => {}
         }
         // A close may be on its way still: who was out at once shows when it comes.
-        let mut beside: Vec<(u64, Rule)> = open.into_iter().map(|other| (other, Rule::Beside)).collect();
+        let mut beside: Vec<(u64, Invariant)> =
+            open.into_iter().map(|other| (other, Invariant::Beside)).collect();
         let (vehicle, of) = (message.vehicle, message.sender);
         if let Some(queue) = vehicle.and_then(|v| self.order.get(&(of, v))) {
             for earlier in queue.iter().take_while(|other| *other != id) {
                 let Some(first) = self.messages.get(earlier) else { continue };
                 if first.hold == Hold::TakenOn && first.over.is_none_or(|over| over > sent) {
-                    broken.push((Rule::Order, format!("it was sent before {earlier} was over")));
+                    broken.push((Invariant::Order, format!("it was sent before {earlier} was over")));
                 } else if first.hold == Hold::TakenOn {
-                    beside.extend(first.calls.iter().map(|other| (*other, Rule::Order)));
+                    beside.extend(first.calls.iter().map(|other| (*other, Invariant::Order)));
                 }
             }
         }
@@ -67,7 +68,7 @@
             // What came first need not have been sent first: the later one must not begin before the earlier ends.
             if known.sent <= sent {
                 known.beside.push((rule, id.to_owned(), sent));
-            } else if rule == Rule::Beside {
+            } else if rule == Invariant::Beside {
                 let later = known.sent;
                 if let Some(this) = self.calls.get_mut(&call) {
                     this.beside.push((rule, id.to_owned(), later));
--- a/crates/micadrum-testkit/src/judge/ends.rs
+++ b/crates/micadrum-testkit/src/invariants/completion.rs
@@ -1,12 +1,13 @@
 //! Ends: one that does not come (`Lost`), or too late (`Late`), and messages from their first hand-in until they are
 //! forgotten.
 use super::{
-    AFTER_READY, ANSWER_SLACK, Hold, Judge, Message, Rule, SEEN_TO_END, TOLERANCE, WATCHED, seconds,
+    AFTER_READY, ANSWER_SLACK, Hold, Invariant, InvariantChecker, Message, SEEN_TO_END, TOLERANCE, WATCHED,
+    seconds,
 };
 use crate::observation::{At, Seen, Told};
 use crate::plan::Class;
 
-impl Judge {
+impl InvariantChecker {
     pub(super) fn handed_in(&mut self, at: At, seen: &Seen) {
         let Seen::HandedIn { id, operation, sender, class, vehicle, deadline } = seen else { return };
         let history = (at, format!("handed in to sender {sender} (operation {operation}, {})", class.name()));
@@ -54,7 +55,7 @@
             _ if told == Told::Cut => self.cuts.push_back((at, message.sender, id.to_owned())),
             Hold::TakenOn => self.verdict.taken += 1,
             Hold::Refused if message.attempts > 0 => {
-                self.convict(Rule::SentAfterEnd, at, Some(id), "it was sent and refused".to_owned());
+                self.convict(Invariant::SentAfterEnd, at, Some(id), "it was sent and refused".to_owned());
             }
             _ => {}
         }
@@ -74,7 +75,12 @@
         message.noticed.get_or_insert(at);
         let ran = message.ran_sent.is_some() || !message.calls.is_empty();
         if returned && message.class == Class::Charge && ran && message.hold != Hold::Void {
-            self.convict(Rule::Doubled, at, Some(id), "it was returned though it may have run".to_owned());
+            self.convict(
+                Invariant::Doubled,
+                at,
+                Some(id),
+                "it was returned though it may have run".to_owned(),
+            );
         }
         self.over(at, id);
     }
@@ -91,7 +97,7 @@
             let of = self.senders.entry(sender).or_default();
             let excused = if of.ending.is_some() { now.saturating_add(AFTER_READY) } else { of.excused };
             if missing && last_look {
-                self.convict(Rule::Lost, due, Some(&id), "it has no end".to_owned());
+                self.convict(Invariant::Lost, due, Some(&id), "it has no end".to_owned());
             }
             if last_look {
                 self.forget(&id);
@@ -119,7 +125,7 @@
         let Some(message) = self.messages.get(id) else { return };
         let late = over.saturating_sub(message.deadline);
         self.convict(
-            Rule::Late,
+            Invariant::Late,
             over,
             Some(id),
             format!("its end came {} s after its time was up", seconds(late)),
@@ -145,7 +151,7 @@
             let exited = self.senders.get(&sender).and_then(|of| of.exited);
             if exited.is_none_or(|exited| exited.abs_diff(at) > SEEN_TO_END) {
                 self.convict(
-                    Rule::Lost,
+                    Invariant::Lost,
                     at,
                     Some(&id),
                     "its client's connection ended without an answer".to_owned(),
--- a/crates/micadrum-testkit/src/judge/beside.rs
+++ b/crates/micadrum-testkit/src/invariants/concurrency.rs
@@ -1,8 +1,8 @@
 //! Calls that were out at once: of one message (`Beside`), of one key (`Order`).
-use super::{HELD_BACK, Judge, seconds};
+use super::{HELD_BACK, InvariantChecker, seconds};
 use crate::observation::At;
 
-impl Judge {
+impl InvariantChecker {
     /// Calls whose process ended, and of whose own end nothing has been heard since, were out until then.
     pub(super) fn look_at_orphans(&mut self, now: At) {
         while let Some((exited, call)) = self.orphans.front().copied()
--- a/crates/micadrum-testkit/src/judge/drains.rs
+++ b/crates/micadrum-testkit/src/invariants/drains.rs
@@ -1,9 +1,9 @@
 //! Drains: a call to an endpoint that its sender knew to be out of service (`Drain`).
-use super::{Judge, Rule, TOLERANCE, seconds};
+use super::{Invariant, InvariantChecker, TOLERANCE, seconds};
 use crate::observation::At;
 use crate::plan::DRAIN_GRACE;
 
-impl Judge {
+impl InvariantChecker {
     pub(super) fn listed(&mut self, at: At, sender: u32, endpoint: &str, serving: bool) {
         if serving {
             self.unlisted.remove(&(sender, endpoint.to_owned()));
@@ -25,7 +25,7 @@
         {
             let what =
                 format!("sender {sender} called {endpoint}, out of service for it since {}", seconds(*told));
-            self.convict(Rule::Drain, at, first, what);
+            self.convict(Invariant::Drain, at, first, what);
         }
     }
 }
--- a/crates/micadrum-testkit/src/judge/views.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views.rs
@@ -1,5 +1,5 @@
 //! What senders believe of each other: wrong for too long (`View`), and deaths without a cause (`Accused`).
-use super::{Break, MOST_KEPT, Rule, Verdict, seconds};
+use super::{Invariant, MOST_KEPT, Verdict, Violation, seconds};
 use crate::history::History;
 use crate::observation::At;
 
@@ -13,12 +13,12 @@
     let mut convict = |rule, at, what| {
         *verdict.counts.entry(rule).or_default() += 1;
         if verdict.breaks.len() < MOST_KEPT {
-            verdict.breaks.push(Break { rule, at, id: None, what, history: Vec::new() });
+            verdict.breaks.push(Violation { rule, at, id: None, what, history: Vec::new() });
         }
     };
     for (at, by, of) in history.false_deaths(GRACE) {
         convict(
-            Rule::Accused,
+            Invariant::Accused,
             at,
             format!("sender {by} held sender {of} for dead, which ran, with nothing wrong"),
         );
@@ -29,11 +29,15 @@
         Ok(took) => {
             let what =
                 format!("views were right {} s after the last thing that happened to senders", seconds(took));
-            convict(Rule::View, last + took, what);
+            convict(Invariant::View, last + took, what);
         }
         Err(wrong) => {
             for (by, of, status) in wrong {
-                convict(Rule::View, end, format!("sender {by} holds sender {of} for {status:?} at the end"));
+                convict(
+                    Invariant::View,
+                    end,
+                    format!("sender {by} holds sender {of} for {status:?} at the end"),
+                );
             }
         }
     }
--- a/crates/micadrum-testkit/src/judge/mod.rs
+++ b/crates/micadrum-testkit/src/invariants/mod.rs
@@ -3,12 +3,12 @@
 //!
 //! One file a rule, or a group of rules that go by the same books.
 mod attempts;
-mod beside;
+mod completion;
+mod concurrency;
 mod drains;
-mod ends;
+mod membership_views;
+mod overload;
 mod processes;
-mod pushed;
-mod views;
 mod waits;
 
 use crate::observation::{At, Seen};
@@ -37,7 +37,7 @@
 /// What can be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Rule {
+pub enum Invariant {
     /// A message that was taken on got no end.
     Lost,
     /// It got it too late.
@@ -66,7 +66,7 @@
     Accused,
 }
 
-impl Rule {
+impl Invariant {
     /// All of them.
     pub const ALL: [Self; 13] = [
         Self::Lost,
@@ -87,9 +87,9 @@
 
 /// One broken rule.
 #[derive(Clone, Debug, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// Which.
-    pub rule: Rule,
+    pub rule: Invariant,
     /// When, in microseconds from the start of the day.
     pub at: At,
     /// The message, if it is about one.
@@ -104,9 +104,9 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     /// How often each rule was broken; rules that were kept are not named.
-    pub counts: BTreeMap<Rule, usize>,
+    pub counts: BTreeMap<Invariant, usize>,
     /// The first breaks.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     /// Partners that fell over, whoever's fault that was: a line each.
     pub fell: Vec<String>,
     /// Messages that were taken on.
@@ -163,7 +163,7 @@
     sent: At,
     ids: Vec<String>,
     /// Calls that began while this one was out, as far as was seen: rule, message, and when they were sent.
-    beside: Vec<(Rule, String, At)>,
+    beside: Vec<(Invariant, String, At)>,
 }
 
 #[derive(Default)]
@@ -193,7 +193,7 @@
 
 /// Goes through the observations of one run.
 #[derive(Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     messages: BTreeMap<String, Message>,
     /// What is to be looked at again once it must be over, by when.
     due: BTreeSet<(At, String)>,
@@ -212,7 +212,7 @@
     verdict: Verdict,
 }
 
-impl Judge {
+impl InvariantChecker {
     /// Takes in one observation.
     pub fn see(&mut self, at: At, seen: &Seen) {
         self.look_at_due(at);
@@ -238,7 +238,7 @@
                     message.effects += 1;
                     message.history.push((at, "took effect".to_owned()));
                     if message.effects > 1 && message.hold != Hold::Void {
-                        self.convict(Rule::Doubled, at, Some(id), "it took effect twice".to_owned());
+                        self.convict(Invariant::Doubled, at, Some(id), "it took effect twice".to_owned());
                     }
                 }
             }
@@ -279,11 +279,11 @@
         self.verdict
     }
 
-    fn convict(&mut self, rule: Rule, at: At, id: Option<&str>, what: String) {
+    fn convict(&mut self, rule: Invariant, at: At, id: Option<&str>, what: String) {
         *self.verdict.counts.entry(rule).or_default() += 1;
         if self.verdict.breaks.len() < MOST_KEPT {
             let history = id.map_or(Vec::new(), |id| self.history(id));
-            self.verdict.breaks.push(Break { rule, at, id: id.map(str::to_owned), what, history });
+            self.verdict.breaks.push(Violation { rule, at, id: id.map(str::to_owned), what, history });
         }
     }
 
@@ -309,7 +309,7 @@
     format!("{}.{:03}", at / 1_000_000, at / 1_000 % 1_000)
 }
 
-pub use views::look_at_views;
+pub use membership_views::look_at_views;
 
 #[cfg(test)]
 mod tests;
--- a/crates/micadrum-testkit/src/judge/pushed.rs
+++ b/crates/micadrum-testkit/src/invariants/overload.rs
@@ -4,13 +4,13 @@
 //! thirds of the calls or more convict. The page of the standing test lets three calls more pass, and convicts by more than
 //! two thirds: a verdict says whether it would as well. A partner falls at the first call too many, so the calls told are
 //! the fewest that break the rule, never the load that would have come.
-use super::{Judge, Rule, seconds};
+use super::{Invariant, InvariantChecker, seconds};
 use crate::observation::At;
 
 /// Calls that the page of the standing test lets pass beyond the bound of the wire's page.
 const STANDING_MORE: f64 = 3.0;
 
-impl Judge {
+impl InvariantChecker {
     pub(super) fn saw_failure(&mut self, line: u32, sender: u32) {
         if let Some(outage) = self.outages.get_mut(&line).filter(|outage| outage.on) {
             outage.saw.insert(sender);
@@ -32,7 +32,7 @@
         );
         self.verdict.fell.push(format!("{} {what}", seconds(at)));
         if saw * 3 >= senders.len() * 2 {
-            self.convict(Rule::PushedOver, at, None, what);
+            self.convict(Invariant::PushedOver, at, None, what);
         }
     }
 }
--- a/crates/micadrum-testkit/src/judge/processes.rs
+++ b/crates/micadrum-testkit/src/invariants/processes.rs
@@ -1,8 +1,8 @@
 //! Processes: one that ends unasked (`Crash`), and what ends with one that was asked to.
-use super::{AFTER_READY, Hold, Judge, Rule};
+use super::{AFTER_READY, Hold, Invariant, InvariantChecker};
 use crate::observation::At;
 
-impl Judge {
+impl InvariantChecker {
     pub(super) fn ready(&mut self, at: At, sender: u32) {
         let of = self.senders.entry(sender).or_default();
         if of.ending.take().is_some() {
@@ -16,7 +16,7 @@
         let expected = of.expected && asked;
         of.ending.get_or_insert(at);
         if !expected {
-            self.convict(Rule::Crash, at, None, format!("sender {sender} ended without being told to"));
+            self.convict(Invariant::Crash, at, None, format!("sender {sender} ended without being told to"));
         }
         self.senders.entry(sender).or_default().exited = Some(at);
         for message in self.messages.values_mut().filter(|message| message.sender == sender) {
--- a/crates/micadrum-testkit/src/judge/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/tests.rs
@@ -8,7 +8,7 @@
 /// What was seen of one day; each planted fault adds to it.
 #[derive(Default)]
 struct Day {
-    judge: Judge,
+    judge: InvariantChecker,
     now: At,
     next_call: u64,
 }
@@ -70,7 +70,7 @@
         self.at(ready).see(Seen::Ready { sender: 0 })
     }
 
-    fn broken(&mut self) -> Vec<Rule> {
+    fn broken(&mut self) -> Vec<Invariant> {
         let verdict = std::mem::take(&mut self.judge).verdict(self.now + 100 * S);
         verdict.counts.into_keys().collect()
     }
@@ -109,14 +109,14 @@
 fn a_lost_message_is_missed() {
     let mut day = Day::default();
     day.taken("a", Charge, None).at(60 * S);
-    assert_eq!(day.broken(), [Rule::Lost]);
+    assert_eq!(day.broken(), [Invariant::Lost]);
     // Nor where the day goes on long after it.
     day = Day::default();
     day.taken("a", Charge, None);
     for n in 1..20 {
         day.at(n * 10 * S).see(Seen::Ready { sender: 0 });
     }
-    assert_eq!(day.broken(), [Rule::Lost]);
+    assert_eq!(day.broken(), [Invariant::Lost]);
     // Not where its machine was lost with it, or its client never heard that it was taken on.
     day = Day::default();
     day.taken("a", Charge, None).at(S).see(Seen::MachineLost { sender: 0 }).at(60 * S);
@@ -126,7 +126,7 @@
 /// Guards against a client's connection that ends without an answer, while its sender runs on.
 #[test]
 fn a_cut_connection_loses_its_message() {
-    for (ended, broken) in [(None, vec![Rule::Lost]), (Some(S + 1), vec![])] {
+    for (ended, broken) in [(None, vec![Invariant::Lost]), (Some(S + 1), vec![])] {
         let mut day = Day::default();
         let (id, class, deadline) = ("a".to_owned(), Charge, 16 * S);
         day.see(Seen::HandedIn { id: id.clone(), operation: 0, sender: 0, class, vehicle: None, deadline });
@@ -142,7 +142,7 @@
 /// Guards against an end that comes too late.
 #[test]
 fn a_late_end_is_late() {
-    for (at, broken) in [(16 * S + 340_000, vec![]), (16 * S + 360_000, vec![Rule::Late])] {
+    for (at, broken) in [(16 * S + 340_000, vec![]), (16 * S + 360_000, vec![Invariant::Late])] {
         let mut day = Day::default();
         day.taken("a", Charge, None).at(at).noticed("a", false);
         assert_eq!(day.broken(), broken, "at {at}");
@@ -154,16 +154,16 @@
 fn what_is_over_stays_over() {
     let mut day = Day::default();
     day.taken("a", TripRecord, None).at(S).noticed("a", true).at(2 * S).began(&["a"]);
-    assert_eq!(day.broken(), [Rule::SentAfterEnd]);
+    assert_eq!(day.broken(), [Invariant::SentAfterEnd]);
     let mut day = Day::default();
     day.began(&["nobody's"]);
-    assert_eq!(day.broken(), [Rule::SentAfterEnd]);
+    assert_eq!(day.broken(), [Invariant::SentAfterEnd]);
     let mut day = Day::default();
     let (id, told) = ("a".to_owned(), Told::Refused);
     let (class, deadline) = (Charge, 16 * S);
     day.see(Seen::HandedIn { id: id.clone(), operation: 0, sender: 0, class, vehicle: None, deadline });
     day.see(Seen::Answered { id, told }).at(S).began(&["a"]);
-    assert_eq!(day.broken(), [Rule::SentAfterEnd]);
+    assert_eq!(day.broken(), [Invariant::SentAfterEnd]);
 }
 
 /// Guards against second effects, and against sends and refusals that only might have led to one.
@@ -174,28 +174,28 @@
     let call = day.began(&["a"]);
     day.at(S).replied(call, "a", Error).at(2 * S).began(&["a"]);
     day.noticed("a", false);
-    assert_eq!(day.broken(), [Rule::Doubled], "a charge that may have run");
+    assert_eq!(day.broken(), [Invariant::Doubled], "a charge that may have run");
     let mut day = Day::default();
     day.taken("a", Charge, None);
     let call = day.began(&["a"]);
     day.at(S).closed(call).at(2 * S).noticed("a", true);
-    assert_eq!(day.broken(), [Rule::Doubled], "a charge returned though it may have run");
+    assert_eq!(day.broken(), [Invariant::Doubled], "a charge returned though it may have run");
     let mut day = Day::default();
     day.taken("a", TripRecord, None);
     let call = day.began(&["a"]);
     day.at(S).closed(call).at(5 * S + 100_000).began(&["a"]);
     day.noticed("a", false);
-    assert_eq!(day.broken(), [Rule::Doubled], "a keyed message past its window");
+    assert_eq!(day.broken(), [Invariant::Doubled], "a keyed message past its window");
     let mut day = Day::default();
     day.taken("a", TripRecord, None).see(Seen::Ran { id: "a".to_owned() });
     day.at(S).see(Seen::Ran { id: "a".to_owned() }).noticed("a", false);
-    assert_eq!(day.broken(), [Rule::Doubled], "two effects");
+    assert_eq!(day.broken(), [Invariant::Doubled], "two effects");
     let mut day = Day::default();
     day.taken("a", Charge, None);
     day.began(&["a"]);
     day.restart(S, 2 * S).began(&["a"]);
     day.noticed("a", false);
-    assert_eq!(day.broken(), [Rule::Doubled], "a charge that was out when its process was killed");
+    assert_eq!(day.broken(), [Invariant::Doubled], "a charge that was out when its process was killed");
 }
 
 /// Guards against two copies out at once, seen in either order.
@@ -206,20 +206,20 @@
     let first = day.began(&["a"]);
     let second = day.at(S).began(&["a"]);
     day.at(2 * S).closed(first).replied(second, "a", Delivered);
-    assert_eq!(day.broken(), [Rule::Beside]);
+    assert_eq!(day.broken(), [Invariant::Beside]);
     // Sent first, and there last: a link held it.
     let mut day = Day::default();
     day.taken("a", TripRecord, None);
     let second = day.at(S).began(&["a"]);
     let first = day.at(2 * S).began_at(&["a"], 0, 0);
     day.at(3 * S).closed(first).replied(second, "a", Delivered);
-    assert_eq!(day.broken(), [Rule::Beside]);
+    assert_eq!(day.broken(), [Invariant::Beside]);
 }
 
 /// Guards against more attempts than are allowed.
 #[test]
 fn attempts_are_counted() {
-    for (attempts, broken) in [(MAX_ATTEMPTS, vec![]), (MAX_ATTEMPTS + 1, vec![Rule::Attempts])] {
+    for (attempts, broken) in [(MAX_ATTEMPTS, vec![]), (MAX_ATTEMPTS + 1, vec![Invariant::Attempts])] {
         let mut day = Day::default();
         day.taken("a", Charge, None);
         for n in 0..attempts {
@@ -234,7 +234,7 @@
 /// Guards against sends to endpoints that the sender knew drain or are gone.
 #[test]
 fn a_drained_endpoint_is_left_alone() {
-    for (after, broken) in [(S, vec![]), (S + 100_000, vec![Rule::Drain])] {
+    for (after, broken) in [(S, vec![]), (S + 100_000, vec![Invariant::Drain])] {
         let mut day = Day::default();
         day.taken("a", Charge, None);
         day.see(Seen::Listed { sender: 0, endpoint: "e".to_owned(), serving: false });
@@ -248,7 +248,7 @@
 /// convicting those that did not.
 #[test]
 fn who_saw_the_outage_answers_for_the_fall() {
-    for (knew, broken) in [(true, vec![Rule::PushedOver]), (false, vec![])] {
+    for (knew, broken) in [(true, vec![Invariant::PushedOver]), (false, vec![])] {
         let mut day = Day::default();
         day.taken("a", TripRecord, None);
         if knew {
@@ -276,7 +276,7 @@
     day.replied(call, "k2", Delivered);
     let call = day.at(S).began(&["k1"]);
     day.replied(call, "k1", Delivered);
-    assert_eq!(day.broken(), [Rule::Order]);
+    assert_eq!(day.broken(), [Invariant::Order]);
     // The first is over by its notice, with its call still out.
     let mut day = Day::default();
     day.taken("k1", TripRecord, Some(7)).taken("k2", TripRecord, Some(7));
@@ -284,7 +284,7 @@
     day.at(S).noticed("k1", false);
     let second = day.at(2 * S).began(&["k2"]);
     day.at(3 * S).closed(first).replied(second, "k2", Delivered);
-    assert_eq!(day.broken(), [Rule::Order]);
+    assert_eq!(day.broken(), [Invariant::Order]);
 }
 
 /// Guards against taking a call for one that was out until its process ended, when the news of its own end, sent
@@ -292,7 +292,7 @@
 #[test]
 fn a_call_ends_when_its_end_was_sent_though_its_process_ended_since() {
     // A link that holds packets back lets the news through seconds after the process has ended.
-    let cases = [(Some(S), vec![]), (Some(3 * S), vec![Rule::Order]), (None, vec![Rule::Order])];
+    let cases = [(Some(S), vec![]), (Some(3 * S), vec![Invariant::Order]), (None, vec![Invariant::Order])];
     for ((end_sent, broken), news) in
         cases.into_iter().flat_map(|case| [50_000, 2_000_000].map(|n| (case.clone(), n)))
     {
@@ -334,7 +334,7 @@
 /// Guards against calls during a told wait, whatever the message.
 #[test]
 fn a_wait_binds_until_its_end() {
-    for (at, broken) in [(S + 90_000, vec![]), (2 * S, vec![Rule::Wait]), (3 * S, vec![])] {
+    for (at, broken) in [(S + 90_000, vec![]), (2 * S, vec![Invariant::Wait]), (3 * S, vec![])] {
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None);
         let call = day.began(&["a"]);
@@ -349,7 +349,7 @@
 /// it. Another call's wait binds all the same.
 #[test]
 fn a_wait_that_was_not_heard_binds_nobody() {
-    for (unheard, broken) in [(0, vec![Rule::Wait]), (1, vec![Rule::Wait]), (2, vec![])] {
+    for (unheard, broken) in [(0, vec![Invariant::Wait]), (1, vec![Invariant::Wait]), (2, vec![])] {
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None).taken("c", Charge, None);
         let (one, two) = (day.began(&["a"]), day.began(&["c"]));
@@ -368,5 +368,5 @@
 fn an_unasked_end_is_a_crash() {
     let mut day = Day::default();
     day.see(Seen::Ready { sender: 0 }).at(S).see(Seen::Exited { sender: 0, asked: false });
-    assert_eq!(day.broken(), [Rule::Crash]);
+    assert_eq!(day.broken(), [Invariant::Crash]);
 }
--- a/crates/micadrum-testkit/src/judge/waits.rs
+++ b/crates/micadrum-testkit/src/invariants/waits.rs
@@ -1,8 +1,8 @@
 //! Told waits: a call that was made during one (`Wait`).
-use super::{Judge, Rule, WAIT_SLACK, Wait, seconds};
+use super::{Invariant, InvariantChecker, WAIT_SLACK, Wait, seconds};
 use crate::observation::At;
 
-impl Judge {
+impl InvariantChecker {
     pub(super) fn told_to_wait(&mut self, at: At, sender: u32, line: u32, wait: Wait) {
         let waits = self.waits.entry((sender, line)).or_default();
         waits.retain(|wait| wait.until + 1_000_000 > at);
@@ -19,7 +19,7 @@
                 seconds(*until),
                 seconds(*from)
             );
-            self.convict(Rule::Wait, at, first, what);
+            self.convict(Invariant::Wait, at, first, what);
         }
     }
 
--- a/crates/micadrum-testkit/src/lib.rs
+++ b/crates/micadrum-testkit/src/lib.rs
@@ -6,19 +6,19 @@
 //! the [`judge`] and into the [`report`].
 #![forbid(unsafe_code)]
 
-pub mod count;
-pub mod ground;
 pub mod history;
 mod http;
-pub mod hunt;
-pub mod judge;
+pub mod invariants;
+pub mod link_faults;
 pub mod live;
 pub mod observation;
 pub mod plan;
-pub mod recorder;
 pub mod report;
 pub mod scenario;
+pub mod seed_search;
+pub mod service_metrics;
 pub mod sim;
+pub mod trace_aggregate;
 pub use micadrum_config::units;
-mod wire;
+mod stand_in_network;
 mod world;
--- a/crates/micadrum-testkit/src/ground.rs
+++ b/crates/micadrum-testkit/src/link_faults.rs
@@ -1,6 +1,6 @@
 //! What passes between senders, and what becomes of it: the faults of their links, the same in simulated time and live.
 //! Free of I/O and clocks.
-use crate::plan::{Dice, Plan, PlannedFault};
+use crate::plan::{Plan, PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, Ways};
 use micadrum_config::OperatorConfig;
 use micadrum_membership::Secret;
@@ -16,14 +16,14 @@
 const OUT_OF_TURN: Duration = Duration::from_millis(80);
 
 /// The links between all senders.
-pub struct Ground {
+pub struct LinkFaults {
     buildings: Vec<usize>,
     crossing: Duration,
     struck: Vec<PlannedFault>,
-    dice: Dice,
+    dice: SeededRng,
 }
 
-impl Ground {
+impl LinkFaults {
     /// Those of a plan, with nothing wrong.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
@@ -31,14 +31,14 @@
             buildings: plan.senders.iter().map(|sender| sender.building).collect(),
             crossing: Duration::from_micros(plan.scenario.crossing.0),
             struck: Vec::new(),
-            dice: Dice::new(plan.seed, "links of senders"),
+            dice: SeededRng::new(plan.seed, "links of senders"),
         }
     }
 
     /// Those of so many senders in one building, with nothing wrong.
     #[must_use]
     pub fn calm(senders: usize) -> Self {
-        let dice = Dice::new(0, "links of senders");
+        let dice = SeededRng::new(0, "links of senders");
         Self { buildings: vec![0; senders], crossing: Duration::ZERO, struck: Vec::new(), dice }
     }
 
@@ -55,24 +55,24 @@
     }
 
     /// What becomes of bytes that are said on a link at a time, in microseconds, that was last broken then.
-    pub fn stretch(&self, from: u32, to: u32, now: u64, broken: &Cell<Option<u64>>) -> Stretch {
+    pub fn stretch(&self, from: u32, to: u32, now: u64, broken: &Cell<Option<u64>>) -> FaultWindow {
         let apart = self.buildings[from as usize] != self.buildings[to as usize];
         let mut delay = if apart { self.crossing } else { Duration::ZERO };
         for fault in &self.struck {
             let [out, back] = [from, to].map(|sender| fault.senders.contains(&sender));
             match fault.kind {
-                FaultKind::Cut if self.cuts(fault, from, to) => return Stretch::Held,
+                FaultKind::Cut if self.cuts(fault, from, to) => return FaultWindow::Held,
                 FaultKind::Slow if out || back => delay += Duration::from_micros(fault.delay.0),
                 FaultKind::Break
                     if (out || back) && broken.get().is_none_or(|at| at + fault.every.0 <= now) =>
                 {
                     broken.set(Some(now));
-                    return Stretch::Breaks;
+                    return FaultWindow::Breaks;
                 }
                 _ => {}
             }
         }
-        Stretch::Comes(delay)
+        FaultWindow::Comes(delay)
     }
 
     /// Whether a cut keeps apart what `from` says and `to` would hear.
@@ -122,7 +122,7 @@
 
 /// What becomes of bytes on a link between two senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stretch {
+pub enum FaultWindow {
     /// They come after this.
     Comes(Duration),
     /// They stay on the way: the link is open and silent.
@@ -146,7 +146,7 @@
 /// The secret of a sender.
 #[must_use]
 pub fn secret(seed: u64, sender: u32) -> [u8; 32] {
-    let mut dice = Dice::new(seed, &format!("secret of sender {sender}"));
+    let mut dice = SeededRng::new(seed, &format!("secret of sender {sender}"));
     let mut secret = [0; 32];
     for bytes in secret.chunks_mut(8) {
         bytes.copy_from_slice(&dice.number().to_le_bytes());
--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -1,5 +1,5 @@
 //! Links between real senders on their way through the kit: delayed, held, or broken within a frame.
-use crate::ground::{Ground, Stretch};
+use crate::link_faults::{FaultWindow, LinkFaults};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
     from: u32,
     to: u32,
     home: Rc<Cell<Option<SocketAddr>>>,
-    ground: Rc<RefCell<Ground>>,
+    ground: Rc<RefCell<LinkFaults>>,
 ) {
     let begun = Instant::now();
     let broken = Rc::<Cell<Option<u64>>>::default();
@@ -44,7 +44,7 @@
 struct Way {
     from: u32,
     to: u32,
-    ground: Rc<RefCell<Ground>>,
+    ground: Rc<RefCell<LinkFaults>>,
     begun: Instant,
     /// When a link between the two was last broken.
     broken: Rc<Cell<Option<u64>>>,
@@ -59,12 +59,12 @@
                 let now = self.begun.elapsed().as_micros() as u64;
                 let stretch = self.ground.borrow().stretch(self.from, self.to, now, &self.broken);
                 match stretch {
-                    Stretch::Comes(delay) => {
+                    FaultWindow::Comes(delay) => {
                         sleep(delay).await;
                         break;
                     }
-                    Stretch::Held => sleep(LOOK).await,
-                    Stretch::Breaks => {
+                    FaultWindow::Held => sleep(LOOK).await,
+                    FaultWindow::Breaks => {
                         let _ = write.write_all(&buffer[..length / 2]).await;
                         return;
                     }
--- a/crates/micadrum-testkit/src/live/mod.rs
+++ b/crates/micadrum-testkit/src/live/mod.rs
@@ -3,11 +3,11 @@
 mod power;
 mod relays;
 
-use crate::ground::{Ground, hex};
-use crate::plan::{Dice, Plan};
+use crate::link_faults::{LinkFaults, hex};
+use crate::plan::{Plan, SeededRng};
 use crate::report::Report;
 use crate::scenario::{FaultKind, Where};
-use crate::wire::{Door, Host, Line, Wire};
+use crate::stand_in_network::{Host, StandInConnection, StandInListener, StandInNetwork};
 use crate::world::senders::{Ended, Fleet, Lines, Links, OperatorFile, Syncs};
 use crate::world::{World, play};
 use micadrum::daemon::ports::{Listener, LocalFuture, Network, Stream};
@@ -33,7 +33,7 @@
 
 struct Loopback;
 
-struct TcpDoor {
+struct TcpStandInListener {
     listener: Box<dyn Listener>,
     address: SocketAddr,
 }
@@ -41,25 +41,25 @@
 /// Ports below this are names within a host of the world.
 const FIRST_FREE: u16 = 10_000;
 
-impl Wire for Loopback {
-    fn connect(&self, _: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Line>>> {
-        Box::pin(async move { Ok(Box::new(Tcp.connect(to).await?) as Box<dyn Line>) })
+impl StandInNetwork for Loopback {
+    fn connect(&self, _: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>> {
+        Box::pin(async move { Ok(Box::new(Tcp.connect(to).await?) as Box<dyn StandInConnection>) })
     }
 
-    fn listen(&self, _: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn Door>>> {
+    fn listen(&self, _: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn StandInListener>>> {
         Box::pin(async move {
             // A free port at first; the same one where the door was there before.
             let port = if port < FIRST_FREE { 0 } else { port };
             let listener = Tcp.listen(SocketAddr::from((Ipv4Addr::LOCALHOST, port))).await?;
             let address = listener.local_addr()?;
-            Ok(Box::new(TcpDoor { listener, address }) as Box<dyn Door>)
+            Ok(Box::new(TcpStandInListener { listener, address }) as Box<dyn StandInListener>)
         })
     }
 }
 
-impl Door for TcpDoor {
-    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Line>>> {
-        Box::pin(async move { Ok(Box::new(self.listener.accept().await?) as Box<dyn Line>) })
+impl StandInListener for TcpStandInListener {
+    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>> {
+        Box::pin(async move { Ok(Box::new(self.listener.accept().await?) as Box<dyn StandInConnection>) })
     }
 
     fn address(&self) -> SocketAddr {
@@ -68,7 +68,7 @@
 }
 
 /// A real connection tells nothing but what has come.
-impl Line for Box<dyn Stream> {
+impl StandInConnection for Box<dyn Stream> {
     fn sent(&self) -> Option<Instant> {
         None
     }
@@ -316,7 +316,7 @@
         })
     }
 
-    fn lose_power(&self, sender: u32, dice: &mut Dice) -> bool {
+    fn lose_power(&self, sender: u32, dice: &mut SeededRng) -> bool {
         // This machine keeps what a killed process wrote: what it did not sync is cut off by hand.
         let node = &self.nodes[sender as usize];
         let cut = node.lasts.borrow_mut().cut_back(&node.state, dice);
@@ -387,7 +387,7 @@
             })
         };
         let nodes = plan.senders.iter().map(node).collect::<io::Result<_>>()?;
-        let ground = Rc::new(RefCell::new(Ground::new(&plan)));
+        let ground = Rc::new(RefCell::new(LinkFaults::new(&plan)));
         let spoken = if plan.scenario.has_peers() { plan.senders.len() } else { 0 };
         let relays = Rc::new(Relays::open(spoken, &ground).await?);
         let power = plan.faults.iter().any(|fault| fault.kind == FaultKind::PowerLoss);
--- a/crates/micadrum-testkit/src/live/power.rs
+++ b/crates/micadrum-testkit/src/live/power.rs
@@ -1,5 +1,5 @@
 //! What of a real process's folder outlasts its machine, by its own word, and a folder that is cut back to that.
-use crate::plan::Dice;
+use crate::plan::SeededRng;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
@@ -30,7 +30,7 @@
     }
 
     /// Cuts each file of a folder back to what was synced, and nothing, all or a part of the rest.
-    pub fn cut_back(&mut self, folder: &Path, dice: &mut Dice) -> io::Result<()> {
+    pub fn cut_back(&mut self, folder: &Path, dice: &mut SeededRng) -> io::Result<()> {
         let mut entries: Vec<_> = std::fs::read_dir(folder)?.collect::<io::Result<_>>()?;
         entries.sort_by_key(std::fs::DirEntry::file_name);
         for entry in entries {
--- a/crates/micadrum-testkit/src/live/power/tests.rs
+++ b/crates/micadrum-testkit/src/live/power/tests.rs
@@ -13,7 +13,7 @@
         for (name, length) in [("a", 160), ("b", 40), ("c", 9)] {
             std::fs::write(folder.path().join(name), vec![7; length]).unwrap();
         }
-        lasts.cut_back(folder.path(), &mut Dice::new(seed, "power")).unwrap();
+        lasts.cut_back(folder.path(), &mut SeededRng::new(seed, "power")).unwrap();
         let length = |name: &str| std::fs::metadata(folder.path().join(name)).unwrap().len();
         assert!((100..=160).contains(&length("a")) && length("b") == 40 && length("c") <= 9);
         shorter += usize::from(length("a") < 160);
--- a/crates/micadrum-testkit/src/live/relays.rs
+++ b/crates/micadrum-testkit/src/live/relays.rs
@@ -1,7 +1,7 @@
 //! What real senders say to each other goes through sockets of the kit: one for each pair and way, where the ground
 //! decides what becomes of it.
 use super::links;
-use crate::ground::Ground;
+use crate::link_faults::LinkFaults;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// What the system says.
-    pub async fn open(senders: usize, ground: &Rc<RefCell<Ground>>) -> io::Result<Self> {
+    pub async fn open(senders: usize, ground: &Rc<RefCell<LinkFaults>>) -> io::Result<Self> {
         let homes: Vec<Rc<Cell<Option<SocketAddr>>>> = (0..senders).map(|_| Rc::default()).collect();
         // What goes out has no other way in: one socket sends for all.
         let out = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
@@ -85,7 +85,7 @@
 }
 
 impl Way {
-    async fn pass(self, door: UdpSocket, ground: Rc<RefCell<Ground>>) {
+    async fn pass(self, door: UdpSocket, ground: Rc<RefCell<LinkFaults>>) {
         let mut buffer = vec![0; MOST];
         loop {
             // An error tells that nobody hears any more: who sends learns so by silence.
--- a/crates/micadrum-testkit/src/main.rs
+++ b/crates/micadrum-testkit/src/main.rs
@@ -1,11 +1,11 @@
 //! `micadrum-testkit`: plays a scenario against the daemon, simulated or live, and judges the six rules.
 use clap::{Args, Parser, Subcommand};
-use micadrum_testkit::count::Count;
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::report::Report;
 use micadrum_testkit::scenario::Scenario;
+use micadrum_testkit::trace_aggregate::Count;
 use micadrum_testkit::units::Span;
-use micadrum_testkit::{hunt, live, sim};
+use micadrum_testkit::{live, seed_search, sim};
 use std::io::{BufRead, BufReader};
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
@@ -250,11 +250,12 @@
             let cores = || std::thread::available_parallelism().map_or(1, usize::from);
             let random = Random { faults: !peer_faults && !planned, peers: peer_faults };
             let plan = |seed| day.plan(&scenario, seed, random);
-            let found = hunt::run(seeds, jobs.map_or_else(cores, usize::from), &plan, &|done, found| {
-                if done % 50 == 0 {
-                    eprintln!("{done} seeds, {found} that break a rule");
-                }
-            });
+            let found =
+                seed_search::run(seeds, jobs.map_or_else(cores, usize::from), &plan, &|done, found| {
+                    if done % 50 == 0 {
+                        eprintln!("{done} seeds, {found} that break a rule");
+                    }
+                });
             let length = day.length.map_or(String::new(), |length| format!(" --length \"{length}\""));
             let drawn = match (planned, peer_faults) {
                 (true, _) => "",
--- a/crates/micadrum-testkit/src/plan.rs
+++ b/crates/micadrum-testkit/src/plan.rs
@@ -7,9 +7,9 @@
 use std::fmt::Write as _;
 
 /// Random numbers for one purpose: what one purpose draws never changes what another does.
-pub struct Dice(ChaCha8Rng);
+pub struct SeededRng(ChaCha8Rng);
 
-impl Dice {
+impl SeededRng {
     /// Those of `purpose`, of a run with this seed.
     pub fn new(seed: u64, purpose: &str) -> Self {
         let mut hash = 0xcbf2_9ce4_8422_2325u64;
@@ -153,7 +153,7 @@
 
 /// A partner, as the plan draws it.
 #[derive(Clone, Debug)]
-pub struct Partner {
+pub struct Destination {
     /// Its number, which is that of its destination.
     pub number: u32,
     /// Its kind.
@@ -285,7 +285,7 @@
     /// The senders.
     pub senders: Vec<SenderPlan>,
     /// The partners, by number.
-    pub partners: Vec<Partner>,
+    pub partners: Vec<Destination>,
     /// What goes wrong, by when.
     pub faults: Vec<PlannedFault>,
     /// What the senders are told wrong; nothing, but in tests of the judge.
@@ -332,18 +332,24 @@
     }
 
     /// All endpoints, with their partners.
-    pub fn endpoints(&self) -> impl Iterator<Item = (&Partner, &EndpointPlan)> {
+    pub fn endpoints(&self) -> impl Iterator<Item = (&Destination, &EndpointPlan)> {
         self.partners.iter().flat_map(|p| p.endpoints.iter().map(move |e| (p, e)))
     }
 
     /// What is handed in, in the order in which it is. Drawn as it is asked for: a long day need not be held.
     pub fn arrivals(&self) -> Arrivals<'_> {
-        Arrivals { plan: self, dice: Dice::new(self.seed, "arrivals"), at: 0.0, number: 0, clump: Vec::new() }
+        Arrivals {
+            plan: self,
+            dice: SeededRng::new(self.seed, "arrivals"),
+            at: 0.0,
+            number: 0,
+            clump: Vec::new(),
+        }
     }
 
     /// Adds faults drawn from the seed, a few a minute: every kind that the world can play.
     pub fn add_random_faults(&mut self) {
-        let mut dice = Dice::new(self.seed, "random faults");
+        let mut dice = SeededRng::new(self.seed, "random faults");
         let length = self.length().as_secs();
         let count = 2 + dice.below(3) + (length / 30.0) as usize;
         for n in 0..count {
@@ -357,7 +363,7 @@
     /// Adds faults of senders and of what they say to each other, drawn from the seed: a few a minute, all of them over a
     /// good while before the end of the day, so that views can settle.
     pub fn add_peer_faults(&mut self) {
-        let mut dice = Dice::new(self.seed, "peer faults");
+        let mut dice = SeededRng::new(self.seed, "peer faults");
         let length = (self.length().as_secs() - PEERS_SETTLE).max(2.0);
         let count = 3 + dice.below(4) + (length / 30.0) as usize;
         for n in 0..count {
@@ -369,7 +375,7 @@
     }
 
     fn draw(&self, fault: &Fault, number: usize) -> PlannedFault {
-        let mut dice = Dice::new(self.seed, &format!("fault {number}"));
+        let mut dice = SeededRng::new(self.seed, &format!("fault {number}"));
         let building = fault
             .building
             .as_ref()
@@ -384,7 +390,7 @@
         if fault.kind.strikes_partners() {
             senders.clear();
             // A partner is struck whole, as far as it stands in the building.
-            let mut partners: Vec<&Partner> = (self.partners.iter())
+            let mut partners: Vec<&Destination> = (self.partners.iter())
                 .filter(|p| fault.partners.as_ref().is_none_or(|list| list.contains(&p.number)))
                 .collect();
             if fault.share.is_some() {
@@ -439,13 +445,13 @@
     }
 }
 
-fn shuffle<T>(items: &mut [T], dice: &mut Dice) {
+fn shuffle<T>(items: &mut [T], dice: &mut SeededRng) {
     for i in (1..items.len()).rev() {
         items.swap(i, dice.below(i + 1));
     }
 }
 
-fn random_fault(dice: &mut Dice, length: f64, senders: usize) -> Fault {
+fn random_fault(dice: &mut SeededRng, length: f64, senders: usize) -> Fault {
     use FaultKind::*;
     const KINDS: [FaultKind; 24] = [
         Hang,
@@ -500,7 +506,7 @@
     fault
 }
 
-fn random_peer_fault(dice: &mut Dice, length: f64) -> Fault {
+fn random_peer_fault(dice: &mut SeededRng, length: f64) -> Fault {
     use FaultKind::{Cut, Lose, MachineLost, Pause, Restart, Slow};
     const KINDS: [FaultKind; 8] = [Cut, Cut, Slow, Lose, Pause, Restart, Restart, MachineLost];
     let kind = KINDS[dice.below(KINDS.len())];
@@ -527,8 +533,8 @@
     fault
 }
 
-fn partners(scenario: &Scenario, seed: u64) -> Vec<Partner> {
-    let mut dice = Dice::new(seed, "partners");
+fn partners(scenario: &Scenario, seed: u64) -> Vec<Destination> {
+    let mut dice = SeededRng::new(seed, "partners");
     let count = *scenario.partners.get_ref();
     let buildings = scenario.buildings.get_ref().len();
     let full_load = scenario.traffic.0 / scenario.load.get_ref().share();
@@ -574,13 +580,13 @@
                 Kind::Fleet => dice.between(0.14, 0.54),
                 Kind::Leasing => dice.between(0.05, 0.59),
             };
-            Partner { number, kind, share, capacity, limit, tells, service, endpoints }
+            Destination { number, kind, share, capacity, limit, tells, service, endpoints }
         })
         .collect()
 }
 
 /// The place of one of several shares, drawn by them.
-fn pick(dice: &mut Dice, mut shares: impl Iterator<Item = f64>) -> Option<usize> {
+fn pick(dice: &mut SeededRng, mut shares: impl Iterator<Item = f64>) -> Option<usize> {
     let mut left = dice.unit();
     shares.position(|share| {
         left -= share;
@@ -591,7 +597,7 @@
 /// What is handed in, one after another.
 pub struct Arrivals<'a> {
     plan: &'a Plan,
-    dice: Dice,
+    dice: SeededRng,
     at: f64,
     number: u64,
     clump: Vec<Arrival>,
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -1,10 +1,10 @@
 //! The report of a run, for people and for machines.
 use crate::history::History;
-use crate::judge::{Break, Rule, Verdict, seconds};
+use crate::invariants::{Invariant, Verdict, Violation, seconds};
 use crate::observation::At;
 use crate::plan::{Class, Plan, TENANTS};
-use crate::recorder::{Recorder, WINDOW};
 use crate::scenario::FaultKind;
+use crate::service_metrics::{Recorder, WINDOW};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -41,7 +41,7 @@
     /// Whether no rule broke.
     pub kept: bool,
     /// How often each rule broke.
-    pub broken: BTreeMap<Rule, usize>,
+    pub broken: BTreeMap<Invariant, usize>,
 }
 
 /// How the day went.
@@ -70,7 +70,7 @@
     /// Partners that fell over, by whose calls.
     pub fell: Vec<String>,
     /// The first breaks, with their histories.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     /// Where senders know each other: when something happened to the fleet, and how long after it all views were right,
     /// in microseconds; none where something else happened before that.
     #[serde(skip_serializing_if = "Vec::is_empty")]
--- a/crates/micadrum-testkit/src/scenario.rs
+++ b/crates/micadrum-testkit/src/scenario.rs
@@ -1,5 +1,5 @@
 //! Scenario files: what a rehearsal plays, checked in full before anything starts.
-use crate::ground;
+use crate::link_faults;
 use crate::units::{Percent, Rate, Span};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -64,7 +64,7 @@
     pub peak: Vec<Peak>,
     /// Moments at which a sender is asked what all of them see, by number from 0 (live only).
     #[serde(default)]
-    pub look: Vec<Look>,
+    pub look: Vec<AdminSnapshotPlan>,
     /// What goes wrong.
     #[serde(default)]
     pub fault: Vec<Spanned<Fault>>,
@@ -97,7 +97,7 @@
 /// A look at what senders see of each other.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Look {
+pub struct AdminSnapshotPlan {
     /// When.
     pub at: Spanned<Span>,
     /// Whose door is asked.
@@ -564,7 +564,7 @@
         )?;
         if let Some(operator) = &scenario.operator {
             let place = operator.span().start;
-            ground::operator_file(operator.get_ref(), &[]).map_err(|what| error(place, what))?;
+            link_faults::operator_file(operator.get_ref(), &[]).map_err(|what| error(place, what))?;
         }
         for look in &scenario.look {
             let fits = look.sender < *scenario.senders.get_ref() && *look.at.get_ref() <= length;
--- a/crates/micadrum-testkit/src/hunt.rs
+++ b/crates/micadrum-testkit/src/seed_search.rs
@@ -1,5 +1,5 @@
 //! Searches seeds for one that breaks a rule, and cuts its plan down to what still does.
-use crate::judge::Rule;
+use crate::invariants::Invariant;
 use crate::plan::Plan;
 use crate::report::Report;
 use crate::sim;
@@ -18,7 +18,7 @@
     /// The seed.
     pub seed: u64,
     /// The rules that its full plan breaks, and how often.
-    pub broken: BTreeMap<Rule, usize>,
+    pub broken: BTreeMap<Invariant, usize>,
     /// Places of the faults that are needed, in the plan's order.
     pub faults: Vec<usize>,
     /// Those faults, a line each.
--- a/crates/micadrum-testkit/src/recorder.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -1,6 +1,6 @@
 //! Goes through what was seen as it comes: the judge's rules, and the figures of service.
 use crate::history::History;
-use crate::judge::{Judge, Verdict, look_at_views};
+use crate::invariants::{InvariantChecker, Verdict, look_at_views};
 use crate::observation::{At, MessageEnd, Seen, Told};
 use crate::plan::{AIM, Arrival, Class, LATE_WORTH, PlannedFault, TENANTS};
 use hdrhistogram::Histogram;
@@ -65,7 +65,7 @@
 
 /// Takes in observations; one for each run.
 pub struct Recorder {
-    judge: Judge,
+    judge: InvariantChecker,
     operations: BTreeMap<u64, Operation>,
     /// The operation of each message, for those under way.
     of: BTreeMap<String, u64>,
@@ -94,7 +94,7 @@
 impl Default for Recorder {
     fn default() -> Self {
         Self {
-            judge: Judge::default(),
+            judge: InvariantChecker::default(),
             operations: BTreeMap::new(),
             of: BTreeMap::new(),
             offered: 0,
--- a/crates/micadrum-testkit/src/sim/datagrams.rs
+++ b/crates/micadrum-testkit/src/sim/datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between simulated senders, as the ground lets them pass.
 use super::net::Process;
-use crate::ground::Ground;
-use crate::wire::Host;
+use crate::link_faults::LinkFaults;
+use crate::stand_in_network::Host;
 use micadrum::daemon::ports::{Datagrams, LocalFuture};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -24,16 +24,16 @@
 }
 
 /// All sockets.
-pub struct Mail {
-    this: Weak<Mail>,
-    ground: Rc<RefCell<Ground>>,
+pub struct DatagramNetwork {
+    this: Weak<DatagramNetwork>,
+    ground: Rc<RefCell<LinkFaults>>,
     slots: RefCell<BTreeMap<SocketAddr, (u32, Rc<Slot>)>>,
     count: Cell<u64>,
 }
 
-impl Mail {
+impl DatagramNetwork {
     /// None yet, over that ground.
-    pub fn new(ground: Rc<RefCell<Ground>>) -> Rc<Self> {
+    pub fn new(ground: Rc<RefCell<LinkFaults>>) -> Rc<Self> {
         Rc::new_cyclic(|this| Self {
             this: this.clone(),
             ground,
@@ -68,7 +68,7 @@
 }
 
 struct Socket {
-    mail: Weak<Mail>,
+    mail: Weak<DatagramNetwork>,
     sender: u32,
     at: SocketAddr,
     slot: Rc<Slot>,
--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -1,6 +1,6 @@
 //! A simulated folder that outlasts its process: it can be full, and end the process at a chosen write.
 use super::net::Process;
-use crate::plan::Dice;
+use crate::plan::SeededRng;
 use crate::scenario::Where;
 use crate::world::senders::Syncs;
 use micadrum::daemon::ports::{AppendFile, LocalFuture, Storage};
@@ -91,7 +91,7 @@
 
     /// The machine loses power: of each name what was synced or what came after, and of each file what was synced, and
     /// nothing, all or a part of the rest.
-    pub fn lose_power(&mut self, dice: &mut Dice) {
+    pub fn lose_power(&mut self, dice: &mut SeededRng) {
         let names: BTreeSet<String> = self.files.keys().chain(self.synced_names.keys()).cloned().collect();
         let mut left = BTreeMap::new();
         for name in names {
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -3,14 +3,14 @@
 mod disk;
 mod net;
 
-use crate::ground::Ground;
-use crate::plan::{Dice, Plan, PlannedFault};
+use crate::link_faults::LinkFaults;
+use crate::plan::{Plan, PlannedFault, SeededRng};
 use crate::report::Report;
 use crate::scenario::{FaultKind, Where};
-use crate::wire::Host;
+use crate::stand_in_network::Host;
 use crate::world::senders::{Ended, Fleet, Lines, Links, OperatorFile, Syncs};
 use crate::world::{World, play};
-use datagrams::Mail;
+use datagrams::DatagramNetwork;
 use disk::{Disk, ProcessFolder};
 use micadrum::daemon::config::{Config, ConfigReadError};
 use micadrum::daemon::ports::{LocalFuture, Log, Ports, Traces, WallClock};
@@ -82,7 +82,7 @@
 
 struct SimFleet {
     net: Rc<SimNet>,
-    mail: Rc<Mail>,
+    mail: Rc<DatagramNetwork>,
     nodes: Vec<Node>,
     origin: Instant,
     show_logs: bool,
@@ -105,7 +105,7 @@
             }
             let listen = config.listen;
             // Each process has a seed of its own.
-            let mut chance = Dice::new(0, &format!("entropy of {} {}", config.name, config.seed));
+            let mut chance = SeededRng::new(0, &format!("entropy of {} {}", config.name, config.seed));
             let mut entropy = [0; 32];
             entropy.chunks_mut(8).for_each(|bytes| bytes.copy_from_slice(&chance.number().to_le_bytes()));
             let node = &self.nodes[sender as usize];
@@ -210,7 +210,7 @@
         })
     }
 
-    fn lose_power(&self, sender: u32, dice: &mut Dice) -> bool {
+    fn lose_power(&self, sender: u32, dice: &mut SeededRng) -> bool {
         self.nodes[sender as usize].disk.borrow_mut().lose_power(dice);
         true
     }
@@ -303,9 +303,9 @@
             hosts.insert(Host::Endpoint(endpoint.number), endpoint.building);
         }
         let nodes = plan.senders.iter().map(|_| Node::default()).collect();
-        let ground = Rc::new(RefCell::new(Ground::new(&plan)));
+        let ground = Rc::new(RefCell::new(LinkFaults::new(&plan)));
         let net = SimNet::new(hosts, Duration::from_micros(plan.scenario.crossing.0), ground.clone());
-        let mail = Mail::new(ground.clone());
+        let mail = DatagramNetwork::new(ground.clone());
         let fleet = SimFleet { net: net.clone(), mail, nodes, origin: Instant::now(), show_logs: show.logs };
         let world = World::new(plan.clone(), net, Rc::new(fleet), ground).await?;
         let minutes = plan.length().0 / 60_000_000;
--- a/crates/micadrum-testkit/src/sim/net.rs
+++ b/crates/micadrum-testkit/src/sim/net.rs
@@ -2,9 +2,9 @@
 //!
 //! All times are the paused tokio clock's; what happens at one moment happens in the order in which it was
 //! caused, so a run depends on nothing but its seed.
-use super::datagrams::Mail;
-use crate::ground::{Ground, Stretch};
-use crate::wire::{Door, Host, Line, Wire};
+use super::datagrams::DatagramNetwork;
+use crate::link_faults::{FaultWindow, LinkFaults};
+use crate::stand_in_network::{Host, StandInConnection, StandInListener, StandInNetwork};
 use micadrum::daemon::ports::{Datagrams, Listener, LocalFuture, Network, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -137,7 +137,7 @@
     cut: RefCell<BTreeSet<Host>>,
     link: RefCell<LinkState>,
     /// What passes between senders.
-    ground: Rc<RefCell<Ground>>,
+    ground: Rc<RefCell<LinkFaults>>,
     begun: Instant,
     doors: RefCell<BTreeMap<SocketAddr, Rc<Waiting>>>,
     connections: RefCell<Vec<Weak<Connection>>>,
@@ -182,7 +182,11 @@
 impl SimNet {
     /// A network of these hosts, each in a building; `crossing` is one way between two of them, and links between senders
     /// pass over that ground.
-    pub fn new(hosts: BTreeMap<Host, usize>, crossing: Duration, ground: Rc<RefCell<Ground>>) -> Rc<Self> {
+    pub fn new(
+        hosts: BTreeMap<Host, usize>,
+        crossing: Duration,
+        ground: Rc<RefCell<LinkFaults>>,
+    ) -> Rc<Self> {
         Rc::new_cyclic(|this| Self {
             this: this.clone(),
             crossing,
@@ -217,7 +221,7 @@
     }
 
     /// What becomes of bytes on a link between two senders; none for all other connections.
-    fn stretch(&self, from: Host, to: Host, struck: &Cell<Option<u64>>) -> Option<Stretch> {
+    fn stretch(&self, from: Host, to: Host, struck: &Cell<Option<u64>>) -> Option<FaultWindow> {
         let (Host::Sender(from), Host::Sender(to)) = (from, to) else { return None };
         let now = self.begun.elapsed().as_micros() as u64;
         (from != to).then(|| self.ground.borrow().stretch(from, to, now, struck))
@@ -293,7 +297,7 @@
             // A host that does not exist says nothing.
             return std::future::pending().await;
         };
-        let held = || self.stretch(from, peer, &Cell::new(Some(u64::MAX / 2))) == Some(Stretch::Held);
+        let held = || self.stretch(from, peer, &Cell::new(Some(u64::MAX / 2))) == Some(FaultWindow::Held);
         if !self.passes(from, peer) || process.is_dead() || held() {
             return std::future::pending().await;
         }
@@ -315,7 +319,7 @@
         taken.ok_or_else(|| io::ErrorKind::ConnectionRefused.into())
     }
 
-    fn door(&self, on: Host, process: Rc<Process>, port: u16) -> io::Result<SimDoor> {
+    fn door(&self, on: Host, process: Rc<Process>, port: u16) -> io::Result<SimListener> {
         let port = if port == 0 {
             self.next_port.set(self.next_port.get().wrapping_add(1).max(20_000));
             self.next_port.get()
@@ -328,7 +332,7 @@
         }
         let waiting = Rc::<Waiting>::default();
         self.doors.borrow_mut().insert(at, waiting.clone());
-        Ok(SimDoor { net: self.this.clone(), at, waiting, process })
+        Ok(SimListener { net: self.this.clone(), at, waiting, process })
     }
 }
 
@@ -338,14 +342,14 @@
     }
 }
 
-struct SimDoor {
+struct SimListener {
     net: Weak<SimNet>,
     at: SocketAddr,
     waiting: Rc<Waiting>,
     process: Rc<Process>,
 }
 
-impl SimDoor {
+impl SimListener {
     async fn next(&self) -> SimStream {
         loop {
             if let Some(mut stream) = self.waiting.queue.borrow_mut().pop_front() {
@@ -357,7 +361,7 @@
     }
 }
 
-impl Drop for SimDoor {
+impl Drop for SimListener {
     fn drop(&mut self) {
         if let Some(net) = self.net.upgrade() {
             net.doors.borrow_mut().remove(&self.at);
@@ -399,7 +403,7 @@
         let Some(net) = self.net.upgrade() else { return };
         let (me, peer) = self.ends();
         let stretch = net.stretch(me, peer, &self.connection.struck);
-        if !net.passes(me, peer) || stretch == Some(Stretch::Held) {
+        if !net.passes(me, peer) || stretch == Some(FaultWindow::Held) {
             self.connection.broken.set(true);
         }
         // An end that a sender's side sends is shown to the stand-in even so: it only has to write it down, and
@@ -410,7 +414,7 @@
         }
         let now = Instant::now();
         let due = match stretch {
-            Some(Stretch::Comes(delay)) => now + delay,
+            Some(FaultWindow::Comes(delay)) => now + delay,
             _ => now + net.delay(me, peer),
         };
         let mut outgoing = self.outgoing().borrow_mut();
@@ -420,7 +424,7 @@
             self.incoming().borrow_mut().push(now, back, Item::Reset);
             return;
         }
-        if let (Some(Stretch::Breaks), Item::Data(data)) = (stretch, &item) {
+        if let (Some(FaultWindow::Breaks), Item::Data(data)) = (stretch, &item) {
             // In the midst of what is said, for both.
             outgoing.push(now, due, Item::Data(data[..data.len() / 2].to_vec()));
             outgoing.push(now, due, Item::Reset);
@@ -547,7 +551,7 @@
     }
 }
 
-impl Line for SimStream {
+impl StandInConnection for SimStream {
     fn sent(&self) -> Option<Instant> {
         self.last_sent
     }
@@ -572,7 +576,7 @@
     /// The network.
     pub net: Rc<SimNet>,
     /// Datagrams between senders.
-    pub mail: Rc<Mail>,
+    pub mail: Rc<DatagramNetwork>,
     /// Its machine.
     pub host: Host,
     /// The process.
@@ -599,7 +603,7 @@
     }
 }
 
-impl Listener for SimDoor {
+impl Listener for SimListener {
     fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move { Ok(Box::new(self.next().await) as Box<dyn Stream>) })
     }
@@ -609,9 +613,9 @@
     }
 }
 
-impl Door for SimDoor {
-    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Line>>> {
-        Box::pin(async move { Ok(Box::new(self.next().await) as Box<dyn Line>) })
+impl StandInListener for SimListener {
+    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>> {
+        Box::pin(async move { Ok(Box::new(self.next().await) as Box<dyn StandInConnection>) })
     }
 
     fn address(&self) -> SocketAddr {
@@ -619,16 +623,16 @@
     }
 }
 
-impl Wire for SimNet {
-    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Line>>> {
+impl StandInNetwork for SimNet {
+    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>> {
         Box::pin(async move {
             let stream = self.open(from, Rc::default(), to).await?;
-            Ok(Box::new(stream) as Box<dyn Line>)
+            Ok(Box::new(stream) as Box<dyn StandInConnection>)
         })
     }
 
-    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn Door>>> {
-        Box::pin(async move { Ok(Box::new(self.door(on, Rc::default(), port)?) as Box<dyn Door>) })
+    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn StandInListener>>> {
+        Box::pin(async move { Ok(Box::new(self.door(on, Rc::default(), port)?) as Box<dyn StandInListener>) })
     }
 }
 
--- a/crates/micadrum-testkit/src/sim/net/tests.rs
+++ b/crates/micadrum-testkit/src/sim/net/tests.rs
@@ -15,19 +15,19 @@
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     let hosts = BTreeMap::from([(HERE, 0), (OTHER, 0), (NEAR, 0), (FAR, 1)]);
     let within = runtime.enter();
-    let net = SimNet::new(hosts, CROSSING, Rc::new(RefCell::new(Ground::calm(2))));
+    let net = SimNet::new(hosts, CROSSING, Rc::new(RefCell::new(LinkFaults::calm(2))));
     drop(within);
     LocalSet::new().block_on(&runtime, test(net));
 }
 
 /// Two ends of a connection: a sender's and an endpoint's.
-async fn pair(net: &Rc<SimNet>, to: Host) -> (Box<dyn Line>, Box<dyn Line>) {
+async fn pair(net: &Rc<SimNet>, to: Host) -> (Box<dyn StandInConnection>, Box<dyn StandInConnection>) {
     let door = net.listen(to, 5000).await.unwrap();
     let (mine, theirs) = tokio::join!(net.connect(HERE, door.address()), door.accept());
     (mine.unwrap(), theirs.unwrap())
 }
 
-async fn read(line: &mut dyn Line) -> io::Result<Vec<u8>> {
+async fn read(line: &mut dyn StandInConnection) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; 64];
     let count = line.read(&mut bytes).await?;
     bytes.truncate(count);
@@ -145,7 +145,7 @@
     play(async |net| {
         let door = net.listen(NEAR, 5000).await.unwrap();
         let process = Rc::<Process>::default();
-        let mail = Mail::new(Rc::new(RefCell::new(Ground::calm(1))));
+        let mail = DatagramNetwork::new(Rc::new(RefCell::new(LinkFaults::calm(1))));
         let network = ProcessNetwork { net: net.clone(), mail, host: HERE, process: process.clone() };
         let at = door.address();
         let (mine, theirs) = tokio::join!(network.connect(at), door.accept());
--- a/crates/micadrum-testkit/src/wire.rs
+++ b/crates/micadrum-testkit/src/stand_in_network.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// A connection of a stand-in.
-pub trait Line: AsyncRead + AsyncWrite + Unpin {
+pub trait StandInConnection: AsyncRead + AsyncWrite + Unpin {
     /// When the other side sent what was read last, or ended the connection; none where only the time of
     /// reading is known.
     fn sent(&self) -> Option<Instant>;
@@ -23,24 +23,24 @@
 }
 
 /// Takes connections.
-pub trait Door {
+pub trait StandInListener {
     /// The next connection.
     ///
     /// # Errors
     /// What the system says.
-    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Line>>>;
+    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>>;
 
     /// Where it listens.
     fn address(&self) -> SocketAddr;
 }
 
 /// The network as the stand-ins use it. Hosts are numbered by the world; a live network has only one.
-pub trait Wire {
+pub trait StandInNetwork {
     /// Connects from a stand-in's host.
-    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Line>>>;
+    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>>;
 
     /// Listens on a stand-in's host; `port` is a wish.
-    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn Door>>>;
+    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn StandInListener>>>;
 }
 
 /// A host of the world.
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -2,8 +2,8 @@
 use super::{End, Known, World};
 use crate::http::Conversation;
 use crate::observation::{At, Seen, Told};
-use crate::plan::{Arrival, Dice, TENANTS};
-use crate::wire::Host;
+use crate::plan::{Arrival, SeededRng, TENANTS};
+use crate::stand_in_network::Host;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -45,14 +45,14 @@
     world: &'a Rc<World>,
     clients: &'a Clients,
     arrival: Arrival,
-    dice: Dice,
+    dice: SeededRng,
     first: At,
     body: Rc<[u8]>,
 }
 
 impl<'a> Operation<'a> {
     fn new(world: &'a Rc<World>, clients: &'a Clients, arrival: Arrival) -> Self {
-        let dice = Dice::new(world.plan.seed, &format!("operation {}", arrival.number));
+        let dice = SeededRng::new(world.plan.seed, &format!("operation {}", arrival.number));
         let mut body = format!("{:016x}", arrival.number).into_bytes();
         body.resize(arrival.body, b'.');
         let first = world.now();
--- a/crates/micadrum-testkit/src/world/endpoints.rs
+++ b/crates/micadrum-testkit/src/world/endpoints.rs
@@ -1,10 +1,10 @@
 //! The partners' endpoints on the network: they take calls and write what the model decides.
-use super::model::{Delivery, Fall, Fate, Parcel};
+use super::model::{Collapse, Delivery, Fate, Payload};
 use super::{End, World};
 use crate::http::{Conversation, Message, answer};
 use crate::observation::{At, MessageEnd, Seen};
 use crate::plan::Class;
-use crate::wire::Door;
+use crate::stand_in_network::StandInListener;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use serde::Deserialize;
@@ -49,7 +49,13 @@
 }
 
 /// Takes connections at one door, until the endpoint has moved away from it.
-async fn keep(world: Rc<World>, endpoint: usize, sender: u32, place: u16, mut door: Box<dyn Door>) {
+async fn keep(
+    world: Rc<World>,
+    endpoint: usize,
+    sender: u32,
+    place: u16,
+    mut door: Box<dyn StandInListener>,
+) {
     loop {
         if is_mute(&world, &world.endpoints.borrow()[endpoint]) {
             changes(&world, endpoint, |e| !is_mute(&world, e)).await;
@@ -167,8 +173,8 @@
                 }
             }
         }
-        let parcels: Vec<Parcel<'_>> =
-            parcels.iter().map(|(class, key)| Parcel { class: *class, key }).collect();
+        let parcels: Vec<Payload<'_>> =
+            parcels.iter().map(|(class, key)| Payload { class: *class, key }).collect();
         let mut partners = world.partners.borrow_mut();
         let sent = world.at(message.first_sent);
         let fate = partners[at.partner as usize].call(now, sent, sender, at.number, &at.condition, &parcels);
@@ -178,7 +184,7 @@
         };
         let to = endpoint_id.clone();
         world.saw(Seen::Began { call: number, sender, endpoint: endpoint_id, line, ids: ids.clone(), sent });
-        if let Some(Fall { senders, budget }) = fate.fell.clone() {
+        if let Some(Collapse { senders, budget }) = fate.fell.clone() {
             world.saw(Seen::Fell { line, senders, budget, endpoint: to });
         }
         Some(Self { number, endpoint, ids, batch, fate })
--- a/crates/micadrum-testkit/src/world/faults.rs
+++ b/crates/micadrum-testkit/src/world/faults.rs
@@ -4,7 +4,7 @@
 use super::{World, endpoints, platform};
 use crate::history::What;
 use crate::observation::{At, Seen};
-use crate::plan::{Dice, PlannedFault};
+use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, FolderKept, How};
 use std::rc::Rc;
 use std::time::Duration;
@@ -77,7 +77,7 @@
     match fault.kind {
         FaultKind::Restart => return restart(world, fault).await,
         FaultKind::PowerLoss => {
-            let mut dice = Dice::new(world.plan.seed, &format!("power back after {}", fault.from));
+            let mut dice = SeededRng::new(world.plan.seed, &format!("power back after {}", fault.from));
             for sender in &fault.senders {
                 let away = fault.until.0 - fault.from.0 + (dice.unit() * fault.back.0 as f64) as u64;
                 let off = match fault.clock.0 {
@@ -162,7 +162,7 @@
         }
         FaultKind::Pause => pause(world, fault, until).await,
         FaultKind::DeadHosts => {
-            let mut dice = Dice::new(world.plan.seed, &format!("ghosts {}", fault.from));
+            let mut dice = SeededRng::new(world.plan.seed, &format!("ghosts {}", fault.from));
             let named: Vec<_> = (fault.endpoints.iter())
                 .map(|n| (world.endpoints.borrow()[*n as usize].partner, format!("g-{}", &dice.id()[..8])))
                 .collect();
@@ -277,7 +277,7 @@
 fn rename(world: &World, endpoint: u32) {
     let mut endpoints = world.endpoints.borrow_mut();
     let at = &mut endpoints[endpoint as usize];
-    let mut dice = Dice::new(world.plan.seed, &format!("id after {}", at.id));
+    let mut dice = SeededRng::new(world.plan.seed, &format!("id after {}", at.id));
     at.before = Some((at.id.clone(), at.line));
     at.id = format!("s-{}", &dice.id()[..8]);
     if world.plan.partners[at.partner as usize].kind.routes_apart() {
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -7,17 +7,17 @@
 pub mod platform;
 pub mod senders;
 
-use crate::ground::{self, Ground, Named};
 use crate::history::{History, What};
+use crate::link_faults::{self, LinkFaults, Named};
 use crate::observation::{At, Seen};
 use crate::plan::{
     AIM, COLD_SHARE, CONNECT_TIMEOUT, Class, DRAIN_GRACE, FALL, KEY_WINDOW, LATE_WORTH, MAX_ATTEMPTS,
     MUST_ASK_IN, OVERLOAD_FACTOR, Plan, RAMP, TENANTS,
 };
-use crate::recorder::Recorder;
 use crate::scenario::Discovery;
-use crate::wire::{Host, Wire};
-use model::{Condition, PartnerModel};
+use crate::service_metrics::Recorder;
+use crate::stand_in_network::{Host, StandInNetwork};
+use model::{Condition, DestinationModel};
 use platform::Agent;
 use senders::{Fleet, OperatorFile, SenderState};
 use serde_json::{Value, json};
@@ -124,18 +124,18 @@
     /// The plan.
     pub plan: Rc<Plan>,
     /// The network.
-    pub wire: Rc<dyn Wire>,
+    pub wire: Rc<dyn StandInNetwork>,
     /// The senders' processes.
     pub fleet: Rc<dyn Fleet>,
     /// What passes between them.
-    pub ground: Rc<RefCell<Ground>>,
+    pub ground: Rc<RefCell<LinkFaults>>,
     start: Instant,
     recorder: RefCell<Recorder>,
     /// The endpoints, by number.
     pub endpoints: RefCell<Vec<EndpointState>>,
     /// Told whenever an endpoint's condition or place changes.
     pub changed: Notify,
-    partners: RefCell<Vec<PartnerModel>>,
+    partners: RefCell<Vec<DestinationModel>>,
     agents: Vec<Agent>,
     senders: Vec<SenderState>,
     messages: RefCell<Messages>,
@@ -156,15 +156,15 @@
     /// Where a stand-in cannot listen.
     pub async fn new(
         plan: Rc<Plan>,
-        wire: Rc<dyn Wire>,
+        wire: Rc<dyn StandInNetwork>,
         fleet: Rc<dyn Fleet>,
-        ground: Rc<RefCell<Ground>>,
+        ground: Rc<RefCell<LinkFaults>>,
     ) -> std::io::Result<Rc<Self>> {
         let senders = plan.senders.len();
         let mut endpoints = Vec::new();
         let mut lines = 0;
-        let partners: Vec<PartnerModel> =
-            plan.partners.iter().map(|p| PartnerModel::new(p, plan.seed)).collect();
+        let partners: Vec<DestinationModel> =
+            plan.partners.iter().map(|p| DestinationModel::new(p, plan.seed)).collect();
         for (partner, model) in plan.partners.iter().zip(&partners) {
             for endpoint in &partner.endpoints {
                 endpoints.push(EndpointState {
@@ -352,11 +352,11 @@
             name: other.name.clone(),
             address: self.fleet.peer(sender, other.number),
             building: buildings[other.building].clone(),
-            secret: ground::secret(plan.seed, other.number),
+            secret: link_faults::secret(plan.seed, other.number),
         });
         // The scenario was checked before.
-        let text = ground::operator_file(table, &named.collect::<Vec<_>>()).unwrap_or_default();
-        Some(OperatorFile { text, secret: ground::secret(plan.seed, sender) })
+        let text = link_faults::operator_file(table, &named.collect::<Vec<_>>()).unwrap_or_default();
+        Some(OperatorFile { text, secret: link_faults::secret(plan.seed, sender) })
     }
 
     /// The host of an endpoint.
--- a/crates/micadrum-testkit/src/world/model.rs
+++ b/crates/micadrum-testkit/src/world/model.rs
@@ -1,7 +1,9 @@
 //! What a partner does with a call: limits, queues, pace, outages, cold starts, keys remembered. Free of I/O and
 //! clocks; times are microseconds from the start of the day.
 use crate::observation::{At, MessageEnd};
-use crate::plan::{COLD_SHARE, Class, Dice, FALL, KEY_WINDOW, Kind, Limit, OVERLOAD_FACTOR, Partner, RAMP};
+use crate::plan::{
+    COLD_SHARE, Class, Destination, FALL, KEY_WINDOW, Kind, Limit, OVERLOAD_FACTOR, RAMP, SeededRng,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Calls that wait at an endpoint for each that it serves; more are turned away.
@@ -85,12 +87,12 @@
     /// How the answer goes out.
     pub delivery: Delivery,
     /// The line was pushed over by this call, with whose calls did it.
-    pub fell: Option<Fall>,
+    pub fell: Option<Collapse>,
 }
 
 /// A cold line was sent more than it could bear.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fall {
+pub struct Collapse {
     /// Whose calls they were, one entry a call.
     pub senders: Vec<u32>,
     /// Calls that it would have borne.
@@ -98,7 +100,7 @@
 }
 
 /// One message of a call.
-pub struct Parcel<'a> {
+pub struct Payload<'a> {
     /// Its class.
     pub class: Class,
     /// Its idempotency key.
@@ -133,7 +135,7 @@
 }
 
 /// One partner.
-pub struct PartnerModel {
+pub struct DestinationModel {
     kind_window: bool,
     service: f64,
     tells: f64,
@@ -142,7 +144,7 @@
     /// Keys that took effect, and until when a repeat is dropped.
     keys: BTreeMap<String, At>,
     key_ends: VecDeque<(At, String)>,
-    dice: Dice,
+    dice: SeededRng,
 }
 
 impl Line {
@@ -204,7 +206,7 @@
     }
 
     /// Books a call of a sender; whose calls pushed the line over, if it did.
-    fn weigh(&mut self, now: At, sender: u32) -> Option<Fall> {
+    fn weigh(&mut self, now: At, sender: u32) -> Option<Collapse> {
         self.recent.push_back((now, sender));
         while self.recent.front().is_some_and(|(at, _)| at + FALL.0 < now) {
             self.recent.pop_front();
@@ -219,13 +221,13 @@
             return None;
         }
         self.fallen = true;
-        Some(Fall { senders, budget })
+        Some(Collapse { senders, budget })
     }
 }
 
-impl PartnerModel {
+impl DestinationModel {
     /// A partner as the plan has it.
-    pub fn new(partner: &Partner, seed: u64) -> Self {
+    pub fn new(partner: &Destination, seed: u64) -> Self {
         let apart = partner.kind.routes_apart();
         let routes = if apart { partner.endpoints.len() } else { 1 };
         let line = || Line {
@@ -253,7 +255,7 @@
             endpoints: partner.endpoints.iter().enumerate().map(endpoint).collect(),
             keys: BTreeMap::new(),
             key_ends: VecDeque::new(),
-            dice: Dice::new(seed, &format!("partner {}", partner.number)),
+            dice: SeededRng::new(seed, &format!("partner {}", partner.number)),
         }
     }
 
@@ -303,11 +305,11 @@
         sender: u32,
         endpoint: u32,
         condition: &Condition,
-        parcels: &[Parcel<'_>],
+        parcels: &[Payload<'_>],
     ) -> Fate {
         let place = self.line(endpoint);
         let fell = self.lines[place].weigh(now, sender);
-        let refuse = |wait: Option<At>, fell: Option<Fall>| Fate {
+        let refuse = |wait: Option<At>, fell: Option<Collapse>| Fate {
             at: now,
             ends: vec![MessageEnd::Full; parcels.len()],
             effects: vec![false; parcels.len()],
@@ -375,7 +377,7 @@
     }
 
     /// Whether it is no repeat that the partner drops.
-    fn takes_effect(&mut self, sent: At, parcel: &Parcel<'_>) -> bool {
+    fn takes_effect(&mut self, sent: At, parcel: &Payload<'_>) -> bool {
         while let Some((end, key)) = self.key_ends.front()
             && *end + 60_000_000 < sent
         {
--- a/crates/micadrum-testkit/src/world/model/tests.rs
+++ b/crates/micadrum-testkit/src/world/model/tests.rs
@@ -3,9 +3,9 @@
 
 const S: At = 1_000_000;
 
-fn partner(limit: Limit, capacity: f64) -> PartnerModel {
+fn partner(limit: Limit, capacity: f64) -> DestinationModel {
     let endpoint = EndpointPlan { number: 3, id: "s-3".to_owned(), building: 0, slots: 4 };
-    let partner = Partner {
+    let partner = Destination {
         number: 0,
         kind: Kind::Fleet,
         share: 1.0,
@@ -15,11 +15,11 @@
         service: 100_000.0,
         endpoints: vec![endpoint],
     };
-    PartnerModel::new(&partner, 7)
+    DestinationModel::new(&partner, 7)
 }
 
-fn call(model: &mut PartnerModel, at: At, key: &str) -> Fate {
-    let parcel = Parcel { class: Class::TripRecord, key };
+fn call(model: &mut DestinationModel, at: At, key: &str) -> Fate {
+    let parcel = Payload { class: Class::TripRecord, key };
     model.call(at, at, 0, 3, &Condition::default(), &[parcel])
 }
 
@@ -42,7 +42,7 @@
 #[test]
 fn a_limit_that_falls_is_told_and_kept_to() {
     let mut model = partner(Limit::Rate(20.0), 100.0);
-    let taken = |model: &mut PartnerModel, from: At| {
+    let taken = |model: &mut DestinationModel, from: At| {
         let calls = (0..100).map(|n| call(model, from + n * S / 50, &format!("{from} {n}")));
         calls.filter(|fate| fate.ends == [MessageEnd::Ok]).count()
     };
--- a/crates/micadrum-testkit/src/world/platform.rs
+++ b/crates/micadrum-testkit/src/world/platform.rs
@@ -2,9 +2,9 @@
 use super::{End, World};
 use crate::http::{Conversation, Message, answer};
 use crate::observation::{At, Seen};
-use crate::plan::{Dice, MUST_ASK_IN};
+use crate::plan::{MUST_ASK_IN, SeededRng};
 use crate::scenario::Discovery;
-use crate::wire::{Door, Host, Wire};
+use crate::stand_in_network::{Host, StandInListener, StandInNetwork};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -55,7 +55,7 @@
 
 /// The agent on one sender's machine.
 pub struct Agent {
-    door: RefCell<Option<Box<dyn Door>>>,
+    door: RefCell<Option<Box<dyn StandInListener>>>,
     address: Cell<SocketAddr>,
     /// Counts its moves.
     place: Cell<u16>,
@@ -86,7 +86,7 @@
 }
 
 impl Agent {
-    pub(super) async fn new(wire: &dyn Wire, sender: u32) -> io::Result<Self> {
+    pub(super) async fn new(wire: &dyn StandInNetwork, sender: u32) -> io::Result<Self> {
         let door = wire.listen(Host::Sender(sender), PORT).await?;
         Ok(Self {
             address: Cell::new(door.address()),
@@ -159,7 +159,7 @@
     let list = world.list();
     let most = world.plan.scenario.list_delay.as_secs();
     for sender in 0..world.plan.senders.len() {
-        let mut dice = Dice::new(world.plan.seed, &format!("list {revision} {sender}"));
+        let mut dice = SeededRng::new(world.plan.seed, &format!("list {revision} {sender}"));
         let delay = Duration::from_secs_f64(dice.between(0.0, most)) + world.list_lag.get();
         let (world, list) = (world.clone(), list.clone());
         spawn_local(async move {
@@ -213,7 +213,7 @@
     serve(world, sender);
     // Whoever waits at the old address is let go.
     agent.changed.notify_waiters();
-    let seed = Dice::new(world.plan.seed, &format!("sender {sender} at agent {place}")).number();
+    let seed = SeededRng::new(world.plan.seed, &format!("sender {sender} at agent {place}")).number();
     world.fleet.reload(sender, world.config(sender, world.fleet.listen(sender), seed));
     Ok(())
 }
--- a/crates/micadrum-testkit/src/world/senders.rs
+++ b/crates/micadrum-testkit/src/world/senders.rs
@@ -3,9 +3,9 @@
 use crate::history::What;
 use crate::http::Conversation;
 use crate::observation::{At, Seen};
-use crate::plan::{Dice, PlannedFault};
+use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FolderKept, How, Where};
-use crate::wire::Host;
+use crate::stand_in_network::Host;
 use micadrum::daemon::ports::LocalFuture;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -91,7 +91,7 @@
     fn ended(&self, sender: u32) -> LocalFuture<'_, bool>;
 
     /// What was not synced may be gone from the folder; whether that can be done.
-    fn lose_power(&self, sender: u32, dice: &mut Dice) -> bool;
+    fn lose_power(&self, sender: u32, dice: &mut SeededRng) -> bool;
 
     /// Its machine begins anew, with its clock off by so many microseconds; whether the clock can be.
     fn begin_anew(&self, sender: u32, off: i64) -> bool;
@@ -248,7 +248,7 @@
 }
 
 async fn start(world: &Rc<World>, sender: u32, times: u64) -> io::Result<()> {
-    let seed = Dice::new(world.plan.seed, &format!("sender {sender} {times}")).number();
+    let seed = SeededRng::new(world.plan.seed, &format!("sender {sender} {times}")).number();
     let config = world.config(sender, world.fleet.listen(sender), seed);
     // The list that its agent has comes with it.
     platform::told(world, sender);
@@ -386,9 +386,10 @@
     }
     if folder == FolderKept::Synced {
         let times = world.now();
-        world
-            .fleet
-            .lose_power(sender, &mut Dice::new(world.plan.seed, &format!("power of {sender} at {times}")));
+        world.fleet.lose_power(
+            sender,
+            &mut SeededRng::new(world.plan.seed, &format!("power of {sender} at {times}")),
+        );
     }
     if matches!(folder, FolderKept::Lost | FolderKept::Older) {
         world.fleet.wipe(sender);
--- a/crates/micadrum-testkit/tests/hunt.rs
+++ b/crates/micadrum-testkit/tests/hunt.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::scenario;
-use micadrum_testkit::hunt;
 use micadrum_testkit::plan::{Lie, Plan};
+use micadrum_testkit::seed_search;
 
 /// Guards against a change that breaks a rule under faults that nobody thought of.
 #[test]
@@ -13,7 +13,7 @@
         plan.add_random_faults();
         plan
     };
-    let found = hunt::run(1..=40, 2, &plan, &|_, _| {});
+    let found = seed_search::run(1..=40, 2, &plan, &|_, _| {});
     let failing: Vec<String> = found.failing.iter().map(|one| one.text("test.toml", "")).collect();
     assert_eq!((found.played, failing.len()), (40, 0), "{}", failing.join("\n"));
 }
@@ -29,7 +29,7 @@
         plan.lies.push(lie);
         plan
     };
-    let found = hunt::run(3..=3, 1, &plan, &|_, _| {});
+    let found = seed_search::run(3..=3, 1, &plan, &|_, _| {});
     let [one] = &found.failing[..] else { panic!("{} found", found.failing.len()) };
     assert_eq!(one.faults, [1], "{:?}", one.lines);
     assert!(one.length.as_secs() < 30.0, "{}", one.length);
--- a/crates/micadrum-testkit/tests/power.rs
+++ b/crates/micadrum-testkit/tests/power.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use micadrum_membership::Event;
-use micadrum_testkit::judge::Rule;
+use micadrum_testkit::invariants::Invariant;
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::report::Report;
 use micadrum_testkit::scenario::Scenario;
@@ -56,11 +56,11 @@
 /// Guards against a power loss that is none: the same seeds under `process` are convicted, of what they must be.
 #[test]
 fn under_process_the_same_is_convicted() {
-    let mut broken = std::collections::BTreeMap::<Rule, usize>::new();
+    let mut broken = std::collections::BTreeMap::<Invariant, usize>::new();
     for seed in 1..=12 {
         for (rule, count) in play("process", "", seed).verdict.broken {
             *broken.entry(rule).or_default() += count;
         }
     }
-    assert!(broken.contains_key(&Rule::Lost) && broken.contains_key(&Rule::Doubled), "{broken:?}");
+    assert!(broken.contains_key(&Invariant::Lost) && broken.contains_key(&Invariant::Doubled), "{broken:?}");
 }
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -6,7 +6,7 @@
 use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine, RecoveryFinding};
 use micadrum_recovery::phases::{PhaseEnd, RecoveryPhase};
 use micadrum_testkit::history::{History, Return};
-use micadrum_testkit::judge::Rule;
+use micadrum_testkit::invariants::Invariant;
 use micadrum_testkit::live;
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::report::Report;
@@ -276,7 +276,7 @@
         let errors =
             "[[fault]]\nkind = \"errors\"\nat = \"4 s\"\nfor = \"12 s\"\ncalls = \"20%\"\n".to_owned();
         let faults = [errors, loss(8, "back = \"2 s\""), loss(13, "share = \"60%\"")].concat();
-        let mut broken = std::collections::BTreeMap::<Rule, usize>::new();
+        let mut broken = std::collections::BTreeMap::<Invariant, usize>::new();
         for seed in 1..=12 {
             let report = common::play(Plan::new(day(24, parts, &faults), seed));
             for (rule, count) in report.verdict.broken {
@@ -287,9 +287,12 @@
         broken
     };
     let without = days("");
-    assert!(without.contains_key(&Rule::Doubled), "{without:?}");
+    assert!(without.contains_key(&Invariant::Doubled), "{without:?}");
     let with = days("[operator.recovery]\nwait_out = \"13 s\"\n");
-    assert!(!with.contains_key(&Rule::Doubled) && !with.contains_key(&Rule::SentAfterEnd), "{with:?}");
+    assert!(
+        !with.contains_key(&Invariant::Doubled) && !with.contains_key(&Invariant::SentAfterEnd),
+        "{with:?}"
+    );
     // What was acknowledged and never synced is gone: no part can bring that back.
-    assert!(with.contains_key(&Rule::Lost), "{with:?}");
+    assert!(with.contains_key(&Invariant::Lost), "{with:?}");
 }
