--- a/crates/micadrum-config/src/units.rs
+++ b/crates/micadrum-config/src/units.rs
@@ -128,7 +128,7 @@
 impl<'a> Quantity<'a> {
     fn parse(text: &'a str, expected: &'static str) -> Result<Self, QuantityError> {
         let text = text.trim();
-        let number_end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+        let number_end = text.find(|char: char| !char.is_ascii_digit() && char != '.').unwrap_or(text.len());
         let (number, unit) = text.split_at(number_end);
         let number =
             number.parse().map_err(|_| QuantityError::Invalid { text: text.to_owned(), expected })?;
--- a/crates/micadrum-membership/src/link/frame.rs
+++ b/crates/micadrum-membership/src/link/frame.rs
@@ -92,7 +92,7 @@
     }
     match content {
         [DATA, payload @ ..] => Ok(Frame::Data(payload.to_vec())),
-        [CREDIT, a, b, c, d] => Ok(Frame::Credit(u32::from_le_bytes([*a, *b, *c, *d]) as usize)),
+        [CREDIT, b0, b1, b2, b3] => Ok(Frame::Credit(u32::from_le_bytes([*b0, *b1, *b2, *b3]) as usize)),
         [KEEP_ALIVE] => Ok(Frame::KeepAlive),
         _ => Err(LinkError::InvalidFrame),
     }
--- a/src/daemon/config_schema.rs
+++ b/src/daemon/config_schema.rs
@@ -28,7 +28,9 @@
             }
             Value::Array(elements) => {
                 let common = elements.iter().map(Self::of).reduce(Self::common).unwrap_or(Self::Any);
-                let named = elements.iter().filter_map(|e| Some((name(e)?.to_owned(), Self::of(e))));
+                let named = elements
+                    .iter()
+                    .filter_map(|element| Some((name(element)?.to_owned(), Self::of(element))));
                 Self::Array(Box::new(common), named.collect())
             }
             _ => Self::Any,
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -1,7 +1,7 @@
-//! What the daemon needs of the machine: wall clock, network, the folder that lasts, and a log.
+//! What the daemon needs of the machine: wall clock, network, the state folder and a log.
 //!
-//! The daemon reads none of them directly, so that a simulated world can stand in for all four. Monotonic time
-//! is the tokio clock's, which a simulation pauses; random numbers come from the seed in the configuration.
+//! The daemon uses none of them directly, so that a simulation can replace all four. Monotonic time is that of the tokio
+//! clock, which a simulation pauses; random numbers come from the seed in the configuration.
 use micadrum_recovery::Boot;
 use std::future::Future;
 use std::io;
@@ -13,204 +13,205 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A future that stays on its thread, as all of the daemon does.
+/// A future that stays on its thread, as the whole daemon does.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// The clock that all machines share.
+/// The clock that all machines share, as far as they are synchronised.
 pub trait WallClock {
-    /// Time since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     fn now(&self) -> Duration;
 }
 
 /// An open connection. Dropping it closes it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {
-    /// Whether nothing has come that was not read yet, neither bytes nor the end; asked of the system itself,
-    /// as the runtime learns it later.
+    /// Checks that nothing has arrived that was not read yet, neither bytes nor the end of the stream. The system itself is
+    /// asked, as the runtime learns of it later.
     ///
     /// # Errors
-    /// `ConnectionAborted` if something has come, or what is wrong with the connection.
+    /// `ConnectionAborted` if something has arrived, or what is wrong with the connection.
     fn is_fresh(&self) -> io::Result<()>;
 }
 
 /// A listening socket.
 pub trait Listener {
-    /// The next connection.
+    /// Accepts the next connection.
     ///
     /// # Errors
-    /// What the system says, such as that there are no descriptors left; the listener stays usable.
+    /// The error of the system, such as no descriptors left; the listener stays usable.
     fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Stream>>>;
 
-    /// Where it listens.
+    /// Returns the address that the socket listens at.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 
-    /// The system's own, where there is one that another process can take up.
+    /// Returns the descriptor of the system, where there is one that another process can take over.
     fn as_fd(&self) -> Option<BorrowedFd<'_>> {
         None
     }
 }
 
-/// A socket for datagrams. What cannot be sent now is lost, as on any link.
+/// A datagram socket. A datagram that cannot be sent now is lost, as on any link.
 pub trait Datagrams {
-    /// Sends one.
+    /// Sends a datagram.
     ///
     /// # Errors
-    /// What the system says, such as that there is no room.
+    /// The error of the system, such as a full buffer.
     fn send(&self, to: SocketAddr, bytes: &[u8]) -> io::Result<()>;
 
-    /// The next one: its length in `buffer`, which cuts off what is longer.
+    /// Receives the next datagram into `buffer`, which truncates a longer one; returns its length.
     ///
     /// # Errors
-    /// What the system says; the socket stays usable.
+    /// The error of the system; the socket stays usable.
     fn receive<'a>(&'a self, buffer: &'a mut [u8]) -> LocalFuture<'a, io::Result<usize>>;
 
-    /// Where it is bound.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
-/// TCP and UDP, or what stands in for them.
+/// TCP and UDP, or a simulation of them.
 pub trait Network {
-    /// Connects; gives up only when dropped, or when the peer or the system says no.
+    /// Connects; gives up only when dropped, or when the peer or the system refuses.
     fn connect(&self, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Stream>>>;
 
     /// Listens at an address; port 0 asks for a free one.
     fn listen(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Listener>>>;
 
-    /// Binds a socket for datagrams; port 0 asks for a free one.
+    /// Binds a datagram socket; port 0 asks for a free one.
     fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Datagrams>>>;
 
-    /// Takes up a listening socket of another process.
+    /// Takes over a listening socket of another process.
     ///
     /// # Errors
-    /// `Unsupported` where there is no such thing, or what the system says.
+    /// `Unsupported` where that is not possible, or the error of the system.
     fn adopt(&self, _listener: OwnedFd) -> io::Result<Box<dyn Listener>> {
         Err(io::ErrorKind::Unsupported.into())
     }
 }
 
-/// A file that is only written at its end.
+/// An append-only file.
 pub trait AppendFile {
-    /// Writes all of `bytes` at the end.
+    /// Appends all of `bytes`.
     ///
     /// # Errors
-    /// What the system says; some of the bytes may then stand at the end.
+    /// The error of the system; some of the bytes may have been appended.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Lets what was written so far outlast the machine; off the loop, and not bound to this handle.
+    /// Makes what was written so far durable; off the event loop, and not bound to this handle.
     ///
     /// # Errors
-    /// What the system says: nothing that was not synced before counts as written then, and a second try says nothing.
+    /// The error of the system. Nothing that was not durable before counts as written then, and a second attempt proves
+    /// nothing.
     fn sync(&self) -> LocalFuture<'static, io::Result<()>>;
 
-    /// The same at once, while everything else waits.
+    /// Makes what was written so far durable at once, while everything else waits.
     ///
     /// # Errors
     /// As [`AppendFile::sync`].
     fn sync_now(&mut self) -> io::Result<()>;
 
-    /// Cuts the file down to `length` bytes.
+    /// Truncates the file to `length` bytes.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 }
 
-/// The folder that outlasts the process, its files by name.
+/// The state folder, its files by name.
 pub trait Storage {
-    /// All of a file; none if there is none.
+    /// Reads a complete file; none if there is none.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Opens a file to write on at its end; begins an empty one if there is none.
+    /// Opens a file for appending; creates an empty one if there is none.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn open(&self, name: &str) -> io::Result<Box<dyn AppendFile>>;
 
-    /// Begins a file anew, empty.
+    /// Creates an empty file, in place of one that may exist.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn create(&self, name: &str) -> io::Result<Box<dyn AppendFile>>;
 
-    /// Puts a file in another's place, in one step.
+    /// Atomically replaces a file by another.
     ///
     /// # Errors
-    /// What the system says; both files are then as before.
+    /// The error of the system; both files are then as before.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Lets files that were created, renamed or removed be so also after the machine's end.
+    /// Makes the creation, renaming and removal of files durable.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn sync_names(&self) -> io::Result<()>;
 
-    /// Removes a file; there need not be one.
+    /// Removes a file, if there is one.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// Lines for people on call.
+/// The log for people on call.
 pub trait Log {
-    /// Writes one.
+    /// Writes a line.
     fn line(&self, text: &str);
 }
 
-/// All of the above, as one process of the daemon gets them.
+/// All ports, as one process of the daemon gets them.
 #[derive(Clone)]
 pub struct Ports {
-    /// Wall time.
+    /// The wall clock.
     pub wall: Rc<dyn WallClock>,
-    /// Connections.
+    /// The network.
     pub network: Rc<dyn Network>,
-    /// The folder that lasts.
+    /// The state folder.
     pub storage: Rc<dyn Storage>,
     /// The log.
     pub log: Rc<dyn Log>,
-    /// How processes of one sender follow each other, where they can.
+    /// How one process of the sender hands over to the next, where that is possible.
     pub handover: Option<HandoverConfig>,
-    /// What is to be told of in the log beside what people read.
+    /// Which traces are written to the log.
     pub traces: Traces,
-    /// Which run of the machine this is; none where it does not say, or nobody asks.
+    /// The boot of the machine; none where the system does not name it, or nobody asks.
     pub boot: Option<Boot>,
-    /// Chance of this process alone: no two processes have the same, also under one configuration.
+    /// Random bytes of this process alone: no two processes have the same, also under one configuration.
     pub entropy: [u8; 32],
 }
 
-/// How processes of one sender follow each other on one machine.
+/// How one process of the sender hands over to the next on one machine.
 #[derive(Clone)]
 pub struct HandoverConfig {
-    /// The folder in which they find each other.
+    /// The folder in which the processes find each other.
     pub folder: PathBuf,
-    /// Has the configuration read again, which [`super::Signal::Reread`] then brings: whoever told the process before to
-    /// read it told this one.
+    /// Has the configuration read again, which [`super::Signal::ReloadIfChanged`] then brings: a SIGHUP that went to the
+    /// predecessor is meant for this process.
     pub reread: Rc<dyn Fn()>,
 }
 
-/// What is told of in the log for programs to count.
+/// Which lines for programs are written to the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traces {
-    /// A line a call.
+    /// A line for each call.
     pub calls: bool,
-    /// A line a change of what is believed of peers.
+    /// A line for each change in the view of members.
     pub peers: bool,
-    /// What is trusted after a restart, and a line a stage of the return.
+    /// What is trusted after a restart, and a line for each phase of the recovery.
     pub recovery: bool,
-    /// A line a file that is begun, synced or renamed.
+    /// A line for each file that is created, synced or renamed.
     pub storage: bool,
 }
 
 impl Traces {
-    /// Reads their names, between commas; those that are not known are none.
+    /// Parses names separated by commas; unknown names are ignored.
     #[must_use]
     pub fn named(names: &str) -> Self {
         let named = |name: &str| names.split(',').any(|named| named.trim() == name);
--- a/src/daemon/system.rs
+++ b/src/daemon/system.rs
@@ -93,8 +93,8 @@
 impl Stream for TcpConnection {
     fn is_fresh(&self) -> io::Result<()> {
         match SockRef::from(&self.0).peek(&mut [MaybeUninit::uninit()]) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
-            Err(e) => Err(e),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
+            Err(error) => Err(error),
             Ok(_) => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
@@ -131,8 +131,8 @@
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         match std::fs::read(self.0.join(name)) {
             Ok(bytes) => Ok(Some(bytes)),
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(e),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
+            Err(error) => Err(error),
         }
     }
 
@@ -157,7 +157,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         match std::fs::remove_file(self.0.join(name)) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
             removed => removed,
         }
     }
--- a/src/decision/route.rs
+++ b/src/decision/route.rs
@@ -30,31 +30,38 @@
     }
 
     /// Learns from how a call ended; returns whether that closed a healthy route.
-    pub(super) fn record_outcome(&mut self, now: Timestamp, s: &Settings, seen: &ObservedOutcome) -> bool {
-        self.pacer = self.pacer_at(now, s);
+    pub(super) fn record_outcome(
+        &mut self,
+        now: Timestamp,
+        settings: &Settings,
+        seen: &ObservedOutcome,
+    ) -> bool {
+        self.pacer = self.pacer_at(now, settings);
         if let Some(report) = seen.report.filter(|report| report.limit_per_second > 0.0) {
             (self.limit, self.remaining_share) = (report.limit_per_second, report.remaining_share);
             self.route_count = seen.route_count;
         }
-        let bounds = self.bounds(s);
+        let bounds = self.bounds(settings);
         self.record_latency(now, seen);
         let before = self.pacer.health;
         match seen.outcome {
             Outcome::Cancelled | Outcome::NotSent | Outcome::Deferred => return false,
-            Outcome::Success => self.record_success(now, s, &bounds, seen.jitter),
-            Outcome::Rejected { retry_after } => self.record_rejection(now, s, &bounds, seen, retry_after),
+            Outcome::Success => self.record_success(now, settings, &bounds, seen.jitter),
+            Outcome::Rejected { retry_after } => {
+                self.record_rejection(now, settings, &bounds, seen, retry_after)
+            }
             Outcome::Failure | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
-                self.record_failure(now, s, seen);
+                self.record_failure(now, settings, seen);
             }
         }
         self.last_answer = now;
         if let Health::Ejected(_) = self.pacer.health {
-            self.schedule_trial(now, s, &bounds, seen);
+            self.schedule_trial(now, settings, &bounds, seen);
         }
         before == Health::Healthy && self.pacer.health != Health::Healthy
     }
 
-    fn record_success(&mut self, now: Timestamp, s: &Settings, bounds: &PaceBounds, jitter: f64) {
+    fn record_success(&mut self, now: Timestamp, settings: &Settings, bounds: &PaceBounds, jitter: f64) {
         (self.consecutive_failures, self.consecutive_rejections, self.last_success) = (0, 0, now);
         let pacer = &mut self.pacer;
         pacer.failure_share -= LEARNING_WEIGHT * pacer.failure_share;
@@ -62,12 +69,12 @@
         pacer.rate = pacer.rate.max(failing.unwrap_or(0.0)) + 1.0 / RATE_WINDOW_SECONDS;
         if failing.is_some() || matches!(pacer.health, Health::Ejected(_)) {
             // It recovered somewhere between the last trial and this one.
-            let silence = since(now, self.last_answer).min(s.rules.slow_start_duration.0);
-            let recovered = silence as f64 * mean_trial_offset(s.fleet_size);
+            let silence = since(now, self.last_answer).min(settings.rules.slow_start_duration.0);
+            let recovered = silence as f64 * mean_trial_offset(settings.fleet_size);
             pacer.health = Health::SlowStart(Timestamp(now.0 - recovered as u64));
             pacer.tokens = if failing.is_some() { jitter } else { 0.0 };
         }
-        let calm = since(now, self.last_rejection) > s.rules.slow_start_duration.0;
+        let calm = since(now, self.last_rejection) > settings.rules.slow_start_duration.0;
         let most = bounds.max_rate();
         if bounds.is_limited() && most < pacer.pace {
             (pacer.pace, pacer.tokens) = (most, pacer.tokens.min(1.0));
@@ -81,14 +88,14 @@
     fn record_rejection(
         &mut self,
         now: Timestamp,
-        s: &Settings,
+        settings: &Settings,
         bounds: &PaceBounds,
         seen: &ObservedOutcome,
         retry_after: Option<TimeDelta>,
     ) {
         self.consecutive_rejections += 1;
         self.last_rejection = now;
-        let window = s.rules.overload_window.0 as f64;
+        let window = settings.rules.overload_window.0 as f64;
         // What the limit explains says nothing of an outage.
         let spent = |report: LoadReport| report.remaining_share < UNEXPLAINED_REMAINING_SHARE;
         let explained = bounds.is_limited() && seen.report.is_none_or(spent);
@@ -106,7 +113,7 @@
         } else if self.enforces_limit {
             // Never under half of the equal share, nor under the rate of trials. After a Retry-After there is
             // capacity; otherwise the next call waits for its token.
-            let least = (bounds.equal_share / 2.0).max(min_trial_rate(s));
+            let least = (bounds.equal_share / 2.0).max(min_trial_rate(settings));
             pacer.pace = (pacer.rate.min(pacer.pace) * REJECTION_PACE_FACTOR).max(least);
             pacer.tokens = if retry_after.is_some() { pacer.tokens.clamp(0.0, 1.0) } else { 0.0 };
         }
@@ -122,7 +129,7 @@
         }
     }
 
-    fn record_failure(&mut self, now: Timestamp, s: &Settings, seen: &ObservedOutcome) {
+    fn record_failure(&mut self, now: Timestamp, settings: &Settings, seen: &ObservedOutcome) {
         self.consecutive_failures += 1;
         if self.consecutive_failures > 1 {
             self.last_repeated_failure = Some(now);
@@ -130,7 +137,8 @@
         let elapsed = since(now, seen.sent_at) as f64;
         let unanswered = self.last_success < seen.sent_at;
         // A full connection table refuses at once; a dial that times out tells of a dead endpoint.
-        let dead_dial = seen.outcome == Outcome::ConnectFailed && elapsed > s.connect_timeout.0 as f64 / 2.0;
+        let dead_dial =
+            seen.outcome == Outcome::ConnectFailed && elapsed > settings.connect_timeout.0 as f64 / 2.0;
         let pacer = &mut self.pacer;
         // Answers get lost by the dozen, errors seldom: where little is known one error says as much as all
         // else.
@@ -153,11 +161,17 @@
     }
 
     /// Sets when an ejected route is tried next. Trials that never run cost little; others cost a message.
-    fn schedule_trial(&mut self, now: Timestamp, s: &Settings, bounds: &PaceBounds, seen: &ObservedOutcome) {
+    fn schedule_trial(
+        &mut self,
+        now: Timestamp,
+        settings: &Settings,
+        bounds: &PaceBounds,
+        seen: &ObservedOutcome,
+    ) {
         let harmless = matches!(seen.outcome, Outcome::ConnectFailed | Outcome::Rejected { .. });
-        let least = 2.0 * min_trial_rate(s);
-        let most = if harmless { 1e6 / s.rules.overload_window.0 as f64 } else { least };
-        let rate = self.pacer.trial_rate(now, bounds, s).min(most).max(least);
+        let least = 2.0 * min_trial_rate(settings);
+        let most = if harmless { 1e6 / settings.rules.overload_window.0 as f64 } else { least };
+        let rate = self.pacer.trial_rate(now, bounds, settings).min(most).max(least);
         let next = after(seen.retry_after_end(now), (0.5 + seen.jitter) / rate * 1e6);
         self.pacer.health = Health::Ejected(next);
     }
