--- a/crates/micadrum-membership/src/sealing/tests.rs
+++ b/crates/micadrum-membership/src/sealing/tests.rs
@@ -4,16 +4,16 @@
 /// degenerate public key.
 #[test]
 fn only_the_two_members_of_a_pair_derive_its_session_keys() {
-    let [a, b, c] = [1, 2, 3].map(|n| Secret::new([n; 32]));
-    let [x, y, z] = [1, 2, 3].map(|n| MemberId([n; 8]));
-    let ours = a.session_keys(x, y, &b.public()).unwrap();
-    let theirs = b.session_keys(y, x, &a.public()).unwrap();
+    let [first, second, third] = [1, 2, 3].map(|n| Secret::new([n; 32]));
+    let [first_id, second_id, third_id] = [1, 2, 3].map(|n| MemberId([n; 8]));
+    let ours = first.session_keys(first_id, second_id, &second.public()).unwrap();
+    let theirs = second.session_keys(second_id, first_id, &first.public()).unwrap();
     assert_eq!((ours.sending, ours.receiving), (theirs.receiving, theirs.sending));
     assert_ne!(ours.sending, ours.receiving);
-    let others = c.session_keys(z, y, &b.public()).unwrap();
+    let others = third.session_keys(third_id, second_id, &second.public()).unwrap();
     assert_ne!(others.sending, ours.sending);
-    assert_eq!(a.session_keys(x, y, &[0; 32]).err(), Some(WeakKey));
+    assert_eq!(first.session_keys(first_id, second_id, &[0; 32]).err(), Some(WeakKey));
     let incarnation = Incarnation { number: 3, run: 9 };
-    assert_ne!(a.prove(incarnation), b.prove(incarnation));
-    assert_ne!(a.prove(incarnation), a.prove(Incarnation { number: 4, ..incarnation }));
+    assert_ne!(first.prove(incarnation), second.prove(incarnation));
+    assert_ne!(first.prove(incarnation), first.prove(Incarnation { number: 4, ..incarnation }));
 }
--- a/crates/micadrum-membership/tests/fleet/views.rs
+++ b/crates/micadrum-membership/tests/fleet/views.rs
@@ -96,7 +96,8 @@
         assert!(fleet.converge_within(ms(2000)).is_some(), "{pause:?}: {:?}", fleet.wrong_views());
         fleet.run(ms(5000));
         assert!(fleet.deaths(at).iter().all(|(_, by, _)| *by != 2), "{pause:?}: {:?}", fleet.deaths(at));
-        let stalled = fleet.events.iter().any(|(_, n, e)| *n == 2 && matches!(e, Event::Stalled { .. }));
+        let stalled =
+            fleet.events.iter().any(|(_, n, event)| *n == 2 && matches!(event, Event::Stalled { .. }));
         assert!(stalled, "{pause:?}");
     }
 }
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -96,16 +96,16 @@
 /// wait for those, and against needless rejections.
 #[test]
 fn resubmissions_are_rejected_during_the_hold() {
-    let s = Duration::from_secs;
+    let secs = Duration::from_secs;
     let complete = trust(JournalTrust::Complete, Clock::Trusted);
     let incomplete = trust(JournalTrust::Incomplete, Clock::Trusted);
     for redelivery in [Redelivery::HarmlessWithinWindow, Redelivery::Harmful] {
-        assert_eq!(rejected_for(&incomplete, redelivery, s(12), s(5)), Some(s(7)));
-        assert_eq!(rejected_for(&incomplete, redelivery, s(12), s(12)), None);
-        assert_eq!(rejected_for(&complete, redelivery, s(12), s(5)), None);
-        assert_eq!(rejected_for(&incomplete, redelivery, s(0), s(0)), None);
+        assert_eq!(rejected_for(&incomplete, redelivery, secs(12), secs(5)), Some(secs(7)));
+        assert_eq!(rejected_for(&incomplete, redelivery, secs(12), secs(12)), None);
+        assert_eq!(rejected_for(&complete, redelivery, secs(12), secs(5)), None);
+        assert_eq!(rejected_for(&incomplete, redelivery, secs(0), secs(0)), None);
     }
-    assert_eq!(rejected_for(&incomplete, Redelivery::Harmless, s(12), s(5)), None);
+    assert_eq!(rejected_for(&incomplete, Redelivery::Harmless, secs(12), secs(5)), None);
 }
 
 /// Guards against a message that is sent past its deadline because the clock was set back or has jumped.
--- a/src/daemon/watch_cell/tests.rs
+++ b/src/daemon/watch_cell/tests.rs
@@ -6,9 +6,9 @@
     let value = WatchCell::new(1);
     assert!(!value.set(1));
     let other = value.clone();
-    let ((), ()) = tokio::join!(value.wait_for(|v| v == 3), async {
-        for v in [2, 3] {
-            assert!(other.set(v));
+    let ((), ()) = tokio::join!(value.wait_for(|value| value == 3), async {
+        for next in [2, 3] {
+            assert!(other.set(next));
             tokio::task::yield_now().await;
         }
     });
--- a/src/decision/tests/reference.rs
+++ b/src/decision/tests/reference.rs
@@ -1,70 +1,74 @@
-//! The selection as it was before there were indices, kept as a slow model: it looks at all that is held, and sorts
-//! it, in every step. Random days go through both; every action must be the same.
+//! A reference model of the selection, without indices: it looks at all messages and sorts them in every step. Random days
+//! go through both; every action must be the same.
 
 use super::*;
 use crate::index::pending::Readiness;
 use std::collections::BTreeMap;
 
 impl DeliveryEngine {
-    fn slow_ends(&mut self, actions: &mut Vec<Action>) {
+    fn reference_end_expired(&mut self, actions: &mut Vec<Action>) {
         let mut late: Vec<MessageId> =
-            self.messages.iter().filter(|(_, held)| self.must_end(held)).map(|(id, _)| id).collect();
+            self.messages.iter().filter(|(_, state)| self.must_end(state)).map(|(id, _)| id).collect();
         late.sort_unstable();
         late.into_iter().for_each(|id| self.end(id, actions));
         self.messages.end_candidates.clear();
     }
 
-    fn slow_shed(&mut self, actions: &mut Vec<Action>) {
+    fn reference_shed(&mut self, actions: &mut Vec<Action>) {
         while self.messages.len() > self.capacity() {
             let least = (self.messages.iter())
-                .filter(|(_, h)| matches!(h.phase, Phase::Pending(_)) && h.first_uncertain_attempt.is_none())
-                .filter(|(_, h)| !(h.recovered_untried && h.attempts == 0))
-                .map(|(id, h)| (self.weight_after(h.message.class, h.deadline, 0.0), h.deadline, id))
+                .filter(|(_, state)| {
+                    matches!(state.phase, Phase::Pending(_)) && state.first_uncertain_attempt.is_none()
+                })
+                .filter(|(_, state)| !(state.recovered_untried && state.attempts == 0))
+                .map(|(id, state)| {
+                    (self.weight_after(state.message.class, state.deadline, 0.0), state.deadline, id)
+                })
                 .min_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
             let Some((.., id)) = least else { return };
             self.end(id, actions);
         }
     }
 
-    fn slow_turns(&mut self, actions: &mut Vec<Action>) {
-        let mut waiting: BTreeMap<DestinationId, Vec<(f64, Timestamp, MessageId)>> = BTreeMap::new();
-        for (id, held) in self.messages.iter() {
+    fn reference_schedule(&mut self, actions: &mut Vec<Action>) {
+        let mut queues: BTreeMap<DestinationId, Vec<(f64, Timestamp, MessageId)>> = BTreeMap::new();
+        for (id, state) in self.messages.iter() {
             // A resumed message that has had all its attempts goes nowhere, and ranks its destination no more.
-            let goes = held.attempts < self.settings.max_attempts && self.guard_order(held);
-            if goes && matches!(held.phase, Phase::Pending(at) if at <= self.now) {
-                let queue = waiting.entry(held.message.destination).or_default();
-                queue.push((self.weight_after(held.message.class, held.deadline, 0.0), held.deadline, id));
+            let goes = state.attempts < self.settings.max_attempts && self.guard_order(state);
+            if goes && matches!(state.phase, Phase::Pending(at) if at <= self.now) {
+                let queue = queues.entry(state.message.destination).or_default();
+                queue.push((self.weight_after(state.message.class, state.deadline, 0.0), state.deadline, id));
             }
         }
-        for queue in waiting.values_mut() {
+        for queue in queues.values_mut() {
             queue.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
             // Those that others wait behind, and those found untried after a restart, come before all, each part in its order.
             queue.sort_by_key(|(.., id)| {
-                !self.messages.get(*id).unwrap().entry.is_some_and(|slip| slip.urgent)
+                !self.messages.get(*id).unwrap().entry.is_some_and(|entry| entry.urgent)
             });
         }
-        waiting.retain(|destination, _| self.directory.destination(*destination).is_some());
+        queues.retain(|destination, _| self.directory.destination(*destination).is_some());
         while self.calls.len() < self.settings.max_concurrent_calls {
-            let fewest = waiting.iter().min_by(|(a, x), (b, y)| {
-                let calls = |d: &DestinationId| self.directory.destination(*d).map_or(0, |d| d.calls);
+            let fewest = queues.iter().min_by(|(a, x), (b, y)| {
+                let calls = |id: &DestinationId| self.directory.destination(*id).map_or(0, |of| of.calls);
                 let first = |queue: &[(f64, Timestamp, MessageId)]| {
-                    let worth = |a: &(f64, Timestamp, MessageId), b: &(f64, Timestamp, MessageId)| {
+                    let weight = |a: &(f64, Timestamp, MessageId), b: &(f64, Timestamp, MessageId)| {
                         b.0.total_cmp(&a.0).then(a.1.cmp(&b.1))
                     };
-                    queue.iter().copied().min_by(worth).unwrap()
+                    queue.iter().copied().min_by(weight).unwrap()
                 };
                 let (x, y) = (first(x), first(y));
                 calls(a).cmp(&calls(b)).then(y.0.total_cmp(&x.0)).then(x.1.cmp(&y.1))
             });
-            let Some(destination) = fewest.map(|(d, _)| *d) else { return };
-            let queue = &waiting[&destination];
+            let Some(destination) = fewest.map(|(id, _)| *id) else { return };
+            let queue = &queues[&destination];
             let choice = (queue.iter().enumerate())
-                .find_map(|(place, (_, _, id))| self.slow_choice(*id).map(|endpoint| (place, endpoint)));
+                .find_map(|(place, (_, _, id))| self.reference_choice(*id).map(|endpoint| (place, endpoint)));
             let Some((place, endpoint)) = choice else {
-                waiting.remove(&destination);
+                queues.remove(&destination);
                 continue;
             };
-            let mut queue = waiting.remove(&destination).unwrap();
+            let mut queue = queues.remove(&destination).unwrap();
             let (_, _, id) = queue.remove(place);
             let first = actions.len();
             let room = self.directory.endpoint(endpoint).map_or(1, |at| self.batch_size(at));
@@ -82,16 +86,16 @@
                 self.expire_together(&mut actions[first..]);
             }
             if !queue.is_empty() {
-                waiting.insert(destination, queue);
+                queues.insert(destination, queue);
             }
         }
     }
 
-    /// Patience is asked again only now and then: in between, what it may hold is taken to be held. Nothing else
-    /// that the books put off is believed here.
-    fn slow_choice(&self, id: MessageId) -> Option<EndpointId> {
-        let held = self.messages.get(id).unwrap();
-        let (destination, class) = (held.message.destination, &self.settings.classes[held.message.class.0]);
+    /// Whether a message is better held back is asked again only now and then: in between, what may be held back counts as
+    /// held back. Nothing else that the indices defer is believed here.
+    fn reference_choice(&self, id: MessageId) -> Option<EndpointId> {
+        let state = self.messages.get(id).unwrap();
+        let (destination, class) = (state.message.destination, &self.settings.classes[state.message.class.0]);
         let later =
             class.idempotency == Idempotency::NonIdempotent && self.messages.pending.is_deferred(destination);
         let all = self.directory.endpoints_of(destination);
@@ -100,15 +104,15 @@
         self.choose_endpoint(id, &open.map(|(id, _)| id).collect::<Vec<_>>())
     }
 
-    /// A step of both: the model's on a copy of this sender, whose actions must be the same.
+    /// A step of both: the model's on a copy of this engine, whose actions must be the same.
     fn checked_step(&mut self, now: Timestamp, events: &[Event], seed: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         self.begin(now, events, &mut actions);
         type Stage = fn(&mut DeliveryEngine, &mut Vec<Action>);
         let stages: [(&str, Stage, Stage); 3] = [
-            ("ends", DeliveryEngine::end_expired, DeliveryEngine::slow_ends),
-            ("shed", DeliveryEngine::shed, DeliveryEngine::slow_shed),
-            ("turns", DeliveryEngine::schedule, DeliveryEngine::slow_turns),
+            ("ends", DeliveryEngine::end_expired, DeliveryEngine::reference_end_expired),
+            ("shed", DeliveryEngine::shed, DeliveryEngine::reference_shed),
+            ("turns", DeliveryEngine::schedule, DeliveryEngine::reference_schedule),
         ];
         for (name, fast, slow) in stages {
             let (mut model, mut expected, from) = (self.clone(), Vec::new(), actions.len());
@@ -119,9 +123,9 @@
         assert!(!self.has_more_work, "seed {seed}: a day that is too large to compare");
         self.finish(&mut actions);
         // No wake-up comes later than what is due: nothing is to go, to be looked at or to end unnoticed.
-        let due = self.messages.iter().filter_map(|(_, held)| match held.entry?.readiness {
-            Readiness::NotBefore(at) => Some(at.min(self.end_by(held.deadline))),
-            Readiness::Blocked | Readiness::Ready => Some(self.end_by(held.deadline)),
+        let due = self.messages.iter().filter_map(|(_, state)| match state.entry?.readiness {
+            Readiness::NotBefore(at) => Some(at.min(self.end_by(state.deadline))),
+            Readiness::Blocked | Readiness::Ready => Some(self.end_by(state.deadline)),
         });
         let beat = HEARTBEAT_STEPS * self.settings.min_step_interval.0;
         if let Some(due) = due.min() {
@@ -208,18 +212,18 @@
     }
 }
 
-/// A day of random events; how many messages were sent, ended undelivered, and held back while others went.
+/// A day of random events; how many messages were sent, ended undelivered, and state back while others went.
 fn play(seed: u64) -> [usize; 2] {
     let mut draw = Draw::new(seed);
     let settings = settings(&mut draw);
-    let mut sender = DeliveryEngine::new(settings.clone(), seed).unwrap();
-    let entry = |e: u32, listing| EndpointEntry {
-        endpoint: EndpointId(e),
-        destination: DestinationId(u64::from(e) % 7),
-        kind: KindId(e as usize % 7 % 2),
-        zone: ZoneId(e as usize / 7 % 2),
-        state: listing,
-        capacity_hint: f64::from(e % 5) * 3.0,
+    let mut engine = DeliveryEngine::new(settings.clone(), seed).unwrap();
+    let entry = |number: u32, state| EndpointEntry {
+        endpoint: EndpointId(number),
+        destination: DestinationId(u64::from(number) % 7),
+        kind: KindId(number as usize % 7 % 2),
+        zone: ZoneId(number as usize / 7 % 2),
+        state,
+        capacity_hint: f64::from(number % 5) * 3.0,
     };
     let list = |draw: &mut Draw| {
         let listings = [
@@ -229,7 +233,8 @@
             EndpointState::Draining,
             EndpointState::Removed,
         ];
-        let mut entries: Vec<EndpointEntry> = (0..20).map(|e| entry(e, draw.one(&listings))).collect();
+        let mut entries: Vec<EndpointEntry> =
+            (0..20).map(|number| entry(number, draw.one(&listings))).collect();
         entries.retain(|_| draw.below(8) > 0);
         entries
     };
@@ -240,7 +245,7 @@
     // Now and then all is well, fails, or is slow; the share of good answers moves with it.
     let (mut good, mut pace) = (8, 2);
     let first = list(&mut draw);
-    sender.checked_step(Timestamp(now), &[Event::EndpointSnapshot(first)], seed);
+    engine.checked_step(Timestamp(now), &[Event::EndpointSnapshot(first)], seed);
     for step in 0..1500 {
         if step % 150 == 0 {
             (good, pace) = (draw.below(11), draw.one(&[1, 4, 12]));
@@ -257,7 +262,7 @@
                 let (endpoint, wait) = (EndpointId(draw.below(20) as u32), TimeDelta(draw.below(2 * SECOND)));
                 events.push(Event::RetryAfter { endpoint, wait });
             }
-            5 if step > 1400 && sender.process_end.is_none() => {
+            5 if step > 1400 && engine.process_end.is_none() => {
                 events.push(Event::Shutdown(Timestamp(now + 2 * SECOND)));
             }
             6 if id > 0 => events.push(Event::Cancelled(MessageId(draw.below(u64::from(id)) as u32))),
@@ -327,7 +332,7 @@
             noticed.then(|| events.push(Event::CompletionAcknowledged(*id)));
             !noticed
         });
-        for action in sender.checked_step(Timestamp(now), &events, seed) {
+        for action in engine.checked_step(Timestamp(now), &events, seed) {
             match action {
                 Action::Send { message, expires, .. } => {
                     counts[0] += 1;
--- a/src/index/deadline_index/tests.rs
+++ b/src/index/deadline_index/tests.rs
@@ -50,7 +50,8 @@
                 _ => low,
             };
             for group in 0..3 {
-                let mut all: Vec<_> = model.iter().filter(|(g, at, _)| *g == group && at.0 >= dead).collect();
+                let mut all: Vec<_> =
+                    model.iter().filter(|(of, at, _)| *of == group && at.0 >= dead).collect();
                 all.sort_by_key(|(_, at, id)| (std::cmp::Reverse(worth(&cuts, *at)), *at, *id));
                 let found = all.iter().find(|(_, at, _)| fits(*at)).map(|(_, at, id)| (*at, *id));
                 assert_eq!(shelf.heaviest_where(group, &cuts, fits), found, "seed {seed}: {cuts:?}");
--- a/src/index/directory/tests.rs
+++ b/src/index/directory/tests.rs
@@ -37,19 +37,19 @@
     for round in 0..50_u32 {
         let ids: Vec<u32> = (round * 4..round * 4 + 4).collect();
         let entries: Vec<_> =
-            ids.iter().map(|e| entry(*e, u64::from(e % 4 / 2), EndpointState::Active)).collect();
+            ids.iter().map(|id| entry(*id, u64::from(id % 4 / 2), EndpointState::Active)).collect();
         list(&mut known, &entries, true, 1);
         let mut places = BTreeSet::new();
-        for (id, at) in (0..2).flat_map(|d| known.endpoints_of(DestinationId(d))) {
+        for (id, at) in (0..2).flat_map(|id| known.endpoints_of(DestinationId(id))) {
             let lines: Vec<_> = known.routes(at).copied().collect();
             assert_eq!(lines, [(at.destination, Some(id)), (at.destination, None)]);
             places.extend(known.route_slots(at).into_iter().flatten());
         }
         assert_eq!((places.len(), known.routes.len()), (6, 6), "round {round}");
         list(&mut known, &[], true, 2);
-        for e in &entries {
+        for entry in &entries {
             assert_eq!(
-                outcome(known.retire(e.endpoint, e.destination, Timestamp(2), |_| None)),
+                outcome(known.retire(entry.endpoint, entry.destination, Timestamp(2), |_| None)),
                 (true, None)
             );
         }
--- a/src/index/keys/tests.rs
+++ b/src/index/keys/tests.rs
@@ -3,16 +3,17 @@
 /// Guards against a key that is kept for ever, forgotten while it is held, or passed on out of order.
 #[test]
 fn a_key_lasts_as_long_as_its_messages_and_its_hold() {
-    let (mut keys, key, [a, b, c]) = (OrderingKeys::default(), OrderKey(7), [5, 3, 9].map(MessageId));
-    for (sequence, id) in [(1, a), (2, b), (3, c)] {
+    let (mut keys, key, [first, second, third]) =
+        (OrderingKeys::default(), OrderKey(7), [5, 3, 9].map(MessageId));
+    for (sequence, id) in [(1, first), (2, second), (3, third)] {
         keys.push(key, sequence, id);
     }
-    assert_eq!(keys.release(key, 2, b, Timestamp(1)), KeyRelease::Unchanged);
-    assert_eq!(keys.release(key, 1, a, Timestamp(1)), KeyRelease::NextMessage(c));
-    assert_eq!(keys.hold(key, Timestamp(50)), Some(c));
-    assert_eq!(keys.head(key), Some(KeyHead { first: Some(c), held_until: Timestamp(50) }));
+    assert_eq!(keys.release(key, 2, second, Timestamp(1)), KeyRelease::Unchanged);
+    assert_eq!(keys.release(key, 1, first, Timestamp(1)), KeyRelease::NextMessage(third));
+    assert_eq!(keys.hold(key, Timestamp(50)), Some(third));
+    assert_eq!(keys.head(key), Some(KeyHead { first: Some(third), held_until: Timestamp(50) }));
     assert_eq!(keys.forget(key, Timestamp(99)), None, "it has a message");
-    assert_eq!(keys.release(key, 3, c, Timestamp(49)), KeyRelease::HeldUntil(Timestamp(50)));
+    assert_eq!(keys.release(key, 3, third, Timestamp(49)), KeyRelease::HeldUntil(Timestamp(50)));
     assert_eq!(keys.forget(key, Timestamp(50)), None);
     assert_eq!((keys.head(key), keys.hold(key, Timestamp(9))), (None, None));
 }
--- a/src/restore/tests.rs
+++ b/src/restore/tests.rs
@@ -3,13 +3,13 @@
 use crate::pacing::Route;
 use crate::{DestinationId, EndpointId, Rules};
 
-const S: u64 = 1_000_000;
-const NOW: Timestamp = Timestamp(100_000 * S);
+const SECOND: u64 = 1_000_000;
+const NOW: Timestamp = Timestamp(100_000 * SECOND);
 
 fn settings() -> Settings {
     let drawn = reference::settings(&mut reference::Draw::new(1));
     let rules = Rules {
-        slow_start_duration: TimeDelta(11 * S),
+        slow_start_duration: TimeDelta(11 * SECOND),
         overload_window: TimeDelta(1_500_000),
         ..drawn.rules
     };
@@ -32,10 +32,10 @@
 /// ramp stands, however long it was away.
 #[test]
 fn what_binds_does_not_fade() {
-    let wait = Timestamp(NOW.0 + 90 * S);
-    for age in [0, S / 2, 5 * S, 60 * S] {
+    let wait = Timestamp(NOW.0 + 90 * SECOND);
+    for age in [0, SECOND / 2, 5 * SECOND, 60 * SECOND] {
         let mut told = line();
-        (told.retry_after_until, told.pacer.health) = (wait, Health::Ejected(Timestamp(NOW.0 + 2 * S)));
+        (told.retry_after_until, told.pacer.health) = (wait, Health::Ejected(Timestamp(NOW.0 + 2 * SECOND)));
         let told = recalled(told, age);
         assert_eq!(told.retry_after_until, wait);
         let Health::Ejected(trial) = told.pacer.health else { panic!("{age}: the outage is forgotten") };
@@ -68,11 +68,11 @@
 /// Guards against a fleet whose trials of what is down, due while it was away, all come in the moment it is back.
 #[test]
 fn trials_that_came_due_meanwhile_stay_apart() {
-    let away = 3 * S;
+    let away = 3 * SECOND;
     let trials: Vec<u64> = (0..30)
         .map(|n| {
             let mut down = line();
-            down.pacer.health = Health::Ejected(Timestamp(NOW.0 + n * S / 10));
+            down.pacer.health = Health::Ejected(Timestamp(NOW.0 + n * SECOND / 10));
             let Health::Ejected(at) = recalled(down, away).pacer.health else { panic!("forgotten") };
             at.0 - NOW.0 - away
         })
@@ -81,7 +81,7 @@
     sorted.sort_unstable();
     sorted.dedup();
     assert_eq!(sorted.len(), trials.len(), "{trials:?}");
-    assert!(sorted[29] - sorted[0] >= 2 * S, "{sorted:?}");
+    assert!(sorted[29] - sorted[0] >= 2 * SECOND, "{sorted:?}");
 }
 
 /// Guards against a wait or a trial that binds for hours, because the clock was set back between two processes.
@@ -89,11 +89,15 @@
 fn a_clock_that_was_set_back_lengthens_nothing() {
     let mut told = line();
     (told.retry_after_until, told.pacer.health) =
-        (Timestamp(NOW.0 + 2 * S), Health::Ejected(Timestamp(NOW.0 + S)));
-    let now = Timestamp(NOW.0 - 3_600 * S);
+        (Timestamp(NOW.0 + 2 * SECOND), Health::Ejected(Timestamp(NOW.0 + SECOND)));
+    let now = Timestamp(NOW.0 - 3_600 * SECOND);
     let told = RouteSnapshot(told).aged(NOW, now, 0.25, &settings()).0;
-    assert_eq!(told.retry_after_until, Timestamp(now.0 + 2 * S));
-    assert!(matches!(told.pacer.health, Health::Ejected(at) if at.0 <= now.0 + S), "{:?}", told.pacer.health);
+    assert_eq!(told.retry_after_until, Timestamp(now.0 + 2 * SECOND));
+    assert!(
+        matches!(told.pacer.health, Health::Ejected(at) if at.0 <= now.0 + SECOND),
+        "{:?}",
+        told.pacer.health
+    );
     assert_eq!(told.pacer.updated_at, now);
 }
 
@@ -101,26 +105,26 @@
 /// against one that is over already binding once more.
 #[test]
 fn without_a_clock_what_binds_does_so_for_all_of_its_time() {
-    let (wait, age) = (Timestamp(NOW.0 + 2 * S), 3_600 * S);
+    let (wait, age) = (Timestamp(NOW.0 + 2 * SECOND), 3_600 * SECOND);
     let now = Timestamp(NOW.0 + age);
     let mut told = line();
-    (told.retry_after_until, told.pacer.health) = (wait, Health::Ejected(Timestamp(NOW.0 + S)));
+    (told.retry_after_until, told.pacer.health) = (wait, Health::Ejected(Timestamp(NOW.0 + SECOND)));
     let told = RouteSnapshot(told).aged_without_clock(NOW, now, 0.25, &settings());
-    assert_eq!(told.0.retry_after_until, Timestamp(now.0 + 2 * S));
+    assert_eq!(told.0.retry_after_until, Timestamp(now.0 + 2 * SECOND));
     assert!(matches!(told.0.pacer.health, Health::Ejected(at) if at >= now), "{:?}", told.0.pacer.health);
     assert_eq!((told.0.limit, told.0.latency, told.0.remaining_share), (0.0, 0.0, 0.0));
-    assert_eq!(told.report(now), (TimeDelta(2 * S), ReportedHealth::Ejected));
+    assert_eq!(told.report(now), (TimeDelta(2 * SECOND), ReportedHealth::Ejected));
     let mut over = line();
-    (over.retry_after_until, over.pacer.health) = (Timestamp(NOW.0 - S), Health::SlowStart(NOW));
+    (over.retry_after_until, over.pacer.health) = (Timestamp(NOW.0 - SECOND), Health::SlowStart(NOW));
     let over = RouteSnapshot(over).aged_without_clock(NOW, now, 0.25, &settings());
     assert!(over.0.retry_after_until <= now);
-    assert_eq!(over.report(Timestamp(now.0 + S)), (TimeDelta(0), ReportedHealth::SlowStart(S)));
+    assert_eq!(over.report(Timestamp(now.0 + SECOND)), (TimeDelta(0), ReportedHealth::SlowStart(SECOND)));
     // Set back instead: the same as ever.
     let mut back = line();
     back.retry_after_until = wait;
     let now = Timestamp(NOW.0 - age);
     assert_eq!(
         RouteSnapshot(back).aged_without_clock(NOW, now, 0.25, &settings()).0.retry_after_until,
-        Timestamp(now.0 + 2 * S)
+        Timestamp(now.0 + 2 * SECOND)
     );
 }
