--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -48,7 +48,7 @@
         let opened = CheckpointFile::open(ports.storage.clone(), name);
         let file = opened.file;
         if let Some(unreadable) = opened.error {
-            ports.log.line(&format!("checkpoint: {unreadable}"));
+            ports.log.line(&unreadable.to_string());
         }
         match inheritance {
             Some(InheritedState { checkpoint, classes }) => {
