--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -5,6 +5,7 @@
 //!
 //! With the argument `durability`: the same clients against a journal that outlasts the process, one that outlasts the
 //! machine, and a plain append with fdatasync of as many bytes, one after the other.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
--- a/benches/start.rs
+++ b/benches/start.rs
@@ -1,5 +1,6 @@
 //! What the memory costs a start: from the process's begin until it listens, with 30 and with 10,000 endpoints, without a
 //! file of an earlier process and with one; and how long that file is.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 use serde_json::json;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
--- a/src/decision/tests/reference.rs
+++ b/src/decision/tests/reference.rs
@@ -213,6 +213,7 @@
 }
 
 /// A day of random events; how many messages were sent, ended undelivered, and state back while others went.
+#[allow(clippy::too_many_lines, reason = "one random day, told from its first event to its last")]
 fn play(seed: u64) -> [usize; 2] {
     let mut draw = Draw::new(seed);
     let settings = settings(&mut draw);
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
 //! The adapter as a process: good batches, instances split over processes, and bad input.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,5 @@
 //! One small test for each failure that an incident or a hunt has shown.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
 //! What is harmless from one sender and too much from a hundred: a whole fleet of modules against one partner.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,6 @@
 //! Arbitrary legal sequences of events, from fixed seeds: the rules that a sender can see are checked on every
 //! action, and every message ends exactly once. Outcomes are drawn blindly; nothing here models a server.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
 //! Each rule from both sides, and the outcomes by kind of message.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
 //! One small test for each failure shown at full size: hundreds of senders, each with a trickle.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,4 +1,5 @@
 //! Settings that change under way, and endpoints that come back from a drain.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,4 +1,5 @@
 //! The module's size and line width, which people on call rely on.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 
 /// Guards against policy that grows past what can be read at a sitting, or hides in files that nobody names.
 #[test]
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,6 @@
 //! The module at large size: what must not happen when very much is held, listed or due at once. Nothing here
 //! measures time; what a step does is counted.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 use common::*;
 use micadrum::*;
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,5 @@
 //! The sender as a process, with endpoints, platform and clients on loopback sockets.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod calls;
 mod clients;
 mod crossings;
--- a/tests/untried.rs
+++ b/tests/untried.rs
@@ -1,4 +1,5 @@
 //! What an earlier process took on and did not try: this one owes it a try, whatever else there is.
+#![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 mod common;
 
 use common::*;
