--- /dev/null
+++ b/crates/micadrum-testkit/src/cli.rs
@@ -0,0 +1,248 @@
+//! Command line of `micadrum-testkit`: subcommands, options and their parsers.
+use clap::{Args, Parser, Subcommand};
+use micadrum_testkit::plan::Plan;
+use micadrum_testkit::scenario::Scenario;
+use micadrum_testkit::units::Span;
+use std::num::ParseIntError;
+use std::ops::RangeInclusive;
+use std::path::PathBuf;
+use std::str::FromStr;
+
+/// Runs a scenario against the daemon, simulated or live, and checks the invariants of message delivery.
+///
+/// Exit code: 0 if all invariants hold, 1 if an invariant is violated, 2 if the command line or an input file is
+/// invalid, 3 if the run could not be carried out.
+#[derive(Parser)]
+#[command(name = "micadrum-testkit", version)]
+pub struct CommandLine {
+    /// The subcommand to run.
+    #[command(subcommand)]
+    pub command: Command,
+}
+
+/// The subcommands; each alias is the subcommand's former name.
+#[derive(Subcommand)]
+pub enum Command {
+    /// Run a scenario in simulated time
+    #[command(alias = "sim")]
+    Simulate(SimulateArgs),
+    /// Run a scenario against the built daemon on loopback, in real time
+    Live(LiveArgs),
+    /// Simulate a scenario with many seeds, each with its own random faults
+    #[command(alias = "hunt")]
+    Search(SearchArgs),
+    /// Sum up the logs of daemons that ran with MICADRUM_TRACE=calls, by destination and second
+    #[command(alias = "count")]
+    Aggregate {
+        /// Directory of logs, one per sender
+        logs: PathBuf,
+    },
+    /// Validate scenario files without running them
+    Check {
+        /// The scenario files
+        #[arg(required = true)]
+        scenarios: Vec<String>,
+    },
+}
+
+/// Arguments of `simulate`.
+#[derive(Args)]
+pub struct SimulateArgs {
+    /// Options shared with `live`.
+    #[command(flatten)]
+    pub run: RunArgs,
+    /// Print the senders' logs
+    #[arg(long)]
+    pub logs: bool,
+    /// Print a line every ten simulated minutes; the default for runs of an hour or more
+    #[arg(long)]
+    pub progress: bool,
+}
+
+/// Arguments of `live`.
+#[derive(Args)]
+pub struct LiveArgs {
+    /// Options shared with `simulate`.
+    #[command(flatten)]
+    pub run: RunArgs,
+    /// The daemon's binary [default: the one in this binary's directory]
+    #[arg(long, value_name = "PATH")]
+    pub daemon: Option<PathBuf>,
+}
+
+/// Arguments of `search`.
+#[derive(Args)]
+pub struct SearchArgs {
+    /// The scenario to run.
+    #[command(flatten)]
+    pub scenario: ScenarioArgs,
+    /// The seeds to run, both ends included
+    #[arg(long, value_name = "A..B", value_parser = parse_seed_range)]
+    pub seeds: RangeInclusive<u64>,
+    /// Add random faults of senders and of the links between them, in place of the other random faults
+    #[arg(long)]
+    pub peer_faults: bool,
+    /// Add no random faults: play only those of the scenario
+    #[arg(long, conflicts_with = "peer_faults")]
+    pub planned: bool,
+    /// Number of concurrent runs [default: the number of CPU cores]
+    #[arg(long, value_name = "N", value_parser = clap::value_parser!(u16).range(1..))]
+    pub jobs: Option<u16>,
+}
+
+impl SearchArgs {
+    /// Returns which faults are drawn from each seed.
+    pub fn random_faults(&self) -> RandomFaults {
+        RandomFaults { world: !self.peer_faults && !self.planned, peers: self.peer_faults }
+    }
+
+    /// Returns the options that a `simulate` command needs to replay a seed of this search.
+    pub fn replay_options(&self) -> String {
+        let length = self.scenario.length.map_or(String::new(), |length| format!(" --length \"{length}\""));
+        let random_faults = match (self.planned, self.peer_faults) {
+            (true, _) => "",
+            (_, true) => " --peer-faults",
+            _ => " --random-faults",
+        };
+        format!("{length}{random_faults}")
+    }
+}
+
+/// Options of a single run, simulated or live.
+#[derive(Args)]
+pub struct RunArgs {
+    /// The scenario to run.
+    #[command(flatten)]
+    pub scenario: ScenarioArgs,
+    /// Seed of all random choices
+    #[arg(long, default_value_t = 1)]
+    pub seed: u64,
+    /// Add random faults drawn from the seed
+    #[arg(long)]
+    pub random_faults: bool,
+    /// Add random faults of senders and of the links between them, drawn from the seed
+    #[arg(long)]
+    pub peer_faults: bool,
+    /// Also write the report as JSON
+    #[arg(long, value_name = "FILE")]
+    pub json: Option<PathBuf>,
+    /// Write the senders' membership and recovery events, one per line
+    #[arg(long, value_name = "FILE")]
+    pub history: Option<PathBuf>,
+}
+
+impl RunArgs {
+    /// Returns the plan of this run of `scenario`.
+    pub fn plan(&self, scenario: &Scenario) -> Plan {
+        let random_faults = RandomFaults { world: self.random_faults, peers: self.peer_faults };
+        self.scenario.plan(scenario, self.seed, random_faults)
+    }
+}
+
+/// Selects the scenario, and the part of it to run.
+#[derive(Args)]
+pub struct ScenarioArgs {
+    /// The scenario file
+    #[arg(value_name = "SCENARIO")]
+    pub file: String,
+    /// Play only these faults of the plan, by number from 0, or "none" of them
+    #[arg(long, value_name = "0,2,5")]
+    pub faults: Option<FaultSelection>,
+    /// Length of the run in place of the scenario's, such as "60 s"; random faults are drawn for it
+    #[arg(long, value_parser = Span::parse)]
+    pub length: Option<Span>,
+    /// End the run early, with all else as planned
+    #[arg(long, value_name = "LENGTH", value_parser = Span::parse)]
+    pub until: Option<Span>,
+}
+
+impl ScenarioArgs {
+    /// Draws the plan of `scenario` for a seed and applies these options to it.
+    pub fn plan(&self, scenario: &Scenario, seed: u64, random_faults: RandomFaults) -> Plan {
+        let mut scenario = scenario.clone();
+        if let Some(length) = self.length {
+            scenario.set_length(length);
+        }
+        let mut plan = Plan::new(scenario, seed);
+        if random_faults.world {
+            plan.add_random_faults();
+        }
+        if random_faults.peers {
+            plan.add_peer_faults();
+        }
+        if let Some(FaultSelection(numbers)) = &self.faults {
+            plan.keep_faults(numbers);
+        }
+        if let Some(until) = self.until {
+            plan.cut(until);
+        }
+        plan
+    }
+}
+
+/// Which faults are drawn from the seed.
+#[derive(Clone, Copy)]
+pub struct RandomFaults {
+    /// Faults of endpoints, discovery, links between zones and single senders.
+    pub world: bool,
+    /// Faults of senders and of the links between them.
+    pub peers: bool,
+}
+
+/// Why an argument could not be parsed.
+#[derive(Debug, thiserror::Error)]
+pub enum ArgumentError {
+    /// A fault is not selected by number.
+    #[error("{text:?} is no number of a fault")]
+    FaultNumber {
+        /// The text in place of the number.
+        text: String,
+        /// Why it is no number.
+        source: ParseIntError,
+    },
+    /// A seed is not a number.
+    #[error("{text:?} is no number")]
+    Seed {
+        /// The text in place of the number.
+        text: String,
+        /// Why it is no number.
+        source: ParseIntError,
+    },
+    /// A range has no `..`.
+    #[error("no range, such as 1..500")]
+    NoRange,
+    /// A range ends before it begins.
+    #[error("{first} comes after {last}")]
+    EmptyRange {
+        /// The first seed.
+        first: u64,
+        /// The last seed.
+        last: u64,
+    },
+}
+
+/// Faults of a plan, selected by their index in its order.
+#[derive(Clone)]
+pub struct FaultSelection(Vec<usize>);
+
+impl FromStr for FaultSelection {
+    type Err = ArgumentError;
+
+    fn from_str(text: &str) -> Result<Self, ArgumentError> {
+        let number = |text: &str| {
+            text.parse().map_err(|source| ArgumentError::FaultNumber { text: text.to_owned(), source })
+        };
+        let numbers = text.split(',').filter(|number| *number != "none");
+        numbers.map(number).collect::<Result<_, _>>().map(Self)
+    }
+}
+
+fn parse_seed_range(text: &str) -> Result<RangeInclusive<u64>, ArgumentError> {
+    let (first, last) = text.split_once("..").ok_or(ArgumentError::NoRange)?;
+    let (first, last) = (parse_seed(first)?, parse_seed(last)?);
+    if first > last { Err(ArgumentError::EmptyRange { first, last }) } else { Ok(first..=last) }
+}
+
+fn parse_seed(text: &str) -> Result<u64, ArgumentError> {
+    text.parse().map_err(|source| ArgumentError::Seed { text: text.to_owned(), source })
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/plan/description.rs
@@ -0,0 +1,67 @@
+//! Describes planned faults in reports.
+use super::model::PlannedFault;
+use crate::scenario::{FaultKind, FolderKept};
+use crate::units::Span;
+
+impl PlannedFault {
+    /// Describes the fault with all its targets and parameters in one line.
+    pub fn line(&self) -> String {
+        let mut parts = vec![format!("{:?} at {}", self.kind, self.from)];
+        if self.until > self.from {
+            parts.push(format!("until {}", self.until));
+        }
+        if !self.endpoints.is_empty() {
+            parts.push(format!("endpoints {:?}", self.endpoints));
+        }
+        if !self.senders.is_empty() {
+            parts.push(format!("senders {:?}", self.senders));
+        }
+        parts.extend(self.parameters());
+        parts.join(", ")
+    }
+
+    /// Describes the parameters that matter for this kind of fault.
+    fn parameters(&self) -> Vec<String> {
+        match self.kind {
+            FaultKind::LimitFalls => vec![format!("{:.0}% of the limit stays", self.calls * 100.0)],
+            FaultKind::Full | FaultKind::Errors | FaultKind::Spoil | FaultKind::Reset => {
+                vec![format!("{:.0}% of the calls", self.calls * 100.0)]
+            }
+            FaultKind::Late | FaultKind::ListLag | FaultKind::LinkDelay => vec![format!("by {}", self.delay)],
+            FaultKind::Stall => vec![format!("{} every {}", self.pause, self.every)],
+            FaultKind::Restart => self.restart_parameters(),
+            FaultKind::PowerLoss => self.power_loss_parameters(),
+            FaultKind::KillAtWrite => vec![format!("{:?} write {}", self.place, self.nth)],
+            FaultKind::Cut => vec![self.cut_parameters()],
+            FaultKind::Slow => vec![format!("by {} and up to {}", self.delay, self.jitter)],
+            FaultKind::Break => vec![format!("one every {}", self.every)],
+            FaultKind::Lose => vec![format!("{:.0}% lost", self.calls * 100.0)],
+            _ => Vec::new(),
+        }
+    }
+
+    fn restart_parameters(&self) -> Vec<String> {
+        let batch = self.batch.min(self.senders.len());
+        let mut parts = vec![format!("{:?}, {batch} at once, a batch every {}", self.how, self.every)];
+        if self.folder != FolderKept::Kept {
+            parts.push(format!("folder {:?}", self.folder));
+        }
+        parts
+    }
+
+    fn power_loss_parameters(&self) -> Vec<String> {
+        let mut parts = vec![format!("back over {}, folder {:?}", self.back, self.folder)];
+        if !self.never.is_empty() {
+            parts.push(format!("never {:?}", self.never));
+        }
+        if self.clock > Span(0) {
+            parts.push(format!("clocks off by up to {}", self.clock));
+        }
+        parts
+    }
+
+    fn cut_parameters(&self) -> String {
+        let between = self.between.as_ref().map_or(String::new(), |senders| format!(" from {senders:?}"));
+        format!("ways {:?}{between}, partners too: {}", self.ways, self.from_partners)
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/plan/faults.rs
@@ -0,0 +1,119 @@
+//! Resolves a scenario's fault into a planned one: draws its targets and fills in the defaults.
+use super::model::{Destination, EndpointPlan, PlannedFault};
+use super::{Plan, SeededRng};
+use crate::scenario::{Fault, FaultKind, FolderKept, How, Where};
+use crate::units::{Percent, Span};
+
+const DEFAULT_INTERVAL: Span = Span::seconds(4);
+const DEFAULT_PAUSE: Span = Span::millis(300);
+const DEFAULT_DOWNTIME: Span = Span::millis(600);
+
+/// The endpoints and senders that a fault affects, by number.
+struct Targets {
+    endpoints: Vec<u32>,
+    senders: Vec<u32>,
+}
+
+impl Plan {
+    /// Resolves a fault; its targets are drawn from a sequence of their own, identified by `number`.
+    pub(super) fn resolve(&self, fault: &Fault, number: usize) -> PlannedFault {
+        let Targets { endpoints, senders } = self.draw_targets(fault, number);
+        let from = *fault.at.get_ref();
+        let lost_share = fault.never.map_or(0.0, Percent::share);
+        let lost_senders = (senders.len() as f64 * lost_share).round() as usize;
+        PlannedFault {
+            never: senders[..lost_senders].to_vec(),
+            clock: fault.clock.unwrap_or_default(),
+            kind: fault.kind,
+            from,
+            until: Span(from.0 + fault.lasts.map_or(0, |lasts| lasts.0)),
+            endpoints,
+            senders,
+            calls: fault.calls.map_or(1.0, Percent::share),
+            how: fault.how.unwrap_or(How::Kill),
+            batch: fault.batch.map_or(usize::MAX, |batch| batch as usize),
+            every: fault.every.unwrap_or(DEFAULT_INTERVAL),
+            pause: fault.pause.unwrap_or(DEFAULT_PAUSE),
+            delay: fault.delay.unwrap_or_default(),
+            nth: fault.nth.unwrap_or(1),
+            place: fault.place.unwrap_or(Where::After),
+            down: fault.down.unwrap_or(DEFAULT_DOWNTIME),
+            ways: fault.ways.unwrap_or_default(),
+            between: fault.between.clone(),
+            from_partners: fault.from_partners.unwrap_or(false),
+            jitter: fault.jitter.unwrap_or_default(),
+            back: fault.back.unwrap_or_default(),
+            folder: fault.folder.unwrap_or(default_folder(fault.kind)),
+        }
+    }
+
+    fn draw_targets(&self, fault: &Fault, number: usize) -> Targets {
+        let mut rng = SeededRng::new(self.seed, &format!("fault {number}"));
+        let zone = self.zone(fault);
+        if fault.kind.strikes_partners() {
+            return Targets { endpoints: self.draw_endpoints(fault, zone, &mut rng), senders: Vec::new() };
+        }
+        let endpoints = if fault.with_partners == Some(true) {
+            endpoints_in_zone(self.partners.iter(), zone).collect()
+        } else {
+            Vec::new()
+        };
+        Targets { endpoints, senders: self.draw_senders(fault, zone, &mut rng) }
+    }
+
+    /// Returns the zone that the fault is restricted to.
+    fn zone(&self, fault: &Fault) -> Option<usize> {
+        let name = fault.building.as_ref()?;
+        self.scenario.buildings.get_ref().iter().position(|other| other == name)
+    }
+
+    /// Draws destinations, and returns all their endpoints in the zone.
+    fn draw_endpoints(&self, fault: &Fault, zone: Option<usize>, rng: &mut SeededRng) -> Vec<u32> {
+        let mut destinations: Vec<&Destination> = (self.partners.iter())
+            .filter(|destination| is_listed(fault.partners.as_ref(), destination.number))
+            .collect();
+        draw_share(&mut destinations, fault.share, rng);
+        let mut endpoints: Vec<u32> = endpoints_in_zone(destinations.into_iter(), zone).collect();
+        endpoints.sort_unstable();
+        endpoints
+    }
+
+    fn draw_senders(&self, fault: &Fault, zone: Option<usize>, rng: &mut SeededRng) -> Vec<u32> {
+        let mut senders: Vec<u32> = (self.senders.iter())
+            .filter(|sender| zone.is_none_or(|zone| sender.building == zone))
+            .map(|sender| sender.number)
+            .filter(|number| is_listed(fault.senders.as_ref(), *number))
+            .collect();
+        draw_share(&mut senders, fault.share, rng);
+        senders
+    }
+}
+
+fn is_listed(list: Option<&Vec<u32>>, number: u32) -> bool {
+    list.is_none_or(|list| list.contains(&number))
+}
+
+fn endpoints_in_zone<'a>(
+    destinations: impl Iterator<Item = &'a Destination>,
+    zone: Option<usize>,
+) -> impl Iterator<Item = u32> {
+    let in_zone = move |endpoint: &&EndpointPlan| zone.is_none_or(|zone| endpoint.building == zone);
+    destinations
+        .flat_map(|destination| &destination.endpoints)
+        .filter(in_zone)
+        .map(|endpoint| endpoint.number)
+}
+
+/// Keeps a random share of the items, rounded up and at least one; all of them, in their order, if no share is given.
+fn draw_share<T>(items: &mut Vec<T>, share: Option<Percent>, rng: &mut SeededRng) {
+    let Some(share) = share else { return };
+    rng.shuffle(items);
+    items.truncate(((items.len() as f64 * share.share()).ceil() as usize).max(1));
+}
+
+fn default_folder(kind: FaultKind) -> FolderKept {
+    match kind {
+        FaultKind::PowerLoss => FolderKept::Synced,
+        _ => FolderKept::Kept,
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/plan/mod.rs
@@ -0,0 +1,117 @@
+//! The plan of a run: senders, destinations, client operations and faults, drawn from the scenario and the seed alone.
+//! A simulated run and a live run of the same scenario and seed have the same plan.
+mod arrivals;
+mod description;
+mod destinations;
+mod faults;
+mod model;
+mod parameters;
+mod random;
+mod random_faults;
+
+pub use arrivals::Arrivals;
+pub use model::{Arrival, Class, Destination, EndpointPlan, Kind, Lie, Limit, PlannedFault, SenderPlan};
+pub use parameters::{
+    AIM, COLD_SHARE, CONNECT_TIMEOUT, DRAIN_GRACE, FALL, KEY_WINDOW, LATE_WORTH, MAX_ATTEMPTS, MUST_ASK_IN,
+    OVERLOAD_FACTOR, RAMP, TENANTS,
+};
+pub use random::SeededRng;
+
+use crate::scenario::Scenario;
+use crate::units::Span;
+
+/// The plan of one run.
+pub struct Plan {
+    /// The scenario that the plan is drawn from.
+    pub scenario: Scenario,
+    /// The seed that the plan is drawn from.
+    pub seed: u64,
+    /// The senders, by number.
+    pub senders: Vec<SenderPlan>,
+    /// The destinations, by number.
+    pub partners: Vec<Destination>,
+    /// The faults, ordered by when they begin.
+    pub faults: Vec<PlannedFault>,
+    /// Deliberate errors in the senders' configuration; empty but in tests of the invariant checker.
+    pub lies: Vec<Lie>,
+    /// Whether senders lose their state folder at each restart without any record of it; false but in tests of the
+    /// invariant checker.
+    pub forgetful: bool,
+}
+
+impl Plan {
+    /// Draws the plan of a scenario for a seed, with the scenario's own faults.
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let senders = senders(&scenario);
+        let partners = destinations::draw_destinations(&scenario, seed);
+        let mut plan = Self {
+            scenario,
+            seed,
+            senders,
+            partners,
+            faults: Vec::new(),
+            lies: Vec::new(),
+            forgetful: false,
+        };
+        plan.faults =
+            plan.scenario.faults().enumerate().map(|(number, fault)| plan.resolve(fault, number)).collect();
+        plan.sort_faults();
+        plan
+    }
+
+    /// Returns how long clients submit messages.
+    pub fn length(&self) -> Span {
+        *self.scenario.length.get_ref()
+    }
+
+    /// Returns how many messages per second the destinations can take in all.
+    pub fn full_load(&self) -> f64 {
+        full_load(&self.scenario)
+    }
+
+    /// Returns all endpoints, each with its destination.
+    pub fn endpoints(&self) -> impl Iterator<Item = (&Destination, &EndpointPlan)> {
+        self.partners
+            .iter()
+            .flat_map(|destination| destination.endpoints.iter().map(move |endpoint| (destination, endpoint)))
+    }
+
+    /// Returns the operations of all clients, in the order in which they begin. They are drawn lazily, so that those of
+    /// a long run need not be kept in memory.
+    pub fn arrivals(&self) -> Arrivals<'_> {
+        Arrivals::new(self)
+    }
+
+    /// Removes all faults but those with these indices.
+    pub fn keep_faults(&mut self, indices: &[usize]) {
+        let mut index = 0;
+        self.faults.retain(|_| {
+            index += 1;
+            indices.contains(&(index - 1))
+        });
+    }
+
+    /// Shortens the run to `length`, and removes the faults that would begin after its new end.
+    pub fn cut(&mut self, length: Span) {
+        if length < self.length() {
+            *self.scenario.length.get_mut() = length;
+            self.faults.retain(|fault| fault.from < length);
+        }
+    }
+
+    fn sort_faults(&mut self) {
+        self.faults.sort_by_key(|fault| fault.from);
+    }
+}
+
+fn full_load(scenario: &Scenario) -> f64 {
+    scenario.traffic.0 / scenario.load.get_ref().share()
+}
+
+/// Distributes the senders over the zones in turn.
+fn senders(scenario: &Scenario) -> Vec<SenderPlan> {
+    let zones = scenario.buildings.get_ref().len();
+    let sender =
+        |number: u32| SenderPlan { number, name: format!("n{number}"), building: number as usize % zones };
+    (0..*scenario.senders.get_ref()).map(sender).collect()
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -0,0 +1,246 @@
+//! The schema of `[[fault]]` tables.
+use crate::units::{Percent, Span};
+use serde::Deserialize;
+use toml::Spanned;
+
+/// The kinds of fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum FaultKind {
+    /// Endpoints accept calls and never respond.
+    Hang,
+    /// Endpoints respond only after `delay`.
+    Late,
+    /// Endpoints stop for `pause` every `every`.
+    Stall,
+    /// Endpoints reject all calls, with a Retry-After that names the end of the fault.
+    Shut,
+    /// Endpoints reject a share of the calls as over capacity.
+    Full,
+    /// Endpoints fail a share of the calls at once.
+    Errors,
+    /// Endpoints send a share of their responses corrupted.
+    Spoil,
+    /// Endpoints reset the connection of a share of the calls after processing them.
+    Reset,
+    /// The endpoints' machines fall silent; connections to them are never established.
+    Vanish,
+    /// The endpoints' processes end: connections are refused.
+    Die,
+    /// The destinations' limits fall to a share.
+    LimitFalls,
+    /// Endpoints drain, end, and are replaced by others.
+    Drain,
+    /// Endpoints change their address and keep their id.
+    Move,
+    /// Endpoints change their id and keep their address.
+    Rename,
+    /// Updates of the endpoint list arrive `delay` later.
+    ListLag,
+    /// Discovery does not respond.
+    ListSilent,
+    /// The senders' discovery agents move to another address and restart their versions; a new configuration names the
+    /// address.
+    MoveDiscovery,
+    /// The endpoint list names endpoints that do not exist.
+    DeadHosts,
+    /// The platform acknowledges no notifications.
+    Deaf,
+    /// Senders are restarted, `batch` of them at once, one batch every `every`.
+    Restart,
+    /// Senders lose their machine and their state folder.
+    MachineLost,
+    /// Senders lose power for `for`, all at once, and come back spread over `back`.
+    PowerLoss,
+    /// Senders are killed at their `nth` write to the journal, counted from `at`.
+    KillAtWrite,
+    /// The senders' disk is full.
+    DiskFull,
+    /// Syncs of the senders' disk fail; the data that they covered is lost to later syncs too.
+    SyncFails,
+    /// Syncs of the senders' disk complete only when the fault ends.
+    SyncHangs,
+    /// Syncs of the senders' disk report success and write nothing.
+    SyncLies,
+    /// Links between zones take `delay` longer.
+    LinkDelay,
+    /// Links between zones hold back all data, and deliver it when the fault ends.
+    LinkHold,
+    /// Links between zones lose all data; connections over them are reset when the fault ends.
+    LinkDrop,
+    /// Senders are partitioned from other senders.
+    Cut,
+    /// Traffic between senders takes `delay` longer, and a random time of up to `jitter` more.
+    Slow,
+    /// A share of the datagrams between senders is lost; others are duplicated or reordered.
+    Lose,
+    /// Connections between senders break, one in the middle of a frame every `every`.
+    Break,
+    /// Senders are suspended, and resume with their former notion of the time.
+    Pause,
+}
+
+impl FaultKind {
+    /// Returns whether the fault affects the traffic between senders.
+    pub fn strikes_peers(self) -> bool {
+        matches!(self, Self::Cut | Self::Slow | Self::Lose | Self::Break)
+    }
+
+    /// Returns whether a destination goes through a slow start after the fault.
+    pub fn is_outage(self) -> bool {
+        matches!(self, Self::Hang | Self::Shut | Self::Vanish | Self::Die | Self::Errors)
+    }
+}
+
+/// The direction of a cut, seen from the affected senders.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Ways {
+    /// Nothing passes.
+    #[default]
+    Both,
+    /// What the affected senders send is lost.
+    Out,
+    /// What is sent to the affected senders is lost.
+    In,
+}
+
+/// The content of a sender's state folder after a restart.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum FolderKept {
+    /// Everything the sender wrote.
+    #[default]
+    Kept,
+    /// Nothing.
+    Lost,
+    /// A copy from when the sender first was ready.
+    Older,
+    /// What was synced, and some of the rest, as after a power loss (in live runs, everything).
+    Synced,
+}
+
+/// How a sender's process is ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum How {
+    /// By SIGTERM, followed 3.7 s later by SIGKILL if the process still runs.
+    Term,
+    /// By SIGKILL.
+    Kill,
+}
+
+/// The point of a write to the journal at which the process is killed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Where {
+    /// Before any of it is written.
+    Before,
+    /// When a part of it is written.
+    Torn,
+    /// When all of it is written, and before anything that follows.
+    After,
+}
+
+/// One fault. `FaultKind::fields` in [`super::fault_fields`] lists the fields that each kind needs and allows.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Fault {
+    /// The kind of fault.
+    pub kind: FaultKind,
+    /// When the fault begins, from the start of the run.
+    pub at: Spanned<Span>,
+    /// How long the fault lasts.
+    #[serde(rename = "for")]
+    pub lasts: Option<Span>,
+    /// Numbers of the affected destinations, from 0; all if neither this nor `share` is given.
+    pub partners: Option<Vec<u32>>,
+    /// Share of the destinations or senders that is affected, drawn from the seed.
+    pub share: Option<Percent>,
+    /// Restricts the fault to endpoints or senders in this zone.
+    pub building: Option<String>,
+    /// Share of the calls that is affected, or of the limit that remains.
+    pub calls: Option<Percent>,
+    /// Numbers of the affected senders, from 0.
+    pub senders: Option<Vec<u32>>,
+    /// How a restart ends the process.
+    pub how: Option<How>,
+    /// Number of senders that are restarted at once.
+    pub batch: Option<u32>,
+    /// Interval between two batches, pauses or breaks.
+    pub every: Option<Span>,
+    /// Length of a pause.
+    pub pause: Option<Span>,
+    /// Added delay.
+    pub delay: Option<Span>,
+    /// Which write to the journal the fault hits, counted from 1.
+    pub nth: Option<u64>,
+    /// At which point of that write.
+    #[serde(rename = "where")]
+    pub place: Option<Where>,
+    /// How long a sender stays down before it is started again.
+    pub down: Option<Span>,
+    /// The direction of a cut.
+    pub ways: Option<Ways>,
+    /// Numbers of the senders that a cut separates from; all others if not given.
+    pub between: Option<Vec<u32>>,
+    /// Whether a cut separates from the destinations too.
+    pub from_partners: Option<bool>,
+    /// Maximum of the random delay that is added to `delay`.
+    pub jitter: Option<Span>,
+    /// Period over which the senders that lost power come back.
+    pub back: Option<Span>,
+    /// The content of the state folder after a restart.
+    pub folder: Option<FolderKept>,
+    /// Share of the senders that lost power and never come back.
+    pub never: Option<Percent>,
+    /// Maximum error of the senders' clocks afterwards, in either direction.
+    pub clock: Option<Span>,
+    /// Whether the endpoints in the same zone lose power too, and go through a slow start.
+    pub with_partners: Option<bool>,
+}
+
+impl Fault {
+    /// Creates a fault with its kind and start alone.
+    pub fn new(kind: FaultKind, at: Span) -> Self {
+        Self {
+            kind,
+            at: Spanned::new(0..0, at),
+            lasts: None,
+            partners: None,
+            share: None,
+            building: None,
+            calls: None,
+            senders: None,
+            how: None,
+            batch: None,
+            every: None,
+            pause: None,
+            delay: None,
+            nth: None,
+            place: None,
+            down: None,
+            ways: None,
+            between: None,
+            from_partners: None,
+            jitter: None,
+            back: None,
+            folder: None,
+            never: None,
+            clock: None,
+            with_partners: None,
+        }
+    }
+
+    /// Returns the kind as scenario files write it.
+    pub fn name(&self) -> String {
+        let mut name = String::new();
+        for letter in format!("{:?}", self.kind).chars() {
+            if letter.is_uppercase() && !name.is_empty() {
+                name.push('-');
+            }
+            name.push(letter.to_ascii_lowercase());
+        }
+        name
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/scenario/fault_fields.rs
@@ -0,0 +1,91 @@
+//! Which fields a `[[fault]]` table of each kind needs and allows, and which ones it has.
+use super::fault::{Fault, FaultKind};
+use std::collections::BTreeMap;
+
+/// Fields that select destinations.
+const DESTINATIONS: &[&str] = &["partners", "share", "building"];
+/// Fields that select senders.
+const SENDERS: &[&str] = &["senders", "share", "building"];
+
+/// The fields of a kind of fault, besides `kind` and `at`.
+pub(super) struct FaultFields {
+    /// Fields that must be given.
+    pub(super) required: &'static [&'static str],
+    /// Further fields that may be given.
+    pub(super) optional: &'static [&'static str],
+}
+
+impl FaultKind {
+    /// Returns the fields that a fault of this kind needs, and those that it may have.
+    pub(super) fn fields(self) -> FaultFields {
+        let (required, optional): (&[&str], &[&str]) = match self {
+            Self::Hang | Self::Shut | Self::Vanish | Self::Die | Self::DeadHosts => (&["for"], DESTINATIONS),
+            Self::Late => (&["for", "delay"], DESTINATIONS),
+            Self::Stall => (&["for", "pause", "every"], DESTINATIONS),
+            Self::Full | Self::Errors | Self::Spoil | Self::Reset | Self::LimitFalls => {
+                (&["for", "calls"], DESTINATIONS)
+            }
+            Self::Drain | Self::Move | Self::Rename => (&[], DESTINATIONS),
+            Self::MoveDiscovery => (&[], SENDERS),
+            Self::ListLag | Self::LinkDelay => (&["for", "delay"], &[]),
+            Self::LinkHold | Self::LinkDrop => (&["for"], &[]),
+            Self::ListSilent
+            | Self::Deaf
+            | Self::DiskFull
+            | Self::SyncFails
+            | Self::SyncHangs
+            | Self::SyncLies
+            | Self::Pause => (&["for"], SENDERS),
+            Self::Restart => {
+                (&["how"], &["senders", "share", "building", "batch", "every", "down", "folder"])
+            }
+            Self::PowerLoss => (
+                &["for"],
+                &["senders", "share", "building", "back", "folder", "never", "clock", "with_partners"],
+            ),
+            Self::MachineLost => (&[], &["senders", "share", "building", "down"]),
+            Self::KillAtWrite => (&["nth", "where"], &["senders", "share", "building", "down"]),
+            Self::Cut => (&["for"], &["senders", "share", "building", "ways", "between", "from_partners"]),
+            Self::Slow => (&["for", "delay"], &["senders", "share", "building", "jitter"]),
+            Self::Lose => (&["for", "calls"], SENDERS),
+            Self::Break => (&["for", "every"], SENDERS),
+        };
+        FaultFields { required, optional }
+    }
+
+    /// Returns whether the fault affects endpoints of destinations.
+    pub fn strikes_partners(self) -> bool {
+        self.fields().optional.contains(&"partners")
+    }
+}
+
+impl Fault {
+    /// Returns for each field whether it is given.
+    pub(super) fn given_fields(&self) -> BTreeMap<&'static str, bool> {
+        BTreeMap::from([
+            ("for", self.lasts.is_some()),
+            ("partners", self.partners.is_some()),
+            ("never", self.never.is_some()),
+            ("clock", self.clock.is_some()),
+            ("with_partners", self.with_partners.is_some()),
+            ("share", self.share.is_some()),
+            ("building", self.building.is_some()),
+            ("calls", self.calls.is_some()),
+            ("senders", self.senders.is_some()),
+            ("how", self.how.is_some()),
+            ("batch", self.batch.is_some()),
+            ("every", self.every.is_some()),
+            ("pause", self.pause.is_some()),
+            ("delay", self.delay.is_some()),
+            ("nth", self.nth.is_some()),
+            ("where", self.place.is_some()),
+            ("down", self.down.is_some()),
+            ("ways", self.ways.is_some()),
+            ("between", self.between.is_some()),
+            ("from_partners", self.from_partners.is_some()),
+            ("jitter", self.jitter.is_some()),
+            ("back", self.back.is_some()),
+            ("folder", self.folder.is_some()),
+        ])
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -0,0 +1,134 @@
+//! The schema of scenario files, with its defaults.
+use super::fault::Fault;
+use crate::units::{Percent, Rate, Span};
+use serde::Deserialize;
+use toml::Spanned;
+
+/// A scenario, as its file describes it.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Scenario {
+    /// What the scenario shows.
+    pub title: String,
+    /// How long clients submit messages.
+    pub length: Spanned<Span>,
+    /// Number of senders that share the traffic.
+    pub senders: Spanned<u32>,
+    /// Number of destinations, each of which has one to four endpoints.
+    #[serde(default = "default_partners")]
+    pub partners: Spanned<u32>,
+    /// Messages per second, over all senders.
+    pub traffic: Rate,
+    /// The traffic as a share of the destinations' capacity.
+    #[serde(default = "default_load")]
+    pub load: Spanned<Percent>,
+    /// Share of the messages that arrive in bursts for one destination.
+    #[serde(default)]
+    pub clumps: Percent,
+    /// Number of distinct vehicles, whose trip records are delivered in order.
+    #[serde(default = "default_vehicles")]
+    pub vehicles: u32,
+    /// Names of the zones.
+    #[serde(default = "default_buildings")]
+    pub buildings: Spanned<Vec<String>>,
+    /// One-way latency between two zones.
+    #[serde(default = "default_crossing")]
+    pub crossing: Span,
+    /// Size of each sender's state folder, in megabytes.
+    #[serde(default = "default_disk")]
+    pub disk_mb: f64,
+    /// How the endpoint list reaches the senders.
+    #[serde(default)]
+    pub discovery: Discovery,
+    /// Calls per second that discovery can serve when it is polled; without it, any number.
+    pub discovery_bears: Option<Rate>,
+    /// Maximum delay of updates of the endpoint list.
+    #[serde(default = "default_list_delay")]
+    pub list_delay: Span,
+    /// How long the load balancer goes on assigning connections to a sender that has died.
+    #[serde(default = "default_front_notice")]
+    pub front_notice: Span,
+    /// The operator's configuration file of every sender, without the members, names and keys, which the kit fills in.
+    pub operator: Option<Spanned<toml::Table>>,
+    /// How long the run is observed after its end; without it, for as long as the latest message may take.
+    pub tail: Option<Span>,
+    /// Periods of more or less traffic.
+    #[serde(default)]
+    pub peak: Vec<Peak>,
+    /// When senders are asked for their view of the membership (live runs only).
+    #[serde(default)]
+    pub look: Vec<AdminSnapshotPlan>,
+    /// The faults.
+    #[serde(default)]
+    pub fault: Vec<Spanned<Fault>>,
+}
+
+/// How the endpoint list reaches the senders.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Discovery {
+    /// Pushed to the agent on each sender's machine.
+    #[default]
+    Pushed,
+    /// Returned to senders that poll, by calls that count against the capacity of discovery.
+    OnRequest,
+}
+
+/// A period of more or less traffic.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Peak {
+    /// When the period begins.
+    pub at: Spanned<Span>,
+    /// How long the period lasts.
+    #[serde(rename = "for")]
+    pub lasts: Span,
+    /// The traffic as a multiple of the usual one.
+    pub times: f64,
+}
+
+/// A request for a sender's view of the membership.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct AdminSnapshotPlan {
+    /// When the request is made.
+    pub at: Spanned<Span>,
+    /// Number of the sender whose admin endpoint is asked, from 0.
+    pub sender: u32,
+}
+
+fn default_value<T>(value: T) -> Spanned<T> {
+    Spanned::new(0..0, value)
+}
+
+fn default_partners() -> Spanned<u32> {
+    default_value(9)
+}
+
+fn default_load() -> Spanned<Percent> {
+    default_value(Percent(60.0))
+}
+
+fn default_vehicles() -> u32 {
+    2000
+}
+
+fn default_buildings() -> Spanned<Vec<String>> {
+    default_value(vec!["building-a".to_owned(), "building-b".to_owned()])
+}
+
+fn default_crossing() -> Span {
+    Span::millis(110)
+}
+
+fn default_disk() -> f64 {
+    3.0
+}
+
+fn default_list_delay() -> Span {
+    Span::millis(1500)
+}
+
+fn default_front_notice() -> Span {
+    Span::millis(2500)
+}
--- a/crates/micadrum-testkit/src/scenario/tests.rs
+++ b/crates/micadrum-testkit/src/scenario/tests.rs
@@ -30,8 +30,8 @@
     ];
     for (rest, line, what) in cases {
         let error = wrong(rest);
-        assert!(error.what.contains(what), "{rest}: {error}");
-        assert_eq!(error.place.0, *line, "{rest}: {error}");
+        assert!(error.problem.to_string().contains(what), "{rest}: {error}");
+        assert_eq!(error.line, *line, "{rest}: {error}");
     }
     let good = format!("{HEAD}[[fault]]\nkind = \"hang\"\nat = \"5 s\"\nfor = \"2 s\"\nshare = \"26%\"\n");
     assert_eq!(Scenario::parse("x.toml", &good).unwrap().faults().count(), 1);
--- a/crates/micadrum-testkit/tests/command.rs
+++ b/crates/micadrum-testkit/tests/command.rs
@@ -55,3 +55,28 @@
     assert!(report["played"]["counts"]["taken on"].as_u64().unwrap() > 10);
     assert!(!report["plan"]["faults"].as_array().unwrap().is_empty());
 }
+
+/// Guards against a former name of a subcommand that is refused, or does something else than the new one.
+#[test]
+fn former_subcommand_names_give_the_same_output() {
+    let scenario = file(GOOD);
+    let path = scenario.path().to_str().unwrap();
+    let logs = tempfile::tempdir().unwrap();
+    let log = "trace taken at=1000000 destination=3\ntrace list at=2000000\n";
+    std::fs::write(logs.path().join("n0.log"), log).unwrap();
+    let logs = logs.path().to_str().unwrap();
+    let commands: [(&str, &str, &[&str], &str); 3] = [
+        ("simulate", "sim", &[path, "--seed", "3", "--random-faults"], "verdict: "),
+        ("search", "hunt", &[path, "--seeds", "1..2", "--jobs", "1"], "2 seeds played"),
+        ("aggregate", "count", &[logs], "destination 3"),
+    ];
+    for (name, former_name, args, expected) in commands {
+        let output = rehearse(&[&[name], args].concat());
+        let former_output = rehearse(&[&[former_name], args].concat());
+        assert!(String::from_utf8_lossy(&output.stdout).contains(expected), "{name}: {output:?}");
+        assert_eq!(output, former_output, "{name} and {former_name}");
+        for name in [name, former_name] {
+            assert_eq!(rehearse(&[name, "--help"]).status.code(), Some(0), "{name}");
+        }
+    }
+}
