--- /dev/null
+++ b/crates/micadrum-testkit/src/history/mod.rs
@@ -0,0 +1,195 @@
+//! The membership and recovery events that the senders' processes traced, in the order of the test kit's clock.
+//!
+//! The checks in `views` are functions of the history alone: they know nothing of the code under test.
+mod views;
+
+pub use views::{FalseDeath, WrongView};
+
+use crate::observation::At;
+use crate::plan::Plan;
+use micadrum_membership::Event;
+use micadrum_recovery::phases::PhaseRecord;
+use std::collections::BTreeMap;
+
+/// What a record is about.
+#[derive(Clone, Debug, PartialEq)]
+pub enum What {
+    /// A process of the sender was started.
+    Started,
+    /// The sender's process has ended.
+    Ended,
+    /// A fault that affects the sender or its links began (true) or ended.
+    Struck(bool),
+    /// The sender's process traced a membership event.
+    Peers(Event),
+    /// The sender's process traced a recovery event.
+    Recovery(micadrum_recovery::Record),
+    /// The sender's admin endpoint was asked for the views of all members.
+    Looked {
+        /// Members that answered.
+        came: Vec<u32>,
+        /// Members that did not.
+        silent: Vec<u32>,
+    },
+}
+
+impl What {
+    /// Returns whether the fleet changed: a process started or ended, or a fault of its links began or ended.
+    fn is_change(&self) -> bool {
+        matches!(self, Self::Started | Self::Ended | Self::Struck(_))
+    }
+}
+
+/// A record of the history.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Record {
+    /// When, on the test kit's clock, in microseconds from the start of the run.
+    pub at: At,
+    /// Number of the sender.
+    pub sender: u32,
+    /// What the record is about.
+    pub what: What,
+}
+
+/// The history of a run.
+#[derive(Clone, Debug, Default)]
+pub struct History {
+    records: Vec<Record>,
+    /// Numbers of the senders, by name.
+    names: BTreeMap<String, u32>,
+}
+
+/// The recovery of one process after its start, as it traced it.
+#[derive(Clone, Debug)]
+pub struct Return {
+    /// Number of the sender.
+    pub sender: u32,
+    /// When the process was started.
+    pub started: At,
+    /// What the process found in its state folder; none if recovery is off, or the process ended before.
+    pub trust: Option<micadrum_recovery::Trust>,
+    /// The phases that the process completed, each with its end.
+    pub steps: Vec<(At, PhaseRecord)>,
+}
+
+/// The answer to a request for the views of all members.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AdminSnapshot<'a> {
+    /// When the answer came.
+    pub at: At,
+    /// Members that answered.
+    pub answered: &'a [u32],
+    /// Members that did not.
+    pub silent: &'a [u32],
+}
+
+impl History {
+    /// Creates an empty history of the senders of a plan.
+    #[must_use]
+    pub fn new(plan: &Plan) -> Self {
+        let names = plan.senders.iter().map(|sender| (sender.name.clone(), sender.number)).collect();
+        Self { records: Vec::new(), names }
+    }
+
+    /// Adds a record; records are added in their order.
+    pub fn add(&mut self, at: At, sender: u32, what: What) {
+        self.records.push(Record { at, sender, what });
+    }
+
+    /// Adds a line of a sender's log if it traces a membership or recovery event; returns whether it does.
+    pub fn add_line(&mut self, at: At, sender: u32, line: &str) -> bool {
+        let event = parse_trace(line);
+        let is_trace = event.is_some();
+        if let Some(event) = event {
+            self.add(at, sender, event);
+        }
+        is_trace
+    }
+
+    /// Adds the views of all members, as a sender's admin endpoint returned them in JSON.
+    pub fn add_look(&mut self, at: At, sender: u32, text: &str) {
+        let views: BTreeMap<String, serde_json::Value> = serde_json::from_str(text).unwrap_or_default();
+        let members_with = |field: &str| {
+            let names = views.iter().filter(|(_, view)| view.get(field).is_some()).map(|(name, _)| name);
+            names.filter_map(|name| self.names.get(name).copied()).collect()
+        };
+        let looked = What::Looked { came: members_with("view"), silent: members_with("silent") };
+        self.add(at, sender, looked);
+    }
+
+    /// Returns all records.
+    #[must_use]
+    pub fn records(&self) -> &[Record] {
+        &self.records
+    }
+
+    /// Returns the admin snapshots from `from` on.
+    pub fn admin_snapshots(&self, from: At) -> impl Iterator<Item = AdminSnapshot<'_>> {
+        self.records.iter().filter(move |record| record.at >= from).filter_map(|record| match &record.what {
+            What::Looked { came, silent } => Some(AdminSnapshot { at: record.at, answered: came, silent }),
+            _ => None,
+        })
+    }
+
+    /// Returns the membership events that a sender traced from `from` on.
+    pub fn events(&self, sender: u32, from: At) -> impl Iterator<Item = (At, &Event)> {
+        let records = self.records.iter().filter(move |record| record.sender == sender && record.at >= from);
+        records.filter_map(|record| match &record.what {
+            What::Peers(event) => Some((record.at, event)),
+            _ => None,
+        })
+    }
+
+    /// Returns the recoveries of all processes, in the order of their starts.
+    #[must_use]
+    pub fn returns(&self) -> Vec<Return> {
+        let mut returns: Vec<Return> = Vec::new();
+        let mut latest: BTreeMap<u32, usize> = BTreeMap::new();
+        for Record { at, sender, what } in &self.records {
+            match what {
+                What::Started => {
+                    latest.insert(*sender, returns.len());
+                    returns.push(Return { sender: *sender, started: *at, trust: None, steps: Vec::new() });
+                }
+                What::Recovery(record) => {
+                    if let Some(index) = latest.get(sender) {
+                        returns[*index].add(*at, record);
+                    }
+                }
+                _ => {}
+            }
+        }
+        returns
+    }
+
+    /// Returns all records as text, one per line.
+    #[must_use]
+    pub fn text(&self) -> String {
+        let line = |record: &Record| {
+            let Record { at, sender, what } = record;
+            format!("{:.6} n{sender} {what:?}\n", *at as f64 / 1e6)
+        };
+        self.records.iter().map(line).collect()
+    }
+}
+
+impl Return {
+    fn add(&mut self, at: At, record: &micadrum_recovery::Record) {
+        match record {
+            micadrum_recovery::Record::Trust(trust) => self.trust = Some(trust.clone()),
+            micadrum_recovery::Record::PhaseEnded(phase) => self.steps.push((at, *phase)),
+        }
+    }
+}
+
+/// Parses a line of a sender's log that traces a membership or recovery event.
+fn parse_trace(line: &str) -> Option<What> {
+    if let Some(record) = line.strip_prefix("trace recovery ") {
+        return serde_json::from_str(record).ok().map(What::Recovery);
+    }
+    let (_, event) = line.strip_prefix("trace peers at=")?.split_once(' ')?;
+    serde_json::from_str(event).ok().map(What::Peers)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/micadrum-testkit/src/history/tests.rs
+++ b/crates/micadrum-testkit/src/history/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::scenario::Scenario;
+use micadrum_membership::Status;
 
 fn history() -> History {
     let text = "title = \"t\"\nlength = \"60 s\"\nsenders = 2\ntraffic = \"20/s\"\n";
@@ -25,11 +26,17 @@
     let mut history = history();
     assert!(!history.add_line(1, 0, "membership: status changed member=n1 status=Live"));
     changed(&mut history, 10, 0, 1, Status::Live);
-    assert_eq!(history.right_after(0, 100), Err(vec![(1, 0, Status::Unknown)]));
+    assert_eq!(
+        history.right_after(0, 100),
+        Err(vec![WrongView { observer: 1, subject: 0, status: Status::Unknown }])
+    );
     changed(&mut history, 30, 1, 0, Status::Live);
     assert_eq!(history.right_after(0, 100), Ok(30));
     history.add(50, 1, What::Ended);
-    assert_eq!(history.right_after(50, 60), Err(vec![(0, 1, Status::Live)]));
+    assert_eq!(
+        history.right_after(50, 60),
+        Err(vec![WrongView { observer: 0, subject: 1, status: Status::Live }])
+    );
     changed(&mut history, 80, 0, 1, Status::Dead);
     assert_eq!(history.right_after(50, 100), Ok(30));
     assert_eq!(history.settled(), [(0, Some(30)), (50, Some(30))]);
@@ -45,5 +52,5 @@
     changed(&mut history, 2100, 0, 1, Status::Dead);
     assert_eq!(history.false_deaths(500), []);
     changed(&mut history, 2600, 0, 1, Status::Dead);
-    assert_eq!(history.false_deaths(500), [(2600, 0, 1)]);
+    assert_eq!(history.false_deaths(500), [FalseDeath { at: 2600, observer: 0, subject: 1 }]);
 }
--- a/crates/micadrum-testkit/src/invariants/concurrency.rs
+++ b/crates/micadrum-testkit/src/invariants/concurrency.rs
@@ -1,45 +1,79 @@
-//! Calls that were out at once: of one message (`Beside`), of one key (`Order`).
-use super::{HELD_BACK, InvariantChecker, seconds};
+//! Checks [`Invariant::ConcurrentAttempts`], and [`Invariant::OutOfOrder`] for calls that overlap.
+//!
+//! The end of a call is seen later than it happens, so overlaps are noted as conflicts when the later attempt begins,
+//! and checked when the end of the earlier call is known.
+use super::state::{Call, CallStart, Conflict};
+use super::{Invariant, InvariantChecker, seconds};
 use crate::observation::At;
 
+/// Data on a connection may be held back on a link for this long after its process ended. If by then no end of a call
+/// has been seen, the call ended with the process.
+const MAX_LINK_HOLD_MICROS: At = 60_000_000;
+
 impl InvariantChecker {
-    /// Calls whose process ended, and of whose own end nothing has been heard since, were out until then.
-    pub(super) fn look_at_orphans(&mut self, now: At) {
-        while let Some((exited, call)) = self.orphans.front().copied()
-            && exited + HELD_BACK < now
+    /// Notes that the attempt to send `id` must not overlap with the calls `others`.
+    pub(super) fn add_conflicts(
+        &mut self,
+        start: &CallStart,
+        id: &str,
+        others: &[u64],
+        invariant: Invariant,
+    ) {
+        // The connections of an earlier process ended with it, whenever that shows.
+        let exited_at = self.senders.get(&start.sender).and_then(|sender| sender.exited_at).unwrap_or(0);
+        let is_same_process = |call: &&mut Call| call.sender == start.sender && call.sent >= exited_at;
+        for other in others {
+            let Some(other) = self.calls.get_mut(other).filter(is_same_process) else { continue };
+            let id = id.to_owned();
+            // The call that was seen first need not have been sent first.
+            if other.sent <= start.sent {
+                other.conflicts.push(Conflict { invariant, id, sent: start.sent });
+            } else if invariant == Invariant::ConcurrentAttempts {
+                let sent = other.sent;
+                if let Some(this) = self.calls.get_mut(&start.call) {
+                    this.conflicts.push(Conflict { invariant, id, sent });
+                }
+            }
+        }
+    }
+
+    /// Ends calls of processes that ended long ago: those whose own end has not been seen since.
+    pub(super) fn end_orphaned_calls(&mut self, now: At) {
+        while let Some((exited_at, call)) = self.orphaned_calls.front().copied()
+            && exited_at + MAX_LINK_HOLD_MICROS < now
         {
-            self.orphans.pop_front();
-            self.out_no_more(exited, call, exited);
+            self.orphaned_calls.pop_front();
+            self.call_ended(exited_at, call, exited_at);
         }
     }
 
-    /// A call was out until `until`: what was sent beside it before that broke a rule.
-    pub(super) fn out_no_more(&mut self, at: At, call: u64, until: At) {
-        let number = call;
+    /// A call was in flight until `until`: attempts in conflict with it must not have been sent before.
+    pub(super) fn call_ended(&mut self, at: At, number: u64, until: At) {
         let Some(call) = self.calls.remove(&number) else { return };
-        for (rule, id, sent) in call.beside {
-            if sent < until {
-                let what = format!(
-                    "it was sent {} beside call {number} of {}, out until {}",
-                    seconds(sent),
-                    call.ids.join(", "),
-                    seconds(until)
-                );
-                self.convict(rule, at, Some(&id), what);
-                // The other message's part in it as well.
-                let others = call.ids.iter().filter(|other| **other != id);
-                let lines: Vec<String> = others
-                    .flat_map(|other| {
-                        let lines = self.history(other).into_iter();
-                        lines.map(move |line| format!("({other}) {line}"))
-                    })
-                    .collect();
-                if let Some(last) =
-                    self.verdict.breaks.last_mut().filter(|last| last.id.as_ref() == Some(&id))
-                {
-                    last.history.extend(lines);
-                }
+        for Conflict { invariant, id, sent } in call.conflicts {
+            if sent >= until {
+                continue;
             }
+            let what = format!(
+                "it was sent {} beside call {number} of {}, out until {}",
+                seconds(sent),
+                call.ids.join(", "),
+                seconds(until)
+            );
+            self.report(invariant, at, Some(&id), what);
+            self.add_histories(&id, &call.ids);
+        }
+    }
+
+    /// Adds the histories of the other messages of a call to the violation that was just reported for `id`.
+    fn add_histories(&mut self, id: &str, ids: &[String]) {
+        let others = ids.iter().filter(|other| *other != id);
+        let lines: Vec<String> = others
+            .flat_map(|other| self.history(other).into_iter().map(move |line| format!("({other}) {line}")))
+            .collect();
+        let reported = self.verdict.breaks.last_mut();
+        if let Some(violation) = reported.filter(|violation| violation.id.as_deref() == Some(id)) {
+            violation.history.extend(lines);
         }
     }
 }
--- a/crates/micadrum-testkit/src/invariants/membership_views.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views.rs
@@ -1,43 +1,38 @@
-//! What senders believe of each other: wrong for too long (`View`), and deaths without a cause (`Accused`).
-use super::{Invariant, MOST_KEPT, Verdict, Violation, seconds};
-use crate::history::History;
+//! Checks [`Invariant::WrongView`] and [`Invariant::FalseDeath`].
+use super::{Invariant, Verdict, Violation, seconds};
+use crate::history::{FalseDeath, History, WrongView};
 use crate::observation::At;
 
-/// Views must be right so long after the last thing that happened to the fleet ...
-const SETTLE: At = 5_000_000;
-/// ... and nobody may be held for dead later than this after it.
-const GRACE: At = 4_000_000;
+/// Views must be right this long after the last change of the fleet, in microseconds.
+const MAX_CONVERGENCE_MICROS: At = 5_000_000;
+/// No sender may be declared dead later than this after the last change of the fleet, in microseconds.
+const MAX_DETECTION_MICROS: At = 4_000_000;
 
-/// Adds to a verdict what a history of senders that know each other shows; `end` is when it ends.
+/// Checks the history of a membership, which ends at `end`, and adds the violations to the verdict.
 pub fn look_at_views(history: &History, end: At, verdict: &mut Verdict) {
-    let mut convict = |rule, at, what| {
-        *verdict.counts.entry(rule).or_default() += 1;
-        if verdict.breaks.len() < MOST_KEPT {
-            verdict.breaks.push(Violation { rule, at, id: None, what, history: Vec::new() });
-        }
+    let mut report = |rule, at, what| {
+        verdict.add(Violation { rule, at, id: None, what, history: Vec::new() });
     };
-    for (at, by, of) in history.false_deaths(GRACE) {
-        convict(
-            Invariant::Accused,
-            at,
-            format!("sender {by} held sender {of} for dead, which ran, with nothing wrong"),
-        );
+    for FalseDeath { at, observer, subject } in history.false_deaths(MAX_DETECTION_MICROS) {
+        let what = format!("sender {observer} held sender {subject} for dead, which ran, with nothing wrong");
+        report(Invariant::FalseDeath, at, what);
+    }
+    let Some(last_change) = history.last_happening() else { return };
+    if last_change + MAX_CONVERGENCE_MICROS >= end {
+        return;
     }
-    let Some(last) = history.last_happening().filter(|last| last + SETTLE < end) else { return };
-    match history.right_after(last, end) {
-        Ok(took) if took <= SETTLE => {}
-        Ok(took) => {
+    match history.right_after(last_change, end) {
+        Ok(delay) if delay <= MAX_CONVERGENCE_MICROS => {}
+        Ok(delay) => {
+            let delay_text = seconds(delay);
             let what =
-                format!("views were right {} s after the last thing that happened to senders", seconds(took));
-            convict(Invariant::View, last + took, what);
+                format!("views were right {delay_text} s after the last thing that happened to senders");
+            report(Invariant::WrongView, last_change + delay, what);
         }
-        Err(wrong) => {
-            for (by, of, status) in wrong {
-                convict(
-                    Invariant::View,
-                    end,
-                    format!("sender {by} holds sender {of} for {status:?} at the end"),
-                );
+        Err(wrong_views) => {
+            for WrongView { observer, subject, status } in wrong_views {
+                let what = format!("sender {observer} holds sender {subject} for {status:?} at the end");
+                report(Invariant::WrongView, end, what);
             }
         }
     }
--- a/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
@@ -30,11 +30,11 @@
     use Status::{Dead, Live};
     let good = [(S, 0, 1, Live), (2 * S, 1, 0, Live)];
     assert_eq!(broken(&good, 20 * S), []);
-    assert_eq!(broken(&good[..1], 20 * S), [Invariant::View], "one is never seen");
+    assert_eq!(broken(&good[..1], 20 * S), [Invariant::WrongView], "one is never seen");
     assert_eq!(broken(&good[..1], 4 * S), [], "it is not over yet");
-    assert_eq!(broken(&[good[0], (9 * S, 1, 0, Live)], 20 * S), [Invariant::View], "one is seen late");
+    assert_eq!(broken(&[good[0], (9 * S, 1, 0, Live)], 20 * S), [Invariant::WrongView], "one is seen late");
     let accused = [good[0], good[1], (10 * S, 1, 0, Dead), (11 * S, 1, 0, Live)];
-    assert_eq!(broken(&accused, 20 * S), [Invariant::View, Invariant::Accused]);
+    assert_eq!(broken(&accused, 20 * S), [Invariant::WrongView, Invariant::FalseDeath]);
     // One that has ended is rightly held for dead, however late that is found.
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
     (0..2).for_each(|sender| history.add(0, sender, What::Started));
--- /dev/null
+++ b/crates/micadrum-testkit/src/invariants/ordering.rs
@@ -0,0 +1,39 @@
+//! Checks [`Invariant::OutOfOrder`].
+use super::state::Finding;
+use super::{Invariant, InvariantChecker};
+use crate::observation::At;
+
+/// What an attempt shows about the order of its key.
+#[derive(Default)]
+pub(super) struct OrderCheck {
+    pub(super) findings: Vec<Finding>,
+    /// Calls with earlier messages of the key that are in flight: they must end before the attempt was sent.
+    pub(super) earlier_calls: Vec<u64>,
+}
+
+impl InvariantChecker {
+    /// Checks an attempt to send the message `id` at `sent` against the earlier messages of its ordering key.
+    pub(super) fn check_order(&self, id: &str, sent: At) -> OrderCheck {
+        let mut check = OrderCheck::default();
+        for earlier in self.earlier_messages(id) {
+            let Some(message) = self.messages.get(earlier).filter(|message| message.is_accepted()) else {
+                continue;
+            };
+            if message.ended_at.is_none_or(|ended_at| ended_at > sent) {
+                let what = format!("it was sent before {earlier} was over");
+                check.findings.push(Finding { invariant: Invariant::OutOfOrder, what });
+            } else {
+                check.earlier_calls.extend(&message.calls);
+            }
+        }
+        check
+    }
+
+    /// Returns the ids of the messages that were submitted before `id` under the same ordering key.
+    fn earlier_messages<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a String> {
+        let message = self.messages.get(id);
+        let key = message.and_then(|message| Some((message.sender, message.vehicle?)));
+        let queue = key.and_then(|key| self.ordering_keys.get(&key));
+        queue.into_iter().flatten().take_while(move |other| *other != id)
+    }
+}
--- a/crates/micadrum-testkit/src/invariants/processes.rs
+++ b/crates/micadrum-testkit/src/invariants/processes.rs
@@ -1,51 +1,76 @@
-//! Processes: one that ends unasked (`Crash`), and what ends with one that was asked to.
-use super::{AFTER_READY, Hold, Invariant, InvariantChecker};
+//! Checks [`Invariant::Crash`], and notes what ends with a sender's process.
+use super::state::Acceptance;
+use super::{Invariant, InvariantChecker, READY_SLACK_MICROS};
 use crate::observation::At;
 
 impl InvariantChecker {
+    /// A sender is ready.
     pub(super) fn ready(&mut self, at: At, sender: u32) {
-        let of = self.senders.entry(sender).or_default();
-        if of.ending.take().is_some() {
-            of.excused = of.excused.max(at + AFTER_READY);
+        let sender = self.senders.entry(sender).or_default();
+        if sender.restarting_since.take().is_some() {
+            sender.excused_until = sender.excused_until.max(at + READY_SLACK_MICROS);
         }
-        of.expected = false;
+        sender.is_shutdown_requested = false;
     }
 
-    pub(super) fn exited(&mut self, at: At, sender: u32, asked: bool) {
-        let of = self.senders.entry(sender).or_default();
-        let expected = of.expected && asked;
-        of.ending.get_or_insert(at);
-        if !expected {
-            self.convict(Invariant::Crash, at, None, format!("sender {sender} ended without being told to"));
+    /// A sender's process was told to end.
+    pub(super) fn shutdown_requested(&mut self, at: At, sender: u32) {
+        let sender = self.senders.entry(sender).or_default();
+        sender.restarting_since.get_or_insert(at);
+        sender.is_shutdown_requested = true;
+    }
+
+    /// None of a sender's messages is overdue until shortly after `until`.
+    pub(super) fn excuse(&mut self, sender: u32, until: At) {
+        let sender = self.senders.entry(sender).or_default();
+        sender.excused_until = sender.excused_until.max(until + READY_SLACK_MICROS);
+    }
+
+    /// A sender's process has ended; `in_order` if it was told to, and was killed or ended without an error.
+    pub(super) fn exited(&mut self, at: At, number: u32, in_order: bool) {
+        let sender = self.senders.entry(number).or_default();
+        sender.restarting_since.get_or_insert(at);
+        sender.exited_at = Some(at);
+        if !(sender.is_shutdown_requested && in_order) {
+            let what = format!("sender {number} ended without being told to");
+            self.report(Invariant::Crash, at, None, what);
+        }
+        self.note_untried_messages(number);
+        self.orphan_calls(at, number);
+        // What the process knew of outages and Retry-After ended with it.
+        self.retry_after.retain(|(sender, _), _| *sender != number);
+        for outage in self.outages.values_mut() {
+            outage.witnesses.remove(&number);
         }
-        self.senders.entry(sender).or_default().exited = Some(at);
+    }
+
+    fn note_untried_messages(&mut self, sender: u32) {
         for message in self.messages.values_mut().filter(|message| message.sender == sender) {
-            let untried = message.hold == Hold::TakenOn && message.over.is_none() && message.attempts == 0;
-            if untried && !std::mem::replace(&mut message.found, true) {
-                self.verdict.found_untried += 1;
+            if message.is_untried() && !message.was_left_untried {
+                message.was_left_untried = true;
+                self.verdict.left_untried += 1;
             }
         }
-        // Its connections ended with it at the latest. Some may have ended before, with the news still on its way.
-        let gone: Vec<u64> =
-            self.calls.iter().filter(|(_, call)| call.sender == sender).map(|(call, _)| *call).collect();
-        for call in gone {
+    }
+
+    /// The connections of a process ended with it at the latest. Some may have ended before, unseen so far.
+    fn orphan_calls(&mut self, at: At, sender: u32) {
+        let calls = self.calls.iter().filter(|(_, call)| call.sender == sender);
+        let orphaned: Vec<u64> = calls.map(|(number, _)| *number).collect();
+        for call in orphaned {
             self.unanswered(at, call, at);
-            self.orphans.push_back((at, call));
-        }
-        // What it knew ended with it, and so did the waits that it had been told.
-        self.waits.retain(|(of, _), _| *of != sender);
-        for outage in self.outages.values_mut() {
-            outage.saw.remove(&sender);
+            self.orphaned_calls.push_back((at, call));
         }
     }
 
-    pub(super) fn machine_lost(&mut self, at: At, sender: u32) {
-        for (_, message) in self.messages.iter_mut().filter(|(_, m)| m.sender == sender) {
-            if message.over.is_none() {
-                message.hold = Hold::Void;
-                message.history.push((at, format!("sender {sender} lost its machine")));
+    /// A sender's machine is lost, with all messages that have not ended.
+    pub(super) fn machine_lost(&mut self, at: At, number: u32) {
+        for message in self.messages.values_mut().filter(|message| message.sender == number) {
+            if message.ended_at.is_none() {
+                message.acceptance = Acceptance::Unknown;
+                message.record(at, format!("sender {number} lost its machine"));
             }
         }
-        self.order.retain(|(of, _), _| *of != sender);
+        self.ordering_keys.retain(|(sender, _), _| *sender != number);
     }
 }
--- /dev/null
+++ b/crates/micadrum-testkit/src/invariants/state.rs
@@ -0,0 +1,143 @@
+//! What the checker knows of messages, calls, senders and destinations from the observations so far.
+use super::Invariant;
+use crate::observation::At;
+use crate::plan::Class;
+use std::collections::BTreeSet;
+
+/// Whether a sender has accepted a message.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Acceptance {
+    /// The message is submitted, and not answered yet.
+    Pending,
+    /// The sender has accepted the message.
+    Accepted,
+    /// The sender has rejected the message, and must not send it.
+    Rejected,
+    /// The client got no answer, or the machine was lost: no invariant holds for the message.
+    Unknown,
+}
+
+/// A message, from its first submission until it is forgotten.
+pub(super) struct Message {
+    pub(super) class: Class,
+    pub(super) sender: u32,
+    pub(super) vehicle: Option<u32>,
+    pub(super) deadline: At,
+    pub(super) acceptance: Acceptance,
+    /// When the message ended: it was delivered, or a notification was acknowledged.
+    pub(super) ended_at: Option<At>,
+    /// Whether the message had not ended when it should have.
+    pub(super) is_overdue: bool,
+    pub(super) notified_at: Option<At>,
+    pub(super) attempts: u32,
+    /// Whether a process of its sender ended while the message was accepted, not ended and not tried.
+    pub(super) was_left_untried: bool,
+    /// When the first attempt that may have taken effect was sent.
+    pub(super) first_uncertain_attempt: Option<At>,
+    pub(super) effects: u32,
+    /// The calls with the message that are in flight, the latest first.
+    pub(super) calls: Vec<u64>,
+    pub(super) history: Vec<(At, String)>,
+}
+
+impl Message {
+    pub(super) fn is_accepted(&self) -> bool {
+        self.acceptance == Acceptance::Accepted
+    }
+
+    /// Returns whether the message is accepted and has neither ended nor been tried.
+    pub(super) fn is_untried(&self) -> bool {
+        self.is_accepted() && self.ended_at.is_none() && self.attempts == 0
+    }
+
+    /// Returns whether an invariant of delivery holds for the message.
+    pub(super) fn counts(&self) -> bool {
+        self.acceptance != Acceptance::Unknown
+    }
+
+    pub(super) fn record(&mut self, at: At, text: String) {
+        self.history.push((at, text));
+    }
+}
+
+/// A call that is in flight.
+pub(super) struct Call {
+    pub(super) sender: u32,
+    pub(super) line: u32,
+    pub(super) sent: At,
+    /// Ids of its messages.
+    pub(super) ids: Vec<String>,
+    /// Attempts that must not have been sent before the end of this call.
+    pub(super) conflicts: Vec<Conflict>,
+}
+
+/// An attempt that violates an invariant if it was sent before the end of a certain call.
+pub(super) struct Conflict {
+    pub(super) invariant: Invariant,
+    /// Id of the message that was sent.
+    pub(super) id: String,
+    /// When the attempt was sent.
+    pub(super) sent: At,
+}
+
+/// A call that begins, as the endpoint sees it.
+pub(super) struct CallStart<'a> {
+    pub(super) at: At,
+    pub(super) call: u64,
+    pub(super) sender: u32,
+    pub(super) endpoint: &'a str,
+    pub(super) line: u32,
+    pub(super) ids: &'a [String],
+    pub(super) sent: At,
+}
+
+impl CallStart<'_> {
+    pub(super) fn first_id(&self) -> Option<&str> {
+        self.ids.first().map(String::as_str)
+    }
+}
+
+/// A sender.
+#[derive(Default)]
+pub(super) struct Sender {
+    /// When its latest restart began, until it is ready again.
+    pub(super) restarting_since: Option<At>,
+    /// Until this time none of its messages is overdue.
+    pub(super) excused_until: At,
+    /// When its latest process ended.
+    pub(super) exited_at: Option<At>,
+    /// Whether its process was told to end.
+    pub(super) is_shutdown_requested: bool,
+}
+
+/// The outage of a line.
+#[derive(Default)]
+pub(super) struct Outage {
+    pub(super) is_active: bool,
+    /// Senders that saw a call fail or be rejected during the outage.
+    pub(super) witnesses: BTreeSet<u32>,
+}
+
+/// A Retry-After that a sender received.
+pub(super) struct RetryAfter {
+    /// The call that was answered with it.
+    pub(super) call: u64,
+    /// When it begins to bind.
+    pub(super) from: At,
+    /// The time that it names.
+    pub(super) until: At,
+}
+
+/// A client's connection that ended without an answer.
+#[derive(Clone)]
+pub(super) struct UnansweredSubmission {
+    pub(super) at: At,
+    pub(super) sender: u32,
+    pub(super) id: String,
+}
+
+/// A violation that an attempt shows at once.
+pub(super) struct Finding {
+    pub(super) invariant: Invariant,
+    pub(super) what: String,
+}
--- a/crates/micadrum-testkit/src/invariants/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/tests.rs
@@ -1,7 +1,7 @@
 //! A fault for each rule planted into the observations.
 use super::*;
 use crate::observation::{MessageEnd, Told};
-use crate::plan::MAX_ATTEMPTS;
+use crate::plan::{Class, MAX_ATTEMPTS};
 
 const S: At = 1_000_000;
 
@@ -174,28 +174,28 @@
     let call = day.began(&["a"]);
     day.at(S).replied(call, "a", Error).at(2 * S).began(&["a"]);
     day.noticed("a", false);
-    assert_eq!(day.broken(), [Invariant::Doubled], "a charge that may have run");
+    assert_eq!(day.broken(), [Invariant::Duplicated], "a charge that may have run");
     let mut day = Day::default();
     day.taken("a", Charge, None);
     let call = day.began(&["a"]);
     day.at(S).closed(call).at(2 * S).noticed("a", true);
-    assert_eq!(day.broken(), [Invariant::Doubled], "a charge returned though it may have run");
+    assert_eq!(day.broken(), [Invariant::Duplicated], "a charge returned though it may have run");
     let mut day = Day::default();
     day.taken("a", TripRecord, None);
     let call = day.began(&["a"]);
     day.at(S).closed(call).at(5 * S + 100_000).began(&["a"]);
     day.noticed("a", false);
-    assert_eq!(day.broken(), [Invariant::Doubled], "a keyed message past its window");
+    assert_eq!(day.broken(), [Invariant::Duplicated], "a keyed message past its window");
     let mut day = Day::default();
     day.taken("a", TripRecord, None).see(Seen::Ran { id: "a".to_owned() });
     day.at(S).see(Seen::Ran { id: "a".to_owned() }).noticed("a", false);
-    assert_eq!(day.broken(), [Invariant::Doubled], "two effects");
+    assert_eq!(day.broken(), [Invariant::Duplicated], "two effects");
     let mut day = Day::default();
     day.taken("a", Charge, None);
     day.began(&["a"]);
     day.restart(S, 2 * S).began(&["a"]);
     day.noticed("a", false);
-    assert_eq!(day.broken(), [Invariant::Doubled], "a charge that was out when its process was killed");
+    assert_eq!(day.broken(), [Invariant::Duplicated], "a charge that was out when its process was killed");
 }
 
 /// Guards against two copies out at once, seen in either order.
@@ -206,20 +206,20 @@
     let first = day.began(&["a"]);
     let second = day.at(S).began(&["a"]);
     day.at(2 * S).closed(first).replied(second, "a", Delivered);
-    assert_eq!(day.broken(), [Invariant::Beside]);
+    assert_eq!(day.broken(), [Invariant::ConcurrentAttempts]);
     // Sent first, and there last: a link held it.
     let mut day = Day::default();
     day.taken("a", TripRecord, None);
     let second = day.at(S).began(&["a"]);
     let first = day.at(2 * S).began_at(&["a"], 0, 0);
     day.at(3 * S).closed(first).replied(second, "a", Delivered);
-    assert_eq!(day.broken(), [Invariant::Beside]);
+    assert_eq!(day.broken(), [Invariant::ConcurrentAttempts]);
 }
 
 /// Guards against more attempts than are allowed.
 #[test]
 fn attempts_are_counted() {
-    for (attempts, broken) in [(MAX_ATTEMPTS, vec![]), (MAX_ATTEMPTS + 1, vec![Invariant::Attempts])] {
+    for (attempts, broken) in [(MAX_ATTEMPTS, vec![]), (MAX_ATTEMPTS + 1, vec![Invariant::TooManyAttempts])] {
         let mut day = Day::default();
         day.taken("a", Charge, None);
         for n in 0..attempts {
@@ -234,7 +234,7 @@
 /// Guards against sends to endpoints that the sender knew drain or are gone.
 #[test]
 fn a_drained_endpoint_is_left_alone() {
-    for (after, broken) in [(S, vec![]), (S + 100_000, vec![Invariant::Drain])] {
+    for (after, broken) in [(S, vec![]), (S + 100_000, vec![Invariant::SentToDraining])] {
         let mut day = Day::default();
         day.taken("a", Charge, None);
         day.see(Seen::Listed { sender: 0, endpoint: "e".to_owned(), serving: false });
@@ -248,7 +248,7 @@
 /// convicting those that did not.
 #[test]
 fn who_saw_the_outage_answers_for_the_fall() {
-    for (knew, broken) in [(true, vec![Invariant::PushedOver]), (false, vec![])] {
+    for (knew, broken) in [(true, vec![Invariant::OverloadedInSlowStart]), (false, vec![])] {
         let mut day = Day::default();
         day.taken("a", TripRecord, None);
         if knew {
@@ -276,7 +276,7 @@
     day.replied(call, "k2", Delivered);
     let call = day.at(S).began(&["k1"]);
     day.replied(call, "k1", Delivered);
-    assert_eq!(day.broken(), [Invariant::Order]);
+    assert_eq!(day.broken(), [Invariant::OutOfOrder]);
     // The first is over by its notice, with its call still out.
     let mut day = Day::default();
     day.taken("k1", TripRecord, Some(7)).taken("k2", TripRecord, Some(7));
@@ -284,7 +284,7 @@
     day.at(S).noticed("k1", false);
     let second = day.at(2 * S).began(&["k2"]);
     day.at(3 * S).closed(first).replied(second, "k2", Delivered);
-    assert_eq!(day.broken(), [Invariant::Order]);
+    assert_eq!(day.broken(), [Invariant::OutOfOrder]);
 }
 
 /// Guards against taking a call for one that was out until its process ended, when the news of its own end, sent
@@ -292,7 +292,8 @@
 #[test]
 fn a_call_ends_when_its_end_was_sent_though_its_process_ended_since() {
     // A link that holds packets back lets the news through seconds after the process has ended.
-    let cases = [(Some(S), vec![]), (Some(3 * S), vec![Invariant::Order]), (None, vec![Invariant::Order])];
+    let cases =
+        [(Some(S), vec![]), (Some(3 * S), vec![Invariant::OutOfOrder]), (None, vec![Invariant::OutOfOrder])];
     for ((end_sent, broken), news) in
         cases.into_iter().flat_map(|case| [50_000, 2_000_000].map(|n| (case.clone(), n)))
     {
@@ -328,13 +329,13 @@
     day.replied(call, "tried", Full).noticed("tried", true);
     day.at(3 * S).noticed("given-up", true).noticed("out", true);
     let verdict = std::mem::take(&mut day.judge).verdict(100 * S);
-    assert_eq!((verdict.found_untried, verdict.given_up_untried), (2, 1));
+    assert_eq!((verdict.left_untried, verdict.ended_untried), (2, 1));
 }
 
 /// Guards against calls during a told wait, whatever the message.
 #[test]
 fn a_wait_binds_until_its_end() {
-    for (at, broken) in [(S + 90_000, vec![]), (2 * S, vec![Invariant::Wait]), (3 * S, vec![])] {
+    for (at, broken) in [(S + 90_000, vec![]), (2 * S, vec![Invariant::RetryAfterIgnored]), (3 * S, vec![])] {
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None);
         let call = day.began(&["a"]);
@@ -349,7 +350,9 @@
 /// it. Another call's wait binds all the same.
 #[test]
 fn a_wait_that_was_not_heard_binds_nobody() {
-    for (unheard, broken) in [(0, vec![Invariant::Wait]), (1, vec![Invariant::Wait]), (2, vec![])] {
+    for (unheard, broken) in
+        [(0, vec![Invariant::RetryAfterIgnored]), (1, vec![Invariant::RetryAfterIgnored]), (2, vec![])]
+    {
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None).taken("c", Charge, None);
         let (one, two) = (day.began(&["a"]), day.began(&["c"]));
--- a/crates/micadrum-testkit/src/main.rs
+++ b/crates/micadrum-testkit/src/main.rs
@@ -6,7 +6,7 @@
 use cli::{Command, CommandLine, LiveArgs, RunArgs, SearchArgs, SimulateArgs};
 use micadrum_testkit::report::Report;
 use micadrum_testkit::scenario::{Scenario, ScenarioError};
-use micadrum_testkit::trace_aggregate::{Count, TraceError};
+use micadrum_testkit::trace_aggregate::{TraceAggregate, TraceError};
 use micadrum_testkit::units::Span;
 use micadrum_testkit::{live, seed_search, sim};
 use std::io::{BufRead, BufReader};
@@ -109,8 +109,8 @@
     }
 }
 
-fn aggregate(logs: &Path) -> Result<Count, CommandError> {
-    let mut count = Count::default();
+fn aggregate(logs: &Path) -> Result<TraceAggregate, CommandError> {
+    let mut count = TraceAggregate::default();
     for entry in std::fs::read_dir(logs).map_err(|error| CommandError::unreadable(logs, error))? {
         let path = entry.map_err(|error| CommandError::unreadable(logs, error))?.path();
         if path.is_file() {
@@ -120,7 +120,7 @@
     Ok(count)
 }
 
-fn aggregate_log(path: &Path, count: &mut Count) -> Result<(), CommandError> {
+fn aggregate_log(path: &Path, count: &mut TraceAggregate) -> Result<(), CommandError> {
     let unreadable = |error| CommandError::unreadable(path, error);
     let log = std::fs::File::open(path).map_err(unreadable)?;
     for (index, line) in BufReader::new(log).lines().enumerate() {
--- a/crates/micadrum-testkit/src/observation.rs
+++ b/crates/micadrum-testkit/src/observation.rs
@@ -1,177 +1,178 @@
-//! What partners, platform, clients and the machines saw: the only things that the judge goes by.
+//! What destinations, platform, clients and machines observe: all that the invariant checker goes by.
 use crate::plan::Class;
 
-/// When, in microseconds from the start of the day.
+/// A time in microseconds from the start of the run.
 pub type At = u64;
 
-/// How a call ended for one of its messages, as the endpoint told it.
+/// How a call ended for one of its messages, as the endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
-    /// Delivered.
+    /// The message was delivered.
     Ok,
-    /// An error: it may have run.
+    /// The call failed: the message may have taken effect.
     Error,
-    /// Turned away: it never ran.
+    /// The call was rejected as over capacity: the message has not taken effect.
     Full,
-    /// The answer was spoilt or the connection broken by the endpoint: it may have run.
+    /// The answer was corrupted or the endpoint broke the connection: the message may have taken effect.
     Spoilt,
 }
 
-/// What a client was told.
+/// The answer to a client that submitted a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// 202 or 200.
+    /// The message was accepted: status 202 or 200.
     TakenOn,
-    /// 429 or 503, or no connection.
+    /// The message was rejected: status 429 or 503, or no connection.
     Refused,
     /// Any other status.
     Failed,
-    /// Nothing within the client's patience.
+    /// No answer within the client's timeout.
     Nothing,
     /// The connection ended, or was refused, before an answer came.
     Cut,
 }
 
-/// One thing that somebody saw.
+/// One observation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A sender answered that it is ready.
+    /// A sender reported that it is ready.
     Ready {
-        /// Which.
+        /// Number of the sender.
         sender: u32,
     },
-    /// A sender was told to end: SIGTERM, or SIGKILL where `killed`.
+    /// A sender's process was told to end, by SIGTERM or SIGKILL.
     Ending {
-        /// Which.
+        /// Number of the sender.
         sender: u32,
-        /// Whether at once.
+        /// Whether by SIGKILL.
         killed: bool,
     },
-    /// A sender's process ended; `asked` if it had been told to.
+    /// A sender's process ended.
     Exited {
-        /// Which.
+        /// Number of the sender.
         sender: u32,
-        /// Whether it had been told to, and ended in good order or was killed.
+        /// Whether the process was told to end, and was killed or ended without an error.
         asked: bool,
     },
-    /// A sender's machine was lost with all that it held.
+    /// A sender's machine was lost with everything on it.
     MachineLost {
-        /// Which.
+        /// Number of the sender.
         sender: u32,
     },
-    /// A client handed a message in.
+    /// A client submitted a message.
     HandedIn {
-        /// Its id.
+        /// Id of the message.
         id: String,
-        /// The operation that it stands for.
+        /// Number of the operation that the message belongs to.
         operation: u64,
-        /// To whom.
+        /// Number of the sender that the message was submitted to.
         sender: u32,
-        /// Its class.
+        /// Class of the message.
         class: Class,
-        /// The vehicle, where order is kept.
+        /// The vehicle, if the class is delivered in order.
         vehicle: Option<u32>,
-        /// Until when it may be delivered.
+        /// Until when the message may be delivered.
         deadline: At,
     },
-    /// The client heard, or gave up hearing.
+    /// A client got an answer to its submission, or gave up on it.
     Answered {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// What.
+        /// The answer.
         told: Told,
     },
-    /// Discovery wrote to a sender what an endpoint's state is.
+    /// Discovery told a sender the state of an endpoint.
     Listed {
-        /// To whom.
+        /// Number of the sender.
         sender: u32,
-        /// The endpoint's id in the list.
+        /// Id of the endpoint in the endpoint list.
         endpoint: String,
-        /// Whether it is in service.
+        /// Whether the endpoint is in service.
         serving: bool,
     },
-    /// The last byte of a call came.
+    /// The last byte of a call arrived at an endpoint.
     Began {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// Who made it.
+        /// Number of the sender.
         sender: u32,
-        /// The endpoint's id in the list.
+        /// Id of the endpoint in the endpoint list.
         endpoint: String,
-        /// The destination, or the route where routes are apart: what limits, waits and outages are of.
+        /// The line: a destination, or one endpoint of a destination whose limits hold for each endpoint. Limits, waits
+        /// and outages are of a line.
         line: u32,
-        /// Its messages.
+        /// Ids of the call's messages.
         ids: Vec<String>,
-        /// When the sender sent its first byte.
+        /// When the sender sent the first byte.
         sent: At,
     },
-    /// A message took effect; a repeat that a partner dropped did not.
+    /// A message took effect at a destination. A repeat that the destination dropped does not.
     Ran {
-        /// The message.
+        /// Id of the message.
         id: String,
     },
-    /// The answer was written, or would have been had it not been spoilt or broken off.
+    /// An endpoint answered a call, or would have but for a fault that corrupted the answer or broke the connection.
     Replied {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// What became of each message.
+        /// The end of each message.
         ends: Vec<(String, MessageEnd)>,
-        /// A wait that it told, and until when it binds.
+        /// The time that a Retry-After in the answer names.
         wait: Option<At>,
-        /// When the sender has it.
+        /// When the sender receives the answer.
         heard: At,
-        /// Until when the call was out: the answer, or the sender's end of the connection, still on its way then.
+        /// Until when the call was in flight: until the answer arrived, or the sender closed the connection.
         out_until: At,
     },
-    /// The sender had ended the connection of a call before the answer reached it: it cannot know what that told.
+    /// A sender had closed the connection of a call before the answer reached it, so it cannot know the answer.
     Unheard {
-        /// The call.
+        /// Number of the call.
         call: u64,
     },
-    /// The sender ended the connection of a call that had no answer.
+    /// A sender closed the connection of a call that had no answer.
     Closed {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// When the sender did.
+        /// When the sender closed it.
         sent: At,
     },
-    /// The platform acknowledged a notice.
+    /// The platform acknowledged the notification of a message's end.
     Noticed {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// `returned`, not `failed`.
+        /// Whether the message was reported as returned rather than failed.
         returned: bool,
     },
-    /// A sender stands still until then: it is told nothing and says nothing.
+    /// A sender is suspended: it receives and sends nothing.
     Paused {
-        /// Which.
+        /// Number of the sender.
         sender: u32,
-        /// Until when.
+        /// When it resumes.
         until: At,
     },
-    /// The platform acknowledges no notices from a sender until then.
+    /// The platform acknowledges no notifications of a sender.
     Deaf {
-        /// Which.
+        /// Number of the sender.
         sender: u32,
-        /// Until when.
+        /// When the platform acknowledges notifications again.
         until: At,
     },
     /// An outage of a line began or ended.
     Outage {
-        /// Which.
+        /// The line.
         line: u32,
-        /// Whether it began.
+        /// Whether the outage began.
         began: bool,
     },
-    /// A cold line was pushed over, by calls of these senders, one entry a call.
+    /// A line in slow start failed by overload.
     Fell {
-        /// Which.
+        /// The line.
         line: u32,
-        /// Whose calls.
+        /// Numbers of the senders whose calls overloaded it, one entry for each call.
         senders: Vec<u32>,
-        /// Calls that it would have borne in that time.
+        /// Number of calls that the line could have served in that time.
         budget: f64,
-        /// Where the call went at which it fell.
+        /// Id of the endpoint that received the last of the calls.
         endpoint: String,
     },
 }
--- a/crates/micadrum-testkit/src/plan/arrivals.rs
+++ b/crates/micadrum-testkit/src/plan/arrivals.rs
@@ -43,15 +43,15 @@
     fn traffic_factor(&self) -> f64 {
         let is_active = |peak: &&Peak| {
             let from = peak.at.get_ref().as_secs();
-            (from..from + peak.lasts.as_secs()).contains(&self.now)
+            (from..from + peak.duration.as_secs()).contains(&self.now)
         };
-        self.plan.scenario.peak.iter().filter(is_active).map(|peak| peak.times).product()
+        self.plan.scenario.peak.iter().filter(is_active).map(|peak| peak.traffic_factor).product()
     }
 
     /// Advances to the next operation or burst; returns whether it is a burst.
     fn advance(&mut self, traffic_factor: f64) -> bool {
         let rate = self.plan.scenario.traffic.0 * traffic_factor;
-        let burst_share = self.plan.scenario.clumps.share();
+        let burst_share = self.plan.scenario.burst_share.share();
         let events = rate * (1.0 - burst_share) + rate * burst_share / MEAN_BURST_MESSAGES;
         self.now += self.rng.exponential(1.0 / events);
         !self.is_over() && self.rng.chance(rate * burst_share / MEAN_BURST_MESSAGES / events)
--- a/crates/micadrum-testkit/src/plan/destinations.rs
+++ b/crates/micadrum-testkit/src/plan/destinations.rs
@@ -15,7 +15,7 @@
 const LIMIT_WINDOW_SECONDS: f64 = 2.0;
 
 pub(super) fn draw_destinations(scenario: &Scenario, seed: u64) -> Vec<Destination> {
-    let count = *scenario.partners.get_ref();
+    let count = *scenario.destinations.get_ref();
     let weights: Vec<f64> =
         (0..count).map(|number| 1.0 / libm::pow(f64::from(number) + 1.0, ZIPF_EXPONENT)).collect();
     let total_weight: f64 = weights.iter().sum();
--- a/crates/micadrum-testkit/src/plan/faults.rs
+++ b/crates/micadrum-testkit/src/plan/faults.rs
@@ -19,14 +19,14 @@
     pub(super) fn resolve(&self, fault: &Fault, number: usize) -> PlannedFault {
         let Targets { endpoints, senders } = self.draw_targets(fault, number);
         let from = *fault.at.get_ref();
-        let lost_share = fault.never.map_or(0.0, Percent::share);
+        let lost_share = fault.lost_share.map_or(0.0, Percent::share);
         let lost_senders = (senders.len() as f64 * lost_share).round() as usize;
         PlannedFault {
             never: senders[..lost_senders].to_vec(),
             clock: fault.clock.unwrap_or_default(),
             kind: fault.kind,
             from,
-            until: Span(from.0 + fault.lasts.map_or(0, |lasts| lasts.0)),
+            until: Span(from.0 + fault.duration.map_or(0, |duration| duration.0)),
             endpoints,
             senders,
             calls: fault.calls.map_or(1.0, Percent::share),
@@ -36,13 +36,13 @@
             pause: fault.pause.unwrap_or(DEFAULT_PAUSE),
             delay: fault.delay.unwrap_or_default(),
             nth: fault.nth.unwrap_or(1),
-            place: fault.place.unwrap_or(Where::After),
+            place: fault.write_point.unwrap_or(Where::After),
             down: fault.down.unwrap_or(DEFAULT_DOWNTIME),
-            ways: fault.ways.unwrap_or_default(),
+            ways: fault.direction.unwrap_or_default(),
             between: fault.between.clone(),
-            from_partners: fault.from_partners.unwrap_or(false),
+            from_partners: fault.cuts_destinations.unwrap_or(false),
             jitter: fault.jitter.unwrap_or_default(),
-            back: fault.back.unwrap_or_default(),
+            back: fault.return_period.unwrap_or_default(),
             folder: fault.folder.unwrap_or(default_folder(fault.kind)),
         }
     }
@@ -50,10 +50,10 @@
     fn draw_targets(&self, fault: &Fault, number: usize) -> Targets {
         let mut rng = SeededRng::new(self.seed, &format!("fault {number}"));
         let zone = self.zone(fault);
-        if fault.kind.strikes_partners() {
+        if fault.kind.affects_destinations() {
             return Targets { endpoints: self.draw_endpoints(fault, zone, &mut rng), senders: Vec::new() };
         }
-        let endpoints = if fault.with_partners == Some(true) {
+        let endpoints = if fault.includes_endpoints == Some(true) {
             endpoints_in_zone(self.partners.iter(), zone).collect()
         } else {
             Vec::new()
@@ -63,14 +63,14 @@
 
     /// Returns the zone that the fault is restricted to.
     fn zone(&self, fault: &Fault) -> Option<usize> {
-        let name = fault.building.as_ref()?;
+        let name = fault.zone.as_ref()?;
         self.scenario.buildings.get_ref().iter().position(|other| other == name)
     }
 
     /// Draws destinations, and returns all their endpoints in the zone.
     fn draw_endpoints(&self, fault: &Fault, zone: Option<usize>, rng: &mut SeededRng) -> Vec<u32> {
         let mut destinations: Vec<&Destination> = (self.partners.iter())
-            .filter(|destination| is_listed(fault.partners.as_ref(), destination.number))
+            .filter(|destination| is_listed(fault.destinations.as_ref(), destination.number))
             .collect();
         draw_share(&mut destinations, fault.share, rng);
         let mut endpoints: Vec<u32> = endpoints_in_zone(destinations.into_iter(), zone).collect();
--- a/crates/micadrum-testkit/src/plan/random_faults.rs
+++ b/crates/micadrum-testkit/src/plan/random_faults.rs
@@ -95,10 +95,10 @@
 fn draw_world_fault(rng: &mut SeededRng, length: f64, senders: usize) -> Fault {
     let kind = WORLD_KINDS[rng.below(WORLD_KINDS.len())];
     let at = draw_span(rng, 1.0, (length * 0.8).max(1.1));
-    let lasts = draw_span(rng, 1.0, (length * 0.3).clamp(1.1, 15.0));
+    let duration = draw_span(rng, 1.0, (length * 0.3).clamp(1.1, 15.0));
     let remaining = Span::seconds(length as u64).0.saturating_sub(at.0);
     let mut fault = Fault::new(kind, at);
-    fault.lasts = Some(Span(lasts.0.min(remaining)));
+    fault.duration = Some(Span(duration.0.min(remaining)));
     fault.delay = Some(draw_span(rng, 0.5, 10.0));
     fault.pause = Some(draw_span(rng, 0.2, 0.5));
     fault.every = Some(draw_span(rng, 0.8, 4.0));
@@ -107,13 +107,13 @@
     fault.share = Some(Percent((rng.between(0.1, 0.5) * 100.0).round()));
     fault.how = Some(draw_how(rng, 0.5));
     fault.nth = Some(1 + rng.below(200) as u64);
-    fault.place = Some([Where::Before, Where::Torn, Where::After][rng.below(3)]);
+    fault.write_point = Some([Where::Before, Where::Torn, Where::After][rng.below(3)]);
     if kind == FaultKind::Restart {
         fault.batch = Some(1 + rng.below(senders) as u32);
         fault.share = Some(Percent(100.0));
     }
     if is_instantaneous(kind) {
-        fault.lasts = None;
+        fault.duration = None;
     }
     fault
 }
@@ -126,10 +126,10 @@
 fn draw_peer_fault(rng: &mut SeededRng, length: f64) -> Fault {
     let kind = PEER_KINDS[rng.below(PEER_KINDS.len())];
     let at = draw_span(rng, 1.0, (length * 0.8).max(1.1));
-    let lasts = draw_span(rng, 0.3, 8.0);
+    let duration = draw_span(rng, 0.3, 8.0);
     let remaining = Span::millis((length * 1e3) as u64).0.saturating_sub(at.0).max(1);
     let mut fault = Fault::new(kind, at);
-    fault.lasts = Some(Span(lasts.0.min(remaining)));
+    fault.duration = Some(Span(duration.0.min(remaining)));
     // Senders raise their timeouts with the latency, so that a delay alone gets nobody declared dead within the run.
     fault.delay = Some(draw_span(rng, 0.05, 1.0));
     fault.jitter = Some(draw_span(rng, 0.0, 0.2));
@@ -137,10 +137,10 @@
     fault.every = Some(draw_span(rng, 0.3, 2.0));
     fault.calls = draw_percent(rng, 5.0, 40.0);
     fault.share = draw_percent(rng, 5.0, 60.0);
-    fault.ways = Some([Ways::Both, Ways::Out, Ways::In][rng.below(3)]);
+    fault.direction = Some([Ways::Both, Ways::Out, Ways::In][rng.below(3)]);
     fault.how = Some(draw_how(rng, 0.7));
     if matches!(kind, FaultKind::Restart | FaultKind::MachineLost) {
-        fault.lasts = None;
+        fault.duration = None;
         fault.batch = Some(1 + rng.below(3) as u32);
         fault.share = draw_percent(rng, 5.0, 40.0);
     }
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -1,80 +1,90 @@
-//! The report of a run, for people and for machines.
+//! The report of a run, as text and as JSON.
 use crate::history::History;
 use crate::invariants::{Invariant, Verdict, Violation, seconds};
 use crate::observation::At;
-use crate::plan::{Class, Plan, TENANTS};
+use crate::plan::{Arrival, Class, Plan, TENANTS};
 use crate::scenario::FaultKind;
-use crate::service_metrics::{Recorder, WINDOW};
+use crate::service_metrics::{Counts, Recorder, Service, WINDOW_MICROS};
+use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt::Write as _;
 
-/// Breaks that the text shows with their history.
-const MOST_SHOWN: usize = 10;
+/// Maximum number of violations that the text shows with their history.
+const MAX_SHOWN_VIOLATIONS: usize = 10;
+/// The latency quantiles that are reported.
+const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What was to be played: the same for every run of one scenario and seed.
+/// What was to be played: equal for all runs of one scenario and seed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlanReport {
     /// The scenario's title.
     pub title: String,
     /// The seed.
     pub seed: u64,
-    /// Length of the day, in microseconds.
+    /// Length of the run, in microseconds.
     pub length_us: u64,
-    /// Senders.
+    /// Number of senders.
     pub senders: usize,
-    /// Partners.
-    pub partners: usize,
-    /// Endpoints.
+    /// Number of destinations.
+    #[serde(rename = "partners")]
+    pub destinations: usize,
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Operations.
+    /// Number of client operations.
     pub operations: u64,
-    /// A checksum over all operations: times, keys, destinations, bodies.
+    /// Checksum of all operations: times, keys, destinations, body lengths.
     pub digest: String,
-    /// The faults, in order.
+    /// Descriptions of the faults, in their order.
     pub faults: Vec<String>,
 }
 
-/// Whether the rules held.
+/// Whether the invariants hold.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct VerdictReport {
-    /// Whether no rule broke.
+    /// Whether all invariants hold.
     pub kept: bool,
-    /// How often each rule broke.
+    /// Number of violations of each invariant that does not hold.
     pub broken: BTreeMap<Invariant, usize>,
 }
 
-/// How the day went.
+/// How the run went. A service is the share of the messages' worth that was delivered.
 #[derive(Clone, Debug, Serialize)]
 pub struct PlayedReport {
-    /// Whether times were measured on real clocks and differ from run to run.
+    /// Whether times were measured on real clocks, and so differ from run to run.
     pub measured: bool,
-    /// Service of the whole day, by class, by department, and by 10 s.
+    /// Service of the whole run.
     pub service: f64,
-    /// By class.
-    pub by_class: BTreeMap<&'static str, f64>,
-    /// By department.
-    pub by_department: BTreeMap<&'static str, f64>,
-    /// Each moment at which power came back, in microseconds, and how many seconds later messages fared well again.
-    pub well_after: Vec<(u64, Option<u64>)>,
-    /// By span of 10 s.
-    pub by_10_s: Vec<f64>,
-    /// Latency percentiles by class, in microseconds: 50, 90, 99, 99.9 and 100.
+    /// Service by message class.
+    #[serde(rename = "by_class")]
+    pub service_by_class: BTreeMap<&'static str, f64>,
+    /// Service by tenant.
+    #[serde(rename = "by_department")]
+    pub service_by_tenant: BTreeMap<&'static str, f64>,
+    /// For each time at which power came back, in microseconds, how many seconds later service recovered.
+    #[serde(rename = "well_after")]
+    pub recovery_after_power_loss: Vec<(At, Option<u64>)>,
+    /// Service by window of 10 s.
+    #[serde(rename = "by_10_s")]
+    pub service_by_window: Vec<f64>,
+    /// Latency percentiles by message class, in microseconds: 50, 90, 99, 99.9 and 100.
     pub latency_us: BTreeMap<&'static str, [u64; 5]>,
     /// Counts, by name.
     pub counts: BTreeMap<&'static str, u64>,
     /// Share of the calls that delivered nothing.
     pub waste: f64,
-    /// Faults of the plan that this world cannot play.
+    /// Faults of the plan that this kind of run cannot play.
     pub not_played: Vec<String>,
-    /// Partners that fell over, by whose calls.
-    pub fell: Vec<String>,
-    /// The first breaks, with their histories.
+    /// Destinations that failed by overload in slow start, and whose calls did it.
+    #[serde(rename = "fell")]
+    pub overloads: Vec<String>,
+    /// The first violations, with their histories.
     pub breaks: Vec<Violation>,
-    /// Where senders know each other: when something happened to the fleet, and how long after it all views were right,
-    /// in microseconds; none where something else happened before that.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub views_right: Vec<(At, Option<At>)>,
+    /// If senders form a membership: each time at which the fleet changed, and how long after it all views were right, in
+    /// microseconds; none if the fleet changed again before that.
+    #[serde(rename = "views_right", skip_serializing_if = "Vec::is_empty")]
+    pub convergence: Vec<(At, Option<At>)>,
 }
 
 /// The whole report.
@@ -82,37 +92,24 @@
 pub struct Report {
     /// What was to be played.
     pub plan: PlanReport,
-    /// Whether the rules held.
+    /// Whether the invariants hold.
     pub verdict: VerdictReport,
-    /// How it went.
+    /// How the run went.
     pub played: PlayedReport,
-    /// What the processes said of themselves.
+    /// The senders' membership and recovery events.
     #[serde(skip)]
     pub history: History,
 }
 
-fn rounded(share: f64) -> f64 {
-    (share * 1e4).round() / 1e4
-}
-
 impl PlanReport {
-    /// That of a plan.
+    /// Creates the report of a plan.
     pub fn new(plan: &Plan) -> Self {
-        let mut digest = 0xcbf2_9ce4_8422_2325u64;
+        let mut digest = FNV_OFFSET_BASIS;
         let mut operations = 0;
         for arrival in plan.arrivals() {
             operations += 1;
-            let (at, body) = (arrival.at.0, arrival.body);
-            let text = format!(
-                "{at} {} {} {} {:?} {body} {};",
-                arrival.class.name(),
-                arrival.tenant,
-                arrival.destination,
-                arrival.vehicle,
-                arrival.key
-            );
-            for byte in text.bytes() {
-                digest = (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+            for byte in digest_text(&arrival).bytes() {
+                digest = (digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
             }
         }
         Self {
@@ -120,144 +117,184 @@
             seed: plan.seed,
             length_us: plan.length().0,
             senders: plan.senders.len(),
-            partners: plan.partners.len(),
+            destinations: plan.partners.len(),
             endpoints: plan.endpoints().count(),
             operations,
             digest: format!("{digest:016x}"),
             faults: plan.faults.iter().map(|fault| fault.line()).collect(),
         }
     }
+
+    fn lines(&self) -> Vec<String> {
+        let mut lines = vec![
+            format!("{} (seed {}, {} s)", self.title, self.seed, seconds(self.length_us)),
+            format!(
+                "plan: {} operations for {} partners with {} endpoints, by {} senders; digest {}",
+                self.operations, self.destinations, self.endpoints, self.senders, self.digest
+            ),
+        ];
+        lines.extend(self.faults.iter().map(|fault| format!("  fault: {fault}")));
+        lines
+    }
+}
+
+/// Returns what the digest covers of an operation.
+fn digest_text(arrival: &Arrival) -> String {
+    let Arrival { at, class, tenant, destination, vehicle, body, key, .. } = arrival;
+    format!("{} {} {tenant} {destination} {vehicle:?} {body} {key};", at.0, class.name())
+}
+
+impl VerdictReport {
+    fn lines(&self) -> Vec<String> {
+        let verdict = if self.kept { "verdict: no rule broke" } else { "verdict: RULES BROKE" };
+        let counts = self.broken.iter().map(|(invariant, count)| format!("  {invariant:?}: {count}"));
+        std::iter::once(verdict.to_owned()).chain(counts).collect()
+    }
+}
+
+impl PlayedReport {
+    fn new(plan: &Plan, recorder: &Recorder, verdict: &Verdict, measured: bool) -> Self {
+        let counts = recorder.counts;
+        Self {
+            measured,
+            service: rounded(recorder.total.share()),
+            service_by_class: service_by_name(
+                recorder.classes.iter().map(|(class, service)| (class.name(), service)),
+            ),
+            service_by_tenant: service_by_name(TENANTS.iter().map(|(name, _)| *name).zip(&recorder.tenants)),
+            recovery_after_power_loss: recovery_after_power_loss(plan, recorder),
+            service_by_window: recorder.windows.iter().map(|window| rounded(window.share())).collect(),
+            latency_us: recorder.latency.iter().map(latency_quantiles).collect(),
+            counts: named_counts(&counts, verdict),
+            waste: rounded(1.0 - counts.useful as f64 / counts.calls.max(1) as f64),
+            not_played: recorder.not_played.clone(),
+            overloads: verdict.fell.clone(),
+            breaks: verdict.breaks.clone(),
+            convergence: if plan.scenario.has_peers() { recorder.history.settled() } else { Vec::new() },
+        }
+    }
+
+    fn lines(&self) -> Vec<String> {
+        let mut lines = self.service_lines();
+        lines.extend(self.latency_us.iter().map(|(class, quantiles)| latency_line(class, *quantiles)));
+        lines.extend(self.counts.iter().map(|(name, count)| format!("  {name}: {count}")));
+        lines.extend(self.overloads.iter().map(|overload| format!("  fell over: {overload}")));
+        lines.extend(self.not_played.iter().map(|fault| format!("  not played here: {fault}")));
+        lines.extend(self.convergence_line());
+        lines.extend(self.breaks.iter().take(MAX_SHOWN_VIOLATIONS).flat_map(violation_lines));
+        if self.breaks.len() > MAX_SHOWN_VIOLATIONS {
+            lines.push(format!("and {} more, in the JSON", self.breaks.len() - MAX_SHOWN_VIOLATIONS));
+        }
+        lines
+    }
+
+    fn service_lines(&self) -> Vec<String> {
+        let mut lines = vec![
+            if self.measured { "measured:" } else { "simulated:" }.to_owned(),
+            format!("  service {:.4}, waste {:.4}", self.service, self.waste),
+        ];
+        let services = self.service_by_class.iter().chain(&self.service_by_tenant);
+        lines.extend(services.map(|(name, share)| format!("  service of {name} {share:.4}")));
+        let windows = self.service_by_window.iter().enumerate();
+        if let Some((index, share)) = windows.min_by(|a, b| a.1.total_cmp(b.1)) {
+            let from = index as u64 * WINDOW_MICROS / 1_000_000;
+            lines.push(format!("  worst 10 s: from {from} s on, {share:.4}"));
+        }
+        for (at, delay) in &self.recovery_after_power_loss {
+            let delay = delay.map_or("not again".to_owned(), |delay| format!("{delay} s later"));
+            lines.push(format!("  power back at {} s: nine tenths of service {delay}", at / 1_000_000));
+        }
+        lines
+    }
+
+    fn convergence_line(&self) -> Option<String> {
+        let mut delays: Vec<At> = self.convergence.iter().filter_map(|(_, delay)| *delay).collect();
+        delays.sort_unstable();
+        let (median, longest) = (delays.get(delays.len() / 2)?, delays.last()?);
+        Some(format!(
+            "  views of each other right after {} of {} happenings: median {} s, most {} s",
+            delays.len(),
+            self.convergence.len(),
+            seconds(*median),
+            seconds(*longest)
+        ))
+    }
 }
 
 impl Report {
-    /// That of a run which is over.
+    /// Creates the report of a finished run.
     pub fn new(plan: &Plan, recorder: &Recorder, verdict: Verdict, measured: bool) -> Self {
-        let c = recorder.counts;
-        let counts = BTreeMap::from([
-            ("handed in", c.handed_in),
-            ("taken on", verdict.taken as u64),
-            ("found untried after a restart", verdict.found_untried as u64),
-            ("of these given up untried", verdict.given_up_untried as u64),
-            ("refused", c.refused),
-            ("unanswered", c.unanswered),
-            ("calls", c.calls),
-            ("calls turned away", c.full),
-            ("calls failed", c.failed),
-            ("calls given up", c.given_up),
-            ("calls that delivered", c.useful),
-            ("noticed as failed", c.noticed_failed),
-            ("noticed as returned", c.noticed_returned),
-            ("ends of senders", c.ends),
-            ("partners that fell over", verdict.fell.len() as u64),
-        ]);
-        let latency = |(class, all): (&Class, &hdrhistogram::Histogram<u32>)| {
-            (class.name(), [0.5, 0.9, 0.99, 0.999, 1.0].map(|q| all.value_at_quantile(q)))
-        };
         Self {
             plan: PlanReport::new(plan),
+            played: PlayedReport::new(plan, recorder, &verdict, measured),
             verdict: VerdictReport { kept: verdict.clean(), broken: verdict.counts },
-            played: PlayedReport {
-                measured,
-                service: rounded(recorder.whole.share()),
-                by_class: recorder.classes.iter().map(|(c, s)| (c.name(), rounded(s.share()))).collect(),
-                by_department: (TENANTS.iter().zip(&recorder.tenants))
-                    .map(|((name, _), s)| (*name, rounded(s.share())))
-                    .collect(),
-                well_after: (plan.faults.iter())
-                    .filter(|fault| fault.kind == FaultKind::PowerLoss)
-                    .map(|fault| (fault.until.0, recorder.well_after(fault.until.0)))
-                    .collect(),
-                by_10_s: recorder.windows.iter().map(|s| rounded(s.share())).collect(),
-                latency_us: recorder.latency.iter().map(latency).collect(),
-                counts,
-                waste: rounded(1.0 - c.useful as f64 / c.calls.max(1) as f64),
-                not_played: recorder.not_played.clone(),
-                fell: verdict.fell,
-                breaks: verdict.breaks,
-                views_right: if plan.scenario.has_peers() { recorder.history.settled() } else { Vec::new() },
-            },
             history: recorder.history.clone(),
         }
     }
 
-    /// The report for machines.
+    /// Returns the report as JSON.
     pub fn json(&self) -> String {
         // Names, numbers and text always have a JSON form.
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
-    /// The report for people.
+    /// Returns the report as text.
     pub fn text(&self) -> String {
-        let mut text = String::new();
-        let mut line = |s: String| {
-            let _ = writeln!(text, "{s}");
-        };
-        let (plan, played) = (&self.plan, &self.played);
-        line(format!("{} (seed {}, {} s)", plan.title, plan.seed, seconds(plan.length_us)));
-        line(format!(
-            "plan: {} operations for {} partners with {} endpoints, by {} senders; digest {}",
-            plan.operations, plan.partners, plan.endpoints, plan.senders, plan.digest
-        ));
-        for fault in &plan.faults {
-            line(format!("  fault: {fault}"));
-        }
-        line(if self.verdict.kept {
-            "verdict: no rule broke".to_owned()
-        } else {
-            "verdict: RULES BROKE".to_owned()
-        });
-        for (rule, count) in &self.verdict.broken {
-            line(format!("  {rule:?}: {count}"));
-        }
-        line(if played.measured { "measured:" } else { "simulated:" }.to_owned());
-        line(format!("  service {:.4}, waste {:.4}", played.service, played.waste));
-        for (name, share) in played.by_class.iter().chain(&played.by_department) {
-            line(format!("  service of {name} {share:.4}"));
-        }
-        let worst = played.by_10_s.iter().enumerate().min_by(|a, b| a.1.total_cmp(b.1));
-        if let Some((place, share)) = worst {
-            line(format!("  worst 10 s: from {} s on, {share:.4}", place as u64 * WINDOW / 1_000_000));
-        }
-        for (at, took) in &played.well_after {
-            let took = took.map_or("not again".to_owned(), |took| format!("{took} s later"));
-            line(format!("  power back at {} s: nine tenths of service {took}", at / 1_000_000));
-        }
-        for (class, l) in &played.latency_us {
-            let [p50, p90, p99, p999, most] = l.map(|us| us as f64 / 1e3);
-            line(format!(
-                "  latency of {class}, ms: 50% {p50:.1}, 90% {p90:.1}, 99% {p99:.1}, 99.9% {p999:.1}, most {most:.1}"
-            ));
-        }
-        for (name, count) in &played.counts {
-            line(format!("  {name}: {count}"));
-        }
-        for fall in &played.fell {
-            line(format!("  fell over: {fall}"));
-        }
-        for fault in &played.not_played {
-            line(format!("  not played here: {fault}"));
-        }
-        let mut took: Vec<At> = played.views_right.iter().filter_map(|(_, took)| *took).collect();
-        took.sort_unstable();
-        if let (Some(median), Some(most)) = (took.get(took.len() / 2), took.last()) {
-            line(format!(
-                "  views of each other right after {} of {} happenings: median {} s, most {} s",
-                took.len(),
-                played.views_right.len(),
-                seconds(*median),
-                seconds(*most)
-            ));
-        }
-        for broken in played.breaks.iter().take(MOST_SHOWN) {
-            let id = broken.id.as_deref().unwrap_or("-");
-            line(format!("{:?} at {}, message {id}: {}", broken.rule, seconds(broken.at), broken.what));
-            for step in &broken.history {
-                line(format!("    {step}"));
-            }
-        }
-        if played.breaks.len() > MOST_SHOWN {
-            line(format!("and {} more, in the JSON", played.breaks.len() - MOST_SHOWN));
-        }
-        text
+        let lines = [self.plan.lines(), self.verdict.lines(), self.played.lines()].concat();
+        lines.join("\n") + "\n"
     }
 }
+
+fn rounded(share: f64) -> f64 {
+    (share * 1e4).round() / 1e4
+}
+
+fn service_by_name<'a>(
+    services: impl Iterator<Item = (&'static str, &'a Service)>,
+) -> BTreeMap<&'static str, f64> {
+    services.map(|(name, service)| (name, rounded(service.share()))).collect()
+}
+
+fn recovery_after_power_loss(plan: &Plan, recorder: &Recorder) -> Vec<(At, Option<u64>)> {
+    let power_losses = plan.faults.iter().filter(|fault| fault.kind == FaultKind::PowerLoss);
+    power_losses.map(|fault| (fault.until.0, recorder.recovery_seconds(fault.until.0))).collect()
+}
+
+fn latency_quantiles((class, latency): (&Class, &Histogram<u32>)) -> (&'static str, [u64; 5]) {
+    (class.name(), QUANTILES.map(|quantile| latency.value_at_quantile(quantile)))
+}
+
+fn latency_line(class: &str, quantiles: [u64; 5]) -> String {
+    let [p50, p90, p99, p999, max] = quantiles.map(|micros| micros as f64 / 1e3);
+    format!(
+        "  latency of {class}, ms: 50% {p50:.1}, 90% {p90:.1}, 99% {p99:.1}, 99.9% {p999:.1}, most {max:.1}"
+    )
+}
+
+fn named_counts(counts: &Counts, verdict: &Verdict) -> BTreeMap<&'static str, u64> {
+    BTreeMap::from([
+        ("handed in", counts.submitted),
+        ("taken on", verdict.accepted as u64),
+        ("found untried after a restart", verdict.left_untried as u64),
+        ("of these given up untried", verdict.ended_untried as u64),
+        ("refused", counts.rejected),
+        ("unanswered", counts.unanswered),
+        ("calls", counts.calls),
+        ("calls turned away", counts.calls_rejected),
+        ("calls failed", counts.calls_failed),
+        ("calls given up", counts.calls_abandoned),
+        ("calls that delivered", counts.useful),
+        ("noticed as failed", counts.notified_failed),
+        ("noticed as returned", counts.notified_returned),
+        ("ends of senders", counts.exits),
+        ("partners that fell over", verdict.fell.len() as u64),
+    ])
+}
+
+fn violation_lines(violation: &Violation) -> Vec<String> {
+    let message = violation.id.as_deref().unwrap_or("-");
+    let (invariant, at) = (violation.rule, seconds(violation.at));
+    let mut lines = vec![format!("{invariant:?} at {at}, message {message}: {}", violation.what)];
+    lines.extend(violation.history.iter().map(|step| format!("    {step}")));
+    lines
+}
--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -82,7 +82,7 @@
 
 impl FaultKind {
     /// Returns whether the fault affects the traffic between senders.
-    pub fn strikes_peers(self) -> bool {
+    pub fn affects_peers(self) -> bool {
         matches!(self, Self::Cut | Self::Slow | Self::Lose | Self::Break)
     }
 
@@ -152,13 +152,15 @@
     pub at: Spanned<Span>,
     /// How long the fault lasts.
     #[serde(rename = "for")]
-    pub lasts: Option<Span>,
+    pub duration: Option<Span>,
     /// Numbers of the affected destinations, from 0; all if neither this nor `share` is given.
-    pub partners: Option<Vec<u32>>,
+    #[serde(rename = "partners")]
+    pub destinations: Option<Vec<u32>>,
     /// Share of the destinations or senders that is affected, drawn from the seed.
     pub share: Option<Percent>,
     /// Restricts the fault to endpoints or senders in this zone.
-    pub building: Option<String>,
+    #[serde(rename = "building")]
+    pub zone: Option<String>,
     /// Share of the calls that is affected, or of the limit that remains.
     pub calls: Option<Percent>,
     /// Numbers of the affected senders, from 0.
@@ -177,27 +179,32 @@
     pub nth: Option<u64>,
     /// At which point of that write.
     #[serde(rename = "where")]
-    pub place: Option<Where>,
+    pub write_point: Option<Where>,
     /// How long a sender stays down before it is started again.
     pub down: Option<Span>,
     /// The direction of a cut.
-    pub ways: Option<Ways>,
+    #[serde(rename = "ways")]
+    pub direction: Option<Ways>,
     /// Numbers of the senders that a cut separates from; all others if not given.
     pub between: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
-    pub from_partners: Option<bool>,
+    #[serde(rename = "from_partners")]
+    pub cuts_destinations: Option<bool>,
     /// Maximum of the random delay that is added to `delay`.
     pub jitter: Option<Span>,
     /// Period over which the senders that lost power come back.
-    pub back: Option<Span>,
+    #[serde(rename = "back")]
+    pub return_period: Option<Span>,
     /// The content of the state folder after a restart.
     pub folder: Option<FolderKept>,
     /// Share of the senders that lost power and never come back.
-    pub never: Option<Percent>,
+    #[serde(rename = "never")]
+    pub lost_share: Option<Percent>,
     /// Maximum error of the senders' clocks afterwards, in either direction.
     pub clock: Option<Span>,
     /// Whether the endpoints in the same zone lose power too, and go through a slow start.
-    pub with_partners: Option<bool>,
+    #[serde(rename = "with_partners")]
+    pub includes_endpoints: Option<bool>,
 }
 
 impl Fault {
@@ -206,10 +213,10 @@
         Self {
             kind,
             at: Spanned::new(0..0, at),
-            lasts: None,
-            partners: None,
+            duration: None,
+            destinations: None,
             share: None,
-            building: None,
+            zone: None,
             calls: None,
             senders: None,
             how: None,
@@ -218,17 +225,17 @@
             pause: None,
             delay: None,
             nth: None,
-            place: None,
+            write_point: None,
             down: None,
-            ways: None,
+            direction: None,
             between: None,
-            from_partners: None,
+            cuts_destinations: None,
             jitter: None,
-            back: None,
+            return_period: None,
             folder: None,
-            never: None,
+            lost_share: None,
             clock: None,
-            with_partners: None,
+            includes_endpoints: None,
         }
     }
 
--- a/crates/micadrum-testkit/src/scenario/fault_fields.rs
+++ b/crates/micadrum-testkit/src/scenario/fault_fields.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns whether the fault affects endpoints of destinations.
-    pub fn strikes_partners(self) -> bool {
+    pub fn affects_destinations(self) -> bool {
         self.fields().optional.contains(&"partners")
     }
 }
@@ -63,13 +63,13 @@
     /// Returns for each field whether it is given.
     pub(super) fn given_fields(&self) -> BTreeMap<&'static str, bool> {
         BTreeMap::from([
-            ("for", self.lasts.is_some()),
-            ("partners", self.partners.is_some()),
-            ("never", self.never.is_some()),
+            ("for", self.duration.is_some()),
+            ("partners", self.destinations.is_some()),
+            ("never", self.lost_share.is_some()),
             ("clock", self.clock.is_some()),
-            ("with_partners", self.with_partners.is_some()),
+            ("with_partners", self.includes_endpoints.is_some()),
             ("share", self.share.is_some()),
-            ("building", self.building.is_some()),
+            ("building", self.zone.is_some()),
             ("calls", self.calls.is_some()),
             ("senders", self.senders.is_some()),
             ("how", self.how.is_some()),
@@ -78,13 +78,13 @@
             ("pause", self.pause.is_some()),
             ("delay", self.delay.is_some()),
             ("nth", self.nth.is_some()),
-            ("where", self.place.is_some()),
+            ("where", self.write_point.is_some()),
             ("down", self.down.is_some()),
-            ("ways", self.ways.is_some()),
+            ("ways", self.direction.is_some()),
             ("between", self.between.is_some()),
-            ("from_partners", self.from_partners.is_some()),
+            ("from_partners", self.cuts_destinations.is_some()),
             ("jitter", self.jitter.is_some()),
-            ("back", self.back.is_some()),
+            ("back", self.return_period.is_some()),
             ("folder", self.folder.is_some()),
         ])
     }
--- a/crates/micadrum-testkit/src/scenario/fault_validation.rs
+++ b/crates/micadrum-testkit/src/scenario/fault_validation.rs
@@ -61,10 +61,10 @@
     validate_fields(fault)?;
     validate_targets(fault, scenario)?;
     validate_times(fault)?;
-    if fault.kind.strikes_peers() && !scenario.has_peers() {
+    if fault.kind.affects_peers() && !scenario.has_peers() {
         return Err(FaultError::NoPeers(fault.name()));
     }
-    let end = Span(fault.at.get_ref().0 + fault.lasts.unwrap_or(Span(0)).0);
+    let end = Span(fault.at.get_ref().0 + fault.duration.unwrap_or(Span(0)).0);
     let length = *scenario.length.get_ref();
     if end > length {
         return Err(FaultError::OutsideRun { end, length });
@@ -87,13 +87,13 @@
 }
 
 fn validate_targets(fault: &Fault, scenario: &Scenario) -> Result<(), FaultError> {
-    if let Some(zone) = &fault.building
+    if let Some(zone) = &fault.zone
         && !scenario.buildings.get_ref().contains(zone)
     {
         return Err(FaultError::UnknownZone(zone.clone()));
     }
-    let (destinations, senders) = (*scenario.partners.get_ref(), *scenario.senders.get_ref());
-    validate_numbers(fault.partners.as_deref(), "partner", destinations)?;
+    let (destinations, senders) = (*scenario.destinations.get_ref(), *scenario.senders.get_ref());
+    validate_numbers(fault.destinations.as_deref(), "partner", destinations)?;
     validate_numbers(fault.senders.as_deref(), "sender", senders)?;
     validate_numbers(fault.between.as_deref(), "sender", senders)
 }
@@ -109,7 +109,7 @@
     if fault.nth == Some(0) || fault.batch == Some(0) {
         return Err(FaultError::ZeroCount);
     }
-    if fault.every == Some(Span(0)) || fault.lasts == Some(Span(0)) {
+    if fault.every == Some(Span(0)) || fault.duration == Some(Span(0)) {
         return Err(FaultError::ZeroDuration);
     }
     if let (Some(pause), Some(interval)) = (fault.pause, fault.every)
--- a/crates/micadrum-testkit/src/scenario/schema.rs
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -15,21 +15,21 @@
     /// Number of senders that share the traffic.
     pub senders: Spanned<u32>,
     /// Number of destinations, each of which has one to four endpoints.
-    #[serde(default = "default_partners")]
-    pub partners: Spanned<u32>,
+    #[serde(rename = "partners", default = "default_destinations")]
+    pub destinations: Spanned<u32>,
     /// Messages per second, over all senders.
     pub traffic: Rate,
     /// The traffic as a share of the destinations' capacity.
     #[serde(default = "default_load")]
     pub load: Spanned<Percent>,
     /// Share of the messages that arrive in bursts for one destination.
-    #[serde(default)]
-    pub clumps: Percent,
+    #[serde(rename = "clumps", default)]
+    pub burst_share: Percent,
     /// Number of distinct vehicles, whose trip records are delivered in order.
     #[serde(default = "default_vehicles")]
     pub vehicles: u32,
     /// Names of the zones.
-    #[serde(default = "default_buildings")]
+    #[serde(default = "default_zones")]
     pub buildings: Spanned<Vec<String>>,
     /// One-way latency between two zones.
     #[serde(default = "default_crossing")]
@@ -82,9 +82,10 @@
     pub at: Spanned<Span>,
     /// How long the period lasts.
     #[serde(rename = "for")]
-    pub lasts: Span,
+    pub duration: Span,
     /// The traffic as a multiple of the usual one.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub traffic_factor: f64,
 }
 
 /// A request for a sender's view of the membership.
@@ -101,7 +102,7 @@
     Spanned::new(0..0, value)
 }
 
-fn default_partners() -> Spanned<u32> {
+fn default_destinations() -> Spanned<u32> {
     default_value(9)
 }
 
@@ -113,7 +114,7 @@
     2000
 }
 
-fn default_buildings() -> Spanned<Vec<String>> {
+fn default_zones() -> Spanned<Vec<String>> {
     default_value(vec!["building-a".to_owned(), "building-b".to_owned()])
 }
 
--- a/crates/micadrum-testkit/src/scenario/validation.rs
+++ b/crates/micadrum-testkit/src/scenario/validation.rs
@@ -116,7 +116,7 @@
 fn validate_sizes(scenario: &Scenario) -> Result<(), LocatedProblem> {
     let length_range = MIN_LENGTH..=MAX_LENGTH;
     check_value(&scenario.length, |length| length_range.contains(length), ScenarioProblem::Length)?;
-    for (field, count) in [("senders", &scenario.senders), ("partners", &scenario.partners)] {
+    for (field, count) in [("senders", &scenario.senders), ("partners", &scenario.destinations)] {
         let is_valid = |count: &u32| (1..=MAX_PARTIES).contains(count);
         check_value(count, is_valid, ScenarioProblem::Parties(field))?;
     }
@@ -139,10 +139,10 @@
 }
 
 fn validate_peak(peak: &Peak, length: Span) -> Result<(), LocatedProblem> {
-    let end = Span(peak.at.get_ref().0 + peak.lasts.0);
+    let end = Span(peak.at.get_ref().0 + peak.duration.0);
     check_value(&peak.at, |_| end <= length, ScenarioProblem::PeakOutsideRun { end, length })?;
     let factor_range = 0.0..=MAX_TRAFFIC_FACTOR;
-    check_value(&peak.at, |_| factor_range.contains(&peak.times), ScenarioProblem::TrafficFactor)
+    check_value(&peak.at, |_| factor_range.contains(&peak.traffic_factor), ScenarioProblem::TrafficFactor)
 }
 
 /// Reports `problem` at `value` unless it is valid.
--- a/crates/micadrum-testkit/src/seed_search.rs
+++ b/crates/micadrum-testkit/src/seed_search.rs
@@ -16,7 +16,7 @@
 const LENGTH_STEP_MICROS: u64 = 1_000_000;
 
 /// A seed whose run violates an invariant.
-pub struct Failing {
+pub struct FailingSeed {
     /// The seed.
     pub seed: u64,
     /// The invariants that the full plan violates, with the number of violations.
@@ -33,14 +33,14 @@
 
 /// The result of a search.
 #[derive(Default)]
-pub struct Found {
+pub struct SearchResult {
     /// Number of seeds that were run.
     pub played: u64,
     /// The seeds that violate an invariant, in ascending order.
-    pub failing: Vec<Failing>,
+    pub failing: Vec<FailingSeed>,
 }
 
-impl Failing {
+impl FailingSeed {
     /// Describes the failure, with the commands that replay it; `options` are those of the search.
     pub fn text(&self, file: &str, options: &str) -> String {
         let command = format!("micadrum-testkit simulate {file}{options} --seed {}", self.seed);
@@ -97,9 +97,9 @@
     jobs: usize,
     plan: &(dyn Fn(u64) -> Plan + Sync),
     progress: &(dyn Fn(u64, usize) + Sync),
-) -> Found {
+) -> SearchResult {
     let (next, last) = (AtomicU64::new(*seeds.start()), *seeds.end());
-    let found = Mutex::new(Found::default());
+    let found = Mutex::new(SearchResult::default());
     let work = || {
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -134,7 +134,7 @@
 
 /// Shrinks the plan of a failing seed: removes one fault after another, and then shortens the run, as long as the run
 /// still fails.
-fn shrink(seed: u64, plan: &dyn Fn(u64) -> Plan, failure: Failure) -> Failing {
+fn shrink(seed: u64, plan: &dyn Fn(u64) -> Plan, failure: Failure) -> FailingSeed {
     let broken = failure.violation_counts();
     let full_plan = plan(seed);
     let mut shrinking = Shrinking {
@@ -147,7 +147,7 @@
     shrinking.remove_faults();
     shrinking.shorten();
     let lines = shrinking.shrunk_plan(&shrinking.faults, shrinking.length).faults;
-    Failing {
+    FailingSeed {
         seed,
         broken,
         lines: lines.iter().map(|fault| fault.line()).collect(),
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -1,4 +1,4 @@
-//! Goes through what was seen as it comes: the judge's rules, and the figures of service.
+//! Processes the observations of a run: checks the invariants, and measures the service that clients got.
 use crate::history::History;
 use crate::invariants::{InvariantChecker, Verdict, look_at_views};
 use crate::observation::{At, MessageEnd, Seen, Told};
@@ -6,237 +6,246 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Service is counted in spans of so long, in microseconds.
-pub const WINDOW: At = 10_000_000;
-/// Longest latency that is told apart, in microseconds.
-const MOST_LATENCY: u64 = 60_000_000;
-
-/// Worth asked for and delivered.
+/// Length of the windows by which service is reported, in microseconds.
+pub const WINDOW_MICROS: At = 10_000_000;
+/// Maximum latency that is distinguished, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
+/// Significant digits of recorded latencies.
+const LATENCY_DIGITS: u8 = 3;
+/// Service by second is recorded for this many seconds.
+const MAX_RECORDED_SECONDS: usize = 3600;
+/// Service has recovered when this share of the worth is delivered ...
+const RECOVERED_SHARE: f64 = 0.9;
+/// ... in this many seconds in a row.
+const RECOVERED_SECONDS: usize = 2;
+const MICROS_PER_SECOND: At = 1_000_000;
+
+/// The worth of messages that was submitted and delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Operations.
+    /// Number of operations.
     pub asked: u64,
-    /// Worth delivered, an operation in time counting 1.
+    /// Worth that was delivered; an operation within the latency objective is worth 1.
     pub earned: f64,
 }
 
 impl Service {
-    /// The share that was delivered; 1 where nothing was asked for.
+    /// Returns the share of the worth that was delivered; 1 if there were no operations.
     pub fn share(&self) -> f64 {
         if self.asked == 0 { 1.0 } else { self.earned / self.asked as f64 }
     }
+
+    fn has_recovered(&self) -> bool {
+        self.asked > 0 && self.share() >= RECOVERED_SHARE
+    }
 }
 
+/// An operation that has not ended.
 struct Operation {
     class: Class,
     tenant: usize,
-    first: At,
+    first_submitted: At,
 }
 
 /// Counts of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Times that a message was handed in.
-    pub handed_in: u64,
-    /// Of these, turned away.
-    pub refused: u64,
-    /// Not answered in the client's time.
+    /// Submissions of messages.
+    pub submitted: u64,
+    /// Submissions that were rejected.
+    pub rejected: u64,
+    /// Submissions that were not answered in the client's time.
     pub unanswered: u64,
     /// Calls to endpoints.
     pub calls: u64,
-    /// Calls that were turned away.
-    pub full: u64,
-    /// Calls that failed or were spoilt.
-    pub failed: u64,
-    /// Calls that the sender gave up.
-    pub given_up: u64,
-    /// Calls that delivered something.
+    /// Calls that were rejected as over capacity.
+    pub calls_rejected: u64,
+    /// Calls that failed, or whose answer was corrupted.
+    pub calls_failed: u64,
+    /// Calls that the sender abandoned.
+    pub calls_abandoned: u64,
+    /// Calls that delivered a message.
     pub useful: u64,
-    /// Notices that a message failed.
-    pub noticed_failed: u64,
-    /// Notices that a message is returned.
-    pub noticed_returned: u64,
-    /// Restarts and ends of senders.
-    pub ends: u64,
+    /// Notifications that a message failed.
+    pub notified_failed: u64,
+    /// Notifications that a message is returned.
+    pub notified_returned: u64,
+    /// Ends of senders' processes.
+    pub exits: u64,
 }
 
-/// Seconds that are told apart.
-const MOST_SECONDS: usize = 3600;
-
-/// Takes in observations; one for each run.
+/// Processes the observations of one run.
+#[derive(Default)]
 pub struct Recorder {
-    judge: InvariantChecker,
+    checker: InvariantChecker,
     operations: BTreeMap<u64, Operation>,
-    /// The operation of each message, for those under way.
-    of: BTreeMap<String, u64>,
-    offered: usize,
-    /// The whole day.
-    pub whole: Service,
-    /// By class.
+    /// The operation of each message that has not ended.
+    operation_of_message: BTreeMap<String, u64>,
+    operation_count: usize,
+    /// When the run began.
+    started_at: Option<At>,
+    /// Service of the whole run.
+    pub total: Service,
+    /// Service by message class.
     pub classes: BTreeMap<Class, Service>,
-    /// By department.
-    pub tenants: Vec<Service>,
-    /// By span of the day, by when an operation was first handed in.
+    /// Service by tenant.
+    pub tenants: [Service; TENANTS.len()],
+    /// Service by window of the run, in which an operation was first submitted.
     pub windows: Vec<Service>,
-    /// The same by second, of the first hour.
+    /// Service by second of the first hour, in which an operation was first submitted.
     pub seconds: Vec<Service>,
-    /// From first hand-in to delivery, in microseconds.
+    /// Time from first submission to delivery, in microseconds.
     pub latency: BTreeMap<Class, Histogram<u32>>,
     /// Counts.
     pub counts: Counts,
-    /// Faults that this world cannot play.
+    /// Faults that this kind of run cannot play.
     pub not_played: Vec<String>,
-    /// What the processes said of themselves.
+    /// The senders' membership and recovery events.
     pub history: History,
-    begun: Option<At>,
-}
-
-impl Default for Recorder {
-    fn default() -> Self {
-        Self {
-            judge: InvariantChecker::default(),
-            operations: BTreeMap::new(),
-            of: BTreeMap::new(),
-            offered: 0,
-            whole: Service::default(),
-            classes: BTreeMap::new(),
-            tenants: vec![Service::default(); TENANTS.len()],
-            windows: Vec::new(),
-            seconds: Vec::new(),
-            latency: BTreeMap::new(),
-            counts: Counts::default(),
-            not_played: Vec::new(),
-            history: History::default(),
-            begun: None,
-        }
-    }
 }
 
 impl Recorder {
-    /// One that keeps this history.
+    /// Creates a recorder with an empty history of the senders of a plan.
     #[must_use]
     pub fn with(history: History) -> Self {
         Self { history, ..Self::default() }
     }
 
-    /// An operation is handed in for the first time.
+    /// A client submits the message of an operation for the first time.
     pub fn offered(&mut self, arrival: &Arrival, at: At) {
-        self.offered += 1;
-        let begun = *self.begun.get_or_insert(at.saturating_sub(arrival.at.0));
-        let operation = Operation { class: arrival.class, tenant: arrival.tenant, first: at };
-        let window = ((at - begun) / WINDOW) as usize;
-        if self.windows.len() <= window {
-            self.windows.resize(window + 1, Service::default());
+        self.operation_count += 1;
+        self.started_at.get_or_insert(at.saturating_sub(arrival.at.0));
+        let Arrival { class, tenant, number, .. } = *arrival;
+        let operation = Operation { class, tenant, first_submitted: at };
+        self.grow_windows(at);
+        self.for_each_service(&operation, |service| service.asked += 1);
+        self.operations.insert(number, operation);
+    }
+
+    /// Makes room for the window and the second of `at`.
+    fn grow_windows(&mut self, at: At) {
+        let windows = self.index(at, WINDOW_MICROS) + 1;
+        if self.windows.len() < windows {
+            self.windows.resize(windows, Service::default());
         }
-        self.whole.asked += 1;
-        self.classes.entry(arrival.class).or_default().asked += 1;
-        self.tenants[arrival.tenant].asked += 1;
-        self.windows[window].asked += 1;
-        let second = ((at - begun) / 1_000_000) as usize;
-        if second < MOST_SECONDS {
-            self.seconds.resize(self.seconds.len().max(second + 1), Service::default());
-            self.seconds[second].asked += 1;
+        let seconds = self.index(at, MICROS_PER_SECOND) + 1;
+        if (self.seconds.len() + 1..=MAX_RECORDED_SECONDS).contains(&seconds) {
+            self.seconds.resize(seconds, Service::default());
+        }
+    }
+
+    /// Returns the index of the period of the run that contains `at`.
+    fn index(&self, at: At, period: At) -> usize {
+        ((at - self.started_at.unwrap_or(0)) / period) as usize
+    }
+
+    /// Updates each measure of service that an operation is part of.
+    fn for_each_service(&mut self, operation: &Operation, update: impl Fn(&mut Service)) {
+        let window = self.index(operation.first_submitted, WINDOW_MICROS);
+        let second = self.index(operation.first_submitted, MICROS_PER_SECOND);
+        update(&mut self.total);
+        update(self.classes.entry(operation.class).or_default());
+        update(&mut self.tenants[operation.tenant]);
+        update(&mut self.windows[window]);
+        if let Some(service) = self.seconds.get_mut(second) {
+            update(service);
         }
-        self.operations.insert(arrival.number, operation);
     }
 
-    /// How long after a moment of the day messages that were first handed in fared well again, for two seconds on end: each
-    /// got nine tenths of its worth on the mean. In seconds; none where they did not.
-    pub fn well_after(&self, at: At) -> Option<u64> {
-        let from = at.div_ceil(1_000_000);
-        let well = |second: &Service| second.asked > 0 && second.share() >= 0.9;
-        let rest = self.seconds.get(from as usize..)?;
-        rest.windows(2).position(|pair| pair.iter().all(well)).map(|place| place as u64)
+    /// Returns how many seconds after `at` service had recovered: messages first submitted in each of two seconds in a
+    /// row got nine tenths of their worth. None if it did not recover.
+    pub fn recovery_seconds(&self, at: At) -> Option<u64> {
+        let first_second = at.div_ceil(MICROS_PER_SECOND) as usize;
+        let seconds = self.seconds.get(first_second..)?;
+        let delay = seconds.windows(RECOVERED_SECONDS).position(|row| row.iter().all(Service::has_recovered));
+        delay.map(|delay| delay as u64)
     }
 
-    /// Operations so far.
+    /// Returns the number of operations so far.
     pub fn operations(&self) -> usize {
-        self.offered
+        self.operation_count
     }
 
-    /// A fault that this world cannot play.
+    /// Notes a fault that this kind of run cannot play.
     pub fn not_played(&mut self, fault: &PlannedFault) {
         self.not_played.push(fault.line());
     }
 
-    /// Takes in one observation.
+    /// Processes one observation.
     pub fn see(&mut self, at: At, seen: &Seen) {
-        self.judge.see(at, seen);
-        let counts = &mut self.counts;
+        self.checker.see(at, seen);
         match seen {
             Seen::HandedIn { id, operation, .. } => {
-                counts.handed_in += 1;
-                self.of.insert(id.clone(), *operation);
-            }
-            Seen::Answered { id, told } => {
-                match told {
-                    Told::TakenOn => {}
-                    Told::Refused | Told::Failed => counts.refused += 1,
-                    Told::Nothing | Told::Cut => counts.unanswered += 1,
-                }
-                if *told != Told::TakenOn {
-                    self.of.remove(id);
-                }
+                self.counts.submitted += 1;
+                self.operation_of_message.insert(id.clone(), *operation);
             }
-            Seen::Began { .. } => counts.calls += 1,
-            Seen::Closed { .. } => counts.given_up += 1,
-            Seen::Replied { ends, .. } => {
-                let any = |end: MessageEnd| ends.iter().any(|(_, e)| *e == end);
-                if any(MessageEnd::Ok) {
-                    counts.useful += 1;
-                } else if any(MessageEnd::Full) {
-                    counts.full += 1;
-                } else {
-                    counts.failed += 1;
-                }
-                for (id, end) in ends {
-                    if *end == MessageEnd::Ok {
-                        self.delivered(at, id);
-                    }
-                }
-            }
-            Seen::Noticed { id, returned } => {
-                if *returned {
-                    counts.noticed_returned += 1;
-                } else {
-                    counts.noticed_failed += 1;
-                }
-                self.of.remove(id);
-            }
-            Seen::Exited { .. } => counts.ends += 1,
+            Seen::Answered { id, told } => self.answered(id, *told),
+            Seen::Began { .. } => self.counts.calls += 1,
+            Seen::Closed { .. } => self.counts.calls_abandoned += 1,
+            Seen::Replied { ends, .. } => self.replied(at, ends),
+            Seen::Noticed { id, returned } => self.notified(id, *returned),
+            Seen::Exited { .. } => self.counts.exits += 1,
             _ => {}
         }
     }
 
-    fn delivered(&mut self, at: At, id: &str) {
-        let Some(operation) = self.of.remove(id).and_then(|number| self.operations.remove(&number)) else {
-            return;
-        };
-        let took = at.saturating_sub(operation.first);
-        let late = took.saturating_sub(AIM.0) as f64 / (operation.class.deadline().0 - AIM.0) as f64;
-        let worth = 1.0 - (1.0 - LATE_WORTH) * late.min(1.0);
-        let window = ((operation.first - self.begun.unwrap_or(0)) / WINDOW) as usize;
-        self.whole.earned += worth;
-        self.classes.entry(operation.class).or_default().earned += worth;
-        self.tenants[operation.tenant].earned += worth;
-        self.windows[window].earned += worth;
-        let second = ((operation.first - self.begun.unwrap_or(0)) / 1_000_000) as usize;
-        if let Some(second) = self.seconds.get_mut(second) {
-            second.earned += worth;
+    fn answered(&mut self, id: &str, told: Told) {
+        match told {
+            Told::TakenOn => return,
+            Told::Refused | Told::Failed => self.counts.rejected += 1,
+            Told::Nothing | Told::Cut => self.counts.unanswered += 1,
+        }
+        self.operation_of_message.remove(id);
+    }
+
+    fn replied(&mut self, at: At, ends: &[(String, MessageEnd)]) {
+        let has = |wanted: MessageEnd| ends.iter().any(|(_, end)| *end == wanted);
+        if has(MessageEnd::Ok) {
+            self.counts.useful += 1;
+        } else if has(MessageEnd::Full) {
+            self.counts.calls_rejected += 1;
+        } else {
+            self.counts.calls_failed += 1;
         }
-        let latency = self.latency.entry(operation.class).or_insert_with(|| {
+        for (id, _) in ends.iter().filter(|(_, end)| *end == MessageEnd::Ok) {
+            self.delivered(at, id);
+        }
+    }
+
+    fn notified(&mut self, id: &str, is_returned: bool) {
+        if is_returned {
+            self.counts.notified_returned += 1;
+        } else {
+            self.counts.notified_failed += 1;
+        }
+        self.operation_of_message.remove(id);
+    }
+
+    fn delivered(&mut self, at: At, id: &str) {
+        let Some(number) = self.operation_of_message.remove(id) else { return };
+        let Some(operation) = self.operations.remove(&number) else { return };
+        let latency = at.saturating_sub(operation.first_submitted);
+        let worth = worth(operation.class, latency);
+        self.for_each_service(&operation, |service| service.earned += worth);
+        let histogram = self.latency.entry(operation.class).or_insert_with(|| {
             // The bounds are constants that it accepts.
-            Histogram::new_with_bounds(1, MOST_LATENCY, 3).expect("valid bounds")
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS).expect("valid bounds")
         });
-        latency.saturating_record(took.max(1));
+        histogram.saturating_record(latency.max(1));
     }
 
-    /// The judge's verdict, once the run is over; `peers` where senders know each other.
-    pub fn verdict(&mut self, at: At, peers: bool) -> Verdict {
-        let mut verdict = std::mem::take(&mut self.judge).verdict(at);
-        if peers {
+    /// Returns the verdict once the run is over, including that on membership if `has_peers`.
+    pub fn verdict(&mut self, at: At, has_peers: bool) -> Verdict {
+        let mut verdict = std::mem::take(&mut self.checker).verdict(at);
+        if has_peers {
             look_at_views(&self.history, at, &mut verdict);
         }
         verdict
     }
 }
+
+/// Returns what a delivery is worth: 1 up to the latency objective, and linearly less up to the deadline.
+fn worth(class: Class, latency: At) -> f64 {
+    let late = latency.saturating_sub(AIM.0) as f64 / (class.deadline().0 - AIM.0) as f64;
+    1.0 - (1.0 - LATE_WORTH) * late.min(1.0)
+}
--- a/crates/micadrum-testkit/src/trace_aggregate.rs
+++ b/crates/micadrum-testkit/src/trace_aggregate.rs
@@ -1,35 +1,42 @@
-//! What a whole fleet did, by second and destination, added up from the senders' traces. Free of I/O.
+//! Sums up the call traces of a whole fleet by destination and second. Does no I/O.
 //!
-//! A daemon that runs with `MICADRUM_TRACE=calls` logs a line for what passes between it and its partners. One sender's
-//! lines look harmless where the sum of all is not.
+//! A daemon that runs with `MICADRUM_TRACE=calls` logs a line for each exchange with a destination. The load on a
+//! destination shows only in the sum over all senders.
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
+use std::str::FromStr;
 
-/// What a sender's log tells of one destination within one second, added up.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// Sums over all senders for one destination and second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Row {
-    taken: u64,
+    accepted: u64,
     connects: u64,
     calls: u64,
     delivered: u64,
     failed_calls: u64,
-    full: u64,
-    told: u64,
+    rejected_calls: u64,
+    retry_after: u64,
     timed_out: u64,
     unreachable: u64,
     reset: u64,
     returned: u64,
     failed: u64,
-    door: u64,
+    /// Messages that ended by a request to the admin endpoint.
+    ended_by_admin: u64,
+    /// Number of load reports.
     reports: u64,
-    left: f64,
+    /// Sum of the remaining shares of capacity in the load reports.
+    remaining_share: f64,
+    /// Sum of the limits in the load reports.
     limit: f64,
 }
 
-/// Why a line of a trace cannot be counted.
+/// Why a line of a trace is invalid.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum TraceError {
-    /// A field is not there.
+    /// A field is missing.
     #[error("`trace {kind}` lacks {field}")]
     Lacks {
         /// The kind of line.
@@ -37,126 +44,158 @@
         /// The field.
         field: &'static str,
     },
-    /// A field is not what it has to be.
+    /// A field is not a number.
     #[error("{field}={value:?} is no number")]
     NoNumber {
         /// The field.
         field: &'static str,
-        /// What stands there.
+        /// The value of the field.
         value: String,
     },
 }
 
-/// The sum over all logs that were read.
+/// The sums over all logs that were read.
 #[derive(Default)]
-pub struct Count {
+pub struct TraceAggregate {
     /// By destination and second of the wall clock.
     rows: BTreeMap<(u64, u64), Row>,
+    /// Number of endpoint lists that senders received, by second of the wall clock.
     lists: BTreeMap<u64, u64>,
 }
 
-/// The fields of a line, `name=value` each.
-struct Fields<'a> {
+impl TraceAggregate {
+    /// Adds a line of a log; a line that is no trace is ignored. Anything before the word `trace`, such as a timestamp, is
+    /// skipped.
+    ///
+    /// # Errors
+    /// Why a trace is invalid.
+    pub fn add(&mut self, line: &str) -> Result<(), TraceError> {
+        let Some(trace) = Trace::parse(line) else { return Ok(()) };
+        let second = trace.number::<u64>("at")? / MICROS_PER_SECOND;
+        if trace.kind == "list" {
+            *self.lists.entry(second).or_default() += 1;
+            return Ok(());
+        }
+        let row = self.rows.entry((trace.number("destination")?, second)).or_default();
+        match trace.kind {
+            "taken" => row.accepted += 1,
+            "connect" => row.connects += 1,
+            "ended" => row.add_end(&trace)?,
+            "call" => row.add_call(&trace)?,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Returns the first second of which there is a trace.
+    fn first_second(&self) -> Option<u64> {
+        self.rows.keys().map(|(_, second)| second).chain(self.lists.keys()).min().copied()
+    }
+}
+
+/// A line of a trace.
+struct Trace<'a> {
     kind: &'a str,
-    all: BTreeMap<&'a str, &'a str>,
+    /// Values of the fields, which are written `name=value`.
+    fields: BTreeMap<&'a str, &'a str>,
 }
 
-impl Fields<'_> {
-    fn get(&self, field: &'static str) -> Result<&str, TraceError> {
-        let found = self.all.get(field).copied();
-        found.ok_or_else(|| TraceError::Lacks { kind: self.kind.to_owned(), field })
+impl<'a> Trace<'a> {
+    fn parse(line: &'a str) -> Option<Self> {
+        let mut words = line.split_whitespace().skip_while(|word| *word != "trace").skip(1);
+        let kind = words.next()?;
+        Some(Self { kind, fields: words.filter_map(|word| word.split_once('=')).collect() })
+    }
+
+    fn has(&self, field: &str) -> bool {
+        self.fields.contains_key(field)
     }
 
-    fn number<T: std::str::FromStr>(&self, field: &'static str) -> Result<T, TraceError> {
+    fn get(&self, field: &'static str) -> Result<&'a str, TraceError> {
+        let value = self.fields.get(field).copied();
+        value.ok_or_else(|| TraceError::Lacks { kind: self.kind.to_owned(), field })
+    }
+
+    fn number<T: FromStr>(&self, field: &'static str) -> Result<T, TraceError> {
         let value = self.get(field)?;
         value.parse().map_err(|_| TraceError::NoNumber { field, value: value.to_owned() })
     }
 }
 
-impl Count {
-    /// Adds a line of a log; one that is no trace counts for nothing. Whatever stands before the word `trace`, such as a
-    /// time of its own, is passed over.
-    ///
-    /// # Errors
-    /// Why a trace cannot be counted.
-    pub fn add(&mut self, line: &str) -> Result<(), TraceError> {
-        let mut words = line.split_whitespace().skip_while(|word| *word != "trace").skip(1);
-        let Some(kind) = words.next() else { return Ok(()) };
-        let fields = Fields { kind, all: words.filter_map(|word| word.split_once('=')).collect() };
-        let second = fields.number::<u64>("at")? / 1_000_000;
-        if kind == "list" {
-            *self.lists.entry(second).or_default() += 1;
-            return Ok(());
+impl Row {
+    fn add_end(&mut self, trace: &Trace) -> Result<(), TraceError> {
+        match trace.get("how")? {
+            "returned" => self.returned += 1,
+            "door" => self.ended_by_admin += 1,
+            _ => self.failed += 1,
         }
-        let row = self.rows.entry((fields.number("destination")?, second)).or_default();
-        match kind {
-            "taken" => row.taken += 1,
-            "connect" => row.connects += 1,
-            "ended" => match fields.get("how")? {
-                "returned" => row.returned += 1,
-                "door" => row.door += 1,
-                _ => row.failed += 1,
-            },
-            "call" => {
-                row.calls += 1;
-                match fields.get("outcome")? {
-                    "success" => row.delivered += fields.number::<u64>("messages")?,
-                    "failure" => row.failed_calls += 1,
-                    "full" => row.full += 1,
-                    "timeout" => row.timed_out += 1,
-                    "unreachable" => row.unreachable += 1,
-                    "reset" => row.reset += 1,
-                    _ => {}
-                }
-                row.told += u64::from(fields.get("wait_us").is_ok());
-                if fields.get("left").is_ok() {
-                    row.reports += 1;
-                    row.left += fields.number::<f64>("left")?;
-                    row.limit += fields.number::<f64>("limit")?;
-                }
-            }
+        Ok(())
+    }
+
+    fn add_call(&mut self, trace: &Trace) -> Result<(), TraceError> {
+        self.calls += 1;
+        match trace.get("outcome")? {
+            "success" => self.delivered += trace.number::<u64>("messages")?,
+            "failure" => self.failed_calls += 1,
+            "full" => self.rejected_calls += 1,
+            "timeout" => self.timed_out += 1,
+            "unreachable" => self.unreachable += 1,
+            "reset" => self.reset += 1,
             _ => {}
         }
+        self.retry_after += u64::from(trace.has("wait_us"));
+        if trace.has("left") {
+            self.reports += 1;
+            self.remaining_share += trace.number::<f64>("left")?;
+            self.limit += trace.number::<f64>("limit")?;
+        }
         Ok(())
     }
+
+    /// Returns the mean of a sum over the load reports.
+    fn mean(&self, sum: f64) -> f64 {
+        if self.reports > 0 { sum / self.reports as f64 } else { 0.0 }
+    }
+
+    fn write(&self, f: &mut fmt::Formatter<'_>, second: u64) -> fmt::Result {
+        writeln!(
+            f,
+            "  {:6} {:5} {:8} {:5} {:9} {:6} {:4} {:4} {:8} {:11} {:6} {:8} {:6} {:4} {:5.2} {:6.1}",
+            second,
+            self.accepted,
+            self.connects,
+            self.calls,
+            self.delivered,
+            self.failed_calls,
+            self.rejected_calls,
+            self.retry_after,
+            self.timed_out,
+            self.unreachable,
+            self.reset,
+            self.returned,
+            self.failed,
+            self.ended_by_admin,
+            self.mean(self.remaining_share),
+            self.mean(self.limit),
+        )
+    }
 }
 
-impl Display for Count {
+impl Display for TraceAggregate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = self.rows.keys().map(|(_, second)| second).chain(self.lists.keys());
-        let Some(start) = seconds.min().copied() else { return writeln!(f, "no traces") };
-        let mut of = None;
+        let Some(start) = self.first_second() else { return writeln!(f, "no traces") };
+        let mut current_destination = None;
         for ((destination, second), row) in &self.rows {
-            if of != Some(destination) {
+            if current_destination != Some(destination) {
                 writeln!(f, "destination {destination}")?;
                 writeln!(
                     f,
                     "  second taken connects calls delivered errors full told timeouts unreachable resets \
                      returned failed door  left  limit"
                 )?;
-                of = Some(destination);
+                current_destination = Some(destination);
             }
-            let mean = |sum: f64| if row.reports > 0 { sum / row.reports as f64 } else { 0.0 };
-            writeln!(
-                f,
-                "  {:6} {:5} {:8} {:5} {:9} {:6} {:4} {:4} {:8} {:11} {:6} {:8} {:6} {:4} {:5.2} {:6.1}",
-                second - start,
-                row.taken,
-                row.connects,
-                row.calls,
-                row.delivered,
-                row.failed_calls,
-                row.full,
-                row.told,
-                row.timed_out,
-                row.unreachable,
-                row.reset,
-                row.returned,
-                row.failed,
-                row.door,
-                mean(row.left),
-                mean(row.limit),
-            )?;
+            row.write(f, second - start)?;
         }
         writeln!(f, "lists heard, by second")?;
         for (second, lists) in &self.lists {
--- a/crates/micadrum-testkit/src/trace_aggregate/tests.rs
+++ b/crates/micadrum-testkit/src/trace_aggregate/tests.rs
@@ -3,7 +3,7 @@
 /// Guards against a sum that leaves a sender or a second out, and against a mean over calls that told nothing.
 #[test]
 fn what_several_senders_did_is_added_up() {
-    let mut count = Count::default();
+    let mut count = TraceAggregate::default();
     for sender in ["", "7.5 ", "n3: "] {
         for line in [
             "trace taken at=5000000 destination=3",
@@ -16,9 +16,16 @@
             assert_eq!(count.add(&format!("{sender}{line}")), Ok(()));
         }
     }
-    let first =
-        Row { taken: 3, calls: 3, delivered: 6, reports: 3, left: 1.5, limit: 120.0, ..Row::default() };
-    let second = Row { calls: 3, full: 3, told: 3, returned: 3, ..Row::default() };
+    let first = Row {
+        accepted: 3,
+        calls: 3,
+        delivered: 6,
+        reports: 3,
+        remaining_share: 1.5,
+        limit: 120.0,
+        ..Row::default()
+    };
+    let second = Row { calls: 3, rejected_calls: 3, retry_after: 3, returned: 3, ..Row::default() };
     assert_eq!(count.rows, BTreeMap::from([((3, 5), first), ((3, 6), second)]));
     assert_eq!(count.lists, BTreeMap::from([(6, 3)]));
     let shown = count.to_string();
@@ -28,7 +35,7 @@
 /// Guards against a trace that is cut off or spoilt and counts as something else.
 #[test]
 fn a_spoilt_trace_names_what_is_wrong() {
-    let mut count = Count::default();
+    let mut count = TraceAggregate::default();
     let lacks = |field| Err(TraceError::Lacks { kind: "taken".into(), field });
     assert_eq!(count.add("trace taken destination=3"), lacks("at"));
     assert_eq!(count.add("trace taken at=1"), lacks("destination"));
--- a/crates/micadrum-testkit/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -105,7 +105,7 @@
     }
     let mut slow = fleet(1);
     slow.lies = vec![Lie { pointer: "/settings/discovery".to_owned(), value: "on_request".into() }];
-    assert!(play(slow).verdict.broken.contains_key(&Invariant::Drain));
+    assert!(play(slow).verdict.broken.contains_key(&Invariant::SentToDraining));
 }
 
 /// Guards against a herd that comes back to a discovery which answers 20 calls a second and goes by old lists: nobody breaks a
@@ -117,7 +117,7 @@
                 [[fault]]\nkind = \"drain\"\nat = \"5 s\"\nshare = \"50%\"\n";
     let mut alone = Plan::new(scenario("30 s", rest), 1);
     alone.lies = vec![Lie { pointer: "/discovery".to_owned(), value: "10.9.9.9:1".into() }];
-    assert!(play(alone).verdict.broken.contains_key(&Invariant::Drain));
+    assert!(play(alone).verdict.broken.contains_key(&Invariant::SentToDraining));
     kept(scenario("30 s", rest), 1);
 }
 
@@ -150,11 +150,11 @@
     };
     let few = format!("vehicles = 3\n{errors}");
     let cases: Vec<(&str, Invariant, Vec<Lie>, bool)> = vec![
-        (errors, Invariant::Doubled, vec![lie("/settings/lanes/0/repeat", "retryable".into())], false),
-        (errors, Invariant::Doubled, vec![lie("/settings/lanes/1/key_ttl", 60_000_000.into())], false),
-        (&few, Invariant::Order, vec![lie("/settings/lanes/1/fifo_by_key", false.into())], false),
-        (full, Invariant::Attempts, restless(), false),
-        (drain, Invariant::Drain, vec![lie("/discovery", "10.9.9.9:1".into())], false),
+        (errors, Invariant::Duplicated, vec![lie("/settings/lanes/0/repeat", "retryable".into())], false),
+        (errors, Invariant::Duplicated, vec![lie("/settings/lanes/1/key_ttl", 60_000_000.into())], false),
+        (&few, Invariant::OutOfOrder, vec![lie("/settings/lanes/1/fifo_by_key", false.into())], false),
+        (full, Invariant::TooManyAttempts, restless(), false),
+        (drain, Invariant::SentToDraining, vec![lie("/discovery", "10.9.9.9:1".into())], false),
         (restart, Invariant::Lost, vec![], true),
     ];
     for (rest, rule, lies, forgetful) in cases {
--- a/crates/micadrum-testkit/tests/peers.rs
+++ b/crates/micadrum-testkit/tests/peers.rs
@@ -3,7 +3,7 @@
 
 use common::daemon;
 use micadrum_membership::{Event, LocalStatus};
-use micadrum_testkit::history::{History, What};
+use micadrum_testkit::history::{AdminSnapshot, History, What};
 use micadrum_testkit::live;
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::report::Report;
@@ -81,7 +81,7 @@
     // In its midst each half holds the other for dead and itself for live.
     let cut = at(12) + 4 * SECOND;
     let wrong = history.right_after(cut, cut).unwrap_err();
-    assert!(wrong.iter().all(|(by, of, _)| by % 2 != of % 2), "{wrong:?}");
+    assert!(wrong.iter().all(|view| view.observer % 2 != view.subject % 2), "{wrong:?}");
     assert!(wrong.len() == 24, "each half holds the other for dead: {wrong:?}");
     assert!(right(report, at(17), at(21), "the buildings hear each other again") < 2 * SECOND + slack);
     // Heard by nobody, sender 2 hears all the same: it accuses nobody.
@@ -125,24 +125,28 @@
 /// What links between real processes carried: each look asks all for their own word.
 fn judge_links(report: &Report) {
     let history = &report.history;
-    let looks: Vec<(u64, &[u32], &[u32])> = history.looks(0).collect();
+    let looks: Vec<AdminSnapshot> = history.admin_snapshots(0).collect();
     let all = [0, 1, 2, 3, 4, 5, 6];
     let [calm, cut, paused, broken, whole, half] = &looks[..] else {
         panic!("{looks:?}\n{}", history.text())
     };
-    assert_eq!((calm.1, calm.2), (&all[..], &[][..]), "all say what they see");
-    assert_eq!((cut.1, cut.2), (&[0, 2, 4, 6][..], &[1, 3, 5][..]), "an open and silent link is given up");
+    assert_eq!((calm.answered, calm.silent), (&all[..], &[][..]), "all say what they see");
     assert_eq!(
-        (paused.1, paused.2),
+        (cut.answered, cut.silent),
+        (&[0, 2, 4, 6][..], &[1, 3, 5][..]),
+        "an open and silent link is given up"
+    );
+    assert_eq!(
+        (paused.answered, paused.silent),
         (&[0, 1, 2, 4, 5, 6][..], &[3][..]),
         "one that stands still is given up"
     );
-    assert!(!broken.2.is_empty(), "a link that breaks within a frame gives nothing: {broken:?}");
-    assert_eq!((whole.1, whole.2), (&all[..], &[][..]), "and works again at the next try");
-    assert_eq!((half.1, half.2), (&[3, 4, 5, 6][..], &[0, 1, 2][..]));
-    for (at, ..) in [cut, paused] {
-        let asked = begun(history) + if *at == cut.0 { 14 } else { 30 } * SECOND;
-        assert!(at - asked < 5 * SECOND, "a look takes its time and no longer");
+    assert!(!broken.silent.is_empty(), "a link that breaks within a frame gives nothing: {broken:?}");
+    assert_eq!((whole.answered, whole.silent), (&all[..], &[][..]), "and works again at the next try");
+    assert_eq!((half.answered, half.silent), (&[3, 4, 5, 6][..], &[0, 1, 2][..]));
+    for snapshot in [cut, paused] {
+        let asked = begun(history) + if snapshot.at == cut.at { 14 } else { 30 } * SECOND;
+        assert!(snapshot.at - asked < 5 * SECOND, "a look takes its time and no longer");
     }
 }
 
--- a/crates/micadrum-testkit/tests/power.rs
+++ b/crates/micadrum-testkit/tests/power.rs
@@ -62,5 +62,8 @@
             *broken.entry(rule).or_default() += count;
         }
     }
-    assert!(broken.contains_key(&Invariant::Lost) && broken.contains_key(&Invariant::Doubled), "{broken:?}");
+    assert!(
+        broken.contains_key(&Invariant::Lost) && broken.contains_key(&Invariant::Duplicated),
+        "{broken:?}"
+    );
 }
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -287,10 +287,10 @@
         broken
     };
     let without = days("");
-    assert!(without.contains_key(&Invariant::Doubled), "{without:?}");
+    assert!(without.contains_key(&Invariant::Duplicated), "{without:?}");
     let with = days("[operator.recovery]\nwait_out = \"13 s\"\n");
     assert!(
-        !with.contains_key(&Invariant::Doubled) && !with.contains_key(&Invariant::SentAfterEnd),
+        !with.contains_key(&Invariant::Duplicated) && !with.contains_key(&Invariant::SentAfterEnd),
         "{with:?}"
     );
     // What was acknowledged and never synced is gone: no part can bring that back.
