--- a/crates/micadrum-testkit/src/link_faults.rs
+++ b/crates/micadrum-testkit/src/link_faults.rs
@@ -43,12 +43,12 @@
     }
 
     /// A fault begins.
-    pub fn strike(&mut self, fault: &PlannedFault) {
+    pub fn begin_fault(&mut self, fault: &PlannedFault) {
         self.struck.push(fault.clone());
     }
 
     /// It ends.
-    pub fn relieve(&mut self, fault: &PlannedFault) {
+    pub fn end_fault(&mut self, fault: &PlannedFault) {
         if let Some(place) = self.struck.iter().position(|struck| struck == fault) {
             self.struck.remove(place);
         }
--- a/crates/micadrum-testkit/src/live/mod.rs
+++ b/crates/micadrum-testkit/src/live/mod.rs
@@ -8,8 +8,8 @@
 use crate::report::Report;
 use crate::scenario::{FaultKind, Where};
 use crate::stand_in_network::{Host, StandInConnection, StandInListener, StandInNetwork};
-use crate::world::senders::{Ended, Fleet, Lines, Links, OperatorFile, Syncs};
-use crate::world::{World, play};
+use crate::world::senders::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
+use crate::world::{World, run_scenario};
 use micadrum::daemon::ports::{Listener, LocalFuture, Network, Stream};
 use micadrum::daemon::system::Tcp;
 use power::Lasts;
@@ -95,7 +95,7 @@
 
 struct Running {
     stop: UnboundedSender<Stop>,
-    ended: Rc<Ended>,
+    ended: Rc<ProcessExit>,
 }
 
 struct Node {
@@ -158,7 +158,7 @@
         sender: u32,
         config: serde_json::Value,
         operator: Option<OperatorFile>,
-        log_lines: Lines,
+        log_lines: LogSink,
     ) -> io::Result<SocketAddr> {
         let node = &self.nodes[sender as usize];
         let file = node.folder.path().join("config.json");
@@ -205,7 +205,7 @@
             }
         });
         let (stop, mut stops) = unbounded_channel();
-        let ended = Rc::<Ended>::default();
+        let ended = Rc::<ProcessExit>::default();
         *node.running.borrow_mut() = Some(Running { stop, ended: ended.clone() });
         spawn_local(async move {
             let in_order = loop {
@@ -245,12 +245,12 @@
         sender: u32,
         config: serde_json::Value,
         operator: Option<OperatorFile>,
-        lines: Lines,
+        lines: LogSink,
     ) -> LocalFuture<'_, io::Result<SocketAddr>> {
         Box::pin(self.spawn(sender, config, operator, lines))
     }
 
-    fn peer(&self, sender: u32, other: u32) -> SocketAddr {
+    fn peer_address(&self, sender: u32, other: u32) -> SocketAddr {
         self.relays.door(sender, other)
     }
 
@@ -258,11 +258,11 @@
         self.stop(sender, Stop::Pause(paused));
     }
 
-    fn door(&self) -> Option<SocketAddr> {
+    fn admin_address(&self) -> Option<SocketAddr> {
         Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
     }
 
-    fn look(&self, sender: u32) -> LocalFuture<'_, Option<String>> {
+    fn admin_status(&self, sender: u32) -> LocalFuture<'_, Option<String>> {
         let door = self.nodes[sender as usize].door.get();
         Box::pin(async move {
             let mut line = TcpStream::connect(door?).await.ok()?;
@@ -275,15 +275,21 @@
         })
     }
 
-    fn copy_folder(&self, sender: u32, back: bool) {
+    fn save_state_folder(&self, sender: u32) {
         let node = &self.nodes[sender as usize];
-        let (from, to) = if back { (&node.copy, &node.state) } else { (&node.state, &node.copy) };
-        if let Err(e) = copy_files(from, to) {
-            eprintln!("sender {sender}: {e}");
+        if let Err(error) = copy_files(&node.state, &node.copy) {
+            eprintln!("sender {sender}: {error}");
+        }
+    }
+
+    fn restore_state_folder(&self, sender: u32) {
+        let node = &self.nodes[sender as usize];
+        if let Err(error) = copy_files(&node.copy, &node.state) {
+            eprintln!("sender {sender}: {error}");
         }
     }
 
-    fn listen(&self, sender: u32) -> SocketAddr {
+    fn listen_address(&self, sender: u32) -> SocketAddr {
         // Under its address again after a restart.
         let first = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         self.nodes[sender as usize].address.get().unwrap_or(first)
@@ -305,7 +311,7 @@
         self.stop(sender, Stop::Kill);
     }
 
-    fn ended(&self, sender: u32) -> LocalFuture<'_, bool> {
+    fn wait_for_exit(&self, sender: u32) -> LocalFuture<'_, bool> {
         let running = self.nodes[sender as usize].running.borrow();
         let ended = running.as_ref().map(|running| running.ended.clone());
         Box::pin(async move {
@@ -316,24 +322,24 @@
         })
     }
 
-    fn lose_power(&self, sender: u32, dice: &mut SeededRng) -> bool {
+    fn discard_unsynced(&self, sender: u32, random: &mut SeededRng) -> bool {
         // This machine keeps what a killed process wrote: what it did not sync is cut off by hand.
         let node = &self.nodes[sender as usize];
-        let cut = node.lasts.borrow_mut().cut_back(&node.state, dice);
+        let cut = node.lasts.borrow_mut().cut_back(&node.state, random);
         if let Err(e) = &cut {
             eprintln!("sender {sender}: {e}");
         }
         cut.is_ok()
     }
 
-    fn begin_anew(&self, sender: u32, off: i64) -> bool {
+    fn reboot(&self, sender: u32, clock_offset_us: i64) -> bool {
         let node = &self.nodes[sender as usize];
         node.boots.set(node.boots.get() + 1);
         // This machine's clock is its own.
-        off == 0
+        clock_offset_us == 0
     }
 
-    fn wipe(&self, sender: u32) {
+    fn wipe_state_folder(&self, sender: u32) {
         if let Err(e) = std::fs::remove_dir_all(&self.nodes[sender as usize].state) {
             eprintln!("sender {sender}: {e}");
         }
@@ -347,7 +353,7 @@
         false
     }
 
-    fn set_syncs(&self, _: u32, _: Syncs) -> bool {
+    fn set_sync_behavior(&self, _: u32, _: SyncBehavior) -> bool {
         false
     }
 
@@ -355,7 +361,7 @@
         None
     }
 
-    fn nobody(&self) -> Option<SocketAddr> {
+    fn unused_address(&self) -> Option<SocketAddr> {
         Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 1)))
     }
 }
@@ -394,7 +400,7 @@
         let traces = if power { "peers,recovery,storage" } else { "peers,recovery" };
         let fleet = Rc::new(LiveFleet { daemon, nodes, relays, traces });
         let world = World::new(plan.clone(), Rc::new(Loopback), fleet, ground).await?;
-        play(&world, |_, _| {}).await?;
+        run_scenario(&world, |_, _| {}).await?;
         let now = world.now();
         let mut recorder = world.into_recorder();
         let verdict = recorder.verdict(now, plan.scenario.has_peers());
--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -2,7 +2,7 @@
 use super::net::Process;
 use crate::plan::SeededRng;
 use crate::scenario::Where;
-use crate::world::senders::Syncs;
+use crate::world::senders::SyncBehavior;
 use micadrum::daemon::ports::{AppendFile, LocalFuture, Storage};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,15 +29,17 @@
 
 impl Content {
     /// A sync of what it held when it was that long.
-    fn sync(&mut self, length: usize, syncs: Syncs) -> io::Result<()> {
+    fn sync(&mut self, length: usize, syncs: SyncBehavior) -> io::Result<()> {
         match syncs {
-            Syncs::Fail => {
+            SyncBehavior::Fail => {
                 self.holed = true;
                 return Err(io::ErrorKind::Other.into());
             }
-            Syncs::Lie => {}
-            Syncs::Work | Syncs::Hang if self.holed => {}
-            Syncs::Work | Syncs::Hang => self.synced = self.synced.max(length.min(self.bytes.len())),
+            SyncBehavior::Lie => {}
+            SyncBehavior::Work | SyncBehavior::Hang if self.holed => {}
+            SyncBehavior::Work | SyncBehavior::Hang => {
+                self.synced = self.synced.max(length.min(self.bytes.len()))
+            }
         }
         Ok(())
     }
@@ -54,7 +56,7 @@
     /// Ends the process at the write that makes this 0.
     pub kill_in: Option<(u64, Where)>,
     /// How it syncs.
-    pub syncs: Syncs,
+    pub syncs: SyncBehavior,
     /// Bytes that it held at the most.
     pub most: usize,
     copy: BTreeMap<String, Vec<u8>>,
@@ -179,9 +181,9 @@
         self.alive()?;
         let mut disk = self.disk.borrow_mut();
         match disk.syncs {
-            Syncs::Fail => return Err(io::ErrorKind::Other.into()),
-            Syncs::Lie => {}
-            Syncs::Work | Syncs::Hang => disk.synced_names = disk.files.clone(),
+            SyncBehavior::Fail => return Err(io::ErrorKind::Other.into()),
+            SyncBehavior::Lie => {}
+            SyncBehavior::Work | SyncBehavior::Hang => disk.synced_names = disk.files.clone(),
         }
         Ok(())
     }
@@ -233,7 +235,7 @@
         let length = file.borrow().bytes.len();
         Box::pin(async move {
             sleep(SYNC).await;
-            while disk.borrow().syncs == Syncs::Hang {
+            while disk.borrow().syncs == SyncBehavior::Hang {
                 sleep(SYNC).await;
             }
             if process.is_dead() {
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -8,8 +8,8 @@
 use crate::report::Report;
 use crate::scenario::{FaultKind, Where};
 use crate::stand_in_network::Host;
-use crate::world::senders::{Ended, Fleet, Lines, Links, OperatorFile, Syncs};
-use crate::world::{World, play};
+use crate::world::senders::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
+use crate::world::{World, run_scenario};
 use datagrams::DatagramNetwork;
 use disk::{Disk, ProcessFolder};
 use micadrum::daemon::config::{Config, ConfigReadError};
@@ -53,7 +53,7 @@
     sender: u32,
     origin: Instant,
     shown: bool,
-    lines: Lines,
+    lines: LogSink,
 }
 
 impl Log for SimLog {
@@ -68,7 +68,7 @@
 struct Running {
     process: Rc<Process>,
     signals: UnboundedSender<Signal>,
-    ended: Rc<Ended>,
+    ended: Rc<ProcessExit>,
 }
 
 #[derive(Default)]
@@ -94,7 +94,7 @@
         sender: u32,
         config: serde_json::Value,
         operator: Option<OperatorFile>,
-        lines: Lines,
+        lines: LogSink,
     ) -> LocalFuture<'_, io::Result<SocketAddr>> {
         Box::pin(async move {
             let mut config = Config::parse(config.to_string().as_bytes()).map_err(io::Error::other)?;
@@ -126,7 +126,7 @@
                 entropy,
             };
             let (signals, from_world) = unbounded_channel();
-            let ended = Rc::<Ended>::default();
+            let ended = Rc::<ProcessExit>::default();
             let running = Running { process: process.clone(), signals, ended: ended.clone() };
             *node.running.borrow_mut() = Some(running);
             spawn_local(async move {
@@ -153,11 +153,11 @@
         })
     }
 
-    fn listen(&self, sender: u32) -> SocketAddr {
+    fn listen_address(&self, sender: u32) -> SocketAddr {
         SocketAddr::new(address(Host::Sender(sender)), PORT)
     }
 
-    fn peer(&self, _: u32, other: u32) -> SocketAddr {
+    fn peer_address(&self, _: u32, other: u32) -> SocketAddr {
         SocketAddr::new(address(Host::Sender(other)), PEERS)
     }
 
@@ -167,17 +167,21 @@
         }
     }
 
-    fn door(&self) -> Option<SocketAddr> {
+    fn admin_address(&self) -> Option<SocketAddr> {
         None
     }
 
-    fn look(&self, _: u32) -> LocalFuture<'_, Option<String>> {
+    fn admin_status(&self, _: u32) -> LocalFuture<'_, Option<String>> {
         // Links between simulated senders are not struck: a look at them would show nothing.
         Box::pin(async { None })
     }
 
-    fn copy_folder(&self, sender: u32, back: bool) {
-        self.nodes[sender as usize].disk.borrow_mut().copy(back);
+    fn save_state_folder(&self, sender: u32) {
+        self.nodes[sender as usize].disk.borrow_mut().copy(false);
+    }
+
+    fn restore_state_folder(&self, sender: u32) {
+        self.nodes[sender as usize].disk.borrow_mut().copy(true);
     }
 
     fn terminate(&self, sender: u32) {
@@ -199,7 +203,7 @@
         }
     }
 
-    fn ended(&self, sender: u32) -> LocalFuture<'_, bool> {
+    fn wait_for_exit(&self, sender: u32) -> LocalFuture<'_, bool> {
         let running = self.nodes[sender as usize].running.borrow();
         let ended = running.as_ref().map(|running| running.ended.clone());
         Box::pin(async move {
@@ -210,19 +214,19 @@
         })
     }
 
-    fn lose_power(&self, sender: u32, dice: &mut SeededRng) -> bool {
-        self.nodes[sender as usize].disk.borrow_mut().lose_power(dice);
+    fn discard_unsynced(&self, sender: u32, random: &mut SeededRng) -> bool {
+        self.nodes[sender as usize].disk.borrow_mut().lose_power(random);
         true
     }
 
-    fn begin_anew(&self, sender: u32, off: i64) -> bool {
+    fn reboot(&self, sender: u32, clock_offset_us: i64) -> bool {
         let node = &self.nodes[sender as usize];
         node.boot.set(node.boot.get().wrapping_add(1));
-        node.off.set(off);
+        node.off.set(clock_offset_us);
         true
     }
 
-    fn wipe(&self, sender: u32) {
+    fn wipe_state_folder(&self, sender: u32) {
         self.nodes[sender as usize].disk.borrow_mut().wipe();
     }
 
@@ -236,8 +240,8 @@
         true
     }
 
-    fn set_syncs(&self, sender: u32, syncs: Syncs) -> bool {
-        self.nodes[sender as usize].disk.borrow_mut().syncs = syncs;
+    fn set_sync_behavior(&self, sender: u32, behavior: SyncBehavior) -> bool {
+        self.nodes[sender as usize].disk.borrow_mut().syncs = behavior;
         true
     }
 
@@ -245,13 +249,13 @@
         Some(self)
     }
 
-    fn nobody(&self) -> Option<SocketAddr> {
+    fn unused_address(&self) -> Option<SocketAddr> {
         None
     }
 }
 
 impl Links for SimFleet {
-    fn strike(&self, fault: &PlannedFault, until: Instant) {
+    fn begin_fault(&self, fault: &PlannedFault, until: Instant) {
         let link = self.net.link();
         self.net.set_link(match fault.kind {
             FaultKind::LinkDelay => LinkState { slower: Duration::from_micros(fault.delay.0), ..link },
@@ -260,7 +264,7 @@
         });
     }
 
-    fn relieve(&self, fault: &PlannedFault) {
+    fn end_fault(&self, fault: &PlannedFault) {
         let link = self.net.link();
         self.net.set_link(match fault.kind {
             FaultKind::LinkDelay => LinkState { slower: Duration::ZERO, ..link },
@@ -269,11 +273,11 @@
         });
     }
 
-    fn cut(&self, endpoint: u32, cut: bool) {
+    fn set_endpoint_cut(&self, endpoint: u32, cut: bool) {
         self.net.cut(Host::Endpoint(endpoint), cut);
     }
 
-    fn cut_sender(&self, sender: u32, cut: bool) {
+    fn set_sender_cut(&self, sender: u32, cut: bool) {
         self.net.cut(Host::Sender(sender), cut);
     }
 }
@@ -309,7 +313,7 @@
         let fleet = SimFleet { net: net.clone(), mail, nodes, origin: Instant::now(), show_logs: show.logs };
         let world = World::new(plan.clone(), net, Rc::new(fleet), ground).await?;
         let minutes = plan.length().0 / 60_000_000;
-        play(&world, move |minute, operations| {
+        run_scenario(&world, move |minute, operations| {
             if show.progress && (minute % 10 == 0 || minutes < 10) {
                 eprintln!("minute {minute} of {minutes}: {operations} operations");
             }
--- a/crates/micadrum-testkit/src/sim/net/tests.rs
+++ b/crates/micadrum-testkit/src/sim/net/tests.rs
@@ -48,24 +48,24 @@
     play(async |net| {
         let (mut mine, mut theirs) = pair(&net, OTHER).await;
         let cut = strike("cut", "");
-        net.ground.borrow_mut().strike(&cut);
+        net.ground.borrow_mut().begin_fault(&cut);
         mine.write_all(b"lost").await.unwrap();
         let late = tokio::time::timeout(Duration::from_secs(9), read(&mut *theirs)).await;
         assert!(late.is_err(), "open and silent");
         let opens = net.connect(HERE, SocketAddr::new(address(OTHER), 5000));
         assert!(tokio::time::timeout(Duration::from_secs(9), opens).await.is_err());
-        net.ground.borrow_mut().relieve(&cut);
+        net.ground.borrow_mut().end_fault(&cut);
     });
     play(async |net| {
         let (mut mine, mut theirs) = pair(&net, OTHER).await;
         let (slow, broken) = (strike("slow", "delay = \"300 ms\""), strike("break", "every = \"1 s\""));
-        net.ground.borrow_mut().strike(&slow);
+        net.ground.borrow_mut().begin_fault(&slow);
         let sent = Instant::now();
         mine.write_all(b"slow").await.unwrap();
         assert_eq!(read(&mut *theirs).await.unwrap(), b"slow");
         assert_eq!(sent.elapsed(), Duration::from_millis(300));
-        net.ground.borrow_mut().relieve(&slow);
-        net.ground.borrow_mut().strike(&broken);
+        net.ground.borrow_mut().end_fault(&slow);
+        net.ground.borrow_mut().begin_fault(&broken);
         mine.write_all(b"12345678").await.unwrap();
         assert_eq!(read(&mut *theirs).await.err().map(|e| e.kind()), Some(io::ErrorKind::ConnectionReset));
         assert_eq!(read(&mut *mine).await.err().map(|e| e.kind()), Some(io::ErrorKind::ConnectionReset));
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -1,5 +1,6 @@
-//! The clients: gantry, billing and account programs that hand messages in as the protocol describes.
-use super::{End, Known, World};
+//! The clients: gantry, billing and account programs that submit messages as the protocol describes.
+use super::World;
+use super::messages::{MessageOutcome, SubmittedMessage};
 use crate::http::Conversation;
 use crate::observation::{At, Seen, Told};
 use crate::plan::{Arrival, SeededRng, TENANTS};
@@ -12,120 +13,219 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A client waits so long for its answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Times that it hands a message in again after a refusal.
-const RETRIES: usize = 2;
-/// With less time left than this, it does not.
-const LEAST_LEFT: At = 500_000;
-/// Share of the messages that are handed in a second time under the same id, whatever became of them.
-const AGAIN: f64 = 0.01;
-/// Idle connections that the clients beside one sender keep.
-const MOST_IDLE: usize = 32;
+/// A client waits this long for a connection or an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_RETRIES: usize = 2;
+/// A client does not submit a message that has less time left.
+const MIN_REMAINING_US: At = 500_000;
+/// Bounds of the delay before a retry.
+const MIN_RETRY_DELAY_SECONDS: f64 = 0.1;
+const MAX_RETRY_DELAY_SECONDS: f64 = 0.6;
+/// Bounds of the delay before a message is submitted again whose machine was lost.
+const MIN_LOSS_DETECTION_SECONDS: f64 = 0.36;
+const MAX_LOSS_DETECTION_SECONDS: f64 = 1.9;
+/// Share of the messages that are submitted a second time under the same id, whatever their outcome.
+const DUPLICATE_SHARE: f64 = 0.01;
+/// Bounds of the delay before such a duplicate.
+const MIN_DUPLICATE_DELAY_SECONDS: f64 = 0.05;
+const MAX_DUPLICATE_DELAY_SECONDS: f64 = 12.0;
+/// Idle connections that the clients beside one sender keep open.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// What the clients share: connections that they keep, and whose turn it is on a key.
+/// The state that the clients share.
 struct Clients {
+    /// Open connections that are not in use, by sender.
     idle: RefCell<BTreeMap<u32, Vec<Conversation>>>,
-    turns: RefCell<BTreeMap<u32, Rc<Mutex<()>>>>,
+    /// Held while a message of a vehicle is being submitted.
+    vehicle_locks: RefCell<BTreeMap<u32, Rc<Mutex<()>>>>,
 }
 
-/// Hands in all of the plan's messages, each at its time.
-pub(super) async fn drive(world: &Rc<World>, begun: At) {
-    let clients = Rc::new(Clients { idle: RefCell::default(), turns: RefCell::default() });
+/// Submits all messages of the plan, each at its time.
+pub(super) async fn submit_all(world: &Rc<World>, started_at: At) {
+    let clients = Rc::new(Clients { idle: RefCell::default(), vehicle_locks: RefCell::default() });
     let plan = world.plan.clone();
     for arrival in plan.arrivals() {
-        world.until(begun + arrival.at.0).await;
+        world.wait_until(started_at + arrival.at.0).await;
         let (world, clients) = (world.clone(), clients.clone());
         spawn_local(async move { Operation::new(&world, &clients, arrival).run().await });
     }
 }
 
-/// One operation, from its first hand-in on.
+/// What a client states when it submits an operation again.
+#[derive(Clone, Copy)]
+enum Resubmission {
+    /// The earlier message was not executed.
+    NotExecuted,
+    /// The earlier message may have been executed.
+    Uncertain,
+}
+
+impl Resubmission {
+    fn header_value(self) -> &'static str {
+        match self {
+            Self::NotExecuted => "1",
+            Self::Uncertain => "again",
+        }
+    }
+}
+
+/// The response to a submission, and the channel on which the outcome of the message follows.
+struct Submission {
+    response: Told,
+    outcome: oneshot::Receiver<MessageOutcome>,
+}
+
+/// One operation, from its first submission on.
 struct Operation<'a> {
     world: &'a Rc<World>,
     clients: &'a Clients,
     arrival: Arrival,
-    dice: SeededRng,
-    first: At,
+    random: SeededRng,
+    started_at: At,
     body: Rc<[u8]>,
 }
 
 impl<'a> Operation<'a> {
     fn new(world: &'a Rc<World>, clients: &'a Clients, arrival: Arrival) -> Self {
-        let dice = SeededRng::new(world.plan.seed, &format!("operation {}", arrival.number));
+        let random = SeededRng::new(world.plan.seed, &format!("operation {}", arrival.number));
         let mut body = format!("{:016x}", arrival.number).into_bytes();
         body.resize(arrival.body, b'.');
-        let first = world.now();
-        world.recorder().offered(&arrival, first);
-        Self { world, clients, arrival, dice, first, body: body.into() }
+        let started_at = world.now();
+        world.recorder().offered(&arrival, started_at);
+        Self { world, clients, arrival, random, started_at, body: body.into() }
     }
 
     async fn run(mut self) {
-        let turn = self.arrival.vehicle.map(|vehicle| {
-            let mut turns = self.clients.turns.borrow_mut();
-            turns.entry(vehicle).or_default().clone()
-        });
-        let mut mark = None;
-        for _ in 0..=RETRIES {
-            let (told, end) = {
-                // Messages of one key are handed in one after another.
-                let _turn = match &turn {
-                    Some(turn) => Some(turn.lock().await),
-                    None => None,
-                };
-                let left = (self.first + self.arrival.class.deadline().0).saturating_sub(self.world.now());
-                if left < LEAST_LEFT {
-                    break;
-                }
-                self.hand_in(left, mark).await
+        let vehicle_lock = self.arrival.vehicle.map(|vehicle| self.clients.vehicle_lock(vehicle));
+        let mut resubmission = None;
+        for _ in 0..=MAX_RETRIES {
+            let Some(submission) = self.submit_in_order(vehicle_lock.as_deref(), resubmission).await else {
+                break;
             };
-            match told {
-                Told::TakenOn => match end.await {
-                    Ok(End::Returned(after)) => {
-                        sleep(after.unwrap_or_default().max(self.pause())).await;
-                        mark = Some("1");
-                    }
-                    Ok(End::Lost) => {
-                        sleep(Duration::from_secs_f64(self.dice.between(0.36, 1.9))).await;
-                        mark = Some("again");
-                    }
-                    Ok(End::Delivered | End::Failed) | Err(_) => break,
-                },
-                Told::Refused => {
-                    sleep(self.pause()).await;
-                    mark = Some("1");
-                }
-                Told::Nothing | Told::Cut => {
-                    sleep(self.pause()).await;
-                    mark = Some("again");
-                }
-                Told::Failed => break,
+            resubmission = self.wait_for_retry(submission).await;
+            if resubmission.is_none() {
+                break;
             }
         }
+        drop(vehicle_lock);
         if let Some(vehicle) = self.arrival.vehicle {
-            drop(turn);
-            self.clients.turns.borrow_mut().retain(|v, turn| *v != vehicle || Rc::strong_count(turn) > 1);
+            self.clients.release_vehicle_lock(vehicle);
         }
     }
 
-    fn pause(&mut self) -> Duration {
-        Duration::from_secs_f64(self.dice.between(0.1, 0.6))
+    /// Submits the operation while no other one of its vehicle is submitted; `None` where too little time is left.
+    async fn submit_in_order(
+        &mut self,
+        vehicle_lock: Option<&Mutex<()>>,
+        resubmission: Option<Resubmission>,
+    ) -> Option<Submission> {
+        let _guard = match vehicle_lock {
+            Some(lock) => Some(lock.lock().await),
+            None => None,
+        };
+        let deadline = self.started_at + self.arrival.class.deadline().0;
+        let remaining = deadline.saturating_sub(self.world.now());
+        if remaining < MIN_REMAINING_US {
+            return None;
+        }
+        Some(self.submit(remaining, resubmission).await)
+    }
+
+    /// Waits until the operation may be submitted again; `None` where it is not.
+    async fn wait_for_retry(&mut self, submission: Submission) -> Option<Resubmission> {
+        match submission.response {
+            Told::TakenOn => self.wait_for_outcome(submission.outcome).await,
+            Told::Refused => {
+                sleep(self.retry_delay()).await;
+                Some(Resubmission::NotExecuted)
+            }
+            Told::Nothing | Told::Cut => {
+                sleep(self.retry_delay()).await;
+                Some(Resubmission::Uncertain)
+            }
+            Told::Failed => None,
+        }
     }
 
-    /// Hands it in once, under a new id.
-    async fn hand_in(&mut self, left: At, mark: Option<&str>) -> (Told, oneshot::Receiver<End>) {
-        let (id, again) = (self.dice.id(), self.dice.chance(AGAIN));
-        let (again_after, number) = (self.dice.between(0.05, 12.0), self.dice.number());
-        let (ended, end) = oneshot::channel();
-        let pick = self.arrival.vehicle.map_or(number, u64::from);
-        let Some(sender) = self.world.front(pick) else { return (Told::Refused, end) };
+    async fn wait_for_outcome(&mut self, outcome: oneshot::Receiver<MessageOutcome>) -> Option<Resubmission> {
+        match outcome.await {
+            Ok(MessageOutcome::Returned(retry_after)) => {
+                sleep(retry_after.unwrap_or_default().max(self.retry_delay())).await;
+                Some(Resubmission::NotExecuted)
+            }
+            Ok(MessageOutcome::Lost) => {
+                let delay = self.random.between(MIN_LOSS_DETECTION_SECONDS, MAX_LOSS_DETECTION_SECONDS);
+                sleep(Duration::from_secs_f64(delay)).await;
+                Some(Resubmission::Uncertain)
+            }
+            Ok(MessageOutcome::Delivered | MessageOutcome::Failed) | Err(_) => None,
+        }
+    }
+
+    fn retry_delay(&mut self) -> Duration {
+        let delay = self.random.between(MIN_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS);
+        Duration::from_secs_f64(delay)
+    }
+
+    /// Submits the operation once, as a message with a new id.
+    async fn submit(&mut self, remaining: At, resubmission: Option<Resubmission>) -> Submission {
+        let id = self.random.id();
+        let has_duplicate = self.random.chance(DUPLICATE_SHARE);
+        let duplicate_delay = self.random.between(MIN_DUPLICATE_DELAY_SECONDS, MAX_DUPLICATE_DELAY_SECONDS);
+        let number = self.random.number();
+        let (listener, outcome) = oneshot::channel();
+        let number = self.arrival.vehicle.map_or(number, u64::from);
+        let Some(sender) = self.world.select_sender(number) else {
+            return Submission { response: Told::Refused, outcome };
+        };
+        let request = self.request_bytes(&id, remaining, resubmission);
+        let now = self.world.now();
+        self.world.messages.borrow_mut().add(now, id.clone(), self.message(sender, listener));
+        let Some(connection) = self.clients.connection(self.world, sender).await else {
+            return Submission { response: Told::Refused, outcome };
+        };
+        let submitted = || self.submitted(&id, sender, now + remaining);
+        self.world.observe(submitted());
+        let response = self.send_with_retry(sender, connection, &request).await;
+        self.world.observe(Seen::Answered { id: id.clone(), told: response });
+        if has_duplicate && response == Told::TakenOn {
+            let delay = Duration::from_secs_f64(duplicate_delay);
+            schedule_duplicate(self.world.clone(), sender, delay, request, submitted());
+        }
+        Submission { response, outcome }
+    }
+
+    fn message(&self, sender: u32, listener: oneshot::Sender<MessageOutcome>) -> SubmittedMessage {
+        SubmittedMessage {
+            class: self.arrival.class,
+            key: self.arrival.key.clone(),
+            destination: self.arrival.destination,
+            body: self.body.clone(),
+            sender,
+            attempted: false,
+            outcome_listener: Some(listener),
+        }
+    }
+
+    fn submitted(&self, id: &str, sender: u32, deadline: At) -> Seen {
+        Seen::HandedIn {
+            id: id.to_owned(),
+            operation: self.arrival.number,
+            sender,
+            class: self.arrival.class,
+            vehicle: self.arrival.vehicle,
+            deadline,
+        }
+    }
+
+    fn request_bytes(&self, id: &str, remaining: At, resubmission: Option<Resubmission>) -> Vec<u8> {
         let arrival = &self.arrival;
         let mut head = format!(
             "POST /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {id}\r\nX-Lane: {}\r\nX-Org: {}\r\n\
              X-Remaining: {:.6}\r\nIdempotency-Key: {}\r\nX-Envelope: dest={}\r\nContent-Length: {}\r\n",
             arrival.class.name(),
             TENANTS[arrival.tenant].0,
-            left as f64 / 1e6,
+            remaining as f64 / 1e6,
             arrival.key,
             arrival.destination,
             self.body.len(),
@@ -133,73 +233,44 @@
         if let Some(vehicle) = arrival.vehicle {
             head.push_str(&format!("X-Entity: {vehicle:016x}\r\n"));
         }
-        if let Some(mark) = mark {
-            head.push_str(&format!("X-Resent: {mark}\r\n"));
+        if let Some(resubmission) = resubmission {
+            head.push_str(&format!("X-Resent: {}\r\n", resubmission.header_value()));
         }
         let mut request = head.into_bytes();
         request.extend_from_slice(b"\r\n");
         request.extend_from_slice(&self.body);
-        let now = self.world.now();
-        let known = Known {
-            class: arrival.class,
-            key: arrival.key.clone(),
-            destination: arrival.destination,
-            body: self.body.clone(),
-            sender,
-            called: false,
-            end: Some(ended),
-        };
-        self.world.messages.borrow_mut().add(now, id.clone(), known);
-        let Some(mut with) = self.clients.connection(self.world, sender).await else {
-            return (Told::Refused, end);
-        };
-        let handed = || Seen::HandedIn {
-            id: id.clone(),
-            operation: arrival.number,
-            sender,
-            class: arrival.class,
-            vehicle: arrival.vehicle,
-            deadline: now + left,
-        };
-        self.world.saw(handed());
-        let mut told = self.ask(sender, &mut with, &request).await;
-        if told == Told::Cut && with.reused {
-            // Closed between two requests: once more on a new connection.
-            if let Some(new) = self.clients.new_connection(self.world, sender).await {
-                with = new;
-                told = self.ask(sender, &mut with, &request).await;
-            }
-        }
-        self.clients.keep(sender, with);
-        self.world.saw(Seen::Answered { id: id.clone(), told });
-        if again && told == Told::TakenOn {
-            let (world, seen) = (self.world.clone(), handed());
-            let machine = world.senders[sender as usize].machines();
-            spawn_local(async move {
-                sleep(Duration::from_secs_f64(again_after)).await;
-                if world.senders[sender as usize].machines() == machine {
-                    once_more(&world, sender, &request, seen).await;
-                }
-            });
+        request
+    }
+
+    /// Sends a request, and once more on a new connection where a reused one was closed between two requests.
+    async fn send_with_retry(&self, sender: u32, mut connection: ClientConnection, request: &[u8]) -> Told {
+        let mut response = self.send(sender, &mut connection, request).await;
+        if response == Told::Cut
+            && connection.is_reused
+            && let Some(new) = self.clients.new_connection(self.world, sender).await
+        {
+            connection = new;
+            response = self.send(sender, &mut connection, request).await;
         }
-        (told, end)
+        self.clients.release(sender, connection);
+        response
     }
 
-    async fn ask(&self, sender: u32, with: &mut Kept, request: &[u8]) -> Told {
-        let conversation = &mut with.conversation;
-        let asked = async {
+    async fn send(&self, sender: u32, connection: &mut ClientConnection, request: &[u8]) -> Told {
+        let conversation = &mut connection.conversation;
+        let exchange = async {
             conversation.write(request).await.ok()?;
             conversation.read(true).await.ok().flatten()
         };
-        let answer = timeout(PATIENCE, asked).await;
-        with.usable = false;
+        let answer = timeout(REQUEST_TIMEOUT, exchange).await;
+        connection.is_reusable = false;
         let answer = match answer {
             Ok(Some(answer)) => answer,
             Ok(None) => return Told::Cut,
             Err(_) => return Told::Nothing,
         };
-        with.usable =
-            answer.field("connection") != Some("close") && self.world.senders[sender as usize].is_up();
+        let is_accepting = self.world.senders[sender as usize].is_accepting();
+        connection.is_reusable = answer.field("connection") != Some("close") && is_accepting;
         match answer.status {
             200 | 202 => Told::TakenOn,
             429 | 503 => Told::Refused,
@@ -208,53 +279,78 @@
     }
 }
 
-/// The same message under the same id: a client whose program restarted, say. It owes nothing new.
-async fn once_more(world: &Rc<World>, sender: u32, request: &[u8], seen: Seen) {
-    let Seen::HandedIn { deadline, .. } = seen else { return };
+/// Submits the same message under the same id once more after a delay, as a client that was restarted does, unless the
+/// machine of the sender is lost before. The sender owes nothing new for it.
+fn schedule_duplicate(world: Rc<World>, sender: u32, delay: Duration, request: Vec<u8>, submitted: Seen) {
+    let lost_machines = world.senders[sender as usize].lost_machines();
+    spawn_local(async move {
+        sleep(delay).await;
+        if world.senders[sender as usize].lost_machines() == lost_machines {
+            submit_duplicate(&world, sender, &request, submitted).await;
+        }
+    });
+}
+
+async fn submit_duplicate(world: &Rc<World>, sender: u32, request: &[u8], submitted: Seen) {
+    let Seen::HandedIn { deadline, .. } = submitted else { return };
     let Some(address) = world.senders[sender as usize].address() else { return };
-    if world.now() + LEAST_LEFT > deadline {
+    if world.now() + MIN_REMAINING_US > deadline {
         return;
     }
-    let Ok(Ok(line)) = timeout(PATIENCE, world.wire.connect(Host::Sender(sender), address)).await else {
-        return;
-    };
-    let mut with = Conversation::new(line);
-    world.saw(seen);
-    if with.write(request).await.is_ok() {
-        let _ = timeout(PATIENCE, with.read(true)).await;
+    let connected = timeout(REQUEST_TIMEOUT, world.network.connect(Host::Sender(sender), address)).await;
+    let Ok(Ok(connection)) = connected else { return };
+    let mut conversation = Conversation::new(connection);
+    world.observe(submitted);
+    if conversation.write(request).await.is_ok() {
+        let _ = timeout(REQUEST_TIMEOUT, conversation.read(true)).await;
     }
 }
 
-/// A connection to a sender.
-struct Kept {
+/// A client's connection to a sender.
+struct ClientConnection {
     conversation: Conversation,
-    reused: bool,
-    usable: bool,
+    is_reused: bool,
+    is_reusable: bool,
 }
 
 impl Clients {
-    async fn connection(&self, world: &World, sender: u32) -> Option<Kept> {
+    fn vehicle_lock(&self, vehicle: u32) -> Rc<Mutex<()>> {
+        self.vehicle_locks.borrow_mut().entry(vehicle).or_default().clone()
+    }
+
+    /// Forgets the lock of a vehicle that no operation uses any more.
+    fn release_vehicle_lock(&self, vehicle: u32) {
+        let mut locks = self.vehicle_locks.borrow_mut();
+        if locks.get(&vehicle).is_some_and(|lock| Rc::strong_count(lock) == 1) {
+            locks.remove(&vehicle);
+        }
+    }
+
+    /// Returns an idle connection that is still open, or a new one.
+    async fn connection(&self, world: &World, sender: u32) -> Option<ClientConnection> {
         loop {
-            let kept = self.idle.borrow_mut().get_mut(&sender).and_then(Vec::pop);
-            let Some(mut conversation) = kept else { return self.new_connection(world, sender).await };
+            let idle = self.idle.borrow_mut().get_mut(&sender).and_then(Vec::pop);
+            let Some(mut conversation) = idle else { return self.new_connection(world, sender).await };
             if !conversation.is_over().await {
-                return Some(Kept { conversation, reused: true, usable: false });
+                return Some(ClientConnection { conversation, is_reused: true, is_reusable: false });
             }
         }
     }
 
-    async fn new_connection(&self, world: &World, sender: u32) -> Option<Kept> {
+    async fn new_connection(&self, world: &World, sender: u32) -> Option<ClientConnection> {
         let address = world.senders[sender as usize].address()?;
-        let line = timeout(PATIENCE, world.wire.connect(Host::Sender(sender), address)).await;
-        let conversation = Conversation::new(line.ok()?.ok()?);
-        Some(Kept { conversation, reused: false, usable: false })
+        let connecting = world.network.connect(Host::Sender(sender), address);
+        let connection = timeout(REQUEST_TIMEOUT, connecting).await.ok()?.ok()?;
+        let conversation = Conversation::new(connection);
+        Some(ClientConnection { conversation, is_reused: false, is_reusable: false })
     }
 
-    fn keep(&self, sender: u32, with: Kept) {
+    /// Returns a connection to the idle ones, if it can be used again and there are not too many.
+    fn release(&self, sender: u32, connection: ClientConnection) {
         let mut idle = self.idle.borrow_mut();
         let of_sender = idle.entry(sender).or_default();
-        if with.usable && of_sender.len() < MOST_IDLE {
-            of_sender.push(with.conversation);
+        if connection.is_reusable && of_sender.len() < MAX_IDLE_CONNECTIONS {
+            of_sender.push(connection.conversation);
         }
     }
 }
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -0,0 +1,314 @@
+//! The model of a destination: what it does with a call, given its limits, queues, speed, outages, cold starts and
+//! the idempotency keys that it remembers. Free of I/O and clocks; times are microseconds from the start of the run.
+mod condition;
+mod route;
+
+pub use condition::{Condition, Stall};
+pub use route::{Collapse, LoadReport};
+
+use crate::observation::{At, MessageEnd};
+use crate::plan::{Class, Destination, KEY_WINDOW, Kind, Limit, SeededRng};
+use route::{LIMIT_WINDOW_US, Route};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Calls that wait at an endpoint for each that it serves; more are rejected.
+const QUEUED_PER_SERVED: usize = 4;
+/// Bounds of a Retry-After that chance draws.
+const MIN_RETRY_AFTER_US: f64 = 250e3;
+const MAX_RETRY_AFTER_US: f64 = 750e3;
+/// A Retry-After is given in whole milliseconds.
+const RETRY_AFTER_STEP_US: At = 1_000;
+/// A call that fails quickly does so after this.
+const ERROR_LATENCY_US: At = 2_000;
+/// Share of the calls without an answer of success that take effect all the same.
+const EFFECT_WITHOUT_SUCCESS_SHARE: f64 = 0.5;
+/// Share of the corrupted answers that are noise from the first byte.
+const NOISE_SHARE: f64 = 0.5;
+/// A call takes a share between these of the mean service time.
+const MIN_SERVICE_FACTOR: f64 = 0.7;
+const MAX_SERVICE_FACTOR: f64 = 1.3;
+/// Each further message of a batch adds this share of the service time.
+const SERVICE_PER_FURTHER_MESSAGE: f64 = 0.15;
+/// A cold route works at least at this share of its speed.
+const MIN_SPEED: f64 = 0.05;
+/// Keys are remembered for this long after their window has closed.
+const KEY_RETENTION_US: At = 60_000_000;
+
+/// How an answer reaches the sender.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Delivery {
+    /// The answer arrives intact.
+    Complete,
+    /// Noise arrives in its place; the connection stays open.
+    Noise,
+    /// Its first line arrives, followed by noise.
+    FirstLine,
+    /// The connection breaks without an answer.
+    Broken,
+    /// Nothing arrives: the connection stays open and silent.
+    Never,
+}
+
+/// What the destination does with a call.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CallOutcome {
+    /// When the answer is written.
+    pub answer_at: At,
+    /// The result of each message.
+    pub ends: Vec<MessageEnd>,
+    /// Whether each message takes effect when the answer is due.
+    pub effects: Vec<bool>,
+    /// The Retry-After of the answer.
+    pub retry_after: Option<At>,
+    /// How the answer is delivered.
+    pub delivery: Delivery,
+    /// The collapse of the route, if this call caused it.
+    pub collapse: Option<Collapse>,
+}
+
+/// One message of a call.
+pub struct CallMessage<'a> {
+    /// Its class.
+    pub class: Class,
+    /// Its idempotency key.
+    pub key: &'a str,
+}
+
+/// A call whose last byte has arrived at an endpoint.
+pub struct IncomingCall<'a> {
+    /// When the last byte arrived.
+    pub received_at: At,
+    /// When the sender began to send: the deduplication window runs from there, the only time that the sender knows.
+    pub sent_at: At,
+    /// The sender's number.
+    pub sender: u32,
+    /// The endpoint's number.
+    pub endpoint: u32,
+    /// The endpoint's condition.
+    pub condition: &'a Condition,
+    /// The messages of the call.
+    pub messages: &'a [CallMessage<'a>],
+}
+
+impl IncomingCall<'_> {
+    /// The outcome in which all messages end with `end` and none takes effect.
+    fn without_effect(&self, end: MessageEnd) -> CallOutcome {
+        CallOutcome {
+            answer_at: self.received_at,
+            ends: vec![end; self.messages.len()],
+            effects: vec![false; self.messages.len()],
+            retry_after: None,
+            delivery: Delivery::Complete,
+            collapse: None,
+        }
+    }
+
+    fn rejected(&self, retry_after: Option<At>) -> CallOutcome {
+        CallOutcome { retry_after, ..self.without_effect(MessageEnd::Full) }
+    }
+}
+
+struct EndpointSlots {
+    route: usize,
+    /// When each slot is free again.
+    free_at: Vec<At>,
+}
+
+/// An idempotency key that took effect, and when its deduplication window closes.
+struct KeyExpiry {
+    closes_at: At,
+    key: String,
+}
+
+/// The model of one destination.
+pub struct DestinationModel {
+    has_window_limit: bool,
+    service_time_us: f64,
+    /// Share of the rejections that carry a Retry-After.
+    retry_after_share: f64,
+    routes: Vec<Route>,
+    endpoints: BTreeMap<u32, EndpointSlots>,
+    /// Keys that took effect, and until when a repeated message is dropped.
+    keys: BTreeMap<String, At>,
+    key_expiries: VecDeque<KeyExpiry>,
+    random: SeededRng,
+}
+
+impl DestinationModel {
+    /// Creates the model of a destination of the plan.
+    pub fn new(destination: &Destination, seed: u64) -> Self {
+        let separate = destination.kind.routes_apart();
+        let route_count = if separate { destination.endpoints.len() } else { 1 };
+        let capacity = destination.capacity / route_count as f64;
+        let rejections_consume_rate = destination.kind == Kind::Bank;
+        let route = || Route::new(capacity, destination.limit, rejections_consume_rate);
+        let endpoint = |(index, endpoint): (usize, &crate::plan::EndpointPlan)| {
+            let route = if separate { index } else { 0 };
+            (endpoint.number, EndpointSlots { route, free_at: vec![0; endpoint.slots] })
+        };
+        Self {
+            has_window_limit: matches!(destination.limit, Limit::Window(_)),
+            service_time_us: destination.service,
+            retry_after_share: destination.tells,
+            routes: (0..route_count).map(|_| route()).collect(),
+            endpoints: destination.endpoints.iter().enumerate().map(endpoint).collect(),
+            keys: BTreeMap::new(),
+            key_expiries: VecDeque::new(),
+            random: SeededRng::new(seed, &format!("partner {}", destination.number)),
+        }
+    }
+
+    /// Returns the route of an endpoint, counted within the destination.
+    pub fn route_of(&self, endpoint: u32) -> usize {
+        self.endpoints.get(&endpoint).map_or(0, |slots| slots.route)
+    }
+
+    /// Records the beginning or end of a route's outage, and returns whether that is a change.
+    pub fn set_outage(&mut self, route: usize, outage: bool, now: At) -> bool {
+        self.routes[route].set_outage(outage, now)
+    }
+
+    /// Sets the share of a route's limit that applies from now on.
+    pub fn set_limit_share(&mut self, route: usize, share: f64) {
+        self.routes[route].set_limit_share(share);
+    }
+
+    /// Forgets the outage of a route whose endpoints have all been replaced.
+    pub fn reset_outage(&mut self, route: usize) {
+        self.routes[route].reset_outage();
+    }
+
+    /// Returns what an answer of this endpoint reports of its limit.
+    pub fn load_report(&mut self, endpoint: u32, now: At) -> LoadReport {
+        let route = self.route_of(endpoint);
+        self.routes[route].load_report(now)
+    }
+
+    /// Decides the outcome of a call.
+    pub fn call(&mut self, call: &IncomingCall<'_>) -> CallOutcome {
+        let route = self.route_of(call.endpoint);
+        let collapse = self.routes[route].record_call(call.received_at, call.sender);
+        CallOutcome { collapse, ..self.decide(route, call) }
+    }
+
+    fn decide(&mut self, route: usize, call: &IncomingCall<'_>) -> CallOutcome {
+        let now = call.received_at;
+        let states_retry_after = self.random.chance(self.retry_after_share);
+        if let Some(available_at) = call.condition.unavailable_until {
+            let wait = available_at.saturating_sub(now).next_multiple_of(RETRY_AFTER_STEP_US);
+            return call.rejected(Some(wait).filter(|wait| states_retry_after && *wait > 0));
+        }
+        let within_limit = self.routes[route].admits(now);
+        let retry_after = Some(self.draw_retry_after(now)).filter(|_| states_retry_after);
+        if !within_limit
+            || self.routes[route].is_collapsed()
+            || self.random.chance(call.condition.rejected_share)
+        {
+            return call.rejected(retry_after);
+        }
+        if self.random.chance(call.condition.error_share) {
+            return self.fail(call);
+        }
+        match self.schedule(route, call) {
+            Ok(answer_at) => self.answer(answer_at, call),
+            Err(Unscheduled::QueueFull) => call.rejected(retry_after),
+            Err(Unscheduled::UnknownEndpoint) => call.rejected(None),
+        }
+    }
+
+    /// Draws a Retry-After: to the end of the limit's window, or by chance where the limit has none.
+    fn draw_retry_after(&mut self, now: At) -> At {
+        let wait = if self.has_window_limit {
+            LIMIT_WINDOW_US - now % LIMIT_WINDOW_US
+        } else {
+            self.random.between(MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US) as At
+        };
+        wait.next_multiple_of(RETRY_AFTER_STEP_US)
+    }
+
+    fn fail(&mut self, call: &IncomingCall<'_>) -> CallOutcome {
+        let runs = self.random.chance(EFFECT_WITHOUT_SUCCESS_SHARE);
+        CallOutcome {
+            answer_at: call.received_at + ERROR_LATENCY_US,
+            effects: self.take_effect(runs, call),
+            ..call.without_effect(MessageEnd::Error)
+        }
+    }
+
+    /// Assigns the call to a slot of its endpoint, and returns when its answer is due.
+    fn schedule(&mut self, route: usize, call: &IncomingCall<'_>) -> Result<At, Unscheduled> {
+        let now = call.received_at;
+        let speed = self.routes[route].warmth(now).max(MIN_SPEED);
+        let further_messages = call.messages.len() as f64 - 1.0;
+        let factor = self.random.between(MIN_SERVICE_FACTOR, MAX_SERVICE_FACTOR)
+            * (1.0 + SERVICE_PER_FURTHER_MESSAGE * further_messages);
+        let work = (self.service_time_us * factor / speed) as At;
+        let max_start = now + (QUEUED_PER_SERVED as f64 * self.service_time_us / speed) as At;
+        let endpoint = self.endpoints.get_mut(&call.endpoint).ok_or(Unscheduled::UnknownEndpoint)?;
+        let first_free = endpoint.free_at.iter_mut().min().filter(|free_at| **free_at <= max_start);
+        let slot = first_free.ok_or(Unscheduled::QueueFull)?;
+        *slot = call.condition.after_stall(now.max(*slot)) + work;
+        Ok(*slot + call.condition.added_latency)
+    }
+
+    fn answer(&mut self, answer_at: At, call: &IncomingCall<'_>) -> CallOutcome {
+        let delivery = self.draw_delivery(call.condition);
+        // A call that hangs has often run all the same.
+        let runs = delivery != Delivery::Never || self.random.chance(EFFECT_WITHOUT_SUCCESS_SHARE);
+        let end = match delivery {
+            Delivery::Complete => MessageEnd::Ok,
+            Delivery::FirstLine if call.messages.len() == 1 => MessageEnd::Ok,
+            _ => MessageEnd::Spoilt,
+        };
+        let effects = self.take_effect(runs, call);
+        CallOutcome { answer_at, effects, delivery, ..call.without_effect(end) }
+    }
+
+    fn draw_delivery(&mut self, condition: &Condition) -> Delivery {
+        if condition.hangs {
+            Delivery::Never
+        } else if self.random.chance(condition.reset_share) {
+            Delivery::Broken
+        } else if self.random.chance(condition.corrupted_share) {
+            if self.random.chance(NOISE_SHARE) { Delivery::Noise } else { Delivery::FirstLine }
+        } else {
+            Delivery::Complete
+        }
+    }
+
+    /// Returns which messages of a call that runs, or does not, take effect.
+    fn take_effect(&mut self, runs: bool, call: &IncomingCall<'_>) -> Vec<bool> {
+        let takes_effect =
+            |message: &CallMessage<'_>| runs && self.record_unless_duplicate(call.sent_at, message);
+        call.messages.iter().map(takes_effect).collect()
+    }
+
+    /// Remembers the key of a message, and returns false where the message is a duplicate that is dropped.
+    fn record_unless_duplicate(&mut self, sent_at: At, message: &CallMessage<'_>) -> bool {
+        while let Some(expiry) = self.key_expiries.front()
+            && expiry.closes_at + KEY_RETENTION_US < sent_at
+        {
+            self.keys.remove(&expiry.key);
+            self.key_expiries.pop_front();
+        }
+        if message.class != Class::TripRecord {
+            return true;
+        }
+        if self.keys.get(message.key).is_some_and(|closes_at| sent_at < *closes_at) {
+            return false;
+        }
+        let closes_at = sent_at + KEY_WINDOW.0;
+        self.keys.insert(message.key.to_owned(), closes_at);
+        self.key_expiries.push_back(KeyExpiry { closes_at, key: message.key.to_owned() });
+        true
+    }
+}
+
+/// Why a call gets no slot of its endpoint.
+enum Unscheduled {
+    QueueFull,
+    UnknownEndpoint,
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/destination_model/route.rs
@@ -0,0 +1,210 @@
+//! A route of a destination: its limit, and its capacity while it is warming up after an outage.
+use crate::observation::At;
+use crate::plan::{COLD_SHARE, FALL, Limit, OVERLOAD_FACTOR, RAMP};
+use std::collections::VecDeque;
+
+/// Length of the window of a limit that counts calls.
+pub(super) const LIMIT_WINDOW_US: At = 2_000_000;
+/// Standard deviations that chance is allowed beyond the overload factor before a cold route collapses, for arrivals that
+/// come independently at the highest rate that the route sustains: sustained overload exceeds that, a burst does not.
+const COLLAPSE_TOLERANCE_SIGMAS: f64 = 3.0;
+/// A route that was out for less does not cool down; the shortest outage on record lasted 6.3 s.
+const MIN_COOLING_OUTAGE_US: At = 6_000_000;
+/// Load reports are computed anew at this interval.
+const REPORT_INTERVAL_US: At = 300_000;
+/// Tokens that a rate limit can accumulate at least.
+const MIN_BURST: f64 = 2.0;
+
+/// A cold route received more calls than it could sustain.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Collapse {
+    /// The sender of each call, one entry a call.
+    pub senders: Vec<u32>,
+    /// Number of calls that the route would have sustained.
+    pub budget: f64,
+}
+
+/// What an answer reports of a route's limit.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LoadReport {
+    /// Share of the limit that is left.
+    pub remaining_share: f64,
+    /// The limit in calls a second; 0 without a limit.
+    pub limit_per_second: f64,
+}
+
+struct RecentCall {
+    at: At,
+    sender: u32,
+}
+
+/// Calls that were counted in one window of a limit.
+#[derive(Default)]
+struct WindowCount {
+    window: At,
+    calls: u32,
+}
+
+/// The share of the limit that was left when a load report was last computed.
+struct ReportedShare {
+    at: At,
+    remaining_share: f64,
+}
+
+/// One endpoint, or a destination whose endpoints share a limit.
+pub(super) struct Route {
+    capacity: f64,
+    limit: Limit,
+    rejections_consume_rate: bool,
+    /// Share of the limit that applies at present.
+    limit_share: f64,
+    tokens: f64,
+    tokens_updated_at: At,
+    window: WindowCount,
+    outage_since: Option<At>,
+    /// When the route last came back cold.
+    slow_start_since: Option<At>,
+    collapsed: bool,
+    recent_calls: VecDeque<RecentCall>,
+    last_report: ReportedShare,
+}
+
+impl Route {
+    pub(super) fn new(capacity: f64, limit: Limit, rejections_consume_rate: bool) -> Self {
+        Self {
+            capacity,
+            limit,
+            rejections_consume_rate,
+            limit_share: 1.0,
+            tokens: 1.0,
+            tokens_updated_at: 0,
+            window: WindowCount::default(),
+            outage_since: None,
+            slow_start_since: None,
+            collapsed: false,
+            recent_calls: VecDeque::new(),
+            last_report: ReportedShare { at: 0, remaining_share: 1.0 },
+        }
+    }
+
+    pub(super) fn is_collapsed(&self) -> bool {
+        self.collapsed
+    }
+
+    pub(super) fn set_limit_share(&mut self, share: f64) {
+        self.limit_share = share;
+    }
+
+    /// Records the beginning or end of an outage, and returns whether that is a change.
+    pub(super) fn set_outage(&mut self, outage: bool, now: At) -> bool {
+        if outage {
+            let began = self.outage_since.is_none();
+            self.outage_since.get_or_insert(now);
+            return began;
+        }
+        let Some(since) = self.outage_since.take() else { return false };
+        if now >= since + MIN_COOLING_OUTAGE_US {
+            self.slow_start_since = Some(now);
+            self.recent_calls.clear();
+        }
+        true
+    }
+
+    /// Forgets the outage, as all endpoints have been replaced.
+    pub(super) fn reset_outage(&mut self) {
+        self.outage_since = None;
+        self.slow_start_since = None;
+    }
+
+    /// Returns the share of its capacity that the route has: less than 1 while it is cold.
+    pub(super) fn warmth(&self, now: At) -> f64 {
+        let Some(slow_start_since) = self.slow_start_since else { return 1.0 };
+        let ramp_share = now.saturating_sub(slow_start_since) as f64 / RAMP.0 as f64;
+        (COLD_SHARE + (1.0 - COLD_SHARE) * ramp_share).min(1.0)
+    }
+
+    fn current_limit(&self) -> Limit {
+        match self.limit {
+            Limit::None => Limit::None,
+            Limit::Rate(rate) => Limit::Rate(rate * self.limit_share),
+            Limit::Window(count) => Limit::Window(((f64::from(count) * self.limit_share) as u32).max(1)),
+        }
+    }
+
+    /// Counts one more call at `now`, and returns whether it is within the limit.
+    pub(super) fn admits(&mut self, now: At) -> bool {
+        match self.current_limit() {
+            Limit::None => true,
+            Limit::Rate(rate) => self.take_token(now, rate),
+            Limit::Window(count) => {
+                let window = now / LIMIT_WINDOW_US;
+                if self.window.window != window {
+                    self.window = WindowCount { window, calls: 0 };
+                }
+                self.window.calls += 1;
+                self.window.calls <= count
+            }
+        }
+    }
+
+    fn take_token(&mut self, now: At, rate: f64) -> bool {
+        let elapsed_seconds = now.saturating_sub(self.tokens_updated_at) as f64 / 1e6;
+        self.tokens = (self.tokens + elapsed_seconds * rate).min(rate.max(MIN_BURST));
+        self.tokens_updated_at = now;
+        let admitted = self.tokens >= 1.0;
+        if admitted || self.rejections_consume_rate {
+            self.tokens = (self.tokens - 1.0).max(0.0);
+        }
+        admitted
+    }
+
+    /// Returns what an answer written at `now` reports of the limit.
+    pub(super) fn load_report(&mut self, now: At) -> LoadReport {
+        let current = self.current_load(now);
+        if now >= self.last_report.at + REPORT_INTERVAL_US {
+            self.last_report = ReportedShare { at: now, remaining_share: current.remaining_share };
+        }
+        LoadReport { remaining_share: self.last_report.remaining_share, ..current }
+    }
+
+    fn current_load(&self, now: At) -> LoadReport {
+        match self.current_limit() {
+            Limit::None => LoadReport { remaining_share: 1.0, limit_per_second: 0.0 },
+            Limit::Rate(rate) => LoadReport {
+                remaining_share: (self.tokens / rate.max(MIN_BURST)).clamp(0.0, 1.0),
+                limit_per_second: rate,
+            },
+            Limit::Window(count) => {
+                let is_current = self.window.window == now / LIMIT_WINDOW_US;
+                let used = if is_current { self.window.calls } else { 0 };
+                LoadReport {
+                    remaining_share: 1.0 - f64::from(used.min(count)) / f64::from(count.max(1)),
+                    limit_per_second: f64::from(count) / 2.0,
+                }
+            }
+        }
+    }
+
+    /// Records a call of a sender. Returns the collapse of the route, if this call caused it.
+    pub(super) fn record_call(&mut self, now: At, sender: u32) -> Option<Collapse> {
+        self.recent_calls.push_back(RecentCall { at: now, sender });
+        while self.recent_calls.front().is_some_and(|call| call.at + FALL.0 < now) {
+            self.recent_calls.pop_front();
+        }
+        let slow_start_since = self.slow_start_since?;
+        if now >= slow_start_since + RAMP.0 || self.collapsed || self.outage_since.is_some() {
+            return None;
+        }
+        let from = now.saturating_sub(FALL.0).max(slow_start_since);
+        let mean_warmth = (self.warmth(from) + self.warmth(now)) / 2.0;
+        let sustainable = OVERLOAD_FACTOR * self.capacity * mean_warmth * FALL.0 as f64 / 1e6;
+        let budget = sustainable + COLLAPSE_TOLERANCE_SIGMAS * sustainable.sqrt();
+        let in_window = self.recent_calls.iter().filter(|call| call.at >= from);
+        let senders: Vec<u32> = in_window.map(|call| call.sender).collect();
+        if senders.len() as f64 <= budget {
+            return None;
+        }
+        self.collapsed = true;
+        Some(Collapse { senders, budget })
+    }
+}
--- a/crates/micadrum-testkit/src/world/model/tests.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/tests.rs
@@ -3,9 +3,9 @@
 
 const S: At = 1_000_000;
 
-fn partner(limit: Limit, capacity: f64) -> DestinationModel {
+fn destination(limit: Limit, capacity: f64) -> DestinationModel {
     let endpoint = EndpointPlan { number: 3, id: "s-3".to_owned(), building: 0, slots: 4 };
-    let partner = Destination {
+    let destination = Destination {
         number: 0,
         kind: Kind::Fleet,
         share: 1.0,
@@ -15,25 +15,32 @@
         service: 100_000.0,
         endpoints: vec![endpoint],
     };
-    DestinationModel::new(&partner, 7)
+    DestinationModel::new(&destination, 7)
 }
 
-fn call(model: &mut DestinationModel, at: At, key: &str) -> Fate {
-    let parcel = Payload { class: Class::TripRecord, key };
-    model.call(at, at, 0, 3, &Condition::default(), &[parcel])
+fn call(model: &mut DestinationModel, at: At, key: &str) -> CallOutcome {
+    let messages = [CallMessage { class: Class::TripRecord, key }];
+    model.call(&IncomingCall {
+        received_at: at,
+        sent_at: at,
+        sender: 0,
+        endpoint: 3,
+        condition: &Condition::default(),
+        messages: &messages,
+    })
 }
 
 /// Guards against a limit that lets more through than it says, or does not count what it refuses.
 #[test]
 fn limits_hold_for_all_calls_together() {
-    let mut model = partner(Limit::Window(3), 100.0);
+    let mut model = destination(Limit::Window(3), 100.0);
     let ends: Vec<_> = (0..5).map(|n| call(&mut model, 2 * S + n, &n.to_string()).ends[0]).collect();
     assert_eq!(ends[..3], [MessageEnd::Ok; 3]);
     assert_eq!(ends[3..], [MessageEnd::Full; 2]);
     let refused = call(&mut model, 3 * S, "x");
-    assert_eq!(refused.wait, Some(S), "to the end of the span");
+    assert_eq!(refused.retry_after, Some(S), "to the end of the span");
     assert_eq!(call(&mut model, 4 * S, "y").ends, [MessageEnd::Ok]);
-    let mut model = partner(Limit::Rate(10.0), 100.0);
+    let mut model = destination(Limit::Rate(10.0), 100.0);
     let through = (0..100).filter(|n| call(&mut model, n * 50_000, "k").ends[0] == MessageEnd::Ok).count();
     assert!((25..=60).contains(&through), "{through} of 100 calls in 5 s at 10 a second");
 }
@@ -41,16 +48,16 @@
 /// Guards against a limit that falls only in what is reported, or does not come back.
 #[test]
 fn a_limit_that_falls_is_told_and_kept_to() {
-    let mut model = partner(Limit::Rate(20.0), 100.0);
+    let mut model = destination(Limit::Rate(20.0), 100.0);
     let taken = |model: &mut DestinationModel, from: At| {
         let calls = (0..100).map(|n| call(model, from + n * S / 50, &format!("{from} {n}")));
-        calls.filter(|fate| fate.ends == [MessageEnd::Ok]).count()
+        calls.filter(|outcome| outcome.ends == [MessageEnd::Ok]).count()
     };
     let before = taken(&mut model, 0);
-    model.set_limit(0, 0.5);
-    assert_eq!(model.report(3, 10 * S).1, 10.0);
+    model.set_limit_share(0, 0.5);
+    assert_eq!(model.load_report(3, 10 * S).limit_per_second, 10.0);
     let during = taken(&mut model, 10 * S);
-    model.set_limit(0, 1.0);
+    model.set_limit_share(0, 1.0);
     let after = taken(&mut model, 20 * S);
     // 2 s of it, and what of it was left over.
     assert!(during <= 30 && after >= before, "{before} {during} {after}");
@@ -59,7 +66,7 @@
 /// Guards against a key that is forgotten before its window, counted from its sending, is over, or kept on.
 #[test]
 fn a_repeat_is_dropped_in_its_window() {
-    let mut model = partner(Limit::None, 100.0);
+    let mut model = destination(Limit::None, 100.0);
     assert_eq!(call(&mut model, 0, "k").effects, [true]);
     assert_eq!(call(&mut model, 4 * S + 999_000, "k").effects, [false]);
     assert_eq!(call(&mut model, 5 * S, "k").effects, [true]);
@@ -70,24 +77,24 @@
 #[test]
 fn a_cold_partner_falls_when_pushed() {
     let pushed = |rate: u64, outage: At| {
-        let mut model = partner(Limit::None, 100.0);
+        let mut model = destination(Limit::None, 100.0);
         assert!(model.set_outage(0, true, 10 * S) && !model.set_outage(0, true, 10 * S));
         assert!(model.set_outage(0, false, 10 * S + outage));
-        (0..rate * 2).any(|n| call(&mut model, 10 * S + outage + n * S / rate, "k").fell.is_some())
+        (0..rate * 2).any(|n| call(&mut model, 10 * S + outage + n * S / rate, "k").collapse.is_some())
     };
     // At 19% and rising it bears some 45 calls a second, and chance's part.
     assert!(!pushed(30, 8 * S));
     assert!(pushed(100, 8 * S));
     assert!(!pushed(100, S), "so short an outage cools nothing");
-    let mut model = partner(Limit::None, 100.0);
-    let fell = (0..400).any(|n| call(&mut model, n * S / 200, "k").fell.is_some());
+    let mut model = destination(Limit::None, 100.0);
+    let fell = (0..400).any(|n| call(&mut model, n * S / 200, "k").collapse.is_some());
     assert!(!fell, "a warm one does not fall");
 }
 
 /// Guards against a queue without end.
 #[test]
 fn a_full_queue_turns_away() {
-    let mut model = partner(Limit::None, 100.0);
+    let mut model = destination(Limit::None, 100.0);
     let full = (0..200).filter(|n| call(&mut model, 0, &n.to_string()).ends[0] == MessageEnd::Full).count();
     assert!((150..199).contains(&full), "{full} of 200");
 }
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -0,0 +1,282 @@
+//! A call to an endpoint: read, decided by the destination's model, and answered.
+use super::{is_mute, wait_for_state};
+use crate::http::{Conversation, Message, answer};
+use crate::observation::{At, MessageEnd, Seen};
+use crate::plan::Class;
+use crate::world::destination_model::{CallMessage, CallOutcome, Collapse, Delivery, IncomingCall};
+use crate::world::messages::MessageOutcome;
+use crate::world::{EndpointIdentity, EndpointState, World};
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD as BASE64;
+use serde::Deserialize;
+use serde_json::json;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+#[derive(Deserialize)]
+struct BatchItem {
+    id: String,
+    key: Option<String>,
+    body: String,
+}
+
+/// A message as a call carries it.
+struct ReceivedMessage {
+    id: String,
+    key: Option<String>,
+    body: Vec<u8>,
+}
+
+impl ReceivedMessage {
+    /// Reads the messages of a call, or `None` where the call is malformed.
+    fn read_all(message: &Message, is_batch: bool) -> Option<Vec<Self>> {
+        if is_batch {
+            let items: Vec<BatchItem> = serde_json::from_slice(&message.body).ok()?;
+            return items.into_iter().map(Self::decode).collect();
+        }
+        let id = message.field("x-txn")?.to_owned();
+        let key = message.field("idempotency-key").map(str::to_owned);
+        Some(vec![Self { id, key, body: message.body.clone() }])
+    }
+
+    fn decode(item: BatchItem) -> Option<Self> {
+        Some(Self { id: item.id, key: item.key, body: BASE64.decode(item.body).ok()? })
+    }
+
+    /// Marks the message as attempted, if it arrives as a client submitted it to this destination.
+    fn identify(self, world: &World, destination: u32) -> IdentifiedMessage {
+        let mut messages = world.messages.borrow_mut();
+        match messages.get(&self.id) {
+            Some(submitted)
+                if submitted.destination == destination
+                    && self.key.as_ref() == Some(&submitted.key)
+                    && *submitted.body == *self.body =>
+            {
+                submitted.attempted = true;
+                IdentifiedMessage { id: self.id, class: submitted.class, key: submitted.key.clone() }
+            }
+            // The invariant checker does not know this id either, and reports it.
+            _ => IdentifiedMessage {
+                id: format!("{} (not as it was handed in)", self.id),
+                class: Class::Charge,
+                key: String::new(),
+            },
+        }
+    }
+}
+
+/// A message of a call with what the world knows about it.
+struct IdentifiedMessage {
+    id: String,
+    class: Class,
+    key: String,
+}
+
+/// A call that has been received completely.
+pub(super) struct Call {
+    number: u64,
+    endpoint: usize,
+    ids: Vec<String>,
+    is_batch: bool,
+    outcome: CallOutcome,
+}
+
+/// What happens first to a call that is being processed.
+enum CallEvent {
+    AnswerDue,
+    ConnectionClosed { sent: At },
+    ProcessDown,
+}
+
+impl Call {
+    /// Reads a call and has the model decide its outcome; `None` where the call is malformed.
+    pub(super) fn read(world: &World, endpoint: usize, sender: u32, message: &Message) -> Option<Self> {
+        let is_batch = message.path == "/hook/batch";
+        let received = ReceivedMessage::read_all(message, is_batch)?;
+        let number = world.next_call.get();
+        world.next_call.set(number + 1);
+        let state = &world.endpoints.borrow()[endpoint];
+        let identified: Vec<_> =
+            received.into_iter().map(|received| received.identify(world, state.destination)).collect();
+        let sent = world.timestamp(message.first_sent);
+        let outcome = decide(world, state, sender, sent, &identified);
+        let EndpointIdentity { id, route } = identity_for(world, state, sender, sent);
+        let ids: Vec<_> = identified.into_iter().map(|message| message.id).collect();
+        let began =
+            Seen::Began { call: number, sender, endpoint: id.clone(), line: route, ids: ids.clone(), sent };
+        world.observe(began);
+        if let Some(Collapse { senders, budget }) = outcome.collapse.clone() {
+            world.observe(Seen::Fell { line: route, senders, budget, endpoint: id });
+        }
+        Some(Self { number, endpoint, ids, is_batch, outcome })
+    }
+
+    /// Processes the call and answers it as the model decided. Returns the connection, if it can carry another call.
+    pub(super) async fn serve(
+        self,
+        world: &Rc<World>,
+        mut conversation: Conversation,
+    ) -> Option<Conversation> {
+        let event = tokio::select! {
+            biased;
+            () = wait_for_state(world, self.endpoint, |endpoint| endpoint.condition.process_down) => {
+                CallEvent::ProcessDown
+            }
+            () = world.wait_until(self.outcome.answer_at) => CallEvent::AnswerDue,
+            closed = conversation.ended() => CallEvent::ConnectionClosed { sent: world.timestamp(closed) },
+        };
+        match event {
+            CallEvent::AnswerDue => self.answer(world, conversation).await,
+            CallEvent::ConnectionClosed { sent } => {
+                world.observe(Seen::Closed { call: self.number, sent });
+                self.run_on(world.clone());
+                None
+            }
+            CallEvent::ProcessDown => {
+                let ends = self.ids.iter().map(|id| (id.clone(), MessageEnd::Spoilt)).collect();
+                self.observe_reply(world, &conversation, ends, None);
+                None
+            }
+        }
+    }
+
+    /// Lets an accepted call take effect in time although its connection is closed.
+    fn run_on(self, world: Rc<World>) {
+        spawn_local(async move {
+            world.wait_until(self.outcome.answer_at).await;
+            self.take_effect(&world);
+        });
+    }
+
+    /// Answers the call. Returns the connection, if it can carry another call.
+    async fn answer(self, world: &Rc<World>, mut conversation: Conversation) -> Option<Conversation> {
+        self.take_effect(world);
+        let is_mute = is_mute(world, &world.endpoints.borrow()[self.endpoint]);
+        if is_mute || self.outcome.delivery == Delivery::Never {
+            let sent = world.timestamp(conversation.ended().await);
+            world.observe(Seen::Closed { call: self.number, sent });
+            return None;
+        }
+        let now = world.now();
+        let ends: Vec<_> = self.ids.iter().cloned().zip(self.outcome.ends.iter().copied()).collect();
+        // A Retry-After that is written while the link is cut reaches nobody.
+        let retry_after = self.outcome.retry_after.filter(|_| conversation.arrives()).map(|wait| now + wait);
+        let heard = self.observe_reply(world, &conversation, ends.clone(), retry_after);
+        for (id, end) in ends {
+            if end == MessageEnd::Ok {
+                world.messages.borrow_mut().complete(&id, MessageOutcome::Delivered);
+            }
+        }
+        let bytes = self.answer_bytes(world)?;
+        conversation.write(&bytes).await.ok()?;
+        if retry_after.is_some() {
+            self.watch_delivery(world, &conversation, heard).await;
+        }
+        if self.outcome.delivery == Delivery::Complete {
+            return Some(conversation);
+        }
+        // The connection is of no further use, and stays open until the sender ends it.
+        conversation.ended().await;
+        None
+    }
+
+    /// Records the answer to the call, and returns when it reaches the sender.
+    fn observe_reply(
+        &self,
+        world: &World,
+        conversation: &Conversation,
+        ends: Vec<(String, MessageEnd)>,
+        retry_after: Option<At>,
+    ) -> At {
+        let now = world.now();
+        let heard = now + conversation.delay().as_micros() as At;
+        // The sender may have ended the call before, with that still on its way.
+        let out_until = conversation.ended_at().map_or(now, |ended| world.timestamp(ended).min(now));
+        world.observe(Seen::Replied { call: self.number, ends, wait: retry_after, heard, out_until });
+        heard
+    }
+
+    /// Waits until a Retry-After has arrived, and records where the sender did not receive it. Nothing else comes on
+    /// this connection before that.
+    async fn watch_delivery(&self, world: &World, conversation: &Conversation, heard: At) {
+        world.wait_until(heard).await;
+        if conversation.ended_at().is_some_and(|ended| world.timestamp(ended) < heard) {
+            world.observe(Seen::Unheard { call: self.number });
+        }
+    }
+
+    fn take_effect(&self, world: &World) {
+        for (id, effect) in self.ids.iter().zip(&self.outcome.effects) {
+            if *effect {
+                world.observe(Seen::Ran { id: id.clone() });
+            }
+        }
+    }
+
+    /// Returns the bytes to write, or `None` where the connection breaks without an answer.
+    fn answer_bytes(&self, world: &World) -> Option<Vec<u8>> {
+        match self.outcome.delivery {
+            Delivery::Complete => Some(self.answer_text(world)),
+            Delivery::Noise => Some(b"\x00\x17 noise \xff\r\n\r\n".to_vec()),
+            Delivery::FirstLine => Some(b"HTTP/1.1 200 OK\r\nbroken head \xff\r\n\r\n".to_vec()),
+            Delivery::Broken | Delivery::Never => None,
+        }
+    }
+
+    fn answer_text(&self, world: &World) -> Vec<u8> {
+        let fields = self.answer_fields(world);
+        match self.outcome.ends.first() {
+            Some(MessageEnd::Full) if self.outcome.retry_after.is_some() => {
+                answer("429 Too Many Requests", &fields, "")
+            }
+            Some(MessageEnd::Full) => answer("503 Service Unavailable", &fields, ""),
+            Some(MessageEnd::Error) => answer("500 Internal Server Error", &fields, ""),
+            _ if self.is_batch => {
+                let states: Vec<_> = self.ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
+                answer("200 OK", &fields, &json!(states).to_string())
+            }
+            _ => answer("200 OK", &fields, ""),
+        }
+    }
+
+    fn answer_fields(&self, world: &World) -> String {
+        let destination = world.endpoints.borrow()[self.endpoint].destination as usize;
+        let mut destinations = world.destinations.borrow_mut();
+        let report = destinations[destination].load_report(self.endpoint as u32, world.now());
+        let mut fields =
+            format!("X-Pressure: x0={:.3},x1={:.1}\r\n", report.remaining_share, report.limit_per_second);
+        if let Some(wait) = self.outcome.retry_after {
+            fields.push_str(&format!("Retry-After: {:.3}\r\n", wait as f64 / 1e6));
+        }
+        fields
+    }
+}
+
+/// Has the model of the destination decide the outcome of a call.
+fn decide(
+    world: &World,
+    endpoint: &EndpointState,
+    sender: u32,
+    sent_at: At,
+    identified: &[IdentifiedMessage],
+) -> CallOutcome {
+    let messages: Vec<_> =
+        identified.iter().map(|message| CallMessage { class: message.class, key: &message.key }).collect();
+    world.destinations.borrow_mut()[endpoint.destination as usize].call(&IncomingCall {
+        received_at: world.now(),
+        sent_at,
+        sender,
+        endpoint: endpoint.number,
+        condition: &endpoint.condition,
+        messages: &messages,
+    })
+}
+
+/// Returns the identity of the endpoint that the sender meant: the previous one, if it was not informed of the present
+/// one when it sent the call.
+fn identity_for(world: &World, endpoint: &EndpointState, sender: u32, sent: At) -> EndpointIdentity {
+    match &endpoint.previous {
+        Some(previous) if !world.agents[sender as usize].is_informed(&endpoint.id, sent) => previous.clone(),
+        _ => EndpointIdentity { id: endpoint.id.clone(), route: endpoint.route },
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
@@ -0,0 +1,177 @@
+//! Faults of the destinations' endpoints: degraded service, lower limits, new addresses and ids, and drains.
+use crate::observation::{At, Seen};
+use crate::plan::{PlannedFault, SeededRng};
+use crate::scenario::FaultKind;
+use crate::world::destination_model::{Condition, Stall};
+use crate::world::{EndpointIdentity, EndpointState, World, endpoints, platform};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// A draining endpoint is gone after this, and another replaces it after as long again.
+const DRAIN_STEP: Duration = Duration::from_secs(6);
+/// Digits of an endpoint's id.
+const ID_DIGITS: usize = 8;
+
+/// Degrades the service of endpoints from now to the fault's end.
+pub(super) async fn degrade(world: &World, fault: &PlannedFault, started_at: At) {
+    change_condition(world, fault, |condition| apply(condition, fault, started_at));
+    world.wait_until(started_at + fault.until.0).await;
+    change_condition(world, fault, |condition| clear(condition, fault));
+}
+
+fn apply(condition: &mut Condition, fault: &PlannedFault, started_at: At) {
+    match fault.kind {
+        FaultKind::Hang => condition.hangs = true,
+        FaultKind::Late => condition.added_latency = fault.delay.0,
+        FaultKind::Stall => {
+            condition.stall =
+                Some(Stall { pause: fault.pause.0, period: fault.every.0, from: started_at + fault.from.0 });
+        }
+        FaultKind::Shut => condition.unavailable_until = Some(started_at + fault.until.0),
+        FaultKind::Full => condition.rejected_share = fault.calls,
+        FaultKind::Errors => condition.error_share = fault.calls,
+        FaultKind::Spoil => condition.corrupted_share = fault.calls,
+        FaultKind::Reset => condition.reset_share = fault.calls,
+        FaultKind::Vanish => condition.unreachable = true,
+        FaultKind::Die => condition.process_down = true,
+        _ => {}
+    }
+}
+
+fn clear(condition: &mut Condition, fault: &PlannedFault) {
+    let healthy = Condition::default();
+    match fault.kind {
+        FaultKind::Hang => condition.hangs = healthy.hangs,
+        FaultKind::Late => condition.added_latency = healthy.added_latency,
+        FaultKind::Stall => condition.stall = healthy.stall,
+        FaultKind::Shut => condition.unavailable_until = healthy.unavailable_until,
+        FaultKind::Full => condition.rejected_share = healthy.rejected_share,
+        FaultKind::Errors => condition.error_share = healthy.error_share,
+        FaultKind::Spoil => condition.corrupted_share = healthy.corrupted_share,
+        FaultKind::Reset => condition.reset_share = healthy.reset_share,
+        FaultKind::Vanish => condition.unreachable = healthy.unreachable,
+        FaultKind::Die => condition.process_down = healthy.process_down,
+        _ => {}
+    }
+}
+
+/// Changes the condition of all endpoints of a fault, and records the routes whose outage begins or ends by it.
+fn change_condition(world: &World, fault: &PlannedFault, change: impl Fn(&mut Condition)) {
+    for number in &fault.endpoints {
+        let mut endpoints = world.endpoints.borrow_mut();
+        let endpoint = &mut endpoints[*number as usize];
+        change(&mut endpoint.condition);
+        let (route, destination) = (endpoint.route, endpoint.destination as usize);
+        let unreachable = endpoint.condition.unreachable;
+        // A route is out while all of its endpoints are.
+        let mut of_route = endpoints.iter().filter(|endpoint| endpoint.route == route);
+        let outage = of_route.all(|endpoint| endpoint.condition.is_outage());
+        drop(endpoints);
+        if let Some(links) = world.fleet.links() {
+            links.set_endpoint_cut(*number, unreachable);
+        }
+        let mut destinations = world.destinations.borrow_mut();
+        let model = &mut destinations[destination];
+        let route_in_destination = model.route_of(*number);
+        if model.set_outage(route_in_destination, outage, world.now()) {
+            drop(destinations);
+            world.observe(Seen::Outage { line: route, began: outage });
+        }
+    }
+    world.endpoint_changed.notify_waiters();
+}
+
+/// Lowers the limits of endpoints until `until`.
+pub(super) async fn lower_limit(world: &World, fault: &PlannedFault, until: At) {
+    set_limit_share(world, fault, fault.calls);
+    world.wait_until(until).await;
+    set_limit_share(world, fault, 1.0);
+}
+
+fn set_limit_share(world: &World, fault: &PlannedFault, share: f64) {
+    for endpoint in &fault.endpoints {
+        let destination = world.endpoints.borrow()[*endpoint as usize].destination as usize;
+        let mut destinations = world.destinations.borrow_mut();
+        let route = destinations[destination].route_of(*endpoint);
+        destinations[destination].set_limit_share(route, share);
+    }
+}
+
+/// Moves endpoints to other addresses under their ids.
+pub(super) async fn change_addresses(world: &Rc<World>, fault: &PlannedFault) {
+    for endpoint in &fault.endpoints {
+        world.endpoints.borrow_mut()[*endpoint as usize].address_generation += 1;
+        if let Err(error) = endpoints::open(world, *endpoint as usize).await {
+            eprintln!("endpoint {endpoint}: {error}");
+        }
+    }
+    world.endpoint_changed.notify_waiters();
+    platform::publish(world);
+}
+
+/// Gives endpoints other ids at their addresses.
+pub(super) fn change_ids(world: &Rc<World>, fault: &PlannedFault) {
+    for endpoint in &fault.endpoints {
+        change_id(world, *endpoint);
+    }
+    platform::publish(world);
+}
+
+fn change_id(world: &World, number: u32) {
+    let mut endpoints = world.endpoints.borrow_mut();
+    let endpoint = &mut endpoints[number as usize];
+    let mut random = SeededRng::new(world.plan.seed, &format!("id after {}", endpoint.id));
+    endpoint.previous = Some(EndpointIdentity { id: endpoint.id.clone(), route: endpoint.route });
+    endpoint.id = format!("s-{}", &random.id()[..ID_DIGITS]);
+    if world.plan.partners[endpoint.destination as usize].kind.routes_apart() {
+        // A new route: a Retry-After of the previous one does not apply to it.
+        endpoint.route = world.next_route.get();
+        world.next_route.set(endpoint.route + 1);
+    }
+}
+
+/// Drains endpoints, removes them, and starts others at their addresses.
+pub(super) async fn drain(world: &Rc<World>, fault: &PlannedFault) {
+    set_phase(world, fault, "DRAINING");
+    platform::publish(world);
+    sleep(DRAIN_STEP).await;
+    set_phase(world, fault, "DELETED");
+    change_condition(world, fault, |condition| set_drained(condition, true));
+    platform::publish(world);
+    sleep(DRAIN_STEP).await;
+    for endpoint in &fault.endpoints {
+        change_id(world, *endpoint);
+    }
+    reset_replaced_routes(world, fault);
+    set_phase(world, fault, "SERVING");
+    change_condition(world, fault, |condition| set_drained(condition, false));
+    platform::publish(world);
+}
+
+fn set_phase(world: &World, fault: &PlannedFault, phase: &'static str) {
+    let mut endpoints = world.endpoints.borrow_mut();
+    for endpoint in &fault.endpoints {
+        endpoints[*endpoint as usize].phase = phase;
+    }
+}
+
+fn set_drained(condition: &mut Condition, drained: bool) {
+    condition.process_down = drained;
+    condition.drained = drained;
+}
+
+/// Clears the outages of the routes whose endpoints have all been replaced.
+fn reset_replaced_routes(world: &World, fault: &PlannedFault) {
+    let endpoints = world.endpoints.borrow();
+    let is_replaced = |endpoint: &EndpointState| fault.endpoints.contains(&endpoint.number);
+    for number in &fault.endpoints {
+        let endpoint = &endpoints[*number as usize];
+        let mut of_route = endpoints.iter().filter(|other| other.route == endpoint.route);
+        if of_route.all(is_replaced) {
+            let mut destinations = world.destinations.borrow_mut();
+            let route = destinations[endpoint.destination as usize].route_of(*number);
+            destinations[endpoint.destination as usize].reset_outage(route);
+        }
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/faults/mod.rs
@@ -0,0 +1,76 @@
+//! Faults of the plan: each one begins and ends at its time.
+mod discovery_faults;
+mod endpoint_faults;
+mod sender_faults;
+
+use super::World;
+use crate::observation::At;
+use crate::plan::PlannedFault;
+use crate::scenario::FaultKind;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+
+/// Schedules all faults of the plan, each at its time after `started_at`.
+pub(super) fn schedule(world: &Rc<World>, started_at: At) {
+    for fault in world.plan.faults.clone() {
+        let world = world.clone();
+        spawn_local(async move {
+            world.wait_until(started_at + fault.from.0).await;
+            inject(&world, &fault, started_at).await;
+        });
+    }
+}
+
+/// Injects one fault, and returns once it is over.
+async fn inject(world: &Rc<World>, fault: &PlannedFault, started_at: At) {
+    let until = started_at + fault.until.0;
+    match fault.kind {
+        FaultKind::Restart => sender_faults::restart(world, fault).await,
+        FaultKind::PowerLoss => sender_faults::power_loss(world, fault, started_at).await,
+        FaultKind::MachineLost => sender_faults::machine_lost(world, fault),
+        FaultKind::KillAtWrite => sender_faults::kill_at_write(world, fault),
+        FaultKind::DiskFull => sender_faults::disk_full(world, fault, until).await,
+        FaultKind::SyncFails | FaultKind::SyncHangs | FaultKind::SyncLies => {
+            sender_faults::disk_sync(world, fault, until).await;
+        }
+        FaultKind::Cut | FaultKind::Slow | FaultKind::Lose | FaultKind::Break => {
+            sender_faults::peer_links(world, fault, until).await;
+        }
+        FaultKind::Pause => sender_faults::pause(world, fault, until).await,
+        FaultKind::Deaf => discovery_faults::ignore_notifications(world, fault, until),
+        FaultKind::ListSilent => discovery_faults::silence(world, fault, until),
+        FaultKind::ListLag => discovery_faults::lag(world, fault, until).await,
+        FaultKind::DeadHosts => discovery_faults::list_nonexistent_endpoints(world, fault, until).await,
+        FaultKind::MoveDiscovery => discovery_faults::move_agents(world, fault).await,
+        FaultKind::LinkDelay | FaultKind::LinkHold | FaultKind::LinkDrop => {
+            zone_links(world, fault, until).await;
+        }
+        FaultKind::Move => endpoint_faults::change_addresses(world, fault).await,
+        FaultKind::Rename => endpoint_faults::change_ids(world, fault),
+        FaultKind::Drain => endpoint_faults::drain(world, fault).await,
+        FaultKind::LimitFalls => endpoint_faults::lower_limit(world, fault, until).await,
+        FaultKind::Hang
+        | FaultKind::Late
+        | FaultKind::Stall
+        | FaultKind::Shut
+        | FaultKind::Full
+        | FaultKind::Errors
+        | FaultKind::Spoil
+        | FaultKind::Reset
+        | FaultKind::Vanish
+        | FaultKind::Die => endpoint_faults::degrade(world, fault, started_at).await,
+    }
+}
+
+/// Slows, holds or drops what passes between zones. Without control of the links the report says that the fault was
+/// not played.
+async fn zone_links(world: &World, fault: &PlannedFault, until: At) {
+    let Some(links) = world.fleet.links() else {
+        world.recorder().not_played(fault);
+        return;
+    };
+    links.begin_fault(fault, world.start + Duration::from_micros(until));
+    world.wait_until(until).await;
+    links.end_fault(fault);
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -0,0 +1,135 @@
+//! Faults of the senders: their processes, machines, disks, and the links between them.
+use super::endpoint_faults;
+use crate::history::What;
+use crate::observation::{At, Seen};
+use crate::plan::{PlannedFault, SeededRng};
+use crate::scenario::{FaultKind, FolderKept, How};
+use crate::world::World;
+use crate::world::senders::{PowerRecovery, SyncBehavior};
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Restarts senders in batches.
+pub(super) async fn restart(world: &World, fault: &PlannedFault) {
+    let batch_size = fault.batch.clamp(1, fault.senders.len().max(1));
+    for (number, batch) in fault.senders.chunks(batch_size).enumerate() {
+        if number > 0 {
+            sleep(Duration::from_micros(fault.every.0)).await;
+        }
+        for sender in batch {
+            world.restart(*sender, fault.how, Duration::from_micros(fault.down.0), fault.folder);
+        }
+    }
+}
+
+/// Cuts the power of senders, and of the destinations' machines in the same zone.
+pub(super) async fn power_loss(world: &World, fault: &PlannedFault, started_at: At) {
+    let mut random = SeededRng::new(world.plan.seed, &format!("power back after {}", fault.from));
+    for sender in &fault.senders {
+        let recovery = draw_recovery(&mut random, fault, *sender);
+        world.lose_power(*sender, recovery, fault.folder);
+    }
+    let of_endpoints = PlannedFault { kind: FaultKind::Die, ..fault.clone() };
+    endpoint_faults::degrade(world, &of_endpoints, started_at).await;
+}
+
+/// Draws when a sender comes back, and how far its clock is off then.
+fn draw_recovery(random: &mut SeededRng, fault: &PlannedFault, sender: u32) -> PowerRecovery {
+    let delay = (random.unit() * fault.back.0 as f64) as u64;
+    let downtime = Duration::from_micros(fault.until.0 - fault.from.0 + delay);
+    let clock_offset_us = match fault.clock.0 {
+        0 => 0,
+        max => ((random.unit() * 2.0 - 1.0) * max as f64) as i64,
+    };
+    PowerRecovery { downtime: (!fault.never.contains(&sender)).then_some(downtime), clock_offset_us }
+}
+
+/// Replaces the machines of senders: their state folders are lost.
+pub(super) fn machine_lost(world: &World, fault: &PlannedFault) {
+    for sender in &fault.senders {
+        world.restart(*sender, How::Kill, Duration::from_micros(fault.down.0), FolderKept::Lost);
+    }
+}
+
+/// Kills senders in the midst of a write to the journal.
+pub(super) fn kill_at_write(world: &World, fault: &PlannedFault) {
+    for sender in &fault.senders {
+        world.kill_at_write(*sender, fault.nth, fault.place, Duration::from_micros(fault.down.0));
+    }
+}
+
+/// Fills the disks of senders until `until`.
+pub(super) async fn disk_full(world: &World, fault: &PlannedFault, until: At) {
+    for sender in &fault.senders {
+        if !world.fleet.fill_disk(*sender, true) {
+            world.recorder().not_played(fault);
+            return;
+        }
+    }
+    world.wait_until(until).await;
+    for sender in &fault.senders {
+        world.fleet.fill_disk(*sender, false);
+    }
+}
+
+/// Lets syncs of the senders' disks fail, hang or do nothing until `until`.
+pub(super) async fn disk_sync(world: &World, fault: &PlannedFault, until: At) {
+    let behavior = match fault.kind {
+        FaultKind::SyncFails => SyncBehavior::Fail,
+        FaultKind::SyncHangs => SyncBehavior::Hang,
+        _ => SyncBehavior::Lie,
+    };
+    let set_all =
+        |behavior| fault.senders.iter().all(|sender| world.fleet.set_sync_behavior(*sender, behavior));
+    if !set_all(behavior) {
+        world.recorder().not_played(fault);
+        return;
+    }
+    world.wait_until(until).await;
+    set_all(SyncBehavior::Work);
+}
+
+/// Applies a fault to the links between senders, and cuts their links to destinations where the fault says so.
+pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: At) {
+    world.link_faults.borrow_mut().begin_fault(fault);
+    record(world, fault, true);
+    if fault.from_partners {
+        cut_from_destinations(world, fault, true);
+    }
+    world.wait_until(until).await;
+    if fault.from_partners {
+        cut_from_destinations(world, fault, false);
+    }
+    world.link_faults.borrow_mut().end_fault(fault);
+    record(world, fault, false);
+}
+
+fn cut_from_destinations(world: &World, fault: &PlannedFault, cut: bool) {
+    match world.fleet.links() {
+        Some(links) => fault.senders.iter().for_each(|sender| links.set_sender_cut(*sender, cut)),
+        None if cut => world.recorder().not_played(fault),
+        None => {}
+    }
+}
+
+/// Writes into the history of each sender that a fault begins or ends.
+fn record(world: &World, fault: &PlannedFault, began: bool) {
+    fault.senders.iter().for_each(|sender| world.record(*sender, What::Struck(began)));
+}
+
+/// Suspends the processes of senders until `until`.
+pub(super) async fn pause(world: &World, fault: &PlannedFault, until: At) {
+    for sender in &fault.senders {
+        world.observe(Seen::Paused { sender: *sender, until });
+    }
+    set_paused(world, fault, true);
+    world.wait_until(until).await;
+    set_paused(world, fault, false);
+}
+
+fn set_paused(world: &World, fault: &PlannedFault, paused: bool) {
+    for sender in &fault.senders {
+        world.fleet.pause(*sender, paused);
+        world.record(*sender, What::Struck(paused));
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/platform/agent.rs
@@ -0,0 +1,171 @@
+//! The state of the discovery agent on one sender's machine.
+use crate::observation::{At, Seen};
+use crate::stand_in_network::{Host, StandInListener, StandInNetwork};
+use crate::world::World;
+use serde_json::{Value, json};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::net::SocketAddr;
+use tokio::sync::Notify;
+
+/// The port of a sender's first agent; each move takes the next one.
+pub(super) const AGENT_PORT: u16 = 8500;
+
+/// An entry of the endpoint list; the address differs from sender to sender.
+#[derive(Clone, Debug)]
+pub struct ListedEndpoint {
+    /// The endpoint's id.
+    pub id: String,
+    /// The address for each sender.
+    pub addresses: Vec<SocketAddr>,
+    /// Its zone.
+    pub zone: String,
+    /// The kind of its destination.
+    pub kind: &'static str,
+    /// Its destination.
+    pub destination: u32,
+    /// Its state.
+    pub phase: &'static str,
+}
+
+impl ListedEndpoint {
+    fn json(&self, sender: u32) -> Value {
+        json!({"id": self.id, "host_port": self.addresses[sender as usize].to_string(),
+            "locality": self.zone, "flavor": self.kind, "cell": self.destination, "phase": self.phase,
+            "size": 1.0, "up_since_ms": 0})
+    }
+}
+
+/// A revision of the endpoint list that an agent has received.
+#[derive(Clone, Default)]
+pub(super) struct ReceivedList {
+    pub(super) revision: u64,
+    pub(super) endpoints: Vec<ListedEndpoint>,
+}
+
+/// The agent on one sender's machine.
+pub struct Agent {
+    /// The listener that is not served yet.
+    pub(super) listener: RefCell<Option<Box<dyn StandInListener>>>,
+    pub(super) address: Cell<SocketAddr>,
+    /// Counts the moves of the agent.
+    pub(super) address_generation: Cell<u16>,
+    /// Revisions before the ones that the agent counts.
+    pub(super) revision_base: Cell<u64>,
+    /// The latest revision that the sender was given.
+    pub(super) delivered_revision: Cell<u64>,
+    pub(super) last_request_at: Cell<At>,
+    pub(super) last_request_failed: Cell<bool>,
+    pub(super) last_answer_at: Cell<At>,
+    /// Counts the processes of the sender: the answers to an earlier one are dropped.
+    pub(super) process_generation: Cell<u32>,
+    /// Requests of the sender that wait for a new revision.
+    pub(super) pending_watches: Cell<usize>,
+    /// The sender does not count as informed before this time.
+    pub(super) not_informed_before: Cell<At>,
+    pub(super) received: RefCell<ReceivedList>,
+    pub(super) changed: Notify,
+    /// The ids that the sender was informed of, and since when.
+    informed_since: RefCell<BTreeMap<String, At>>,
+    /// The endpoints that were in service by the latest list that the sender was given.
+    serving: RefCell<BTreeSet<String>>,
+    /// Discovery answers nothing until this time.
+    pub(in crate::world) silent_until: Cell<At>,
+    /// No notification is acknowledged until this time.
+    pub(in crate::world) notifications_ignored_until: Cell<At>,
+}
+
+impl Agent {
+    pub(in crate::world) async fn new(network: &dyn StandInNetwork, sender: u32) -> io::Result<Self> {
+        let listener = network.listen(Host::Sender(sender), AGENT_PORT).await?;
+        Ok(Self {
+            address: Cell::new(listener.address()),
+            address_generation: Cell::default(),
+            revision_base: Cell::default(),
+            delivered_revision: Cell::default(),
+            last_request_at: Cell::default(),
+            last_request_failed: Cell::default(),
+            last_answer_at: Cell::default(),
+            process_generation: Cell::default(),
+            pending_watches: Cell::default(),
+            not_informed_before: Cell::default(),
+            listener: RefCell::new(Some(listener)),
+            received: RefCell::default(),
+            changed: Notify::new(),
+            informed_since: RefCell::default(),
+            serving: RefCell::default(),
+            silent_until: Cell::default(),
+            notifications_ignored_until: Cell::default(),
+        })
+    }
+
+    /// Returns the address at which the sender reaches the agent.
+    pub(in crate::world) fn address(&self) -> SocketAddr {
+        self.address.get()
+    }
+
+    /// Resets what depends on the sender's process, as one has ended or begins: it has sent no request yet.
+    pub(in crate::world) fn reset_for_process(&self, now: At) {
+        self.process_generation.set(self.process_generation.get() + 1);
+        self.last_request_at.set(now);
+        self.last_answer_at.set(0);
+        self.last_request_failed.set(false);
+        self.pending_watches.set(0);
+    }
+
+    /// Returns the list that the agent has received, in discovery's format.
+    pub(in crate::world) fn snapshot(&self, sender: u32) -> Value {
+        let received = self.received.borrow();
+        let members: Vec<_> = received.endpoints.iter().map(|endpoint| endpoint.json(sender)).collect();
+        json!({"revision": received.revision - self.revision_base.get(), "complete": true, "members": members})
+    }
+
+    /// Returns whether the sender was informed of an endpoint's id when it sent something.
+    pub(in crate::world) fn is_informed(&self, id: &str, sent_at: At) -> bool {
+        self.informed_since.borrow().get(id).is_some_and(|since| *since <= sent_at)
+    }
+
+    /// Takes a revision of the list, unless the agent has a later one.
+    pub(in crate::world) fn receive(&self, revision: u64, endpoints: Vec<ListedEndpoint>) {
+        let mut received = self.received.borrow_mut();
+        if received.revision < revision {
+            *received = ReceivedList { revision, endpoints };
+            drop(received);
+            self.changed.notify_waiters();
+        }
+    }
+
+    /// Returns whether the agent has a later revision than `revision`, by its own count.
+    pub(super) fn has_later_revision(&self, revision: u64) -> bool {
+        self.received.borrow().revision - self.revision_base.get() > revision
+    }
+}
+
+/// Records that the sender was given the whole list that its agent has: an endpoint that is not on it is gone.
+pub(in crate::world) fn deliver_current_list(world: &World, sender: u32) {
+    let ReceivedList { revision, endpoints } = world.agents[sender as usize].received.borrow().clone();
+    record_delivered_list(world, sender, revision, &endpoints);
+}
+
+/// Records that the sender was given a revision of the list, unless it was given a later one already.
+pub(super) fn record_delivered_list(world: &World, sender: u32, revision: u64, endpoints: &[ListedEndpoint]) {
+    let agent = &world.agents[sender as usize];
+    if revision < agent.delivered_revision.get() {
+        return;
+    }
+    agent.delivered_revision.set(revision);
+    for endpoint in endpoints {
+        agent.informed_since.borrow_mut().entry(endpoint.id.clone()).or_insert_with(|| world.now());
+    }
+    let is_serving = |endpoint: &&ListedEndpoint| endpoint.phase == "SERVING";
+    let serving: BTreeSet<String> =
+        endpoints.iter().filter(is_serving).map(|endpoint| endpoint.id.clone()).collect();
+    let before = agent.serving.replace(serving.clone());
+    for endpoint in before.difference(&serving) {
+        world.observe(Seen::Listed { sender, endpoint: endpoint.clone(), serving: false });
+    }
+    for endpoint in serving {
+        world.observe(Seen::Listed { sender, endpoint, serving: true });
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -0,0 +1,167 @@
+//! The senders under test: started, supervised and restarted, and selected by the front for each client.
+mod fleet;
+mod supervisor;
+
+pub use fleet::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
+
+use super::{World, platform};
+use crate::history::What;
+use crate::http::Conversation;
+use crate::observation::{At, Seen};
+use crate::plan::SeededRng;
+use crate::scenario::{FolderKept, How, Where};
+use crate::stand_in_network::Host;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use supervisor::{SenderCommand, supervise};
+use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// A process that is not ready after this does not start.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(25);
+const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// How a machine that lost power comes back.
+#[derive(Clone, Copy)]
+pub(super) struct PowerRecovery {
+    /// How long the machine stays off; `None` where it never comes back.
+    pub downtime: Option<Duration>,
+    /// How far its clock is off afterwards.
+    pub clock_offset_us: i64,
+}
+
+/// A sender as clients and the front see it.
+#[derive(Default)]
+pub struct SenderState {
+    address: Cell<Option<SocketAddr>>,
+    lost_machines: Cell<u32>,
+    is_accepting: Cell<bool>,
+    /// Since when the sender has been down.
+    down_since: Cell<Option<At>>,
+    commands: RefCell<Option<UnboundedSender<SenderCommand>>>,
+}
+
+impl SenderState {
+    /// Returns whether the sender runs and is not shutting down.
+    pub(super) fn is_accepting(&self) -> bool {
+        self.is_accepting.get()
+    }
+
+    /// Returns the number of machines that the sender has lost so far, with the messages that each held.
+    pub(super) fn lost_machines(&self) -> u32 {
+        self.lost_machines.get()
+    }
+
+    /// Returns the address for clients, since the sender was first started.
+    pub(super) fn address(&self) -> Option<SocketAddr> {
+        self.address.get()
+    }
+
+    fn send(&self, command: SenderCommand) {
+        if let Some(commands) = &*self.commands.borrow() {
+            let _ = commands.send(command);
+        }
+    }
+}
+
+impl World {
+    /// Returns the sender that the front selects for a client: by number, without those that it knows to be down.
+    pub(super) fn select_sender(&self, number: u64) -> Option<u32> {
+        let detection_delay = self.plan.scenario.front_notice.0;
+        let count = self.senders.len() as u64;
+        (0..count).map(|offset| ((number + offset) % count) as u32).find(|sender| {
+            let down_since = self.senders[*sender as usize].down_since.get();
+            down_since.is_none_or(|since| self.now() < since + detection_delay)
+        })
+    }
+
+    /// Restarts a sender after `down`, with `folder` as its state folder.
+    pub(super) fn restart(&self, sender: u32, how: How, down: Duration, folder: FolderKept) {
+        self.senders[sender as usize].send(SenderCommand::Restart { how, down, folder });
+    }
+
+    /// Cuts the power of a sender's machine.
+    pub(super) fn lose_power(&self, sender: u32, recovery: PowerRecovery, folder: FolderKept) {
+        self.senders[sender as usize].send(SenderCommand::LosePower { recovery, folder });
+    }
+
+    /// Kills a sender at a write to its journal.
+    pub(super) fn kill_at_write(&self, sender: u32, nth: u64, place: Where, down: Duration) {
+        self.senders[sender as usize].send(SenderCommand::KillAtWrite { nth, place, down });
+    }
+}
+
+/// Starts all senders, and waits until each is ready.
+///
+/// # Errors
+/// Returns an error where one does not start.
+pub(super) async fn start_all(world: &Rc<World>) -> io::Result<()> {
+    for sender in 0..world.senders.len() as u32 {
+        start(world, sender, 0).await?;
+        let (commands, receiver) = unbounded_channel();
+        *world.senders[sender as usize].commands.borrow_mut() = Some(commands);
+        spawn_local(supervise(world.clone(), sender, receiver));
+    }
+    Ok(())
+}
+
+/// Starts a sender that was started `restarts` times before.
+async fn start(world: &Rc<World>, sender: u32, restarts: u64) -> io::Result<()> {
+    let seed = SeededRng::new(world.plan.seed, &format!("sender {sender} {restarts}")).number();
+    let config = world.config(sender, world.fleet.listen_address(sender), seed);
+    // The configuration contains the list that the agent has.
+    platform::deliver_current_list(world, sender);
+    world.agents[sender as usize].reset_for_process(world.now());
+    let started = timeout(START_TIMEOUT, start_until_ready(world, sender, config)).await;
+    let address = started.map_err(|_| io::Error::other(format!("sender {sender} does not get ready")))??;
+    // A process that ended before it was ready is left to its supervisor.
+    let Some(address) = address else { return Ok(()) };
+    let state = &world.senders[sender as usize];
+    state.address.set(Some(address));
+    state.is_accepting.set(true);
+    state.down_since.set(None);
+    world.observe(Seen::Ready { sender });
+    if restarts == 0 {
+        world.fleet.save_state_folder(sender);
+    }
+    Ok(())
+}
+
+/// Starts a process and waits until it is ready. Returns its address, or `None` where the process ended before.
+async fn start_until_ready(
+    world: &Rc<World>,
+    sender: u32,
+    config: serde_json::Value,
+) -> io::Result<Option<SocketAddr>> {
+    let operator = world.operator_file(sender);
+    let recorder = world.clone();
+    let log: LogSink = Rc::new(move |line| recorder.record_log_line(sender, line));
+    world.record(sender, What::Started);
+    let address = world.fleet.start(sender, config, operator, log).await?;
+    let ready = async {
+        while !is_ready(world, sender, address).await {
+            sleep(READINESS_POLL_INTERVAL).await;
+        }
+    };
+    tokio::select! {
+        biased;
+        _ = world.fleet.wait_for_exit(sender) => Ok(None),
+        () = ready => Ok(Some(address)),
+    }
+}
+
+async fn is_ready(world: &World, sender: u32, address: SocketAddr) -> bool {
+    let poll = async {
+        let connection = world.network.connect(Host::Sender(sender), address).await.ok()?;
+        let mut conversation = Conversation::new(connection);
+        let request = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
+        conversation.write(request).await.ok()?;
+        conversation.read(true).await.ok().flatten()
+    };
+    matches!(timeout(READINESS_TIMEOUT, poll).await, Ok(Some(answer)) if answer.status == 200)
+}
