--- a/crates/micadrum-testkit/src/link_faults.rs
+++ b/crates/micadrum-testkit/src/link_faults.rs
@@ -10,17 +10,17 @@
 use toml::{Table, Value};
 
 /// Of the datagrams that a lossy link does not lose, so many come twice ...
-const TWICE: f64 = 0.05;
-/// ... and so many come late, by up to [`OUT_OF_TURN`].
-const LATE: f64 = 0.1;
-const OUT_OF_TURN: Duration = Duration::from_millis(80);
+const DUPLICATE_SHARE: f64 = 0.05;
+/// ... and so many come late, by up to [`MAX_REORDER_DELAY`].
+const REORDERED_SHARE: f64 = 0.1;
+const MAX_REORDER_DELAY: Duration = Duration::from_millis(80);
 
 /// The links between all senders.
 pub struct LinkFaults {
-    buildings: Vec<usize>,
-    crossing: Duration,
-    struck: Vec<PlannedFault>,
-    dice: SeededRng,
+    zones: Vec<usize>,
+    zone_delay: Duration,
+    active: Vec<PlannedFault>,
+    random: SeededRng,
 }
 
 impl LinkFaults {
@@ -28,40 +28,40 @@
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         Self {
-            buildings: plan.senders.iter().map(|sender| sender.building).collect(),
-            crossing: Duration::from_micros(plan.scenario.crossing.0),
-            struck: Vec::new(),
-            dice: SeededRng::new(plan.seed, "links of senders"),
+            zones: plan.senders.iter().map(|sender| sender.building).collect(),
+            zone_delay: Duration::from_micros(plan.scenario.crossing.0),
+            active: Vec::new(),
+            random: SeededRng::new(plan.seed, "links of senders"),
         }
     }
 
     /// Those of so many senders in one building, with nothing wrong.
     #[must_use]
     pub fn calm(senders: usize) -> Self {
-        let dice = SeededRng::new(0, "links of senders");
-        Self { buildings: vec![0; senders], crossing: Duration::ZERO, struck: Vec::new(), dice }
+        let random = SeededRng::new(0, "links of senders");
+        Self { zones: vec![0; senders], zone_delay: Duration::ZERO, active: Vec::new(), random }
     }
 
     /// A fault begins.
     pub fn begin_fault(&mut self, fault: &PlannedFault) {
-        self.struck.push(fault.clone());
+        self.active.push(fault.clone());
     }
 
     /// It ends.
     pub fn end_fault(&mut self, fault: &PlannedFault) {
-        if let Some(place) = self.struck.iter().position(|struck| struck == fault) {
-            self.struck.remove(place);
+        if let Some(place) = self.active.iter().position(|struck| struck == fault) {
+            self.active.remove(place);
         }
     }
 
     /// What becomes of bytes that are said on a link at a time, in microseconds, that was last broken then.
-    pub fn stretch(&self, from: u32, to: u32, now: u64, broken: &Cell<Option<u64>>) -> FaultWindow {
-        let apart = self.buildings[from as usize] != self.buildings[to as usize];
-        let mut delay = if apart { self.crossing } else { Duration::ZERO };
-        for fault in &self.struck {
+    pub fn fault_window(&self, from: u32, to: u32, now: u64, broken: &Cell<Option<u64>>) -> FaultWindow {
+        let apart = self.zones[from as usize] != self.zones[to as usize];
+        let mut delay = if apart { self.zone_delay } else { Duration::ZERO };
+        for fault in &self.active {
             let [out, back] = [from, to].map(|sender| fault.senders.contains(&sender));
             match fault.kind {
-                FaultKind::Cut if self.cuts(fault, from, to) => return FaultWindow::Held,
+                FaultKind::Cut if self.is_cut(fault, from, to) => return FaultWindow::Held,
                 FaultKind::Slow if out || back => delay += Duration::from_micros(fault.delay.0),
                 FaultKind::Break
                     if (out || back) && broken.get().is_none_or(|at| at + fault.every.0 <= now) =>
@@ -72,11 +72,11 @@
                 _ => {}
             }
         }
-        FaultWindow::Comes(delay)
+        FaultWindow::Delayed(delay)
     }
 
     /// Whether a cut keeps apart what `from` says and `to` would hear.
-    fn cuts(&self, fault: &PlannedFault, from: u32, to: u32) -> bool {
+    fn is_cut(&self, fault: &PlannedFault, from: u32, to: u32) -> bool {
         let [out, back] = [from, to].map(|sender| fault.senders.contains(&sender));
         let other = if out { to } else { from };
         out != back
@@ -89,28 +89,28 @@
     }
 
     /// When a datagram comes: not at all, once, or more often.
-    pub fn fate(&mut self, from: u32, to: u32) -> Vec<Duration> {
-        let apart = self.buildings[from as usize] != self.buildings[to as usize];
-        let mut delay = if apart { self.crossing } else { Duration::ZERO };
+    pub fn datagram_delays(&mut self, from: u32, to: u32) -> Vec<Duration> {
+        let apart = self.zones[from as usize] != self.zones[to as usize];
+        let mut delay = if apart { self.zone_delay } else { Duration::ZERO };
         let mut times = 1;
-        for fault in &self.struck {
+        for fault in &self.active {
             let [out, back] = [from, to].map(|sender| fault.senders.contains(&sender));
             match fault.kind {
-                FaultKind::Cut if self.cuts(fault, from, to) => return Vec::new(),
+                FaultKind::Cut if self.is_cut(fault, from, to) => return Vec::new(),
                 FaultKind::Slow if out || back => {
                     delay += Duration::from_micros(
-                        fault.delay.0 + (self.dice.unit() * fault.jitter.0 as f64) as u64,
+                        fault.delay.0 + (self.random.unit() * fault.jitter.0 as f64) as u64,
                     );
                 }
                 FaultKind::Lose if out || back => {
-                    if self.dice.chance(fault.calls) {
+                    if self.random.chance(fault.calls) {
                         return Vec::new();
                     }
-                    if self.dice.chance(TWICE) {
+                    if self.random.chance(DUPLICATE_SHARE) {
                         times = 2;
                     }
-                    if self.dice.chance(LATE) {
-                        delay += OUT_OF_TURN.mul_f64(self.dice.unit());
+                    if self.random.chance(REORDERED_SHARE) {
+                        delay += MAX_REORDER_DELAY.mul_f64(self.random.unit());
                     }
                 }
                 _ => {}
@@ -124,7 +124,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultWindow {
     /// They come after this.
-    Comes(Duration),
+    Delayed(Duration),
     /// They stay on the way: the link is open and silent.
     Held,
     /// Half of them come, and the link breaks.
@@ -146,10 +146,10 @@
 /// The secret of a sender.
 #[must_use]
 pub fn secret(seed: u64, sender: u32) -> [u8; 32] {
-    let mut dice = SeededRng::new(seed, &format!("secret of sender {sender}"));
+    let mut random = SeededRng::new(seed, &format!("secret of sender {sender}"));
     let mut secret = [0; 32];
     for bytes in secret.chunks_mut(8) {
-        bytes.copy_from_slice(&dice.number().to_le_bytes());
+        bytes.copy_from_slice(&random.number().to_le_bytes());
     }
     secret
 }
--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -19,18 +19,24 @@
     from: u32,
     to: u32,
     home: Rc<Cell<Option<SocketAddr>>>,
-    ground: Rc<RefCell<LinkFaults>>,
+    link_faults: Rc<RefCell<LinkFaults>>,
 ) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let broken = Rc::<Cell<Option<u64>>>::default();
     loop {
         let Ok((near, _)) = listener.accept().await else { continue };
-        let (home, ground, broken) = (home.clone(), ground.clone(), broken.clone());
+        let (home, link_faults, broken) = (home.clone(), link_faults.clone(), broken.clone());
         spawn_local(async move {
             let Some(home) = home.get() else { return };
             let Ok(far) = TcpStream::connect(home).await else { return };
             let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-            let way = |from, to| Way { from, to, ground: ground.clone(), begun, broken: broken.clone() };
+            let way = |from, to| Way {
+                from,
+                to,
+                link_faults: link_faults.clone(),
+                started_at,
+                broken: broken.clone(),
+            };
             // Where one way ends or breaks, so does the other.
             tokio::select! {
                 () = way(from, to).carry(near_in, far_out) => {}
@@ -44,8 +50,8 @@
 struct Way {
     from: u32,
     to: u32,
-    ground: Rc<RefCell<LinkFaults>>,
-    begun: Instant,
+    link_faults: Rc<RefCell<LinkFaults>>,
+    started_at: Instant,
     /// When a link between the two was last broken.
     broken: Rc<Cell<Option<u64>>>,
 }
@@ -56,10 +62,10 @@
         loop {
             let Ok(length @ 1..) = read.read(&mut buffer).await else { return };
             loop {
-                let now = self.begun.elapsed().as_micros() as u64;
-                let stretch = self.ground.borrow().stretch(self.from, self.to, now, &self.broken);
-                match stretch {
-                    FaultWindow::Comes(delay) => {
+                let now = self.started_at.elapsed().as_micros() as u64;
+                let window = self.link_faults.borrow().fault_window(self.from, self.to, now, &self.broken);
+                match window {
+                    FaultWindow::Delayed(delay) => {
                         sleep(delay).await;
                         break;
                     }
--- a/crates/micadrum-testkit/src/live/relays.rs
+++ b/crates/micadrum-testkit/src/live/relays.rs
@@ -1,5 +1,5 @@
-//! What real senders say to each other goes through sockets of the kit: one for each pair and way, where the ground
-//! decides what becomes of it.
+//! What real senders say to each other goes through sockets of the kit: one for each pair and way, where the link
+//! faults decide what becomes of it.
 use super::links;
 use crate::link_faults::LinkFaults;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// What the system says.
-    pub async fn open(senders: usize, ground: &Rc<RefCell<LinkFaults>>) -> io::Result<Self> {
+    pub async fn open(senders: usize, link_faults: &Rc<RefCell<LinkFaults>>) -> io::Result<Self> {
         let homes: Vec<Rc<Cell<Option<SocketAddr>>>> = (0..senders).map(|_| Rc::default()).collect();
         // What goes out has no other way in: one socket sends for all.
         let out = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
@@ -41,8 +41,8 @@
                 let (door, links) = both().await?;
                 row.push(door.local_addr()?);
                 let way = Way { from: from as u32, to: to as u32, home: home.clone(), out: out.clone() };
-                spawn_local(links::pass(links, way.from, way.to, way.home.clone(), ground.clone()));
-                spawn_local(way.pass(door, ground.clone()));
+                spawn_local(links::pass(links, way.from, way.to, way.home.clone(), link_faults.clone()));
+                spawn_local(way.pass(door, link_faults.clone()));
             }
             doors.push(row);
         }
@@ -85,13 +85,13 @@
 }
 
 impl Way {
-    async fn pass(self, door: UdpSocket, ground: Rc<RefCell<LinkFaults>>) {
+    async fn pass(self, door: UdpSocket, link_faults: Rc<RefCell<LinkFaults>>) {
         let mut buffer = vec![0; MOST];
         loop {
             // An error tells that nobody hears any more: who sends learns so by silence.
             let Ok(length) = door.recv(&mut buffer).await else { continue };
             let Some(home) = self.home.get() else { continue };
-            let delays = ground.borrow_mut().fate(self.from, self.to);
+            let delays = link_faults.borrow_mut().datagram_delays(self.from, self.to);
             for delay in delays {
                 let (out, bytes) = (self.out.clone(), buffer[..length].to_owned());
                 if delay.is_zero() {
--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -1,5 +1,5 @@
-//! A simulated folder that outlasts its process: it can be full, and end the process at a chosen write.
-use super::net::Process;
+//! A simulated disk that outlasts its process: it can be full, and kill the process at a chosen write.
+use super::process::Process;
 use crate::plan::SeededRng;
 use crate::scenario::Where;
 use crate::world::senders::SyncBehavior;
@@ -13,30 +13,30 @@
 
 type File = Rc<RefCell<Content>>;
 
-/// A simulated sync takes so long.
-const SYNC: Duration = Duration::from_millis(2);
-/// What is not synced is torn at multiples of so many bytes.
-const SECTOR: usize = 512;
+/// Duration of a simulated sync.
+const SYNC_DURATION: Duration = Duration::from_millis(2);
+/// Files that were not synced are torn at multiples of this.
+const SECTOR_BYTES: usize = 512;
 
-/// A file's bytes, and how many of them outlast the machine.
+/// The bytes of a file, and how many of them are durable.
 #[derive(Clone, Default)]
 struct Content {
     bytes: Vec<u8>,
     synced: usize,
-    /// A sync of it has failed: what was not synced then never is, whatever later ones say.
-    holed: bool,
+    /// A sync has failed: bytes that were not synced then never become durable, whatever later syncs report.
+    has_lost_sync: bool,
 }
 
 impl Content {
-    /// A sync of what it held when it was that long.
-    fn sync(&mut self, length: usize, syncs: SyncBehavior) -> io::Result<()> {
-        match syncs {
+    /// Syncs the first `length` bytes.
+    fn sync(&mut self, length: usize, behavior: SyncBehavior) -> io::Result<()> {
+        match behavior {
             SyncBehavior::Fail => {
-                self.holed = true;
+                self.has_lost_sync = true;
                 return Err(io::ErrorKind::Other.into());
             }
             SyncBehavior::Lie => {}
-            SyncBehavior::Work | SyncBehavior::Hang if self.holed => {}
+            SyncBehavior::Work | SyncBehavior::Hang if self.has_lost_sync => {}
             SyncBehavior::Work | SyncBehavior::Hang => {
                 self.synced = self.synced.max(length.min(self.bytes.len()))
             }
@@ -45,90 +45,99 @@
     }
 }
 
-/// The folder of one sender, over all of its processes.
+/// A kill of the process at a later write.
+pub struct KillAtWrite {
+    /// Writes up to the one at which the process is killed.
+    pub remaining: u64,
+    /// Where in that write.
+    pub place: Where,
+}
+
+/// The disk of one sender, over all of its processes.
 #[derive(Default)]
 pub struct Disk {
     files: BTreeMap<String, File>,
-    /// The names as they outlast the machine.
+    /// The durable names.
     synced_names: BTreeMap<String, File>,
-    /// Takes no more bytes than this: others have filled the rest.
-    full_at: Option<usize>,
-    /// Ends the process at the write that makes this 0.
-    pub kill_in: Option<(u64, Where)>,
-    /// How it syncs.
-    pub syncs: SyncBehavior,
-    /// Bytes that it held at the most.
-    pub most: usize,
-    copy: BTreeMap<String, Vec<u8>>,
+    /// The disk takes no more bytes than this: others have filled the rest.
+    max_bytes: Option<usize>,
+    /// The pending kill at a write.
+    pub kill_at_write: Option<KillAtWrite>,
+    /// How the disk performs syncs.
+    pub sync_behavior: SyncBehavior,
+    /// The largest size that the disk has had.
+    pub peak_bytes: usize,
+    saved: BTreeMap<String, Vec<u8>>,
 }
 
 impl Disk {
     fn size(&self) -> usize {
-        self.files.values().map(|file| file.borrow().bytes.len().next_multiple_of(512)).sum()
+        self.files.values().map(|file| file.borrow().bytes.len().next_multiple_of(SECTOR_BYTES)).sum()
     }
 
-    /// Fills up: only what the sender itself frees can be written again; or has room again.
+    /// Fills the disk, so that only what the sender itself frees can be written again, or ends that.
     pub fn fill(&mut self, full: bool) {
-        self.full_at = full.then(|| self.bytes());
+        self.max_bytes = full.then(|| self.bytes());
     }
 
     fn bytes(&self) -> usize {
         self.files.values().map(|file| file.borrow().bytes.len()).sum()
     }
 
-    /// Keeps a copy of all that it holds, or puts that copy in its place.
-    pub fn copy(&mut self, back: bool) {
-        if back {
-            let file = |(name, bytes): (&String, &Vec<u8>)| {
-                let content = Content { bytes: bytes.clone(), synced: bytes.len(), holed: false };
-                (name.clone(), Rc::new(RefCell::new(content)))
-            };
-            self.files = self.copy.iter().map(file).collect();
-            self.synced_names = self.files.clone();
-        } else {
-            let bytes = |(name, file): (&String, &File)| (name.clone(), file.borrow().bytes.clone());
-            self.copy = self.files.iter().map(bytes).collect();
-        }
+    /// Copies all files.
+    pub fn save(&mut self) {
+        let bytes = |(name, file): (&String, &File)| (name.clone(), file.borrow().bytes.clone());
+        self.saved = self.files.iter().map(bytes).collect();
+    }
+
+    /// Replaces all files by the copy.
+    pub fn restore(&mut self) {
+        let file = |(name, bytes): (&String, &Vec<u8>)| {
+            let content = Content { bytes: bytes.clone(), synced: bytes.len(), has_lost_sync: false };
+            (name.clone(), Rc::new(RefCell::new(content)))
+        };
+        self.files = self.saved.iter().map(file).collect();
+        self.synced_names = self.files.clone();
     }
 
-    /// The machine loses power: of each name what was synced or what came after, and of each file what was synced, and
-    /// nothing, all or a part of the rest.
-    pub fn lose_power(&mut self, dice: &mut SeededRng) {
+    /// Discards unsynced state as a power loss does: of each name remains the synced or the latest file, and of each file
+    /// the synced bytes and nothing, all or a part of the others.
+    pub fn discard_unsynced(&mut self, random: &mut SeededRng) {
         let names: BTreeSet<String> = self.files.keys().chain(self.synced_names.keys()).cloned().collect();
-        let mut left = BTreeMap::new();
+        let mut remaining = BTreeMap::new();
         for name in names {
-            let from = if dice.chance(0.5) { &self.files } else { &self.synced_names };
+            let from = if random.chance(0.5) { &self.files } else { &self.synced_names };
             if let Some(file) = from.get(&name) {
-                left.insert(name, file.clone());
+                remaining.insert(name, file.clone());
             }
         }
-        for file in left.values() {
+        for file in remaining.values() {
             let mut content = file.borrow_mut();
-            let rest = content.bytes.len() - content.synced;
-            let kept = match dice.below(3) {
+            let unsynced = content.bytes.len() - content.synced;
+            let kept = match random.below(3) {
                 0 => 0,
-                1 => rest,
-                _ => (dice.below(rest + 1) / SECTOR) * SECTOR,
+                1 => unsynced,
+                _ => (random.below(unsynced + 1) / SECTOR_BYTES) * SECTOR_BYTES,
             };
             let length = content.synced + kept;
             content.bytes.truncate(length);
             content.synced = length;
-            content.holed = false;
+            content.has_lost_sync = false;
         }
-        self.synced_names = left.clone();
-        self.files = left;
+        self.synced_names = remaining.clone();
+        self.files = remaining;
     }
 
-    /// Loses all that it holds.
+    /// Removes all files.
     pub fn wipe(&mut self) {
         self.files.clear();
         self.synced_names.clear();
     }
 }
 
-/// The folder as one process has it.
+/// The disk as one process uses it.
 pub struct ProcessFolder {
-    /// The folder.
+    /// The disk.
     pub disk: Rc<RefCell<Disk>>,
     /// The process.
     pub process: Rc<Process>,
@@ -140,7 +149,7 @@
 }
 
 impl ProcessFolder {
-    fn alive(&self) -> io::Result<()> {
+    fn check_running(&self) -> io::Result<()> {
         if self.process.is_dead() { Err(io::ErrorKind::BrokenPipe.into()) } else { Ok(()) }
     }
 
@@ -152,25 +161,25 @@
 
 impl Storage for ProcessFolder {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        self.alive()?;
+        self.check_running()?;
         Ok(self.disk.borrow().files.get(name).map(|file| file.borrow().bytes.clone()))
     }
 
     fn open(&self, name: &str) -> io::Result<Box<dyn AppendFile>> {
-        self.alive()?;
+        self.check_running()?;
         let file = self.disk.borrow_mut().files.entry(name.to_owned()).or_default().clone();
         Ok(self.handle(file))
     }
 
     fn create(&self, name: &str) -> io::Result<Box<dyn AppendFile>> {
-        self.alive()?;
+        self.check_running()?;
         let file = File::default();
         self.disk.borrow_mut().files.insert(name.to_owned(), file.clone());
         Ok(self.handle(file))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.alive()?;
+        self.check_running()?;
         let mut disk = self.disk.borrow_mut();
         let file = disk.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         disk.files.insert(to.to_owned(), file);
@@ -178,9 +187,9 @@
     }
 
     fn sync_names(&self) -> io::Result<()> {
-        self.alive()?;
+        self.check_running()?;
         let mut disk = self.disk.borrow_mut();
-        match disk.syncs {
+        match disk.sync_behavior {
             SyncBehavior::Fail => return Err(io::ErrorKind::Other.into()),
             SyncBehavior::Lie => {}
             SyncBehavior::Work | SyncBehavior::Hang => disk.synced_names = disk.files.clone(),
@@ -189,7 +198,7 @@
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.alive()?;
+        self.check_running()?;
         self.disk.borrow_mut().files.remove(name);
         Ok(())
     }
@@ -197,20 +206,20 @@
 
 impl AppendFile for Handle {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.folder.alive()?;
+        self.folder.check_running()?;
         let mut disk = self.folder.disk.borrow_mut();
-        if let Some(room) = disk.full_at.map(|most| most.saturating_sub(disk.bytes()))
+        if let Some(room) = disk.max_bytes.map(|max| max.saturating_sub(disk.bytes()))
             && room < bytes.len()
         {
-            // As a real one: what still fits is written.
+            // As on a real disk, what still fits is written.
             self.file.borrow_mut().bytes.extend_from_slice(&bytes[..room]);
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut written = bytes.len();
         let mut killed = false;
-        if let Some((left, place)) = &mut disk.kill_in {
-            *left -= 1;
-            if *left == 0 {
+        if let Some(KillAtWrite { remaining, place }) = &mut disk.kill_at_write {
+            *remaining -= 1;
+            if *remaining == 0 {
                 killed = true;
                 written = match place {
                     Where::Before => 0,
@@ -220,9 +229,9 @@
             }
         }
         self.file.borrow_mut().bytes.extend_from_slice(&bytes[..written]);
-        disk.most = disk.most.max(disk.size());
+        disk.peak_bytes = disk.peak_bytes.max(disk.size());
         if killed {
-            disk.kill_in = None;
+            disk.kill_at_write = None;
             drop(disk);
             self.folder.process.kill();
         }
@@ -234,28 +243,28 @@
         let disk = self.folder.disk.clone();
         let length = file.borrow().bytes.len();
         Box::pin(async move {
-            sleep(SYNC).await;
-            while disk.borrow().syncs == SyncBehavior::Hang {
-                sleep(SYNC).await;
+            sleep(SYNC_DURATION).await;
+            while disk.borrow().sync_behavior == SyncBehavior::Hang {
+                sleep(SYNC_DURATION).await;
             }
             if process.is_dead() {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
-            let syncs = disk.borrow().syncs;
-            file.borrow_mut().sync(length, syncs)
+            let behavior = disk.borrow().sync_behavior;
+            file.borrow_mut().sync(length, behavior)
         })
     }
 
     fn sync_now(&mut self) -> io::Result<()> {
-        self.folder.alive()?;
-        let syncs = self.folder.disk.borrow().syncs;
+        self.folder.check_running()?;
+        let behavior = self.folder.disk.borrow().sync_behavior;
         let mut content = self.file.borrow_mut();
         let length = content.bytes.len();
-        content.sync(length, syncs)
+        content.sync(length, behavior)
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        self.folder.alive()?;
+        self.folder.check_running()?;
         let mut content = self.file.borrow_mut();
         content.bytes.truncate(length as usize);
         content.synced = content.synced.min(length as usize);
--- /dev/null
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -0,0 +1,234 @@
+//! Connections, and what each side reads and writes.
+use super::SimNetwork;
+use super::pipe::{Pipe, Segment, SegmentBody};
+use crate::link_faults::FaultWindow;
+use crate::sim::process::Process;
+use crate::stand_in_network::{Host, StandInConnection};
+use micadrum::daemon::ports::Stream;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::{Rc, Weak};
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::time::{Instant, Sleep, sleep_until};
+
+/// Bytes on their way in one direction: a writer waits for more, as with a socket's buffers.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
+
+/// A connection between two hosts.
+pub(super) struct Connection {
+    pub(super) ends: [Host; 2],
+    pub(super) pipes: [Rc<RefCell<Pipe>>; 2],
+    /// Something was lost on the way: nothing more arrives until the connection is reset.
+    pub(super) broken: Cell<bool>,
+    /// When a link between its two senders was last broken.
+    pub(super) last_broken_at: Cell<Option<u64>>,
+    /// When each side ended the connection, whether or not the other learns of that.
+    pub(super) ended: [Cell<Option<Instant>>; 2],
+}
+
+/// One side of a connection.
+pub struct SimStream {
+    pub(super) network: Weak<SimNetwork>,
+    pub(super) connection: Rc<Connection>,
+    pub(super) side: usize,
+    pub(super) process: Rc<Process>,
+    pub(super) wait: Option<Pin<Box<Sleep>>>,
+    pub(super) last_sent: Option<Instant>,
+    /// The end of the other side has been read.
+    pub(super) ended: bool,
+    /// The end of this side has been written.
+    pub(super) finished: bool,
+}
+
+impl SimStream {
+    fn ends(&self) -> (Host, Host) {
+        (self.connection.ends[self.side], self.connection.ends[1 - self.side])
+    }
+
+    fn incoming(&self) -> &RefCell<Pipe> {
+        &self.connection.pipes[1 - self.side]
+    }
+
+    fn outgoing(&self) -> &RefCell<Pipe> {
+        &self.connection.pipes[self.side]
+    }
+
+    fn send(&self, body: SegmentBody) {
+        if !matches!(body, SegmentBody::Data(_)) && self.connection.ended[self.side].get().is_none() {
+            self.connection.ended[self.side].set(Some(Instant::now()));
+        }
+        let Some(network) = self.network.upgrade() else { return };
+        let (me, peer) = self.ends();
+        let fault_window = network.fault_window(me, peer, &self.connection.last_broken_at);
+        if !network.is_reachable(me, peer) || fault_window == Some(FaultWindow::Held) {
+            self.connection.broken.set(true);
+        }
+        // An end that a sender's side sends is shown to the stand-in even so: it only has to write it down, and
+        // nothing that it could still send would get through.
+        let shown = matches!((me, &body), (Host::Sender(_), SegmentBody::End | SegmentBody::Reset));
+        if self.connection.broken.get() && !shown {
+            return;
+        }
+        let now = Instant::now();
+        let due = match fault_window {
+            Some(FaultWindow::Delayed(delay)) => now + delay,
+            _ => now + network.delay(me, peer),
+        };
+        let mut outgoing = self.outgoing().borrow_mut();
+        if outgoing.reader_closed && matches!(body, SegmentBody::Data(_)) {
+            // Nobody reads there any more: that comes back as a reset.
+            let back = due + network.delay(me, peer);
+            self.incoming().borrow_mut().push(now, back, SegmentBody::Reset);
+            return;
+        }
+        if let (Some(FaultWindow::Breaks), SegmentBody::Data(data)) = (fault_window, &body) {
+            // In the midst of what is said, for both.
+            outgoing.push(now, due, SegmentBody::Data(data[..data.len() / 2].to_vec()));
+            outgoing.push(now, due, SegmentBody::Reset);
+            self.incoming().borrow_mut().push(now, due, SegmentBody::Reset);
+            return;
+        }
+        outgoing.push(now, due, body);
+    }
+}
+
+impl AsyncRead for SimStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let this = &mut *self;
+        if this.process.is_dead() {
+            return Poll::Pending;
+        }
+        if this.ended {
+            return Poll::Ready(Ok(()));
+        }
+        let now = Instant::now();
+        let connection = this.connection.clone();
+        let mut pipe = connection.pipes[1 - this.side].borrow_mut();
+        // What a reset overtakes is lost, as the system would have it.
+        let reset =
+            pipe.queue.iter().find(|next| next.due_at <= now && matches!(next.body, SegmentBody::Reset));
+        if let Some(reset) = reset {
+            this.last_sent = Some(reset.sent_at);
+            return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
+        }
+        pipe.reader = Some(cx.waker().clone());
+        let Some(next) = pipe.queue.front_mut() else { return Poll::Pending };
+        if next.due_at > now {
+            let mut wait = Box::pin(sleep_until(next.due_at));
+            let polled = wait.as_mut().poll(cx);
+            this.wait = Some(wait);
+            if polled.is_pending() {
+                return Poll::Pending;
+            }
+        }
+        this.wait = None;
+        this.last_sent = Some(next.sent_at);
+        match &mut next.body {
+            SegmentBody::Data(data) => {
+                let count = data.len().min(buf.remaining());
+                buf.put_slice(&data[..count]);
+                if count == data.len() {
+                    pipe.queue.pop_front();
+                } else {
+                    data.drain(..count);
+                }
+                pipe.bytes -= count;
+                if let Some(writer) = pipe.writer.take() {
+                    writer.wake();
+                }
+            }
+            SegmentBody::End => this.ended = true,
+            SegmentBody::Reset => return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
+        }
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for SimStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        if self.process.is_dead() {
+            return Poll::Pending;
+        }
+        let now = Instant::now();
+        let reset = |next: &Segment| next.due_at <= now && matches!(next.body, SegmentBody::Reset);
+        if self.incoming().borrow().queue.iter().any(reset) {
+            return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
+        }
+        let mut outgoing = self.outgoing().borrow_mut();
+        if outgoing.bytes >= MAX_BUFFERED_BYTES {
+            outgoing.writer = Some(cx.waker().clone());
+            return Poll::Pending;
+        }
+        let count = buf.len().min(MAX_BUFFERED_BYTES - outgoing.bytes);
+        drop(outgoing);
+        self.send(SegmentBody::Data(buf[..count].to_vec()));
+        Poll::Ready(Ok(count))
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if !self.finished && !self.process.is_dead() {
+            self.finished = true;
+            self.send(SegmentBody::End);
+        }
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl Drop for SimStream {
+    fn drop(&mut self) {
+        let has_unread_data = {
+            let mut incoming = self.incoming().borrow_mut();
+            incoming.reader_closed = true;
+            let now = Instant::now();
+            incoming.queue.iter().any(|next| next.due_at <= now && matches!(next.body, SegmentBody::Data(_)))
+        };
+        // As the system does: a process that dies, and reader_closed bytes, reset the connection.
+        if self.process.is_dead() || has_unread_data {
+            self.send(SegmentBody::Reset);
+        } else if !self.finished {
+            self.send(SegmentBody::End);
+        }
+    }
+}
+
+impl Stream for SimStream {
+    fn is_fresh(&self) -> io::Result<()> {
+        let now = Instant::now();
+        match self.incoming().borrow().queue.front() {
+            Some(next) if next.due_at <= now => Err(io::ErrorKind::ConnectionAborted.into()),
+            _ => Ok(()),
+        }
+    }
+}
+
+impl StandInConnection for SimStream {
+    fn sent(&self) -> Option<Instant> {
+        self.last_sent
+    }
+
+    fn ended_at(&self) -> Option<Instant> {
+        self.connection.ended[1 - self.side].get()
+    }
+
+    fn delay(&self) -> Duration {
+        let (me, peer) = self.ends();
+        self.network.upgrade().map_or(Duration::ZERO, |network| network.delay(me, peer))
+    }
+
+    fn arrives(&self) -> bool {
+        let (me, peer) = self.ends();
+        !self.connection.broken.get()
+            && self.network.upgrade().is_some_and(|network| network.is_reachable(me, peer))
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/sim/process_network.rs
@@ -0,0 +1,41 @@
+//! The simulated network as one process of the daemon uses it.
+use super::datagrams::DatagramNetwork;
+use super::network::SimNetwork;
+use super::process::Process;
+use crate::stand_in_network::Host;
+use micadrum::daemon::ports::{Datagrams, Listener, LocalFuture, Network, Stream};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// The network as one process of the daemon has it.
+pub struct ProcessNetwork {
+    /// The network.
+    pub network: Rc<SimNetwork>,
+    /// Datagrams between senders.
+    pub datagrams: Rc<DatagramNetwork>,
+    /// The machine of the process.
+    pub host: Host,
+    /// The process.
+    pub process: Rc<Process>,
+}
+
+impl Network for ProcessNetwork {
+    fn connect(&self, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Stream>>> {
+        Box::pin(async move {
+            let stream = self.network.connect_stream(self.host, self.process.clone(), to).await?;
+            Ok(Box::new(stream) as Box<dyn Stream>)
+        })
+    }
+
+    fn listen(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Listener>>> {
+        Box::pin(async move {
+            let listener = self.network.bind_listener(self.host, self.process.clone(), at.port())?;
+            Ok(Box::new(listener) as Box<dyn Listener>)
+        })
+    }
+
+    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Datagrams>>> {
+        Box::pin(async move { self.datagrams.bind(self.host, at, self.process.clone()) })
+    }
+}
