--- a/crates/micadrum-testkit/src/http.rs
+++ b/crates/micadrum-testkit/src/http.rs
@@ -1,18 +1,18 @@
-//! HTTP/1.1 as the stand-ins need it: requests and answers read byte by byte, with when they were sent, and
-//! answers written as they are wanted, also spoilt.
-use crate::stand_in_network::StandInConnection;
+//! HTTP/1.1 as the stand-ins need it: requests and answers are read with the time at which they were sent, and written
+//! byte for byte, also corrupted.
+use crate::test_network::TestConnection;
 use std::io;
 use std::pin::pin;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// No head or body of the daemon's is longer.
-const MOST: usize = 1 << 20;
-const MOST_FIELDS: usize = 32;
+/// No head or body that the daemon sends is longer.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+const MAX_FIELDS: usize = 32;
 
 /// A connection that reads messages one after another.
 pub struct Conversation {
-    line: Box<dyn StandInConnection>,
+    connection: Box<dyn TestConnection>,
     buffer: Vec<u8>,
 }
 
@@ -31,9 +31,9 @@
 }
 
 impl Message {
-    /// A header field by its name in small letters.
+    /// Returns a header field by its name in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_str())
     }
 }
 
@@ -42,36 +42,36 @@
 }
 
 impl Conversation {
-    /// On an open connection.
-    pub fn new(line: Box<dyn StandInConnection>) -> Self {
-        Self { line, buffer: Vec::new() }
+    /// Starts a conversation on an open connection.
+    pub fn new(connection: Box<dyn TestConnection>) -> Self {
+        Self { connection, buffer: Vec::new() }
     }
 
-    async fn more(&mut self) -> io::Result<bool> {
-        if self.buffer.len() > MOST {
+    async fn read_more(&mut self) -> io::Result<bool> {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(malformed("too long"));
         }
-        Ok(self.line.read_buf(&mut self.buffer).await? > 0)
+        Ok(self.connection.read_buf(&mut self.buffer).await? > 0)
     }
 
-    fn sent(&self) -> Instant {
-        self.line.sent().unwrap_or_else(Instant::now)
+    fn last_sent(&self) -> Instant {
+        self.connection.sent().unwrap_or_else(Instant::now)
     }
 
-    /// Reads one request or answer; none where the other side ended the connection before it.
+    /// Reads one request or answer; `None` where the other side ended the connection before it.
     ///
     /// # Errors
-    /// Where the connection breaks, or what came is no HTTP/1.1.
+    /// Returns an error where the connection breaks, or what arrives is not HTTP/1.1.
     pub async fn read(&mut self, answer: bool) -> io::Result<Option<Message>> {
         let mut first_sent = None;
         let (mut message, head) = loop {
             if !self.buffer.is_empty() {
-                first_sent.get_or_insert_with(|| self.sent());
+                first_sent.get_or_insert_with(|| self.last_sent());
                 if let Some(parsed) = parse(&self.buffer, answer)? {
                     break parsed;
                 }
             }
-            if !self.more().await? {
+            if !self.read_more().await? {
                 return if self.buffer.is_empty() {
                     Ok(None)
                 } else {
@@ -80,11 +80,11 @@
             }
         };
         let length = message.field("content-length").map_or(Ok(0), str::parse::<usize>).map_err(malformed)?;
-        if length > MOST {
+        if length > MAX_MESSAGE_BYTES {
             return Err(malformed("too long"));
         }
         while self.buffer.len() < head + length {
-            if !self.more().await? {
+            if !self.read_more().await? {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
@@ -94,50 +94,50 @@
         Ok(Some(message))
     }
 
-    /// Waits until the other side ends the connection, or sends what was not asked for; when it did.
+    /// Waits until the other side ends the connection or sends something unexpected, and returns when it did.
     pub async fn ended(&mut self) -> Instant {
-        let mut scrap = [0; 512];
-        let _ = self.line.read(&mut scrap).await;
-        // Told by the network where the end itself was lost on the way.
-        self.line.ended_at().unwrap_or_else(|| self.sent())
+        let mut discarded = [0; 512];
+        let _ = self.connection.read(&mut discarded).await;
+        // The network knows it where the end itself was lost on the way.
+        self.connection.ended_at().unwrap_or_else(|| self.last_sent())
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// Where the connection is broken.
+    /// Returns an error where the connection is broken.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.line.write_all(bytes).await?;
-        self.line.flush().await
+        self.connection.write_all(bytes).await?;
+        self.connection.flush().await
     }
 
-    /// When the other side ended the connection, also where that is still on its way and can be known.
+    /// Returns when the other side ended the connection, also where that is still on its way and can be known.
     pub fn ended_at(&self) -> Option<Instant> {
-        self.line.ended_at()
+        self.connection.ended_at()
     }
 
-    /// How long what is written now takes to the other side.
+    /// Returns how long bytes that are written now take to the other side.
     pub fn delay(&self) -> std::time::Duration {
-        self.line.delay()
+        self.connection.delay()
     }
 
-    /// Whether what is written now comes to the other side at all, as far as can be known.
+    /// Returns whether bytes that are written now reach the other side at all, as far as can be known.
     pub fn arrives(&self) -> bool {
-        self.line.arrives()
+        self.connection.arrives()
     }
 
-    /// Whether the other side has ended the connection by now.
+    /// Returns whether the other side has ended the connection.
     pub async fn is_over(&mut self) -> bool {
-        let mut look = pin!(self.more());
-        std::future::poll_fn(|cx| std::task::Poll::Ready(look.as_mut().poll(cx).is_ready())).await
+        let mut reading = pin!(self.read_more());
+        std::future::poll_fn(|cx| std::task::Poll::Ready(reading.as_mut().poll(cx).is_ready())).await
     }
 }
 
 fn parse(bytes: &[u8], answer: bool) -> io::Result<Option<(Message, usize)>> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let collect = |fields: &[httparse::Header<'_>]| -> Vec<(String, String)> {
         let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-        fields.iter().map(|f| (f.name.to_ascii_lowercase(), text(f.value))).collect()
+        fields.iter().map(|field| (field.name.to_ascii_lowercase(), text(field.value))).collect()
     };
     let now = Instant::now();
     let (status, parsed) = if answer {
@@ -162,7 +162,7 @@
     })
 }
 
-/// An answer as text.
+/// Returns the bytes of an answer.
 pub fn answer(status: &str, fields: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/micadrum-testkit/src/lib.rs
+++ b/crates/micadrum-testkit/src/lib.rs
@@ -20,5 +20,5 @@
 pub mod sim;
 pub mod trace_aggregate;
 pub use micadrum_config::units;
-mod stand_in_network;
+mod test_network;
 mod world;
--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -1,4 +1,4 @@
-//! Links between real senders on their way through the kit: delayed, held, or broken within a frame.
+//! Relays of the links between real senders: delayed, held, or broken within a frame.
 use crate::link_faults::{FaultWindow, LinkFaults};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,44 +10,44 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Between two looks whether what is held may go on.
-const LOOK: Duration = Duration::from_millis(20);
+/// The interval at which a held link is checked.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Passes on the links that `from` opens to `to`.
-pub async fn pass(
+/// Relays the links that `from` opens to `to`.
+pub async fn relay(
     listener: TcpListener,
     from: u32,
     to: u32,
-    home: Rc<Cell<Option<SocketAddr>>>,
+    peer_address: Rc<Cell<Option<SocketAddr>>>,
     link_faults: Rc<RefCell<LinkFaults>>,
 ) {
     let started_at = Instant::now();
     let broken = Rc::<Cell<Option<u64>>>::default();
     loop {
         let Ok((near, _)) = listener.accept().await else { continue };
-        let (home, link_faults, broken) = (home.clone(), link_faults.clone(), broken.clone());
+        let (peer_address, link_faults, broken) = (peer_address.clone(), link_faults.clone(), broken.clone());
         spawn_local(async move {
-            let Some(home) = home.get() else { return };
-            let Ok(far) = TcpStream::connect(home).await else { return };
+            let Some(peer_address) = peer_address.get() else { return };
+            let Ok(far) = TcpStream::connect(peer_address).await else { return };
             let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-            let way = |from, to| Way {
+            let direction = |from, to| RelayedDirection {
                 from,
                 to,
                 link_faults: link_faults.clone(),
                 started_at,
                 broken: broken.clone(),
             };
-            // Where one way ends or breaks, so does the other.
+            // Where one direction ends or breaks, so does the other.
             tokio::select! {
-                () = way(from, to).carry(near_in, far_out) => {}
-                () = way(to, from).carry(far_in, near_out) => {}
+                () = direction(from, to).carry(near_in, far_out) => {}
+                () = direction(to, from).carry(far_in, near_out) => {}
             }
         });
     }
 }
 
-/// One way of a link.
-struct Way {
+/// One direction of a link.
+struct RelayedDirection {
     from: u32,
     to: u32,
     link_faults: Rc<RefCell<LinkFaults>>,
@@ -56,7 +56,7 @@
     broken: Rc<Cell<Option<u64>>>,
 }
 
-impl Way {
+impl RelayedDirection {
     async fn carry(self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) {
         let mut buffer = vec![0; 16 * 1024];
         loop {
@@ -69,7 +69,7 @@
                         sleep(delay).await;
                         break;
                     }
-                    FaultWindow::Held => sleep(LOOK).await,
+                    FaultWindow::Held => sleep(HOLD_POLL_INTERVAL).await,
                     FaultWindow::Breaks => {
                         let _ = write.write_all(&buffer[..length / 2]).await;
                         return;
--- /dev/null
+++ b/crates/micadrum-testkit/src/live/loopback.rs
@@ -0,0 +1,64 @@
+//! The stand-ins' network on loopback.
+use crate::test_network::{Host, TestConnection, TestListener, TestNetwork};
+use micadrum::daemon::ports::{Listener, LocalFuture, Network, Stream};
+use micadrum::daemon::system::Tcp;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The loopback network of this machine.
+pub struct Loopback;
+
+struct LoopbackListener {
+    listener: Box<dyn Listener>,
+    address: SocketAddr,
+}
+
+/// Ports below this only have a meaning within a host of the world.
+const FIRST_ASSIGNED_PORT: u16 = 10_000;
+
+impl TestNetwork for Loopback {
+    fn connect(&self, _: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>> {
+        Box::pin(async move { Ok(Box::new(Tcp.connect(to).await?) as Box<dyn TestConnection>) })
+    }
+
+    fn listen(&self, _: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn TestListener>>> {
+        Box::pin(async move {
+            // A free port at first, and the same one where the listener opens again.
+            let port = if port < FIRST_ASSIGNED_PORT { 0 } else { port };
+            let listener = Tcp.listen(SocketAddr::from((Ipv4Addr::LOCALHOST, port))).await?;
+            let address = listener.local_addr()?;
+            Ok(Box::new(LoopbackListener { listener, address }) as Box<dyn TestListener>)
+        })
+    }
+}
+
+impl TestListener for LoopbackListener {
+    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>> {
+        Box::pin(async move { Ok(Box::new(self.listener.accept().await?) as Box<dyn TestConnection>) })
+    }
+
+    fn address(&self) -> SocketAddr {
+        self.address
+    }
+}
+
+/// A real connection shows nothing but what has arrived.
+impl TestConnection for Box<dyn Stream> {
+    fn sent(&self) -> Option<Instant> {
+        None
+    }
+
+    fn ended_at(&self) -> Option<Instant> {
+        None
+    }
+
+    fn delay(&self) -> Duration {
+        Duration::ZERO
+    }
+
+    fn arrives(&self) -> bool {
+        true
+    }
+}
--- /dev/null
+++ b/crates/micadrum-testkit/src/live/process.rs
@@ -0,0 +1,110 @@
+//! A process of the daemon: its commands, its exit and its log.
+use super::power::DurableState;
+use super::relays::Relays;
+use crate::world::senders::{LogSink, ProcessExit};
+use std::cell::{Cell, RefCell};
+use std::net::{AddrParseError, SocketAddr};
+use std::rc::Rc;
+use tokio::io::{AsyncBufReadExt, BufReader};
+use tokio::process::{Child, ChildStderr, Command};
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::sync::oneshot;
+use tokio::task::{JoinHandle, spawn_local};
+
+/// What a process is to receive.
+pub(super) enum ProcessCommand {
+    Pause(bool),
+    Terminate,
+    Reload,
+    Kill,
+}
+
+/// A running process.
+pub(super) struct RunningProcess {
+    pub(super) commands: UnboundedSender<ProcessCommand>,
+    pub(super) exit: Rc<ProcessExit>,
+}
+
+impl RunningProcess {
+    /// Supervises a process whose log is read by `log_reader`.
+    pub(super) fn supervise(child: Child, log_reader: JoinHandle<()>) -> Self {
+        let (commands, receiver) = unbounded_channel();
+        let exit = Rc::<ProcessExit>::default();
+        spawn_local(supervise(child, receiver, log_reader, exit.clone()));
+        Self { commands, exit }
+    }
+}
+
+async fn supervise(
+    mut child: Child,
+    mut commands: UnboundedReceiver<ProcessCommand>,
+    log_reader: JoinHandle<()>,
+    exit: Rc<ProcessExit>,
+) {
+    let clean = loop {
+        tokio::select! {
+            status = child.wait() => break status.is_ok_and(|status| status.success()),
+            Some(command) = commands.recv() => carry_out(&mut child, command).await,
+        }
+    };
+    // Everything that the process logged before its exit counts.
+    let _ = log_reader.await;
+    exit.set(clean);
+}
+
+async fn carry_out(child: &mut Child, command: ProcessCommand) {
+    let name = match command {
+        ProcessCommand::Kill => return drop(child.start_kill()),
+        ProcessCommand::Terminate => "-TERM",
+        ProcessCommand::Reload => "-HUP",
+        ProcessCommand::Pause(true) => "-STOP",
+        ProcessCommand::Pause(false) => "-CONT",
+    };
+    if let Some(process) = child.id() {
+        signal(name, process).await;
+    }
+}
+
+async fn signal(name: &str, process: u32) {
+    if let Err(error) = Command::new("kill").args([name, &process.to_string()]).status().await {
+        eprintln!("kill: {error}");
+    }
+}
+
+/// Reads the log of a process.
+pub(super) struct LogReader {
+    pub(super) sender: u32,
+    pub(super) relays: Rc<Relays>,
+    pub(super) admin_address: Rc<Cell<Option<SocketAddr>>>,
+    pub(super) durable_state: Rc<RefCell<DurableState>>,
+    pub(super) sink: LogSink,
+}
+
+impl LogReader {
+    /// Reads the log to its end, so that the process never waits for space in the pipe. Sends the address for clients on
+    /// `listening` as soon as the log names it.
+    pub(super) async fn read(
+        self,
+        log: BufReader<ChildStderr>,
+        listening: oneshot::Sender<Result<SocketAddr, AddrParseError>>,
+    ) {
+        let mut lines = log.lines();
+        let mut listening = Some(listening);
+        while let Ok(Some(line)) = lines.next_line().await {
+            if let Some(record) = line.strip_prefix("trace storage ") {
+                self.durable_state.borrow_mut().apply(record);
+                continue;
+            }
+            self.relays.read_log_line(self.sender, &line);
+            (self.sink)(&line);
+            if let Some(address) = line.strip_prefix("operators: listening on ") {
+                self.admin_address.set(address.parse().ok());
+            }
+            if let Some(address) = line.strip_prefix("listening on ")
+                && let Some(listening) = listening.take()
+            {
+                let _ = listening.send(address.parse::<SocketAddr>());
+            }
+        }
+    }
+}
--- a/crates/micadrum-testkit/src/live/relays.rs
+++ b/crates/micadrum-testkit/src/live/relays.rs
@@ -1,5 +1,4 @@
-//! What real senders say to each other goes through sockets of the kit: one for each pair and way, where the link
-//! faults decide what becomes of it.
+//! Relays of the traffic between real senders: one for each pair and direction, which apply the link faults.
 use super::links;
 use crate::link_faults::LinkFaults;
 use std::cell::{Cell, RefCell};
@@ -10,97 +9,111 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// No datagram between senders is longer, in bytes.
-const MOST: usize = 2048;
+/// No datagram between senders is longer.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// All of them.
+/// Attempts to find a port that is free for both datagrams and streams.
+const MAX_BIND_RETRIES: u32 = 20;
+
+/// The relays between all senders.
 pub struct Relays {
-    /// Where a sender reaches another, by both.
-    doors: Vec<Vec<SocketAddr>>,
-    /// Where each sender's process hears, once it has said so.
-    homes: Vec<Rc<Cell<Option<SocketAddr>>>>,
+    /// The address at which a sender reaches another, by both.
+    addresses: Vec<Vec<SocketAddr>>,
+    /// The peer address of each sender's process, once the process has logged it.
+    peer_addresses: Vec<Rc<Cell<Option<SocketAddr>>>>,
 }
 
 impl Relays {
-    /// Opens them.
+    /// Opens the relays.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns an error of the system.
     pub async fn open(senders: usize, link_faults: &Rc<RefCell<LinkFaults>>) -> io::Result<Self> {
-        let homes: Vec<Rc<Cell<Option<SocketAddr>>>> = (0..senders).map(|_| Rc::default()).collect();
-        // What goes out has no other way in: one socket sends for all.
+        let peer_addresses: Vec<Rc<Cell<Option<SocketAddr>>>> = (0..senders).map(|_| Rc::default()).collect();
+        // Nothing is received on the outgoing socket, so one sends for all.
         let out = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
-        let mut doors = Vec::new();
+        let mut addresses = Vec::new();
         for from in 0..senders {
             let mut row = Vec::new();
-            for (to, home) in homes.iter().enumerate() {
+            for (to, peer_address) in peer_addresses.iter().enumerate() {
                 if from == to {
                     row.push(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
                     continue;
                 }
-                let (door, links) = both().await?;
-                row.push(door.local_addr()?);
-                let way = Way { from: from as u32, to: to as u32, home: home.clone(), out: out.clone() };
-                spawn_local(links::pass(links, way.from, way.to, way.home.clone(), link_faults.clone()));
-                spawn_local(way.pass(door, link_faults.clone()));
+                let (datagrams, links) = bind_pair().await?;
+                row.push(datagrams.local_addr()?);
+                let direction = RelayedDirection {
+                    from: from as u32,
+                    to: to as u32,
+                    peer_address: peer_address.clone(),
+                    out: out.clone(),
+                };
+                spawn_local(links::relay(
+                    links,
+                    direction.from,
+                    direction.to,
+                    direction.peer_address.clone(),
+                    link_faults.clone(),
+                ));
+                spawn_local(direction.relay(datagrams, link_faults.clone()));
             }
-            doors.push(row);
+            addresses.push(row);
         }
-        Ok(Self { doors, homes })
+        Ok(Self { addresses, peer_addresses })
     }
 
-    /// Where `from` reaches `to`; where it is itself, any port of its own.
-    pub fn door(&self, from: u32, to: u32) -> SocketAddr {
-        self.doors[from as usize][to as usize]
+    /// Returns the address at which `from` reaches `to`; any port of its own where both are the same.
+    pub fn address(&self, from: u32, to: u32) -> SocketAddr {
+        self.addresses[from as usize][to as usize]
     }
 
-    /// A line of a sender's log may tell where it hears.
-    pub fn logged(&self, sender: u32, line: &str) {
+    /// Takes the peer address from a line of a sender's log, if the line names it.
+    pub fn read_log_line(&self, sender: u32, line: &str) {
         if let Some(at) = line.strip_prefix("membership: listening address=").and_then(|at| at.parse().ok()) {
-            self.homes[sender as usize].set(Some(at));
+            self.peer_addresses[sender as usize].set(Some(at));
         }
     }
 }
 
-/// A socket for datagrams and one for links, at one address.
-async fn both() -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = 0;
+/// Binds a socket for datagrams and one for streams to one address.
+async fn bind_pair() -> io::Result<(UdpSocket, TcpListener)> {
+    let mut attempts = 0;
     loop {
-        let door = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        match TcpListener::bind(door.local_addr()?).await {
-            Ok(links) => return Ok((door, links)),
-            // Somebody else has the port for streams: another one.
-            Err(e) if tries >= 20 => return Err(e),
-            Err(_) => tries += 1,
+        let datagrams = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
+        match TcpListener::bind(datagrams.local_addr()?).await {
+            Ok(links) => return Ok((datagrams, links)),
+            // Another process uses the port for streams: try another one.
+            Err(error) if attempts >= MAX_BIND_RETRIES => return Err(error),
+            Err(_) => attempts += 1,
         }
     }
 }
 
-/// From one sender to another.
-struct Way {
+/// The direction from one sender to another.
+struct RelayedDirection {
     from: u32,
     to: u32,
-    home: Rc<Cell<Option<SocketAddr>>>,
+    peer_address: Rc<Cell<Option<SocketAddr>>>,
     out: Rc<UdpSocket>,
 }
 
-impl Way {
-    async fn pass(self, door: UdpSocket, link_faults: Rc<RefCell<LinkFaults>>) {
-        let mut buffer = vec![0; MOST];
+impl RelayedDirection {
+    async fn relay(self, datagrams: UdpSocket, link_faults: Rc<RefCell<LinkFaults>>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error tells that nobody hears any more: who sends learns so by silence.
-            let Ok(length) = door.recv(&mut buffer).await else { continue };
-            let Some(home) = self.home.get() else { continue };
+            // An error means that nobody receives any more, which the sender learns by silence.
+            let Ok(length) = datagrams.recv(&mut buffer).await else { continue };
+            let Some(peer_address) = self.peer_address.get() else { continue };
             let delays = link_faults.borrow_mut().datagram_delays(self.from, self.to);
             for delay in delays {
                 let (out, bytes) = (self.out.clone(), buffer[..length].to_owned());
                 if delay.is_zero() {
-                    let _ = out.try_send_to(&bytes, home);
+                    let _ = out.try_send_to(&bytes, peer_address);
                     continue;
                 }
                 spawn_local(async move {
                     sleep(delay).await;
-                    let _ = out.try_send_to(&bytes, home);
+                    let _ = out.try_send_to(&bytes, peer_address);
                 });
             }
         }
--- a/crates/micadrum-testkit/src/scenario.rs
+++ b/crates/micadrum-testkit/src/scenario.rs
@@ -564,7 +564,8 @@
         )?;
         if let Some(operator) = &scenario.operator {
             let place = operator.span().start;
-            link_faults::operator_file(operator.get_ref(), &[]).map_err(|what| error(place, what))?;
+            link_faults::operator_file(operator.get_ref(), &[])
+                .map_err(|what| error(place, what.to_string()))?;
         }
         for look in &scenario.look {
             let fits = look.sender < *scenario.senders.get_ref() && *look.at.get_ref() <= length;
--- a/crates/micadrum-testkit/src/sim/datagrams.rs
+++ b/crates/micadrum-testkit/src/sim/datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between simulated senders, subject to the faults of their links.
 use super::process::Process;
 use crate::link_faults::LinkFaults;
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use micadrum::daemon::ports::{Datagrams, LocalFuture};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -12,22 +12,36 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// A socket that nobody reads holds no more than this, as a real one's buffer.
+/// Datagrams that a socket holds; more are lost, as with the buffer of a real one.
 const MAX_QUEUED_DATAGRAMS: usize = 1000;
 
-type Datagram = Reverse<(Instant, u64, Vec<u8>)>;
+/// A datagram on its way; the order is that of arrival.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedDatagram {
+    due_at: Instant,
+    sequence: u64,
+    bytes: Vec<u8>,
+}
 
+/// What has been sent to a socket.
 #[derive(Default)]
 struct Inbox {
-    datagrams: RefCell<BinaryHeap<Datagram>>,
+    datagrams: RefCell<BinaryHeap<Reverse<QueuedDatagram>>>,
     arrived: Notify,
 }
 
+/// A bound socket as others reach it.
+#[derive(Clone)]
+struct BoundSocket {
+    sender: u32,
+    inbox: Rc<Inbox>,
+}
+
 /// All datagram sockets.
 pub struct DatagramNetwork {
     this: Weak<DatagramNetwork>,
     link_faults: Rc<RefCell<LinkFaults>>,
-    sockets: RefCell<BTreeMap<SocketAddr, (u32, Rc<Inbox>)>>,
+    sockets: RefCell<BTreeMap<SocketAddr, BoundSocket>>,
     sequence: Cell<u64>,
 }
 
@@ -55,17 +69,20 @@
             return Err(io::ErrorKind::AddrInUse.into());
         }
         let inbox = Rc::<Inbox>::default();
-        sockets.insert(address, (sender, inbox.clone()));
+        sockets.insert(address, BoundSocket { sender, inbox: inbox.clone() });
         Ok(Box::new(Socket { network: self.this.clone(), sender, address, inbox, process }))
     }
 
     fn send(&self, from: u32, to: SocketAddr, bytes: &[u8]) {
-        let Some((other, inbox)) = self.sockets.borrow().get(&to).cloned() else { return };
-        for delay in self.link_faults.borrow_mut().datagram_delays(from, other) {
+        let receiver = self.sockets.borrow().get(&to).cloned();
+        let Some(BoundSocket { sender: to, inbox }) = receiver else { return };
+        for delay in self.link_faults.borrow_mut().datagram_delays(from, to) {
             self.sequence.set(self.sequence.get() + 1);
             let mut datagrams = inbox.datagrams.borrow_mut();
             if datagrams.len() < MAX_QUEUED_DATAGRAMS {
-                datagrams.push(Reverse((Instant::now() + delay, self.sequence.get(), bytes.to_owned())));
+                let due_at = Instant::now() + delay;
+                let sequence = self.sequence.get();
+                datagrams.push(Reverse(QueuedDatagram { due_at, sequence, bytes: bytes.to_owned() }));
             }
         }
         inbox.arrived.notify_one();
@@ -100,11 +117,11 @@
         Box::pin(async move {
             loop {
                 let arrived = self.inbox.arrived.notified();
-                let first = self.inbox.datagrams.borrow().peek().map(|Reverse((due, ..))| *due);
+                let first = self.inbox.datagrams.borrow().peek().map(|Reverse(datagram)| datagram.due_at);
                 match first {
                     Some(due) if due <= Instant::now() => {
                         let datagram = self.inbox.datagrams.borrow_mut().pop();
-                        let Some(Reverse((.., bytes))) = datagram else { continue };
+                        let Some(Reverse(QueuedDatagram { bytes, .. })) = datagram else { continue };
                         let length = bytes.len().min(buffer.len());
                         buffer[..length].copy_from_slice(&bytes[..length]);
                         return Ok(length);
--- a/crates/micadrum-testkit/src/sim/fleet.rs
+++ b/crates/micadrum-testkit/src/sim/fleet.rs
@@ -7,7 +7,7 @@
 use super::process_network::ProcessNetwork;
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, Where};
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use crate::world::senders::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
 use micadrum::daemon::config::{Config, ConfigReadError};
 use micadrum::daemon::ports::{LocalFuture, Log, Ports, Traces, WallClock};
@@ -67,8 +67,8 @@
     exit: Rc<ProcessExit>,
 }
 
-#[derive(Default)]
 /// The machine of a sender, over all of its processes.
+#[derive(Default)]
 pub struct Node {
     disk: Rc<RefCell<Disk>>,
     /// Counts the boots of the machine.
@@ -79,10 +79,15 @@
 
 /// The simulated senders.
 pub struct SimFleet {
+    /// Connections between hosts.
     pub network: Rc<SimNetwork>,
+    /// Datagrams between senders.
     pub datagrams: Rc<DatagramNetwork>,
+    /// The machines, by sender.
     pub nodes: Vec<Node>,
+    /// The start of the simulation.
     pub origin: Instant,
+    /// Whether the senders' logs are printed.
     pub show_logs: bool,
 }
 
--- a/crates/micadrum-testkit/src/sim/hosts.rs
+++ b/crates/micadrum-testkit/src/sim/hosts.rs
@@ -1,5 +1,5 @@
 //! The addresses of simulated hosts.
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use std::net::{IpAddr, Ipv4Addr};
 
 /// Returns the address of a host.
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -10,7 +10,7 @@
 use crate::link_faults::LinkFaults;
 use crate::plan::Plan;
 use crate::report::Report;
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use crate::world::{World, run_scenario};
 use datagrams::DatagramNetwork;
 use fleet::{Node, SimFleet};
--- a/crates/micadrum-testkit/src/sim/network/listener.rs
+++ b/crates/micadrum-testkit/src/sim/network/listener.rs
@@ -2,7 +2,7 @@
 use super::SimNetwork;
 use super::stream::SimStream;
 use crate::sim::process::Process;
-use crate::stand_in_network::{StandInConnection, StandInListener};
+use crate::test_network::{TestConnection, TestListener};
 use micadrum::daemon::ports::{Listener, LocalFuture, Stream};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -56,9 +56,9 @@
     }
 }
 
-impl StandInListener for SimListener {
-    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>> {
-        Box::pin(async move { Ok(Box::new(self.next().await) as Box<dyn StandInConnection>) })
+impl TestListener for SimListener {
+    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>> {
+        Box::pin(async move { Ok(Box::new(self.next().await) as Box<dyn TestConnection>) })
     }
 
     fn address(&self) -> SocketAddr {
--- a/crates/micadrum-testkit/src/sim/network/mod.rs
+++ b/crates/micadrum-testkit/src/sim/network/mod.rs
@@ -9,7 +9,7 @@
 use super::hosts;
 use super::process::Process;
 use crate::link_faults::{FaultWindow, LinkFaults};
-use crate::stand_in_network::{Host, StandInConnection, StandInListener, StandInNetwork};
+use crate::test_network::{Host, TestConnection, TestListener, TestNetwork};
 use listener::{AcceptQueue, SimListener};
 use micadrum::daemon::ports::LocalFuture;
 use pipe::{Pipe, SegmentBody};
@@ -226,17 +226,17 @@
     }
 }
 
-impl StandInNetwork for SimNetwork {
-    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>> {
+impl TestNetwork for SimNetwork {
+    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>> {
         Box::pin(async move {
             let stream = self.connect_stream(from, Rc::default(), to).await?;
-            Ok(Box::new(stream) as Box<dyn StandInConnection>)
+            Ok(Box::new(stream) as Box<dyn TestConnection>)
         })
     }
 
-    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn StandInListener>>> {
+    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn TestListener>>> {
         Box::pin(async move {
-            Ok(Box::new(self.bind_listener(on, Rc::default(), port)?) as Box<dyn StandInListener>)
+            Ok(Box::new(self.bind_listener(on, Rc::default(), port)?) as Box<dyn TestListener>)
         })
     }
 }
--- a/crates/micadrum-testkit/src/sim/network/stream.rs
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -3,7 +3,7 @@
 use super::pipe::{Pipe, Segment, SegmentBody};
 use crate::link_faults::FaultWindow;
 use crate::sim::process::Process;
-use crate::stand_in_network::{Host, StandInConnection};
+use crate::test_network::{Host, TestConnection};
 use micadrum::daemon::ports::Stream;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -212,7 +212,7 @@
     }
 }
 
-impl StandInConnection for SimStream {
+impl TestConnection for SimStream {
     fn sent(&self) -> Option<Instant> {
         self.last_sent
     }
--- a/crates/micadrum-testkit/src/sim/network/tests.rs
+++ b/crates/micadrum-testkit/src/sim/network/tests.rs
@@ -25,13 +25,13 @@
 }
 
 /// Two ends of a connection: a sender's and an endpoint's.
-async fn pair(net: &Rc<SimNetwork>, to: Host) -> (Box<dyn StandInConnection>, Box<dyn StandInConnection>) {
+async fn pair(net: &Rc<SimNetwork>, to: Host) -> (Box<dyn TestConnection>, Box<dyn TestConnection>) {
     let listener = net.listen(to, 5000).await.unwrap();
     let (mine, theirs) = tokio::join!(net.connect(HERE, listener.address()), listener.accept());
     (mine.unwrap(), theirs.unwrap())
 }
 
-async fn read(line: &mut dyn StandInConnection) -> io::Result<Vec<u8>> {
+async fn read(line: &mut dyn TestConnection) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; 64];
     let count = line.read(&mut bytes).await?;
     bytes.truncate(count);
--- a/crates/micadrum-testkit/src/sim/process_network.rs
+++ b/crates/micadrum-testkit/src/sim/process_network.rs
@@ -2,7 +2,7 @@
 use super::datagrams::DatagramNetwork;
 use super::network::SimNetwork;
 use super::process::Process;
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use micadrum::daemon::ports::{Datagrams, Listener, LocalFuture, Network, Stream};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/micadrum-testkit/src/stand_in_network.rs
+++ b/crates/micadrum-testkit/src/test_network.rs
@@ -6,41 +6,41 @@
 use tokio::time::Instant;
 
 /// A connection of a stand-in.
-pub trait StandInConnection: AsyncRead + AsyncWrite + Unpin {
-    /// When the other side sent what was read last, or ended the connection; none where only the time of
+pub trait TestConnection: AsyncRead + AsyncWrite + Unpin {
+    /// Returns when the other side sent what was read last, or ended the connection; `None` where only the time of
     /// reading is known.
     fn sent(&self) -> Option<Instant>;
 
-    /// When the other side ended the connection, also where that is still on its way; none where only what has
-    /// come can be known.
+    /// Returns when the other side ended the connection, also where that is still on its way; `None` where only what has
+    /// arrived can be known.
     fn ended_at(&self) -> Option<Instant>;
 
-    /// How long what is written now takes to the other side.
+    /// Returns how long bytes that are written now take to the other side.
     fn delay(&self) -> std::time::Duration;
 
-    /// Whether what is written now comes to the other side at all, as far as can be known.
+    /// Returns whether bytes that are written now reach the other side at all, as far as can be known.
     fn arrives(&self) -> bool;
 }
 
-/// Takes connections.
-pub trait StandInListener {
-    /// The next connection.
+/// Accepts connections.
+pub trait TestListener {
+    /// Accepts the next connection.
     ///
     /// # Errors
-    /// What the system says.
-    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>>;
+    /// Returns an error of the system.
+    fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>>;
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     fn address(&self) -> SocketAddr;
 }
 
 /// The network as the stand-ins use it. Hosts are numbered by the world; a live network has only one.
-pub trait StandInNetwork {
+pub trait TestNetwork {
     /// Connects from a stand-in's host.
-    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn StandInConnection>>>;
+    fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>>;
 
-    /// Listens on a stand-in's host; `port` is a wish.
-    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn StandInListener>>>;
+    /// Listens on a stand-in's host; another port than `port` may be assigned.
+    fn listen(&self, on: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn TestListener>>>;
 }
 
 /// A host of the world.
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -4,7 +4,7 @@
 use crate::http::Conversation;
 use crate::observation::{At, Seen, Told};
 use crate::plan::{Arrival, SeededRng, TENANTS};
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/micadrum-testkit/src/world/endpoints/mod.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/mod.rs
@@ -3,7 +3,7 @@
 
 use super::{EndpointState, World};
 use crate::http::{Conversation, answer};
-use crate::stand_in_network::StandInListener;
+use crate::test_network::TestListener;
 use call::Call;
 use std::io;
 use std::rc::Rc;
@@ -79,7 +79,7 @@
     }
 
     /// Accepts connections until the endpoint has moved to another address.
-    async fn accept_connections(self, mut listener: Box<dyn StandInListener>) {
+    async fn accept_connections(self, mut listener: Box<dyn TestListener>) {
         loop {
             if self.is_mute() {
                 self.wait_for_state(|endpoint| !is_mute(&self.world, endpoint)).await;
@@ -107,7 +107,7 @@
     }
 
     /// Closes the listener, so that connections are refused, until the endpoint's process runs again.
-    async fn restart(&self, listener: Box<dyn StandInListener>) -> Box<dyn StandInListener> {
+    async fn restart(&self, listener: Box<dyn TestListener>) -> Box<dyn TestListener> {
         let port = listener.address().port();
         drop(listener);
         self.wait_for_state(|endpoint| !endpoint.condition.process_down).await;
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -14,7 +14,7 @@
 use crate::observation::{At, Seen};
 use crate::plan::{Class, Plan};
 use crate::service_metrics::Recorder;
-use crate::stand_in_network::{Host, StandInNetwork};
+use crate::test_network::{Host, TestNetwork};
 use destination_model::{Condition, DestinationModel};
 use messages::SubmittedMessages;
 use platform::{Agent, ListedEndpoint};
@@ -78,7 +78,7 @@
     /// The plan.
     pub plan: Rc<Plan>,
     /// The network.
-    pub network: Rc<dyn StandInNetwork>,
+    pub network: Rc<dyn TestNetwork>,
     /// The senders' processes.
     pub fleet: Rc<dyn Fleet>,
     /// The faults of the links between senders.
@@ -109,7 +109,7 @@
     /// Returns an error where a stand-in cannot listen.
     pub async fn new(
         plan: Rc<Plan>,
-        network: Rc<dyn StandInNetwork>,
+        network: Rc<dyn TestNetwork>,
         fleet: Rc<dyn Fleet>,
         link_faults: Rc<RefCell<LinkFaults>>,
     ) -> std::io::Result<Rc<Self>> {
--- a/crates/micadrum-testkit/src/world/platform/agent.rs
+++ b/crates/micadrum-testkit/src/world/platform/agent.rs
@@ -1,6 +1,6 @@
 //! The state of the discovery agent on one sender's machine.
 use crate::observation::{At, Seen};
-use crate::stand_in_network::{Host, StandInListener, StandInNetwork};
+use crate::test_network::{Host, TestListener, TestNetwork};
 use crate::world::World;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -47,7 +47,7 @@
 /// The agent on one sender's machine.
 pub struct Agent {
     /// The listener that is not served yet.
-    pub(super) listener: RefCell<Option<Box<dyn StandInListener>>>,
+    pub(super) listener: RefCell<Option<Box<dyn TestListener>>>,
     pub(super) address: Cell<SocketAddr>,
     /// Counts the moves of the agent.
     pub(super) address_generation: Cell<u16>,
@@ -77,7 +77,7 @@
 }
 
 impl Agent {
-    pub(in crate::world) async fn new(network: &dyn StandInNetwork, sender: u32) -> io::Result<Self> {
+    pub(in crate::world) async fn new(network: &dyn TestNetwork, sender: u32) -> io::Result<Self> {
         let listener = network.listen(Host::Sender(sender), AGENT_PORT).await?;
         Ok(Self {
             address: Cell::new(listener.address()),
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -10,7 +10,7 @@
 use crate::observation::{At, Seen};
 use crate::plan::{MUST_ASK_IN, SeededRng};
 use crate::scenario::Discovery;
-use crate::stand_in_network::{Host, StandInConnection};
+use crate::test_network::{Host, TestConnection};
 use agent::{AGENT_PORT, record_delivered_list};
 use serde::Deserialize;
 use serde_json::json;
@@ -133,7 +133,7 @@
     world: Rc<World>,
     sender: u32,
     generation: u16,
-    connection: Box<dyn StandInConnection>,
+    connection: Box<dyn TestConnection>,
 ) {
     let agent = &world.agents[sender as usize];
     let mut conversation = Conversation::new(connection);
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -96,7 +96,7 @@
         let members = plan.senders.iter().map(|other| Named {
             name: other.name.clone(),
             address: self.fleet.peer_address(sender, other.number),
-            building: zones[other.building].clone(),
+            zone: zones[other.building].clone(),
             secret: link_faults::secret(plan.seed, other.number),
         });
         // The scenario was checked when it was read.
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -10,7 +10,7 @@
 use crate::observation::{At, Seen};
 use crate::plan::SeededRng;
 use crate::scenario::{FolderKept, How, Where};
-use crate::stand_in_network::Host;
+use crate::test_network::Host;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
