--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,6 +1,6 @@
 //! What one message costs in the decision module alone, by how much is held and how many destinations there are:
 //! steps of 1 ms, 1,000 slots, answers after 10 to 30 ms, one class in order, one endpoint a destination. Only the time
-//! inside `Sender::step` counts. After the table the longest step of each case is told.
+//! inside `DeliveryEngine::step` counts. After the table the longest step of each case is told.
 #![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 use criterion::{BenchmarkId, Criterion, Throughput};
 use micadrum::*;
