--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -142,7 +142,7 @@
     After,
 }
 
-/// One fault. `FaultKind::fields` in [`super::fault_fields`] lists the fields that each kind needs and allows.
+/// One fault. `FaultKind::fields` in `fault_fields` lists the fields that each kind needs and allows.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
