--- a/tests/compatibility/daemon.rs
+++ b/tests/compatibility/daemon.rs
@@ -1,5 +1,6 @@
 //! The binary as a process on a state folder.
 use crate::http::{Message, PATIENCE, request};
+use micadrum_fault_control::{CONTROL_VARIABLE, ControlFile, library_path};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -61,6 +62,11 @@
     /// Starts the binary on `folder` with that configuration, and with the operator's file that lies in it, if any, and
     /// waits until it listens.
     pub fn start(folder: &Path, config: &Value) -> Self {
+        Self::start_with_faults(folder, config, None)
+    }
+
+    /// Starts the binary like [`Self::start`], with the faults in a control file, if there is one.
+    pub fn start_with_faults(folder: &Path, config: &Value, faults: Option<&ControlFile>) -> Self {
         let file = folder.join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let mut command = Command::new(binary());
@@ -69,6 +75,9 @@
         if operator.exists() {
             command.env("MICADRUM_OPERATOR", operator);
         }
+        if let Some(faults) = faults {
+            command.env("LD_PRELOAD", library_path().unwrap()).env(CONTROL_VARIABLE, faults.path());
+        }
         let mut process = command.spawn().unwrap();
         let log = BufReader::new(process.stderr.take().unwrap());
         let (send, addresses) = channel();
--- a/tests/compatibility/reading.rs
+++ b/tests/compatibility/reading.rs
@@ -6,10 +6,11 @@
 };
 use crate::snapshot::{copy_files, fixture};
 use crate::standin::{Call, Platform};
+use micadrum_fault_control::{ControlFile, Fault, FaultKind};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::path::Path;
-use std::time::Duration;
+use std::time::{Duration, SystemTime};
 use tempfile::TempDir;
 
 /// In this time a call that is due has come.
@@ -17,11 +18,16 @@
 /// The run of the machine that the committed folder was written on last.
 const LAST_RUN: u8 = 3;
 
+/// One second after the last record of the committed folders, in microseconds since the Unix epoch. Their messages have
+/// a day from then on, as the daemon accepts no longer time.
+const FIXTURE_TIME_US: i128 = 1_796_190_537_000_000;
+
 /// A copy of a committed folder, and what surrounds the daemon on it.
 struct Taken {
     folder: TempDir,
     endpoints: Endpoints,
     platform: Platform,
+    clock_folder: TempDir,
 }
 
 impl Taken {
@@ -30,7 +36,8 @@
         copy_files(&fixture(name), folder.path());
         write_boot_id(folder.path(), LAST_RUN);
         write_operator_file(folder.path(), "process", "vouched");
-        Self { folder, endpoints: Endpoints::start(), platform: Platform::start(None, true) }
+        let clock_folder = tempfile::tempdir().unwrap();
+        Self { folder, endpoints: Endpoints::start(), platform: Platform::start(None, true), clock_folder }
     }
 
     fn path(&self) -> &Path {
@@ -41,7 +48,16 @@
     fn start(&self) -> Daemon {
         let mut config = config(self.platform.address, &self.endpoints.list("SERVING"));
         config["settings"]["lanes"].as_array_mut().unwrap().pop();
-        Daemon::start(self.path(), &config)
+        Daemon::start_with_faults(self.path(), &config, Some(&self.clock_at_fixture_time()))
+    }
+
+    /// Returns a control file that steps the daemon's wall clock to [`FIXTURE_TIME_US`].
+    fn clock_at_fixture_time(&self) -> ControlFile {
+        let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap();
+        let step_us = i64::try_from(FIXTURE_TIME_US - now.as_micros().cast_signed()).unwrap();
+        let control = ControlFile::create(&self.clock_folder.path().join("faults"), 0).unwrap();
+        control.begin(Fault::always(FaultKind::WallClock).with_parameter(step_us)).unwrap();
+        control
     }
 
     fn append_to_journal(&self, payload: &[u8]) {
