--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -150,6 +150,6 @@
     }
 
     fn avoids(&self, endpoint: EndpointId, now: Instant) -> bool {
-        self.engine.is_avoided(self.clock.timestamp(now), endpoint)
+        self.engine.is_unavailable(self.clock.timestamp(now), endpoint)
     }
 }
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -207,7 +207,7 @@
         let bytes = self.checkpointing.file.start_new()?;
         let now = self.clock.now();
         let is_restricted = |(id, tracked): &(EndpointId, &TrackedEndpoint)| {
-            !tracked.is_serving || self.engine.binds(now, *id)
+            !tracked.is_serving || self.engine.is_restricted(now, *id)
         };
         let (restricted, others): (Vec<_>, Vec<_>) = self.endpoints.iter().partition(is_restricted);
         let ids: Vec<EndpointId> = restricted.into_iter().chain(others).map(|(id, _)| id).collect();
--- a/src/observe.rs
+++ b/src/observe.rs
@@ -15,7 +15,7 @@
     }
 
     /// Returns whether nothing is sent to an endpoint at `now`, or nothing but a trial.
-    pub fn is_avoided(&self, now: Timestamp, endpoint: EndpointId) -> bool {
+    pub fn is_unavailable(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.directory.endpoint(endpoint) else { return true };
         let is_closed = |route: &Route| {
             let pacer = route.pacer_at(now, &self.settings);
@@ -25,9 +25,9 @@
     }
 
     /// Returns whether a rule depends at `now` on what was learned of an endpoint: it is stored before mere estimates.
-    pub fn binds(&self, now: Timestamp, endpoint: EndpointId) -> bool {
+    pub fn is_restricted(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         let endpoint = self.directory.endpoint(endpoint);
-        endpoint.is_some_and(|endpoint| self.directory.routes(endpoint).any(|route| route.binds(now)))
+        endpoint.is_some_and(|endpoint| self.directory.routes(endpoint).any(|route| route.is_restricted(now)))
     }
 
     /// Returns what was learned of an endpoint's own route and of the one that it shares, for the next process.
--- a/src/pacing/route.rs
+++ b/src/pacing/route.rs
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether a rule depends on this state at `now`, so that it is stored before mere estimates.
-    pub(crate) fn binds(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_restricted(&self, now: Timestamp) -> bool {
         self.retry_after_until > now || self.pacer.health != Health::Healthy
     }
 }
--- a/src/restore/tests.rs
+++ b/src/restore/tests.rs
@@ -40,7 +40,7 @@
         assert_eq!(told.retry_after_until, wait);
         let Health::Ejected(trial) = told.pacer.health else { panic!("{age}: the outage is forgotten") };
         assert!(trial.0 >= NOW.0 + age, "no trial was due before there was a process");
-        assert!(told.binds(Timestamp(NOW.0 + age)));
+        assert!(told.is_restricted(Timestamp(NOW.0 + age)));
     }
     let ramp = settings().rules.slow_start_duration.0;
     for (age, back) in [(0, false), (ramp / 2, false), (ramp, true)] {
@@ -62,7 +62,9 @@
     assert_eq!(recalled(line(), rules.overload_window.0).remaining_share, 0.0);
     let old = recalled(line(), rules.slow_start_duration.0);
     assert_eq!((old.limit, old.latency, old.pacer.rate), (0.0, 0.0, 0.0));
-    assert!(old.pacer.pace.is_infinite() && !old.binds(Timestamp(NOW.0 + rules.slow_start_duration.0)));
+    assert!(
+        old.pacer.pace.is_infinite() && !old.is_restricted(Timestamp(NOW.0 + rules.slow_start_duration.0))
+    );
 }
 
 /// Guards against a fleet whose trials of what is down, due while it was away, all come in the moment it is back.
