--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -232,7 +232,7 @@
 
 /// Returns how long an idle connection stays open at its endpoint.
 pub(super) fn idle_timeout(profile: &Profile) -> Duration {
-    Duration::from_micros(profile.connection_idle().0)
+    Duration::from_micros(profile.connection_idle_timeout().0)
 }
 
 /// Returns which fields load reports carry.
--- a/src/profile.rs
+++ b/src/profile.rs
@@ -265,7 +265,7 @@
 
     /// Returns for how long an endpoint keeps an idle connection open; zero where the settings say nothing, as a call on
     /// a connection that the endpoint has closed may be lost.
-    pub fn connection_idle(&self) -> TimeDelta {
+    pub fn connection_idle_timeout(&self) -> TimeDelta {
         TimeDelta(self.limits.conn_idle.unwrap_or(0))
     }
 
