--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -164,7 +164,7 @@
     ///
     /// # Errors
     /// The file cannot be renamed, or the new name cannot be synced.
-    pub fn set_aside(folder: &dyn Storage) -> Result<(), JournalError> {
+    pub fn rename_foreign(folder: &dyn Storage) -> Result<(), JournalError> {
         let renamed = folder.rename(NAME, FOREIGN_NAME).and_then(|()| folder.sync_names());
         renamed.map_err(Operation::MoveForeign.failed())
     }
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -118,7 +118,7 @@
     });
     if trust.journal == JournalTrust::Foreign {
         drop(journal);
-        Journal::set_aside(&**storage)?;
+        Journal::rename_foreign(&**storage)?;
         journal = Journal::open(storage.clone(), context.disk_bytes)?.0;
         clock = Clock::resume(&journal, Predecessor::Ended, context.ports);
     }
