--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -265,7 +265,7 @@
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`]: recovery is only more cautious without the record.
-    pub fn record_time(&mut self, now: u64) -> Result<(), JournalError> {
+    pub fn record_acceptance_bound(&mut self, now: u64) -> Result<(), JournalError> {
         self.append(Record::AcceptedNotBefore { first_number: self.state.next_number, not_before: now })
     }
 
--- a/src/daemon/journal/tests/compaction.rs
+++ b/src/daemon/journal/tests/compaction.rs
@@ -15,7 +15,7 @@
     journal.stamp(stamp(NOW)).unwrap();
     assert!(!journal.is_empty());
     let first = journal.accept(message("a", 10)).unwrap();
-    journal.record_time(NOW + 5).unwrap();
+    journal.record_acceptance_bound(NOW + 5).unwrap();
     let second = journal.accept(message("b", 10)).unwrap();
     journal.set_uncertain_attempt(second, Attempt { started_at: NOW + 6, zone: "z".to_owned() }).unwrap();
     journal.set_deadline(second, NOW + 77).unwrap();
@@ -36,7 +36,7 @@
     journal.reset_clock(NOW - 9_000);
     journal.stamp(stamp(NOW - 9_000)).unwrap();
     assert_eq!((journal.accepted_not_before(second), journal.latest_time()), (None, NOW - 9_000));
-    journal.record_time(NOW - 8_000).unwrap();
+    journal.record_acceptance_bound(NOW - 8_000).unwrap();
     let third = journal.accept(message("c", 10)).unwrap();
     assert_eq!(
         (journal.accepted_not_before(second), journal.accepted_not_before(third)),
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -189,6 +189,6 @@
         }
         self.last_us = Some(now_us);
         // Without the mark a later process is merely more cautious.
-        let _ = journal.record_time(now_us);
+        let _ = journal.record_acceptance_bound(now_us);
     }
 }
