--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -234,7 +234,7 @@
     /// Writes to the checkpoint if the journal leaves space. Where the journal or the disk has none, the checkpoint is
     /// abandoned for now: nothing of it is owed to anybody.
     fn try_checkpoint(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) {
-        let written = match self.messages.journal.has_capacity() {
+        let written = match self.messages.journal.has_space_for_other_files() {
             true => write(self),
             false => Err(io::ErrorKind::StorageFull.into()),
         };
--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -376,7 +376,7 @@
 
     /// Whether there is space beside the journal for files that are merely useful: the reserve is held, and the file would
     /// fit beside its rewritten form.
-    pub fn has_capacity(&self) -> bool {
+    pub fn has_space_for_other_files(&self) -> bool {
         let with_rewritten_file = self.length + self.state.stored_bytes();
         self.reserve.is_held() && with_rewritten_file < self.limits.max_bytes_with_other_files()
     }
