--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -12,7 +12,7 @@
 
 /// How the previous process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Continuity {
+pub enum StartKind {
     /// Some time ago: discovery may have reported something newer since.
     Restart,
     /// Just now, by a handover: the checkpoint is the newest there is.
@@ -65,15 +65,15 @@
 pub fn restore(
     checkpoint: Checkpoint,
     configured: &EndpointList,
-    continuity: Continuity,
+    start_kind: StartKind,
     times: ObservationTimes,
 ) -> RestoredCheckpoint {
     let Checkpoint { version, is_complete, endpoints } = checkpoint;
     let same_agent = version.filter(|version| Some(version.agent) == configured.agent);
     let is_empty = endpoints.is_empty();
-    let is_newer = match continuity {
-        Continuity::Handover => !is_empty,
-        Continuity::Restart => same_agent.is_some_and(|version| version.revision > configured.revision),
+    let is_newer = match start_kind {
+        StartKind::Handover => !is_empty,
+        StartKind::Restart => same_agent.is_some_and(|version| version.revision > configured.revision),
     };
     let precedence = match (is_newer, same_agent) {
         (true, _) => Precedence::Checkpoint { is_complete },
--- a/src/daemon/checkpoint/restore/tests.rs
+++ b/src/daemon/checkpoint/restore/tests.rs
@@ -49,19 +49,19 @@
 fn drain_in_the_checkpoint_overrides_an_older_list() {
     let newer_checkpoint = || checkpoint(7, true, &[("a", Draining), ("c", Serving)]);
     let list = vec![endpoint("a", Serving, 0), endpoint("b", Serving, 0)];
-    let newer = restore(newer_checkpoint(), &configured(1, 6, list.clone()), Continuity::Restart, TIMES);
+    let newer = restore(newer_checkpoint(), &configured(1, 6, list.clone()), StartKind::Restart, TIMES);
     assert_eq!(phases(&newer), [("a", Draining), ("b", Deleted), ("c", Serving)]);
     assert_eq!((newer.resume_revision, newer.excluded), (Some(7), 2));
     // An endpoint that a partial checkpoint lacks may be in service.
     let partial = Checkpoint { is_complete: false, ..newer_checkpoint() };
     assert_eq!(
-        phases(&restore(partial, &configured(1, 6, list.clone()), Continuity::Restart, TIMES))[1],
+        phases(&restore(partial, &configured(1, 6, list.clone()), StartKind::Restart, TIMES))[1],
         ("b", Serving)
     );
     // The platform's list is as new, or newer: it decides, and an endpoint that it does not list is deleted.
     for revision in [7, 8] {
         let not_newer =
-            restore(newer_checkpoint(), &configured(1, revision, list.clone()), Continuity::Restart, TIMES);
+            restore(newer_checkpoint(), &configured(1, revision, list.clone()), StartKind::Restart, TIMES);
         assert_eq!(phases(&not_newer), [("a", Serving), ("b", Serving)]);
         assert_eq!((not_newer.resume_revision, not_newer.excluded), (Some(revision), 0));
     }
@@ -78,7 +78,7 @@
             let restored = restore(
                 checkpoint(7, true, &[("a", Draining)]),
                 &configured(2, revision, list),
-                Continuity::Restart,
+                StartKind::Restart,
                 TIMES,
             );
             assert_eq!(phases(&restored), [("a", phase), ("b", Serving)], "{up_since} {revision}");
@@ -87,7 +87,7 @@
     }
     let list = vec![endpoint("a", Draining, 0)];
     let restored =
-        restore(checkpoint(7, true, &[("a", Serving)]), &configured(2, 1, list), Continuity::Restart, TIMES);
+        restore(checkpoint(7, true, &[("a", Serving)]), &configured(2, 1, list), StartKind::Restart, TIMES);
     assert_eq!(phases(&restored), [("a", Draining)], "either may know of a drain");
 }
 
@@ -96,13 +96,13 @@
 fn revisions_of_an_agent_that_was_reset_are_not_compared() {
     let reset = || Checkpoint { version: None, ..checkpoint(3, true, &[("a", Draining), ("c", Serving)]) };
     let list = configured(1, 41, vec![endpoint("a", Serving, 0), endpoint("b", Serving, 0)]);
-    let restarted = restore(reset(), &list, Continuity::Restart, TIMES);
+    let restarted = restore(reset(), &list, StartKind::Restart, TIMES);
     assert_eq!(
         (phases(&restarted), restarted.resume_revision),
         (vec![("a", Draining), ("b", Serving)], None)
     );
     // The previous process was running until just now: its checkpoint is the newest there is.
-    let handed_over = restore(reset(), &list, Continuity::Handover, TIMES);
+    let handed_over = restore(reset(), &list, StartKind::Handover, TIMES);
     let all = vec![("a", Draining), ("b", Deleted), ("c", Serving)];
     assert_eq!((phases(&handed_over), handed_over.resume_revision), (all, None));
     let version = |agent_port, revision| DiscoveryVersion { agent: agent(agent_port), revision };
@@ -114,7 +114,7 @@
 #[test]
 fn empty_checkpoint_changes_nothing() {
     let list = vec![endpoint("a", Serving, 0), endpoint("b", Draining, 0)];
-    let restored = restore(Checkpoint::default(), &configured(1, 3, list), Continuity::Restart, TIMES);
+    let restored = restore(Checkpoint::default(), &configured(1, 3, list), StartKind::Restart, TIMES);
     assert_eq!(phases(&restored), [("a", Serving), ("b", Draining)]);
     assert_eq!((restored.resume_revision, restored.excluded, restored.routes.len()), (Some(3), 0, 0));
 }
@@ -125,6 +125,6 @@
     let mut checkpoint = checkpoint(7, true, &[("a", Draining)]);
     checkpoint.endpoints.get_mut("a").unwrap().observed_at = Timestamp(NOW.0 + 9);
     let restored =
-        restore(checkpoint, &configured(1, 6, vec![endpoint("a", Serving, 0)]), Continuity::Restart, TIMES);
+        restore(checkpoint, &configured(1, 6, vec![endpoint("a", Serving, 0)]), StartKind::Restart, TIMES);
     assert_eq!(restored.endpoints[0].observed_at, NOW);
 }
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -2,7 +2,7 @@
 use super::EventLoop;
 use super::endpoint_table::TrackedEndpoint;
 use crate::daemon::checkpoint::file::{CheckpointFile, CheckpointWrite};
-use crate::daemon::checkpoint::restore::{Continuity, ObservationTimes, ObservedEndpoint, restore};
+use crate::daemon::checkpoint::restore::{ObservationTimes, ObservedEndpoint, StartKind, restore};
 use crate::daemon::checkpoint::schedule::{CheckpointSchedule, CheckpointStep};
 use crate::daemon::checkpoint::{Checkpoint, DiscoveryVersion, EndpointCheckpoint};
 use crate::daemon::clock::ClockContinuity;
@@ -70,16 +70,16 @@
         let now = self.clock.now();
         self.checkpointing.has_version_restarted =
             checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
-        let continuity = match age {
-            CheckpointAge::Current => Continuity::Handover,
-            CheckpointAge::Restart(_) => Continuity::Restart,
+        let start_kind = match age {
+            CheckpointAge::Current => StartKind::Handover,
+            CheckpointAge::Restart(_) => StartKind::Restart,
         };
         let times = ObservationTimes {
             now,
             wall_lead: TimeDelta(self.clock.wall_lead()),
             is_known: self.clock.continuity() == ClockContinuity::Continued,
         };
-        let restored = restore(checkpoint, &configured, continuity, times);
+        let restored = restore(checkpoint, &configured, start_kind, times);
         if restored.excluded > 0 {
             self.log(format_args!(
                 "checkpoint: endpoints stay out of service, an earlier process heard that they drain or are removed \
