--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -27,13 +27,13 @@
     /// How far the wall clock may be ahead of that clock.
     pub wall_lead: TimeDelta,
     /// Whether the checkpoint's times are on that clock.
-    pub is_known: bool,
+    pub is_comparable: bool,
 }
 
 impl ObservationTimes {
     /// Returns the latest time on the platform's clock at which a state may have been observed; none where nobody knows.
     fn platform_time(self, observed_at: Timestamp) -> Option<Timestamp> {
-        self.is_known.then(|| Timestamp(observed_at.0.saturating_add(self.wall_lead.0)))
+        self.is_comparable.then(|| Timestamp(observed_at.0.saturating_add(self.wall_lead.0)))
     }
 }
 
--- a/src/daemon/checkpoint/restore/tests.rs
+++ b/src/daemon/checkpoint/restore/tests.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
-const TIMES: ObservationTimes = ObservationTimes { now: NOW, wall_lead: TimeDelta(0), is_known: true };
+const TIMES: ObservationTimes = ObservationTimes { now: NOW, wall_lead: TimeDelta(0), is_comparable: true };
 
 fn agent(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -77,7 +77,7 @@
         let times = ObservationTimes {
             now,
             wall_lead: TimeDelta(self.clock.wall_lead()),
-            is_known: self.clock.continuity() == ClockContinuity::Continued,
+            is_comparable: self.clock.continuity() == ClockContinuity::Continued,
         };
         let restored = restore(checkpoint, &configured, start_kind, times);
         if restored.excluded > 0 {
