--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -164,7 +164,7 @@
     ///
     /// # Errors
     /// The file cannot be renamed, or the new name cannot be synced.
-    pub fn set_aside(folder: &dyn Storage) -> Result<(), JournalError> {
+    pub fn rename_foreign(folder: &dyn Storage) -> Result<(), JournalError> {
         let renamed = folder.rename(NAME, FOREIGN_NAME).and_then(|()| folder.sync_names());
         renamed.map_err(Operation::MoveForeign.failed())
     }
@@ -265,7 +265,7 @@
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`]: recovery is only more cautious without the record.
-    pub fn record_time(&mut self, now: u64) -> Result<(), JournalError> {
+    pub fn record_acceptance_bound(&mut self, now: u64) -> Result<(), JournalError> {
         self.append(Record::AcceptedNotBefore { first_number: self.state.next_number, not_before: now })
     }
 
@@ -376,7 +376,7 @@
 
     /// Whether there is space beside the journal for files that are merely useful: the reserve is held, and the file would
     /// fit beside its rewritten form.
-    pub fn has_capacity(&self) -> bool {
+    pub fn has_space_for_other_files(&self) -> bool {
         let with_rewritten_file = self.length + self.state.stored_bytes();
         self.reserve.is_held() && with_rewritten_file < self.limits.max_bytes_with_other_files()
     }
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -118,7 +118,7 @@
     });
     if trust.journal == JournalTrust::Foreign {
         drop(journal);
-        Journal::set_aside(&**storage)?;
+        Journal::rename_foreign(&**storage)?;
         journal = Journal::open(storage.clone(), context.disk_bytes)?.0;
         clock = Clock::resume(&journal, Predecessor::Ended, context.ports);
     }
@@ -189,6 +189,6 @@
         }
         self.last_us = Some(now_us);
         // Without the mark a later process is merely more cautious.
-        let _ = journal.record_time(now_us);
+        let _ = journal.record_acceptance_bound(now_us);
     }
 }
