--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -3,7 +3,7 @@
 //! It serves one request a connection and has limits of its own, so that neither clients nor operators keep each other out.
 use super::error_log_limit::ErrorLogLimit;
 use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent, MaintenanceChange};
-use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, collect, plain};
+use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, read_body, text_response};
 use super::membership::{ViewQuery, Views};
 use super::ports::{Listener, Log, Stream};
 use super::recovery::RecoveryStatus;
@@ -85,7 +85,7 @@
         biased;
         // A caller that breaks the connection off receives nothing more: there is nobody to tell of the error.
         _ = connection => {}
-        () = permit.closing.requested() => {}
+        () = permit.close_signal.requested() => {}
     }
 }
 
@@ -96,15 +96,17 @@
             (&Method::GET, "/status/metrics") => self.metrics().await,
             (&Method::GET, "/status/peers") => match &self.members {
                 Some((views, _)) => json(&views.now()),
-                None => plain(StatusCode::NOT_FOUND, "peers are off\n"),
+                None => text_response(StatusCode::NOT_FOUND, "peers are off\n"),
             },
             (&Method::GET, "/status/peers/all") => match &self.members {
                 Some((_, gathering)) => json(&gathering.all().await),
-                None => plain(StatusCode::NOT_FOUND, "peers are off\n"),
+                None => text_response(StatusCode::NOT_FOUND, "peers are off\n"),
             },
             (&Method::GET, "/status/recovery") => match self.recovery.report() {
                 Some(report) => json(&report),
-                None => plain(StatusCode::NOT_FOUND, "recovery is off, or the journal is not read yet\n"),
+                None => {
+                    text_response(StatusCode::NOT_FOUND, "recovery is off, or the journal is not read yet\n")
+                }
             },
             (&Method::POST, "/maintenance/enter") => {
                 self.maintain(request, limits, MaintenanceChange::Enter).await
@@ -116,15 +118,15 @@
                 _,
                 "/status" | "/status/metrics" | "/status/peers" | "/status/peers/all" | "/status/recovery"
                 | "/maintenance/enter" | "/maintenance/exit",
-            ) => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
-            _ => plain(StatusCode::NOT_FOUND, "not found\n"),
+            ) => text_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
+            _ => text_response(StatusCode::NOT_FOUND, "not found\n"),
         }
     }
 
     fn status(&self) -> Response<Full<Bytes>> {
         match self.state.get() {
-            ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
-            _ => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            ListenerState::Accepting => text_response(StatusCode::OK, "ready\n"),
+            _ => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         }
     }
 
@@ -143,24 +145,24 @@
         limits: &ConnectionLimits,
         change: MaintenanceChange,
     ) -> Response<Full<Bytes>> {
-        let body = match timeout(REQUEST_TIMEOUT, collect(request.into_body(), limits)).await {
+        let body = match timeout(REQUEST_TIMEOUT, read_body(request.into_body(), limits)).await {
             Ok(Ok(body)) => body,
             Ok(Err(response)) => return response,
-            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
+            Err(_) => return text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
         };
         let endpoint = std::str::from_utf8(&body).map(str::trim).unwrap_or_default();
         if endpoint.is_empty() || endpoint.len() > MAX_ENDPOINT_ID_BYTES {
-            return plain(StatusCode::BAD_REQUEST, "the body is to be the id of an endpoint\n");
+            return text_response(StatusCode::BAD_REQUEST, "the body is to be the id of an endpoint\n");
         }
         let (reply, result) = oneshot::channel();
         let request = AdminRequest::SetMaintenance { endpoint: endpoint.to_owned(), change, reply };
         let _ = self.events.send(LoopEvent::Admin(request));
         match result.await {
-            Ok(Ok(())) => plain(StatusCode::OK, done(change)),
+            Ok(Ok(())) => text_response(StatusCode::OK, done(change)),
             Ok(Err(error @ AdminError::UnknownEndpoint(_))) => {
-                plain(StatusCode::NOT_FOUND, format!("{error}\n"))
+                text_response(StatusCode::NOT_FOUND, format!("{error}\n"))
             }
-            Ok(Err(error)) => plain(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n")),
+            Ok(Err(error)) => text_response(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n")),
             Err(_) => ending(),
         }
     }
@@ -174,12 +176,12 @@
 }
 
 fn ending() -> Response<Full<Bytes>> {
-    plain(StatusCode::SERVICE_UNAVAILABLE, "the sender is ending\n")
+    text_response(StatusCode::SERVICE_UNAVAILABLE, "the sender is ending\n")
 }
 
 fn json(value: &impl serde::Serialize) -> Response<Full<Bytes>> {
     // Names and numbers always have a JSON form.
-    let mut response = plain(StatusCode::OK, serde_json::to_vec(value).unwrap_or_default());
+    let mut response = text_response(StatusCode::OK, serde_json::to_vec(value).unwrap_or_default());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
--- a/src/daemon/ingress/connection_limits.rs
+++ b/src/daemon/ingress/connection_limits.rs
@@ -40,17 +40,17 @@
 
 struct IdleConnection {
     since: Instant,
-    closing: Arc<Closing>,
+    close_signal: Arc<CloseSignal>,
 }
 
 /// Asks a connection to close.
 #[derive(Default)]
-pub struct Closing {
+pub struct CloseSignal {
     is_requested: AtomicBool,
     requested: Notify,
 }
 
-impl Closing {
+impl CloseSignal {
     fn request(&self) {
         self.is_requested.store(true, Ordering::Relaxed);
         self.requested.notify_one();
@@ -105,7 +105,7 @@
         let mut idle = self.idle();
         let Some(first) = idle.close.first_entry() else { return };
         if !first.key().is_fresh || first.get().since.elapsed() >= self.min_fresh_age {
-            first.remove().closing.request();
+            first.remove().close_signal.request();
         }
     }
 
@@ -124,7 +124,7 @@
     /// The limits that the permit is of.
     pub limits: Arc<ConnectionLimits>,
     /// Says when the connection has to close for a newcomer.
-    pub closing: Arc<Closing>,
+    pub close_signal: Arc<CloseSignal>,
     /// Its place among the idle connections, while it is idle.
     idle_place: Mutex<Option<IdlePlace>>,
     /// Whether the response to the last request has been made, and not been written yet.
@@ -138,7 +138,7 @@
     fn new(limits: Arc<ConnectionLimits>, permit: OwnedSemaphorePermit) -> Self {
         let permit = Self {
             limits,
-            closing: Arc::default(),
+            close_signal: Arc::default(),
             idle_place: Mutex::default(),
             has_response: AtomicBool::default(),
             owes_response: AtomicBool::default(),
@@ -175,7 +175,7 @@
         let mut idle = self.limits.idle();
         let place = IdlePlace { is_fresh, number: idle.next_number };
         idle.next_number += 1;
-        let connection = IdleConnection { since: Instant::now(), closing: self.closing.clone() };
+        let connection = IdleConnection { since: Instant::now(), close_signal: self.close_signal.clone() };
         idle.close.insert(place, connection);
         *self.idle_place() = Some(place);
     }
--- a/src/daemon/ingress/connection_limits/tests.rs
+++ b/src/daemon/ingress/connection_limits/tests.rs
@@ -4,7 +4,7 @@
 const MIN_FRESH_AGE: Duration = Duration::from_millis(500);
 
 async fn is_asked_to_close(permit: &ConnectionPermit) -> bool {
-    tokio::time::timeout(Duration::ZERO, permit.closing.requested()).await.is_ok()
+    tokio::time::timeout(Duration::ZERO, permit.close_signal.requested()).await.is_ok()
 }
 
 /// Guards against closing a connection whose client has not had a response yet, while there is another one: its first
--- a/src/daemon/ingress/forwarding.rs
+++ b/src/daemon/ingress/forwarding.rs
@@ -1,5 +1,5 @@
 //! Requests that reach this process after its successor took over: they are forwarded to it.
-use super::plain;
+use super::text_response;
 use crate::daemon::connection::{Connection, MAX_RESPONSE_BYTES, request};
 use crate::daemon::ports::Network;
 use bytes::Bytes;
@@ -30,7 +30,7 @@
     forwarded: ForwardedRequest<'_>,
 ) -> Response<Full<Bytes>> {
     // Nobody has accepted the message.
-    let rejected = || plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n");
+    let rejected = || text_response(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n");
     let Ok(mut connection) = Connection::open(network, address, FORWARD_TIMEOUT).await else {
         return rejected();
     };
@@ -42,12 +42,12 @@
         let response = connection.send(head, forwarded.body, None).await.ok()?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await.ok()?;
-        Some(plain(status, body.to_bytes()))
+        Some(text_response(status, body.to_bytes()))
     });
     match response.await {
         Ok(Some(response)) => response,
         _ if !connection.is_request_written() => rejected(),
         // The successor may have accepted the message: no promise.
-        _ => plain(StatusCode::BAD_GATEWAY, "the next process did not answer\n"),
+        _ => text_response(StatusCode::BAD_GATEWAY, "the next process did not answer\n"),
     }
 }
--- a/src/daemon/ingress/lingering_close.rs
+++ b/src/daemon/ingress/lingering_close.rs
@@ -12,7 +12,7 @@
 /// Bytes that are read and dropped at once meanwhile.
 const DISCARD_BYTES: usize = 16 * 1024;
 
-/// The stream of a client. Closing it shuts down the sending side first and reads on for a while: closed at once with
+/// The stream of a client. CloseSignal it shuts down the sending side first and reads on for a while: closed at once with
 /// bytes unread, the system would reset the connection and might drop the last response with it.
 pub struct LingeringClose {
     stream: Box<dyn Stream>,
--- a/src/daemon/ingress/mod.rs
+++ b/src/daemon/ingress/mod.rs
@@ -32,7 +32,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use submission::Submission;
-pub use submission::collect;
+pub use submission::read_body;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, yield_now};
@@ -148,7 +148,7 @@
         biased;
         _ = connection.as_mut() => return,
         // The stream ends before the next request; one that has begun to arrive still gets its response.
-        () = permit.closing.requested() => {}
+        () = permit.close_signal.requested() => {}
         () = context.state.wait_for(|state| state == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
@@ -163,8 +163,8 @@
     let mut response = match (request.method(), request.uri().path()) {
         (&Method::GET, "/-/ready") => context.readiness().await,
         (&Method::POST, "/api") => submit(request, permit, context).await,
-        (_, "/-/ready" | "/api") => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
-        _ => plain(StatusCode::NOT_FOUND, "not found\n"),
+        (_, "/-/ready" | "/api") => text_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "not found\n"),
     };
     // A client that sent what cannot be used is out of step, or about to send it again: it connects anew.
     if context.state.get() != ListenerState::Accepting || response.status().is_client_error() {
@@ -181,8 +181,8 @@
                 let headers = HeaderMap::new();
                 self.forward_to_successor(Method::GET, "/-/ready", &headers, Bytes::new()).await
             }
-            ListenerState::Accepting => plain(StatusCode::OK, "ready\n"),
-            _ => plain(StatusCode::SERVICE_UNAVAILABLE, "winding down\n"),
+            ListenerState::Accepting => text_response(StatusCode::OK, "ready\n"),
+            _ => text_response(StatusCode::SERVICE_UNAVAILABLE, "winding down\n"),
         }
     }
 
@@ -203,7 +203,7 @@
 }
 
 /// Creates a response of plain text.
-pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
@@ -219,16 +219,16 @@
     // Beside a length, a transfer coding may hide another request in the body, and hyper does not show the length then.
     // Clients send the length, so a coding is rejected whatever stands beside it.
     if head.headers.contains_key(TRANSFER_ENCODING) {
-        return plain(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed, and no coding\n");
+        return text_response(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed, and no coding\n");
     }
-    let body = match timeout(BODY_TIMEOUT, collect(body, &permit.limits)).await {
+    let body = match timeout(BODY_TIMEOUT, read_body(body, &permit.limits)).await {
         Ok(Ok(body)) => body,
         Ok(Err(response)) => return response,
-        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
+        Err(_) => return text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
     };
     let submission = match Submission::read(&head.headers, body.clone()) {
         Ok(submission) => submission,
-        Err(error) => return plain(StatusCode::BAD_REQUEST, format!("{error}\n")),
+        Err(error) => return text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
     // The last byte of the request was read: from here on its client is owed a response.
     permit.set_request_read();
@@ -247,14 +247,14 @@
 
 fn submit_response(response: SubmitResponse) -> Response<Full<Bytes>> {
     match response {
-        SubmitResponse::Accepted => plain(StatusCode::ACCEPTED, ""),
-        SubmitResponse::Malformed(error) => plain(StatusCode::BAD_REQUEST, format!("{error}\n")),
+        SubmitResponse::Accepted => text_response(StatusCode::ACCEPTED, ""),
+        SubmitResponse::Malformed(error) => text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
         SubmitResponse::RetryAfter(delay) => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on yet\n");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "not taken on yet\n");
             let seconds = delay.as_millis().div_ceil(1000).max(1);
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds as u64));
             response
         }
-        SubmitResponse::Rejected => plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
+        SubmitResponse::Rejected => text_response(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
     }
 }
--- a/src/daemon/ingress/request_activity.rs
+++ b/src/daemon/ingress/request_activity.rs
@@ -34,7 +34,7 @@
 
     /// Whether the connection ends here: it was asked to, and no part of a request has arrived. The system is asked last.
     fn is_ending(&mut self) -> bool {
-        let is_asked = self.permit.closing.is_requested() && !self.permit.is_busy();
+        let is_asked = self.permit.close_signal.is_requested() && !self.permit.is_busy();
         self.has_ended = self.has_ended || (is_asked && !self.stream.has_unread());
         self.has_ended
     }
--- a/src/daemon/ingress/submission.rs
+++ b/src/daemon/ingress/submission.rs
@@ -1,6 +1,6 @@
 //! A message as a client submits it: headers and body of one request.
 use super::connection_limits::ConnectionLimits;
-use super::plain;
+use super::text_response;
 use crate::daemon::journal::SubmittedMessage;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -103,20 +103,23 @@
 ///
 /// # Errors
 /// The response to a body that is too large, cannot be read, or comes beside too many others.
-pub async fn collect(mut body: Incoming, limits: &ConnectionLimits) -> Result<Bytes, Response<Full<Bytes>>> {
-    let too_large = || plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
+pub async fn read_body(
+    mut body: Incoming,
+    limits: &ConnectionLimits,
+) -> Result<Bytes, Response<Full<Bytes>>> {
+    let too_large = || text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(too_large());
     }
     let mut complete = Vec::new();
     let mut reserved = Vec::new();
     while let Some(frame) = body.frame().await {
-        let unreadable = |_| plain(StatusCode::BAD_REQUEST, "the body cannot be read\n");
+        let unreadable = |_| text_response(StatusCode::BAD_REQUEST, "the body cannot be read\n");
         let Ok(data) = frame.map_err(unreadable)?.into_data() else { continue };
         if complete.len() + data.len() > MAX_BODY_BYTES {
             return Err(too_large());
         }
-        let busy = || plain(StatusCode::SERVICE_UNAVAILABLE, "too many bodies at once\n");
+        let busy = || text_response(StatusCode::SERVICE_UNAVAILABLE, "too many bodies at once\n");
         reserved.push(limits.reserve_body(data.len()).ok_or_else(busy)?);
         complete.extend_from_slice(&data);
     }
