--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -4,7 +4,7 @@
 use super::error_log_limit::ErrorLogLimit;
 use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent, MaintenanceChange};
 use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, read_body, text_response};
-use super::membership::{ViewQuery, Views};
+use super::membership::{ViewQuery, ViewSource};
 use super::ports::{Listener, Log, Stream};
 use super::recovery::RecoveryStatus;
 use super::resource_budget::MAX_OPERATOR_CONNECTIONS;
@@ -35,7 +35,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The views of this sender's members, and a way to ask the members for theirs.
-type MemberViews = (Views, ViewQuery);
+type MemberViews = (ViewSource, ViewQuery);
 
 /// What the responses to operators are made of.
 pub struct AdminContext {
@@ -95,7 +95,7 @@
             (&Method::GET, "/status") => self.status(),
             (&Method::GET, "/status/metrics") => self.metrics().await,
             (&Method::GET, "/status/peers") => match &self.members {
-                Some((views, _)) => json(&views.now()),
+                Some((views, _)) => json(&views.current()),
                 None => text_response(StatusCode::NOT_FOUND, "peers are off\n"),
             },
             (&Method::GET, "/status/peers/all") => match &self.members {
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -4,7 +4,7 @@
 use crate::daemon::config::{Config, ConfigReadError};
 use crate::daemon::endpoint_list::Phase;
 use crate::daemon::events::AdminRequest;
-use crate::daemon::membership::Members;
+use crate::daemon::membership::MembershipConfig;
 use crate::daemon::metrics::Metrics;
 use crate::daemon::poll_schedule::PollingTerms;
 use crate::daemon::watch_cell::WatchCell;
@@ -25,7 +25,7 @@
     /// The terms on which the endpoint list is polled.
     pub(super) polling_terms: WatchCell<PollingTerms>,
     /// Takes the members of the fleet, where membership is on.
-    pub(super) members: Option<UnboundedSender<Members>>,
+    pub(super) members: Option<UnboundedSender<MembershipConfig>>,
 }
 
 /// The counts of this process, and the last snapshot that was made of them.
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -5,7 +5,7 @@
 use crate::daemon::endpoint_list::ListedEndpoint;
 use crate::daemon::journal::{Journal, JournalError, SubmittedMessage};
 use crate::daemon::maintenance::replace;
-use crate::daemon::membership::{self, Members, MembershipError};
+use crate::daemon::membership::{self, MembershipConfig, MembershipError};
 use crate::daemon::outbound_call::ReportFields;
 use crate::daemon::poll_schedule::PollingTerms;
 use crate::daemon::ports::{Log, Storage};
@@ -86,7 +86,7 @@
 /// A configuration that was found usable and is not in force yet.
 pub(super) struct PreparedReload {
     pub(super) settings: Settings,
-    pub(super) members: Option<Members>,
+    pub(super) members: Option<MembershipConfig>,
     names: Names,
     classes: ClassRegistry,
 }
@@ -147,7 +147,7 @@
         }
         let (profile, names) = (&config.settings, config.settings.names());
         self.config.operator.check_reload(&config.operator)?;
-        let members = membership::Members::from_config(&config.operator)?;
+        let members = membership::MembershipConfig::from_config(&config.operator)?;
         if names.kinds != self.names.kinds || names.zones != self.names.zones {
             return Err(ReloadError::KindsOrZonesChanged);
         }
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -27,7 +27,7 @@
 use super::config_schema::ConfigSchema;
 use super::events::{ListenerState, LoopEvent};
 use super::handover::InheritedState;
-use super::membership::Members;
+use super::membership::MembershipConfig;
 use super::metrics::Metrics;
 use super::notifications::Notification;
 use super::poll_schedule::PollingTerms;
@@ -97,7 +97,7 @@
     /// Where the discovery agent listens, which takes notifications, too.
     pub discovery: WatchCell<SocketAddr>,
     /// Takes the members of the fleet, where membership is on.
-    pub members: Option<UnboundedSender<Members>>,
+    pub members: Option<UnboundedSender<MembershipConfig>>,
 }
 
 /// What an event loop starts from.
--- a/src/daemon/membership/links.rs
+++ b/src/daemon/membership/links.rs
@@ -1,7 +1,7 @@
 //! Links to other members, and the two queries that are sent over them: a member's membership view, for operators who
 //! want to see who sees whom, and its peer report, for a restarted sender.
 use super::link_stream::{LinkFailure, LinkStream};
-use super::{Request, Views};
+use super::{Request, ViewSource};
 use crate::daemon::ports::{Listener, LocalFuture, Log, Network, Stream};
 use micadrum_membership::{
     Link, LinkIdentity, MAX_PAYLOAD_BYTES, MemberId, PeerView, Roster, Secret, Status, View,
@@ -50,7 +50,7 @@
     secret: Secret,
     roster: RefCell<Roster>,
     rng: RefCell<ChaCha8Rng>,
-    views: Views,
+    views: ViewSource,
     report_source: PeerReportSource,
 }
 
@@ -60,8 +60,9 @@
 pub enum PeerAnswer {
     /// The member's view.
     View(Box<View>),
-    /// Why the member gave no view.
-    Silent(String),
+    /// Why no view was received.
+    #[serde(rename = "silent")]
+    Failed(String),
 }
 
 impl LinkService {
@@ -71,7 +72,7 @@
         secret: Secret,
         roster: Roster,
         entropy: [u8; 32],
-        views: Views,
+        views: ViewSource,
         report_source: PeerReportSource,
     ) -> Rc<Self> {
         let mut rng = ChaCha8Rng::from_seed(entropy);
@@ -93,7 +94,7 @@
 
     /// Returns what a new link authenticates itself with, or `None` before this sender has an incarnation.
     fn link_identity(&self) -> Option<LinkIdentity> {
-        let incarnation = self.views.now()?.incarnation;
+        let incarnation = self.views.current()?.incarnation;
         let mut nonce = [0; 16];
         self.rng.borrow_mut().fill_bytes(&mut nonce);
         let (secret, roster) = (self.secret.clone(), self.roster.borrow().clone());
@@ -155,7 +156,7 @@
         let mut stream = self.link_stream(link, stream);
         loop {
             let answer = match &*stream.receive().await? {
-                VIEW_QUERY => serde_json::to_vec(&self.views.now()),
+                VIEW_QUERY => serde_json::to_vec(&self.views.current()),
                 REPORT_QUERY => serde_json::to_vec(&(self.report_source)().await),
                 _ => return Err(LinkFailure::Malformed),
             };
@@ -204,14 +205,14 @@
         let answer = timeout(QUERY_TIMEOUT, query).await.unwrap_or(Err(LinkFailure::TimedOut));
         match answer.and_then(|view| view.ok_or(LinkFailure::TimedOut)) {
             Ok(view) => PeerAnswer::View(Box::new(view)),
-            Err(failure) => PeerAnswer::Silent(failure.to_string()),
+            Err(failure) => PeerAnswer::Failed(failure.to_string()),
         }
     }
 
-    /// Returns the views of all members that have not left. Members believed dead are queried too.
+    /// Returns the views of all members that have not left. Members that are believed dead are queried too.
     async fn query_all_views(self: Rc<Self>) -> BTreeMap<String, PeerAnswer> {
         let mut answers = BTreeMap::new();
-        let Some(own_view) = self.views.now() else { return answers };
+        let Some(own_view) = self.views.current() else { return answers };
         let permits = Arc::new(Semaphore::new(MAX_DIALED_LINKS));
         let mut queries = JoinSet::new();
         for peer in own_view.peers.iter().filter(|peer| peer.status != Status::Left) {
--- a/src/daemon/membership/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -55,12 +55,12 @@
 }
 
 /// The settings and the roster, as the operator's configuration has them.
-pub struct Members {
+pub struct MembershipConfig {
     settings: Settings,
     roster: Roster,
 }
 
-impl Members {
+impl MembershipConfig {
     /// Reads the members from the operator's configuration, or returns `None` if membership is disabled.
     ///
     /// # Errors
@@ -88,15 +88,15 @@
 
 /// Provides snapshots of the membership state.
 #[derive(Clone)]
-pub struct Views {
+pub struct ViewSource {
     membership: Rc<RefCell<Option<Membership>>>,
     /// The origin of the membership clock.
     origin: Instant,
 }
 
-impl Views {
+impl ViewSource {
     /// Returns the current view, or `None` before the socket is bound.
-    pub fn now(&self) -> Option<View> {
+    pub fn current(&self) -> Option<View> {
         self.membership.borrow().as_ref().map(|membership| membership.view(self.origin.elapsed()))
     }
 }
@@ -110,7 +110,7 @@
 
 /// A request to the membership task.
 enum Request {
-    Reconfigure(Members),
+    Reconfigure(MembershipConfig),
     QueryAllViews(oneshot::Sender<BTreeMap<String, PeerAnswer>>),
     QueryReport(String, oneshot::Sender<Option<PeerReport>>),
     Leave,
@@ -118,15 +118,15 @@
 
 /// A handle to the membership task. Dropping it ends the task without announcing that this sender leaves.
 pub struct Handle {
-    views: Views,
-    reconfigurations: UnboundedSender<Members>,
+    views: ViewSource,
+    reconfigurations: UnboundedSender<MembershipConfig>,
     requests: UnboundedSender<Request>,
     task: JoinHandle<()>,
 }
 
 impl Handle {
     /// Returns a source of membership snapshots.
-    pub fn views(&self) -> Views {
+    pub fn views(&self) -> ViewSource {
         self.views.clone()
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Returns a channel for changed settings and rosters.
-    pub fn reconfigurations(&self) -> UnboundedSender<Members> {
+    pub fn reconfigurations(&self) -> UnboundedSender<MembershipConfig> {
         self.reconfigurations.clone()
     }
 
@@ -169,7 +169,7 @@
     ports: &Ports,
     report_source: PeerReportSource,
 ) -> Result<Option<Handle>, MembershipError> {
-    let members = Members::from_config(&config.operator)?;
+    let members = MembershipConfig::from_config(&config.operator)?;
     let (Some(peers), Some(members)) = (&config.operator.peers, members) else { return Ok(None) };
     let secret = config.secret.map(Secret::new);
     let secret = secret.ok_or_else(|| MembershipError::SecretMissing(peers.secret_file.clone()))?;
@@ -177,7 +177,7 @@
     if secret.public() != own.key {
         return Err(MembershipError::SecretMismatch(peers.own_name.clone()));
     }
-    let views = Views { membership: Rc::default(), origin: Instant::now() };
+    let views = ViewSource { membership: Rc::default(), origin: Instant::now() };
     let (requests, received_requests) = unbounded_channel();
     let reconfigurations = forward_reconfigurations(requests.clone());
     let log = ports.log.clone();
@@ -194,7 +194,7 @@
 }
 
 /// Returns a channel whose values are forwarded as requests.
-fn forward_reconfigurations(requests: UnboundedSender<Request>) -> UnboundedSender<Members> {
+fn forward_reconfigurations(requests: UnboundedSender<Request>) -> UnboundedSender<MembershipConfig> {
     let (reconfigurations, mut received) = unbounded_channel();
     spawn_local(async move {
         while let Some(members) = received.recv().await {
@@ -212,7 +212,7 @@
 }
 
 struct MembershipTask {
-    views: Views,
+    views: ViewSource,
     incarnation_store: IncarnationStore,
     event_log: EventLog,
     ports: Ports,
@@ -221,12 +221,12 @@
 }
 
 impl MembershipTask {
-    async fn run(mut self, address: SocketAddr, mut members: Members, secret: Secret) {
+    async fn run(mut self, address: SocketAddr, mut members: MembershipConfig, secret: Secret) {
         let Some(sockets) = self.bind(address, &mut members).await else { return };
         let socket = sockets.datagrams;
         // The record is read only now: a previous process may have written it until it released the address.
         let record = self.read_record(&members.roster);
-        let Members { settings, roster } = members;
+        let MembershipConfig { settings, roster } = members;
         let link_service = self.create_link_service(secret.clone(), roster.clone());
         // Links are accepted at the address for datagrams, until this task ends.
         let mut serving = JoinSet::new();
@@ -292,7 +292,7 @@
         match request {
             Request::QueryAllViews(reply) => link_service.spawn_view_query(reply),
             Request::QueryReport(name, reply) => link_service.spawn_report_query(name, reply),
-            Request::Reconfigure(Members { settings, roster }) => {
+            Request::Reconfigure(MembershipConfig { settings, roster }) => {
                 link_service.set_roster(roster.clone());
                 self.with_membership(|membership, now| {
                     membership.handle(Input::Reconfigured(settings, roster), now);
@@ -307,7 +307,7 @@
     }
 
     /// Binds the address as soon as the previous process has released it, or returns `None` if this sender ends before.
-    async fn bind(&mut self, address: SocketAddr, members: &mut Members) -> Option<BoundSockets> {
+    async fn bind(&mut self, address: SocketAddr, members: &mut MembershipConfig) -> Option<BoundSockets> {
         let mut is_logged = false;
         let mut attempts = 0;
         loop {
@@ -336,7 +336,7 @@
     }
 
     /// Waits until binding is retried, and handles a request that arrives meanwhile.
-    async fn wait_to_bind(&mut self, members: &mut Members) -> Flow {
+    async fn wait_to_bind(&mut self, members: &mut MembershipConfig) -> Flow {
         tokio::select! {
             biased;
             request = self.requests.recv() => match request {
--- a/src/daemon/recovery/peer_queries.rs
+++ b/src/daemon/recovery/peer_queries.rs
@@ -63,7 +63,7 @@
 pub async fn wait_for_known_incarnation(peers: &Handle, deadline: Instant) -> Option<u64> {
     let views = peers.views();
     loop {
-        if let Some(view) = views.now() {
+        if let Some(view) = views.current() {
             if view.lost_state {
                 // This sender has moved past the incarnation that others knew.
                 return Some(view.incarnation.number.saturating_sub(1));
