--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -13,7 +13,7 @@
 use super::notifications::{self, Notification};
 use super::poll_schedule::PollSchedule;
 use super::ports::{Listener, Ports};
-use super::recovery::{self, RecoveryContext, RecoveryStart, RecoveryStatus};
+use super::recovery::{self, RecoveryContext, RecoveryOutcome, RecoveryStatus};
 use super::resource_budget::ResourceBudget;
 use super::runtime_checks::Violations;
 use super::watch_cell::WatchCell;
@@ -56,7 +56,7 @@
 pub struct OpenedJournal {
     journal: Journal,
     clock: Clock,
-    recovery_start: RecoveryStart,
+    recovery_outcome: RecoveryOutcome,
 }
 
 impl Environment {
@@ -141,12 +141,12 @@
         membership: Option<&membership::Handle>,
     ) -> Result<OpenedJournal, StartError> {
         let (ports, config, disk) = (&self.ports, &start.config, self.budget.disk_bytes);
-        let (journal, clock, corruption, recovery_start) = match &config.operator.recovery {
+        let (journal, clock, corruption, recovery_outcome) = match &config.operator.recovery {
             Some(settings) if start.inheritance.is_none() => {
                 let context =
                     RecoveryContext { settings, config, ports, disk_bytes: disk, peers: membership };
                 let recovered = recovery::recover(&self.recovery, &context).await?;
-                (recovered.journal, recovered.clock, recovered.corruption, recovered.start)
+                (recovered.journal, recovered.clock, recovered.corruption, recovered.outcome)
             }
             _ => {
                 let (journal, corruption) = journal_opening::open_journal(ports, disk).await;
@@ -155,13 +155,13 @@
                     None => Predecessor::Ended,
                 };
                 let clock = Clock::resume(&journal, predecessor, ports);
-                (journal, clock, corruption, RecoveryStart::default())
+                (journal, clock, corruption, RecoveryOutcome::default())
             }
         };
         if corruption != CorruptionReport::default() {
             ports.log.line(&format!("journal: {corruption}"));
         }
-        Ok(OpenedJournal { journal, clock, recovery_start })
+        Ok(OpenedJournal { journal, clock, recovery_outcome })
     }
 
     /// Sets up an event loop that takes over the messages in the journal.
@@ -176,7 +176,7 @@
         notifications: UnboundedSender<Notification>,
     ) -> Result<EventLoop, StartError> {
         let LoopStart { config, inheritance, metrics } = start;
-        let OpenedJournal { journal, clock, recovery_start } = journal;
+        let OpenedJournal { journal, clock, recovery_outcome } = journal;
         let channels = EventLoopChannels {
             events: self.events.clone(),
             notifications,
@@ -191,7 +191,7 @@
             inheritance,
             metrics,
             recovery: self.recovery.clone(),
-            recovery_start,
+            recovery_outcome,
             clock,
             violations: self.violations.clone(),
         };
@@ -222,7 +222,7 @@
 
     /// Serves clients from now on, unless the recovery still keeps them out.
     pub fn accept_clients(&self) {
-        if self.recovery.is_open() {
+        if self.recovery.admits_messages() {
             self.listener_state.set(ListenerState::Accepting);
         }
     }
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -48,7 +48,7 @@
             return Some(SubmitResponse::Rejected);
         }
         let status = &self.recovery.status;
-        let wait = status.rejects_for(self.repeats(message.class)).or_else(|| status.admit().err());
+        let wait = status.rejection_time_left(self.repeats(message.class)).or_else(|| status.admit().err());
         if let Some(wait) = wait {
             return Some(SubmitResponse::RetryAfter(wait));
         }
@@ -66,7 +66,7 @@
         let now = self.clock.now();
         let class = pending.message.class.clone();
         if self.configuration.config.operator.recovery.is_some() {
-            self.recovery.time_marks.mark(&mut self.messages.journal, now.0);
+            self.recovery.time_marker.record_if_due(&mut self.messages.journal, now.0);
         }
         match self.messages.accept(pending) {
             Ok(number) => {
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -22,7 +22,7 @@
 use crate::daemon::maintenance::Maintenance;
 use crate::daemon::outbound_call::CallContext;
 use crate::daemon::ports::Ports;
-use crate::daemon::recovery::RecoveryStart;
+use crate::daemon::recovery::RecoveryOutcome;
 use crate::daemon::resource_budget::ResourceBudget;
 use crate::daemon::trace::Trace;
 use crate::daemon::watch_cell::WatchCell;
@@ -81,7 +81,7 @@
             inheritance,
             metrics,
             recovery,
-            recovery_start,
+            recovery_outcome,
             clock,
             violations,
         } = start;
@@ -127,7 +127,7 @@
             ports,
             configuration,
         };
-        event_loop.restore(checkpoint, age, recovery_start)?;
+        event_loop.restore(checkpoint, age, recovery_outcome)?;
         Ok(event_loop)
     }
 
@@ -146,7 +146,7 @@
         &mut self,
         checkpoint: Checkpoint,
         age: CheckpointAge,
-        recovery_start: RecoveryStart,
+        recovery_outcome: RecoveryOutcome,
     ) -> Result<(), EventLoopError> {
         self.list_classes_in_metrics();
         if self.durable_effects.is_some() {
@@ -155,11 +155,11 @@
             self.check_recorded(enabled);
         }
         self.restore_checkpoint(checkpoint, age);
-        self.apply_restrictions(recovery_start.restrictions);
+        self.apply_restrictions(recovery_outcome.restrictions);
         self.recover_messages();
         self.store_classes();
         self.adopt_journal_times();
-        self.stamp_journal(recovery_start.stamp);
+        self.stamp_journal(recovery_outcome.stamp);
         self.check_takeover();
         self.step();
         self.write_full_checkpoint();
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -32,7 +32,7 @@
 use super::notifications::Notification;
 use super::poll_schedule::PollingTerms;
 use super::ports::Ports;
-use super::recovery::{RecoveryStart, RecoveryStatus};
+use super::recovery::{RecoveryOutcome, RecoveryStatus};
 use super::runtime_checks::Violations;
 use super::trace::Trace;
 use super::watch_cell::WatchCell;
@@ -115,7 +115,7 @@
     /// How far the recovery has come.
     pub recovery: RecoveryStatus,
     /// What the recovery found at the start.
-    pub recovery_start: RecoveryStart,
+    pub recovery_outcome: RecoveryOutcome,
     /// The clock, which continues that of the journal's earlier processes.
     pub clock: Clock,
     /// What the run-time checks of this process found.
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -5,7 +5,7 @@
 use crate::daemon::events::{InvalidMessage, ListenerState};
 use crate::daemon::journal::{Attempt, AttemptEffect, FinalOutcome, PendingMessage};
 use crate::daemon::notifications::Notification;
-use crate::daemon::recovery::{Marks, RecoveryStatus};
+use crate::daemon::recovery::{RecoveryStatus, TimeMarker};
 use crate::{ClassId, Event, Idempotency, Message, RecoveredMessage, TimeDelta, Timestamp, ZoneId};
 use micadrum_recovery::JournalStamp;
 use micadrum_recovery::message_recovery::{LeftoverMessage, MessageTimes, Redelivery, Verdict};
@@ -21,7 +21,7 @@
 /// How far the recovery has come.
 pub(super) struct RecoveryProgress {
     pub(super) status: RecoveryStatus,
-    pub(super) time_marks: Marks,
+    pub(super) time_marker: TimeMarker,
     /// The latest moment that the journal mentioned when it was opened, in microseconds of wall time.
     last_journal_time: u64,
     /// Recovered messages that must not be sent yet, by deadline (in microseconds of wall time) and number.
@@ -31,7 +31,7 @@
 impl RecoveryProgress {
     /// The beginning of a recovery from a journal that mentions no later moment than `last_journal_time`.
     pub(super) fn new(status: RecoveryStatus, last_journal_time: u64) -> Self {
-        Self { status, time_marks: Marks::default(), last_journal_time, held_messages: BTreeMap::new() }
+        Self { status, time_marker: TimeMarker::default(), last_journal_time, held_messages: BTreeMap::new() }
     }
 
     /// Returns the earliest deadline among the messages that are held.
@@ -40,7 +40,7 @@
     }
 
     fn is_finished(&self) -> bool {
-        self.status.is_full() && self.held_messages.is_empty()
+        self.status.is_at_full_service() && self.held_messages.is_empty()
     }
 }
 
@@ -275,7 +275,7 @@
         }
         let has_moved = self.recovery.status.handle(Input::Backlog(self.messages.len()));
         self.release_held_messages();
-        if has_moved && self.recovery.status.is_open() && !self.lifecycle.is_shutting_down() {
+        if has_moved && self.recovery.status.admits_messages() && !self.lifecycle.is_shutting_down() {
             self.lifecycle.listener.set(ListenerState::Accepting);
         }
     }
--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -25,7 +25,7 @@
 
 /// What the event loop starts from beside the journal.
 #[derive(Default)]
-pub struct RecoveryStart {
+pub struct RecoveryOutcome {
     /// What other senders report of endpoints.
     pub restrictions: EndpointRestrictions,
     /// The stamp that is written into the journal once its contents are taken over.
@@ -37,7 +37,7 @@
     pub journal: Journal,
     pub clock: Clock,
     pub corruption: CorruptionReport,
-    pub start: RecoveryStart,
+    pub outcome: RecoveryOutcome,
 }
 
 /// What recovery needs of the process.
@@ -85,7 +85,7 @@
         journal,
         clock,
         corruption,
-        start: RecoveryStart { restrictions, stamp: Some(stamp) },
+        outcome: RecoveryOutcome { restrictions, stamp: Some(stamp) },
     })
 }
 
@@ -177,13 +177,13 @@
 /// Writes the time into the journal now and then, so that a later process knows a time before which the following messages
 /// were not accepted.
 #[derive(Default)]
-pub struct Marks {
+pub struct TimeMarker {
     last_us: Option<u64>,
 }
 
-impl Marks {
+impl TimeMarker {
     /// Marks the wall time `now_us`, in microseconds, before a message is accepted.
-    pub fn mark(&mut self, journal: &mut Journal, now_us: u64) {
+    pub fn record_if_due(&mut self, journal: &mut Journal, now_us: u64) {
         if self.last_us.is_some_and(|last| now_us.abs_diff(last) < MIN_MARK_INTERVAL_US) {
             return;
         }
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -133,7 +133,7 @@
     }
 
     /// Whether new messages are admitted.
-    pub fn is_open(&self) -> bool {
+    pub fn admits_messages(&self) -> bool {
         self.0.borrow().as_ref().is_none_or(|state| state.phases.is_open())
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Whether this process is at full service.
-    pub fn is_full(&self) -> bool {
+    pub fn is_at_full_service(&self) -> bool {
         self.0.borrow().as_ref().is_none_or(|state| state.phases.phase() == RecoveryPhase::FullService)
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Returns how much longer new messages of a class are rejected; see [`rejected_for`].
-    pub fn rejects_for(&self, redelivery: Redelivery) -> Option<Duration> {
+    pub fn rejection_time_left(&self, redelivery: Redelivery) -> Option<Duration> {
         let state = self.0.borrow();
         let state = state.as_ref()?;
         rejected_for(&state.trust, redelivery, state.deduplication_hold, state.origin.elapsed())
