--- a/src/daemon/connection_pool.rs
+++ b/src/daemon/connection_pool.rs
@@ -51,12 +51,12 @@
             keep_for: Duration::ZERO,
             max_idle,
         };
-        pool.set_idle_time(idle_time);
+        pool.set_idle_timeout(idle_time);
         pool
     }
 
     /// Sets after which time endpoints close an idle connection.
-    pub fn set_idle_time(&mut self, idle_time: Duration) {
+    pub fn set_idle_timeout(&mut self, idle_time: Duration) {
         self.keep_for = idle_time * 4 / 5;
     }
 
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -105,7 +105,7 @@
     fn apply_settings(&mut self, prepared: PreparedReload, config: &Config) {
         let has_changed = self.configuration.apply(prepared);
         self.list_classes_in_metrics();
-        self.calls.pool.set_idle_time(idle_timeout(&config.settings));
+        self.calls.pool.set_idle_timeout(idle_timeout(&config.settings));
         self.calls.context.report_fields = report_fields(&config.settings);
         if has_changed {
             let settings = self.configuration.settings.clone();
