--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -27,12 +27,12 @@
 use super::config_schema::ConfigSchema;
 use super::events::{ListenerState, LoopEvent};
 use super::handover::InheritedState;
-use super::membership::Members;
+use super::membership::MembershipConfig;
 use super::metrics::Metrics;
 use super::notifications::Notification;
 use super::poll_schedule::PollingTerms;
 use super::ports::Ports;
-use super::recovery::{RecoveryStart, RecoveryStatus};
+use super::recovery::{RecoveryOutcome, RecoveryStatus};
 use super::runtime_checks::Violations;
 use super::trace::Trace;
 use super::watch_cell::WatchCell;
@@ -97,7 +97,7 @@
     /// Where the discovery agent listens, which takes notifications, too.
     pub discovery: WatchCell<SocketAddr>,
     /// Takes the members of the fleet, where membership is on.
-    pub members: Option<UnboundedSender<Members>>,
+    pub members: Option<UnboundedSender<MembershipConfig>>,
 }
 
 /// What an event loop starts from.
@@ -115,7 +115,7 @@
     /// How far the recovery has come.
     pub recovery: RecoveryStatus,
     /// What the recovery found at the start.
-    pub recovery_start: RecoveryStart,
+    pub recovery_outcome: RecoveryOutcome,
     /// The clock, which continues that of the journal's earlier processes.
     pub clock: Clock,
     /// What the run-time checks of this process found.
