--- a/tests/compatibility/reading.rs
+++ b/tests/compatibility/reading.rs
@@ -20,7 +20,7 @@
 
 /// One second after the last record of the committed folders, in microseconds since the Unix epoch. Their messages have
 /// a day from then on, as the daemon accepts no longer time.
-const FIXTURE_TIME_US: i128 = 1_796_190_537_000_000;
+const FIXTURE_TIME_US: i64 = 1_796_190_537_000_000;
 
 /// A copy of a committed folder, and what surrounds the daemon on it.
 struct Taken {
@@ -54,7 +54,7 @@
     /// Returns a control file that steps the daemon's wall clock to [`FIXTURE_TIME_US`].
     fn clock_at_fixture_time(&self) -> ControlFile {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap();
-        let step_us = i64::try_from(FIXTURE_TIME_US - now.as_micros().cast_signed()).unwrap();
+        let step_us = FIXTURE_TIME_US - i64::try_from(now.as_micros()).unwrap();
         let control = ControlFile::create(&self.clock_folder.path().join("faults"), 0).unwrap();
         control.begin(Fault::always(FaultKind::WallClock).with_parameter(step_us)).unwrap();
         control
