--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! The interface of the decision core: identifiers, time, settings, events and actions.
 //!
-//! Nothing here decides anything. All times are whole microseconds on the host's clock.
+//! These types contain no decision logic. All times are whole microseconds on the host's clock.
 mod actions;
 mod endpoints;
 mod events;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,45 +1,46 @@
-//! Actions: what the core asks of the host.
+//! Actions: requests of the core to the host.
 use super::{EndpointId, MessageId, TimeDelta, Timestamp};
 
-/// What the host has to do.
+/// An operation that the host has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with a message; sends of one step to one endpoint may share a call.
+    /// Send a message to an endpoint. Sends to the same endpoint in one step may share a call.
     Send {
-        /// The message.
+        /// The message to send.
         message: MessageId,
-        /// The endpoint.
+        /// The endpoint to call.
         endpoint: EndpointId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         expires: Timestamp,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The message.
+        /// The message of the attempt.
         message: MessageId,
-        /// The attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// End a message undelivered; the client may safely submit it again.
+    /// End an undelivered message that the client may safely submit again.
     Return {
-        /// The message.
+        /// The message to end.
         message: MessageId,
-        /// When submitting it again may help; none where nothing is known.
+        /// The delay after which the client may submit it again; `None` if unknown.
         retry_after: Option<TimeDelta>,
     },
-    /// End a message undelivered, with no promise about its effect.
+    /// End an undelivered message whose operation may have run.
     Fail(MessageId),
-    /// Step again after this delay, even if nothing happens.
+    /// Call [`DeliveryEngine::step`](crate::DeliveryEngine::step) with
+    /// [`Event::TimerFired`](super::Event::TimerFired) after this delay.
     SetTimer(TimeDelta),
-    /// Watch all further changes of endpoints.
+    /// Watch discovery for changes of endpoints.
     WatchEndpoints,
-    /// Poll discovery once for all endpoints.
+    /// Request the complete list of endpoints from discovery once.
     PollEndpoints,
     /// Check the health of an endpoint.
     CheckHealth(EndpointId),
     /// Close this sender's idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Forget a removed endpoint; listed again, it may get another number.
+    /// Drop the ID of a removed endpoint; if it is listed again, it may get a new one.
     ForgetEndpoint(EndpointId),
     /// Write a line to the log.
     Log(String),
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,39 +1,39 @@
-//! What discovery and load reports say of endpoints.
+//! Endpoints as listed by discovery, and the load reports in their answers.
 use super::{DestinationId, EndpointId, KindId, ZoneId};
 
-/// The state of an endpoint by discovery.
+/// The state of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// In service, as far as discovery knows.
+    /// In service.
     Active,
-    /// Draining: no new calls.
+    /// Accepts no new calls; calls in flight may complete.
     Draining,
-    /// Removed.
+    /// No longer listed.
     Removed,
 }
 
-/// An endpoint as discovery names it.
+/// An endpoint as listed by discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The number that the host assigned to the endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination that it belongs to.
     pub destination: DestinationId,
     /// The kind of its destination.
     pub kind: KindId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its state.
+    /// Whether it accepts calls.
     pub state: EndpointState,
-    /// The capacity hint, see [`CapacityHints`](super::CapacityHints).
+    /// The capacity hint, with the meaning that [`CapacityHints`](super::CapacityHints) defines.
     pub capacity_hint: f64,
 }
 
-/// The load report that comes with an answer.
+/// The load report in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// The share of the limit that is left, from 0 to 1.
+    /// The unused fraction of the limit, from 0 to 1.
     pub remaining_share: f64,
-    /// The limit, in calls a second from all senders together; 0 for none.
+    /// The limit for all senders together, in calls per second; 0 if there is none.
     pub limit_per_second: f64,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! Events: what the host reports to the core.
+//! Events: reports of the host to the core.
 use super::{
     EndpointEntry, EndpointId, LoadReport, Message, MessageId, RecoveredMessage, Settings, TimeDelta,
     Timestamp,
@@ -11,76 +11,77 @@
     Success,
     /// The destination answered with an error; the operation may have run.
     Failure,
-    /// Rejected; the operation never ran.
+    /// Rejected by the destination; the operation never ran.
     Rejected {
-        /// The delay that the answer asked for, if it named one.
+        /// The Retry-After delay in the answer, if any.
         retry_after: Option<TimeDelta>,
     },
-    /// No answer in time; the operation may have run.
+    /// No answer before the attempt expired; the operation may have run.
     TimedOut,
-    /// No connection; the operation never ran.
+    /// No connection was established; the operation never ran.
     ConnectFailed,
     /// The connection broke; the operation may have run.
     Reset,
     /// Cancelled by this sender; the operation may have run.
     Cancelled,
-    /// Never sent.
+    /// Not sent; the operation never ran.
     NotSent,
-    /// Put off by this sender before anything was written: it counts as no attempt.
+    /// Postponed by the host before anything was written; not counted as an attempt.
     Deferred,
 }
 
-/// What has happened.
+/// An input of the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client submitted a message.
     Message(Message),
-    /// A message goes on after a restart; these come in the order in which they were first accepted.
+    /// A message of an earlier process resumes. These must be reported in the order of their acceptance.
     Recovered(RecoveredMessage),
-    /// An answer asked for a delay without rejecting a message.
+    /// An answer that rejected no message carried a Retry-After.
     RetryAfter {
         /// The endpoint that answered.
         endpoint: EndpointId,
-        /// The delay.
+        /// The Retry-After delay.
         wait: TimeDelta,
     },
     /// The end of a message was acknowledged; see [`Settings::completion_requires_acknowledgement`].
     CompletionAcknowledged(MessageId),
-    /// The process ends at that time: what cannot end before is left for the next one.
+    /// The process will end at this time; messages that are still pending are left for the next process.
     Shutdown(Timestamp),
-    /// The next process takes over at that time, with all messages held: no call outlasts it, and messages go on being
-    /// accepted.
+    /// The next process takes over all held messages at this time. No call starts that may outlast it;
+    /// messages are accepted until then.
     Handover(Timestamp),
-    /// From now on these settings hold. Classes keep their numbers; kinds, zones and the sender's own zone are as before.
+    /// Replaces the settings. Existing classes keep their numbers; kinds, zones and the sender's zone must
+    /// not change.
     Settings(Box<Settings>),
     /// An attempt has ended.
     AttemptEnded {
-        /// The message.
+        /// The message of the attempt.
         message: MessageId,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: TimeDelta,
-        /// Whether the message is over, through this attempt or before.
+        /// Whether the message has ended, with this attempt or earlier.
         completes: bool,
-        /// The endpoint's load report, if any.
+        /// The load report in the answer, if any.
         report: Option<LoadReport>,
     },
-    /// Nobody wants this message any more.
+    /// A message was cancelled.
     Cancelled(MessageId),
-    /// All endpoints, in place of those before.
+    /// The complete list of endpoints; replaces the previous one.
     EndpointSnapshot(Vec<EndpointEntry>),
     /// Endpoints that have changed.
     EndpointUpdates(Vec<EndpointEntry>),
-    /// A poll of discovery failed, or the watch broke.
+    /// A poll of discovery failed, or the watch was interrupted.
     DiscoveryFailed,
     /// A health check has ended.
     HealthCheckEnded {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the check.
         outcome: Outcome,
     },
     /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) fired.
--- a/src/interface/identifiers.rs
+++ b/src/interface/identifiers.rs
@@ -1,19 +1,19 @@
-//! Identifiers. The host maps the names on the wire to these numbers.
+//! Numeric identifiers. The host maps names on the wire to them.
 use serde::{Deserialize, Serialize};
 
-/// A message, as the host numbers it; never used again within the life of a process.
+/// Identifies a message. The host assigns it and never reuses it within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u32);
 
-/// A destination: the system that a message is for.
+/// Identifies a destination: the system to which messages are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct DestinationId(pub u64);
 
-/// An endpoint, numbered by the host in the order in which endpoints were first heard of.
+/// Identifies an endpoint. The host assigns these numbers in the order in which endpoints are first listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
-/// The ordering key of a message: messages of one key go out one at a time.
+/// The ordering key of a message: messages with the same key are sent one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderKey(pub u64);
 
@@ -29,6 +29,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub usize);
 
-/// A zone, as the host numbers it.
+/// Identifies a zone. The host assigns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -1,33 +1,34 @@
-//! Messages as they reach the core.
+//! New and recovered messages.
 use super::{ClassId, DestinationId, MessageId, OrderKey, TenantId, TimeDelta, Timestamp, ZoneId};
 
-/// A new message.
+/// A message to deliver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its identifier.
+    /// The number that the host assigned to the message.
     pub id: MessageId,
-    /// Its class.
+    /// The class, which determines deadline, weight and retries.
     pub class: ClassId,
-    /// Its tenant, if there are tenants.
+    /// The tenant; `None` if the settings define no tenants.
     pub tenant: Option<TenantId>,
-    /// Its ordering key, if it keeps order.
+    /// The ordering key; `None` if the message may be sent in any order.
     pub key: Option<OrderKey>,
-    /// Its destination.
+    /// The destination to deliver to.
     pub destination: DestinationId,
-    /// The time left until it is given up.
+    /// The remaining time until its deadline.
     pub time_to_live: TimeDelta,
 }
 
 /// A message that an earlier process of this sender accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveredMessage {
-    /// The message, with the time that is left to it now.
+    /// The message, with the time that remains now.
     pub message: Message,
-    /// Attempts that earlier processes made.
+    /// The number of attempts by earlier processes.
     pub attempts: u32,
-    /// The first attempt that may have had an effect, such as one in flight when its process ended: when it was sent on
-    /// the host's clock, and to which zone.
+    /// When, on the host's clock, and to which zone the first attempt was sent whose operation may have run,
+    /// such as one in flight when its process ended.
     pub first_uncertain_attempt: Option<(Timestamp, ZoneId)>,
-    /// Whether it has ended, and only [`Event::CompletionAcknowledged`](super::Event::CompletionAcknowledged) is to come.
+    /// Whether the message has ended and only awaits
+    /// [`Event::CompletionAcknowledged`](super::Event::CompletionAcknowledged).
     pub ended: bool,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,190 +1,204 @@
-//! Settings of the core.
+//! The settings of the core and their validation.
 use super::{TimeDelta, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Which endpoints of a destination deduplicate an attempt under an idempotency key that they have seen.
+/// The endpoints of a destination that recognize an idempotency key after one of them has received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints of the destination.
     #[serde(rename = "All")]
     Destination,
-    /// Those in the zone of the endpoint that received the first attempt.
+    /// The endpoints in the zone of the one that received the first attempt.
     Zone,
 }
 
-/// What a repeated attempt would do.
+/// Whether an operation can be repeated without a second effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Nothing: the operation may be repeated freely.
+    /// The operation can be repeated any number of times.
     #[serde(rename = "Safe")]
     Idempotent,
-    /// Nothing where the idempotency key is known: within `scope`, for `window` from the first attempt that may have
-    /// run.
+    /// Endpoints within `scope` deduplicate by idempotency key, for `window` from the first attempt that may
+    /// have run.
     #[serde(rename = "Keyed")]
     WithKey {
-        /// The endpoints that deduplicate.
+        /// The endpoints that recognize the key.
         #[serde(rename = "group")]
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// How long they remember the key.
         window: TimeDelta,
     },
-    /// A second effect: never repeated once it may have run.
+    /// Repeating the operation has a second effect, so it is never retried once it may have run.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
 
-/// A class of messages. The names of its fields in JSON are those of the stored `classes.json`.
+/// A class of messages. The serde names of the fields are those stored in `classes.json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Delivered within this time, a message has its full weight.
+    /// The time within which a message must be delivered to have its full weight.
     #[serde(rename = "aim")]
     pub latency_objective: TimeDelta,
-    /// Time from the first submission until the message is given up.
+    /// The time from the first submission until the message expires.
     pub deadline: TimeDelta,
-    /// Weight of one message.
+    /// The weight of a message that is delivered within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the weight that is left at the deadline.
+    /// The fraction of the weight that remains at the deadline.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
-    /// What a repeated attempt does.
+    /// Whether attempts may be repeated.
     #[serde(rename = "repeat")]
     pub idempotency: Idempotency,
-    /// Whether messages of one key go one at a time, in the order of acceptance.
+    /// Whether messages with the same ordering key are sent one at a time, in the order of acceptance.
     pub ordered: bool,
 }
 
-/// How the weight of a message falls after its latency objective.
+/// How the weight of a message decreases after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightDecay {
     /// Linearly, down to the late weight at the deadline.
     Linear,
-    /// By half with each further latency objective, not below the late weight.
+    /// Halved for each further latency objective that passes, down to the late weight.
     Exponential,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DestinationKind {
-    /// Whether each endpoint has a limit, a pace and outages of its own; otherwise they share those of the destination.
+    /// Whether each endpoint has its own limit, pace and outages; otherwise the endpoints share those of the
+    /// destination.
     pub limits_per_endpoint: bool,
-    /// Most messages that one call carries.
+    /// The maximum number of messages per call.
     pub max_batch_size: usize,
 }
 
-/// A tenant.
+/// A tenant that shares the capacity with others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Messages a second, from all senders together, that count as within its quota.
+    /// The quota, in messages per second from all senders together.
     pub quota_per_second: f64,
 }
 
-/// How endpoints reach the sender.
+/// How the sender learns of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Discovery pushes changes on a watch.
     Watch,
-    /// The sender polls.
+    /// The sender polls discovery.
     Poll,
 }
 
 /// What the capacity hint of an endpoint means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityHints {
-    /// Nothing.
+    /// Hints are ignored.
     None,
-    /// Calls a second that the destination (or route) takes from all senders together.
+    /// The capacity of the destination, or of the endpoint if each has its own limit, in calls per second
+    /// from all senders together.
     CallsPerSecond,
 }
 
-/// The figures of the six rules.
+/// The parameters of the six rules of delivery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Sends to a draining or removed endpoint stop within this time.
+    /// The time within which sends to a draining or removed endpoint must stop.
     pub drain_grace: TimeDelta,
-    /// A destination that recovers from an outage has at least this share of its capacity ...
+    /// The minimum fraction of its capacity that a destination has when it recovers from an outage.
     pub slow_start_share: f64,
-    /// ... and all of it after this time.
+    /// The time from the recovery until a destination has its full capacity.
     pub slow_start_duration: TimeDelta,
-    /// A destination that gets more than this multiple of its present capacity ...
+    /// The multiple of its current capacity above which a destination is overloaded.
     pub overload_factor: f64,
-    /// ... for this long fails.
+    /// The time for which a destination must be overloaded until it fails.
     pub overload_window: TimeDelta,
-    /// An ordering key is held this long after an attempt that may still run.
+    /// How long an ordering key is held after an attempt that may still be running.
     pub ordering_hold: TimeDelta,
-    /// A sender that has neither watched nor polled for this long counts as notified.
+    /// The time without a watch or a poll after which the sender is treated as informed of all changes.
     pub discovery_staleness_limit: TimeDelta,
 }
 
-/// Everything that the core is told at its start.
+/// The configuration of the core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes of messages.
+    /// Classes of messages, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
-    /// Kinds of destination.
+    /// Kinds of destination, indexed by [`KindId`](super::KindId).
     pub kinds: Vec<DestinationKind>,
-    /// Tenants; may be empty.
+    /// Tenants, indexed by [`TenantId`](super::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a message above its tenant's quota, as a fraction.
+    /// The fraction of its weight that a message above its tenant's quota has.
     pub over_quota_weight: f64,
-    /// Zone of this sender.
+    /// The zone of this sender.
     pub zone: ZoneId,
-    /// Senders that share the traffic.
+    /// The number of senders that share the traffic.
     pub fleet_size: usize,
-    /// Most calls in flight.
+    /// The maximum number of calls in flight.
     pub max_concurrent_calls: usize,
-    /// Most messages held.
+    /// The maximum number of messages held.
     pub max_pending_messages: usize,
-    /// Most attempts for one message.
+    /// The maximum number of attempts per message.
     pub max_attempts: u32,
-    /// Least time between two steps.
+    /// The minimum time between two steps.
     pub min_step_interval: TimeDelta,
-    /// An endpoint that accepts no connection within this time is unreachable.
+    /// The time after which a connection attempt fails.
     pub connect_timeout: TimeDelta,
-    /// How weights fall.
+    /// How weights decrease after the latency objective.
     pub weight_decay: WeightDecay,
-    /// How endpoints reach the sender.
+    /// How the sender learns of endpoints.
     pub discovery: DiscoveryMode,
-    /// What capacity hints mean.
+    /// The meaning of the capacity hints in discovery entries.
     pub capacity_hints: CapacityHints,
     /// Whether health checks are allowed.
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether an undelivered message is over only with
-    /// [`Event::CompletionAcknowledged`](super::Event::CompletionAcknowledged), not at once.
+    /// Whether an undelivered message stays until
+    /// [`Event::CompletionAcknowledged`](super::Event::CompletionAcknowledged) instead of being dropped when
+    /// it ends.
     pub completion_requires_acknowledgement: bool,
-    /// Whether the host can give up a call only with all of its messages, not one by one.
+    /// Whether all messages of a call must expire at the same time, because the host cannot cancel them
+    /// individually.
     pub batch_expires_together: bool,
-    /// The figures of the rules.
+    /// The parameters of the rules of delivery.
     pub rules: Rules,
 }
 
-/// How long a process may be held up between reading its clock and writing.
-pub const MAX_HOLD_UP: TimeDelta = TimeDelta(150_000);
+/// The maximum assumed pause of a process between reading the clock and writing a call.
+pub const MAX_PROCESS_PAUSE: TimeDelta = TimeDelta(150_000);
 
 impl Settings {
-    /// Returns how long after the first attempt that may have run a further one may be decided on: it is written before the
-    /// destination forgets the key after `window`, also if the process is held up.
+    /// Returns how long after the first attempt that may have run another one may be scheduled. This is less
+    /// than `window`, so that the attempt is written before the destination forgets the key, even if the
+    /// process pauses.
     #[must_use]
     pub fn retry_window(&self, window: TimeDelta) -> TimeDelta {
-        TimeDelta(window.0.saturating_sub(self.min_step_interval.0 + MAX_HOLD_UP.0))
+        TimeDelta(window.0.saturating_sub(self.min_step_interval.0 + MAX_PROCESS_PAUSE.0))
     }
 
-    /// Checks whether the settings can be acted on.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first setting that cannot.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         let check = |ok: bool, what| if ok { Ok(()) } else { Err(SettingsError(what)) };
-        check(!self.classes.is_empty() && !self.kinds.is_empty(), "classes or kinds: none given")?;
-        check(self.classes.iter().all(|class| class.deadline.0 > 0), "a class's deadline: 0")?;
-        check(self.max_concurrent_calls > 0, "slots: 0 calls may be out")?;
-        check(self.fleet_size > 0 && self.max_attempts > 0, "senders or max_attempts: 0")
+        check(
+            !self.classes.is_empty() && !self.kinds.is_empty(),
+            "classes, kinds: at least one of each is required",
+        )?;
+        check(
+            self.classes.iter().all(|class| class.deadline.0 > 0),
+            "classes: each deadline (hard_limit) must be greater than 0",
+        )?;
+        check(self.max_concurrent_calls > 0, "slots: max_calls must be at least 1, got 0")?;
+        check(
+            self.fleet_size > 0 && self.max_attempts > 0,
+            "senders: fleet_size and max_attempts must be at least 1",
+        )
     }
 }
 
-/// The first setting that cannot be acted on; the text names it.
+/// An invalid setting, named by the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("unusable setting: {0}")]
+#[error("invalid setting: {0}")]
 pub struct SettingsError(pub &'static str);
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -1,11 +1,11 @@
-//! Points in time and lengths of time.
+//! Points in time and durations.
 use serde::{Deserialize, Serialize};
 
-/// A point on the host's clock, in microseconds.
+/// A point in time on the host's clock, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Timestamp(pub u64);
 
-/// A length of time, in microseconds.
+/// A duration, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct TimeDelta(pub u64);
 
@@ -14,12 +14,12 @@
     micros as f64 / 1e6
 }
 
-/// Returns the time `micros` microseconds after `time`; a negative number counts as 0.
+/// Returns the time `micros` microseconds after `time`; negative values count as 0.
 pub(crate) fn after(time: Timestamp, micros: f64) -> Timestamp {
     Timestamp(time.0 + micros.max(0.0) as u64)
 }
 
-/// Returns the microseconds from `then` to `now`; 0 where `now` comes first.
+/// Returns the microseconds from `then` to `now`; 0 if `now` is earlier.
 pub(crate) fn since(now: Timestamp, then: Timestamp) -> u64 {
     now.0.saturating_sub(then.0)
 }
