--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -1,14 +1,14 @@
-//! What each event changes: messages, endpoints, settings and the end of the process.
+//! Applies events to the engine's state: messages, endpoints, settings and the end of the process.
 
 use super::*;
 
-/// The backoff between attempts to reach discovery stops doubling after this many failures.
-const DISCOVERY_DOUBLINGS: u32 = 4;
+/// Number of discovery failures after which the backoff stops doubling.
+const MAX_DISCOVERY_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl DeliveryEngine {
     pub(super) fn apply_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            // A class that the settings do not name cannot be decided on: returned, as nothing has run.
+            // The class is unknown, so the message is returned; it was never sent.
             Event::Message(message) if message.class.0 >= self.settings.classes.len() => {
                 actions.push(Action::Return { message: message.id, retry_after: None });
             }
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes up a message of an earlier process: its attempts count, and what may have run is known.
+    /// Resumes a message of an earlier process, with its attempts and its first uncertain attempt.
     fn recover(&mut self, recovered: &RecoveredMessage) {
         let message = recovered.message;
         if message.class.0 >= self.settings.classes.len() {
@@ -40,8 +40,7 @@
             self.messages.forget_undelivered(message.id, self.now, &self.settings);
             return;
         }
-        // An attempt in flight failed with its process. Senders that restart together are kept apart by
-        // chance.
+        // Attempts in flight ended with their process. Jitter keeps senders apart that restart together.
         let jitter = self.random_unit();
         let class = &self.settings.classes[message.class.0];
         let backoff = match recovered.attempts {
@@ -67,18 +66,18 @@
         let Some(endpoint) = self.directory.endpoint(endpoint) else { return };
         let [own, shared] = self.directory.route_slots(endpoint);
         if let Some(slot) = shared.or(own) {
-            self.hold_route(slot, delay);
+            self.extend_retry_after(slot, delay);
         }
     }
 
-    /// Keeps a Retry-After: no call to the route before it is over. The longest one holds.
-    pub(super) fn hold_route(&mut self, slot: usize, delay: TimeDelta) {
+    /// Blocks calls to a route for a Retry-After delay. The latest end applies if there are several.
+    pub(super) fn extend_retry_after(&mut self, slot: usize, delay: TimeDelta) {
         let until = Timestamp(self.now.0 + delay.0);
         let route = self.directory.route_mut(slot);
         route.retry_after_until = route.retry_after_until.max(until);
     }
 
-    /// Takes over other settings. A message that has had all the attempts now allowed ends.
+    /// Replaces the settings. Messages that have reached the new limit of attempts end.
     fn apply_settings(&mut self, settings: &Settings) {
         self.messages.pending.set_curves(weight_curves(settings));
         self.settings = settings.clone();
@@ -89,20 +88,19 @@
     }
 
     fn discovery_failed(&mut self) {
-        self.discovery_failures = (self.discovery_failures + 1).min(DISCOVERY_DOUBLINGS);
-        let longest = self.settings.rules.discovery_staleness_limit.0 as f64 / 2.0;
+        self.discovery_failures = (self.discovery_failures + 1).min(MAX_DISCOVERY_BACKOFF_DOUBLINGS);
+        let max_backoff = self.settings.rules.discovery_staleness_limit.0 as f64 / 2.0;
         let doubled = f64::from(1 << self.discovery_failures);
         let backoff = self.settings.connect_timeout.0 as f64 * doubled / 4.0;
-        self.watch_at = Some(after(self.now, backoff.min(longest) * (0.5 + self.random_unit())));
+        self.watch_at = Some(after(self.now, backoff.min(max_backoff) * (0.5 + self.random_unit())));
     }
 
-    fn apply_endpoints(&mut self, entries: &[EndpointEntry], complete: bool) {
+    fn apply_endpoints(&mut self, entries: &[EndpointEntry], is_snapshot: bool) {
         self.discovery_failures = 0;
         let settings = &self.settings;
         let shares_limit =
             |kind: KindId| settings.kinds.get(kind.0).is_some_and(|kind| !kind.limits_per_endpoint);
-        // The hint belongs to the endpoint's route, or to that of a destination whose endpoints share a
-        // limit.
+        // The capacity hint applies to the destination's route if its endpoints share a limit.
         let new_route = |entry: &EndpointEntry, endpoint: Option<EndpointId>| {
             let enforces_limit = endpoint.is_none() == shares_limit(entry.kind);
             let hinted = settings.capacity_hints != CapacityHints::None && enforces_limit;
@@ -111,7 +109,7 @@
         };
         let known = entries.iter().filter(|entry| entry.kind.0 < settings.kinds.len());
         let known: Vec<EndpointEntry> = known.copied().collect();
-        for change in self.directory.apply(&known, complete, self.now, shares_limit, new_route) {
+        for change in self.directory.apply(&known, is_snapshot, self.now, shares_limit, new_route) {
             if let Some(removed_at) = change.removed_at {
                 let forget = Timestamp(removed_at.0 + self.settings.rules.slow_start_duration.0);
                 let timer = Timer::ForgetEndpoint(change.endpoint, change.destination);
@@ -122,7 +120,7 @@
         }
     }
 
-    /// An endpoint that drained and is active again was restarted: it starts slowly, at the traffic it had.
+    /// Ejects an endpoint that starts to drain, and begins a slow start when it is active again.
     fn endpoint_state_changed(&mut self, id: EndpointId, previous: EndpointState) {
         let Some(endpoint) = self.directory.endpoint(id) else { return };
         let health = match (previous, endpoint.state) {
@@ -134,8 +132,8 @@
         route.pacer = Pacer { health, tokens: 1.0, ..route.pacer_at(self.now, &self.settings) };
     }
 
-    /// Drops what was learned of a removed endpoint once no call to it is in flight, no Retry-After holds,
-    /// and it has stayed away for a slow start; a destination goes with its last endpoint.
+    /// Drops the state of endpoints that were removed at least one slow start ago and have no calls in flight
+    /// and no active Retry-After. A destination is dropped with its last endpoint.
     pub(super) fn forget_removed_endpoints(&mut self, actions: &mut Vec<Action>) {
         let (now, retiring) = (self.now, std::mem::take(&mut self.retiring));
         let needed_until = |route: &Route| match route.in_flight.is_empty() {
--- a/src/decision/guards.rs
+++ b/src/decision/guards.rs
@@ -1,9 +1,10 @@
-//! The six rules as guards: whatever is sent passes all of them.
+//! Guards that enforce the six rules of delivery. Every send must pass all of them.
 
 use super::*;
 
 impl DeliveryEngine {
-    /// Every send passes here. `joins_call`: the message shares a call that passed the guards in this step.
+    /// Returns whether a message may be sent to an endpoint now; every send is checked here. `joins_call`
+    /// means that the message joins a call that has already passed the guards in this step.
     pub(super) fn is_send_allowed(&self, id: MessageId, endpoint: EndpointId, joins_call: bool) -> bool {
         let (Some(state), Some(endpoint)) = (self.messages.get(id), self.directory.endpoint(endpoint)) else {
             return false;
@@ -16,7 +17,7 @@
             && self.is_open(endpoint, joins_call)
     }
 
-    /// Whether an endpoint may be sent to, whatever the message.
+    /// Returns whether an endpoint accepts sends, regardless of the message.
     pub(super) fn is_open(&self, endpoint: &Endpoint, joins_call: bool) -> bool {
         let passes = |route| {
             let may_start = || self.guard_slow_start(route) && self.is_within_pace(route);
@@ -28,8 +29,8 @@
             && self.directory.routes(endpoint).all(passes)
     }
 
-    /// Returns whether a call that connecting has delayed may still go out: since it was decided a
-    /// Retry-After or a drain may have come, or a deduplication window closed.
+    /// Returns whether a call that was delayed by connecting may still be sent. Since it was scheduled, a
+    /// Retry-After or a drain may have arrived, or the deduplication window may have closed.
     pub fn is_call_still_allowed(&self, now: Timestamp, id: MessageId, endpoint: EndpointId) -> bool {
         let (Some(state), Some(endpoint)) = (self.messages.get(id), self.directory.endpoint(endpoint)) else {
             return false;
@@ -40,27 +41,27 @@
             && shared.or(own).is_none_or(|slot| now >= self.directory.route(slot).retry_after_until)
     }
 
-    /// Rule 1: only a message that has not ended and has time left.
+    /// Rule 1: a message is sent only while it is pending and has time left.
     fn guard_not_lost(&self, state: &MessageState) -> bool {
         matches!(state.phase, Phase::Pending(_)) && self.now < self.end_by(state.deadline)
     }
 
-    /// Rule 2: what may have run is repeated as its class permits, within the window of the first such
-    /// attempt.
+    /// Rule 2: an operation that may have run is retried only as its class permits, within the deduplication
+    /// window of the first attempt that may have run.
     fn guard_single_effect(&self, state: &MessageState, endpoint: &Endpoint) -> bool {
         let idempotency = self.settings.classes[state.message.class.0].idempotency;
-        let by_zone = matches!(idempotency, Idempotency::WithKey { scope: DeduplicationScope::Zone, .. });
-        let same_zone = |attempt: UncertainAttempt| !by_zone || endpoint.zone == attempt.zone;
+        let is_zone_scoped =
+            matches!(idempotency, Idempotency::WithKey { scope: DeduplicationScope::Zone, .. });
+        let same_zone = |attempt: UncertainAttempt| !is_zone_scoped || endpoint.zone == attempt.zone;
         self.is_retryable_at(state, self.now) && state.first_uncertain_attempt.is_none_or(same_zone)
     }
 
-    /// Rule 3: nothing new to a draining or removed endpoint from the moment it is known: stricter than the
-    /// grace.
+    /// Rule 3: nothing is sent to a draining or removed endpoint. The rule's grace period is not used.
     fn guard_draining(&self, endpoint: &Endpoint) -> bool {
         endpoint.state == EndpointState::Active
     }
 
-    /// Rule 4: one call at a time into an outage; afterwards the slow start, by tokens.
+    /// Rule 4: an ejected route gets one trial call at a time; a recovering one is limited by its tokens.
     fn guard_slow_start(&self, route: &Route) -> bool {
         let pacer = self.pacer(route);
         match pacer.health {
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Rule 5: a Retry-After is kept.
+    /// Rule 5: no call is made before a Retry-After delay has passed.
     fn guard_retry_after(&self, route: &Route) -> bool {
         self.now >= route.retry_after_until
     }
 
-    /// Rule 6: only the first message of its key, and a new one only after the hold of an earlier attempt.
+    /// Rule 6: only the first message of a key is sent, and its first attempt only after the key's hold.
     pub(super) fn guard_order(&self, state: &MessageState) -> bool {
         match state.message.key.and_then(|key| self.messages.key_head(key)) {
             Some(head) if head.first == Some(state.message.id) => {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether by rule 2 some endpoint could still be sent the message at `at`.
+    /// Returns whether rule 2 still permits an attempt at `at`, to at least one endpoint.
     pub(super) fn is_retryable_at(&self, state: &MessageState, at: Timestamp) -> bool {
         let Some(attempt) = state.first_uncertain_attempt else { return true };
         match self.settings.classes[state.message.class.0].idempotency {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,11 +1,11 @@
-//! All decisions of a sender. Its input and output, events and actions, are in `src/interface.rs`.
+//! The decision core of a sender. Its inputs (events) and outputs (actions) are in `src/interface.rs`.
 //!
-//! Operation-aware retries: a message is one operation under one idempotency key. It is repeated only after a
-//! transient failure and as its class permits, after a doubling backoff or a Retry-After. Fair queueing: a
-//! free call goes to the pending destination with the fewest calls in flight. Each send passes the guards of
-//! every [`Route`] on its way.
+//! Operation-aware retries: a message is one operation under one idempotency key. It is retried only after a
+//! transient failure and only as its class permits, after an exponential backoff or a Retry-After delay. Fair
+//! queueing: a free call slot goes to the destination with pending messages that has the fewest calls in
+//! flight. Each send must pass the guards of every [`Route`] that it uses.
 //!
-//! A step looks at what happened, what is due and what may be sent, never at all messages held.
+//! A step processes new events, due timers and sendable messages; it never iterates over all held messages.
 
 mod events;
 mod guards;
@@ -28,20 +28,20 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
-/// Least time between two timers, in steps; destinations that cannot be sent to are looked at half as often.
+/// Minimum delay of a timer, in step intervals; blocked destinations are checked half as often.
 const HEARTBEAT_STEPS: u64 = 4;
-/// Most work of one kind (timers, ends, sends) in a step, so that no step holds up the host.
+/// Maximum number of timers, of expired messages and of sends per step, to bound its duration.
 const MAX_WORK_PER_STEP: usize = 1024;
 
-/// The end of the process.
+/// A scheduled end of this process.
 #[derive(Clone, Copy)]
 struct ProcessEnd {
     at: Timestamp,
-    /// Whether another process takes over, so that messages are accepted up to the end.
+    /// Whether another process takes over the pending messages, so that new ones are accepted until the end.
     has_successor: bool,
 }
 
-/// The decisions of one sender: see the page of the crate for an example.
+/// Decides when and where one sender sends its messages. The crate documentation has an example.
 #[cfg_attr(test, derive(Clone))]
 pub struct DeliveryEngine {
     pub(crate) settings: Settings,
@@ -50,18 +50,18 @@
     pub(crate) messages: MessageTable,
     pub(crate) directory: Directory<Route>,
     calls: InFlightCalls,
-    /// Endpoints that may be forgotten.
+    /// Removed endpoints to check for whether their state can be dropped.
     retiring: Vec<(EndpointId, DestinationId)>,
     has_more_work: bool,
     process_end: Option<ProcessEnd>,
     timer_at: Option<Timestamp>,
     watch_at: Option<Timestamp>,
     discovery_failures: u32,
-    /// By kind of destination: learned share of calls that get no connection.
+    /// Learned fraction of calls that fail to connect, by kind of destination.
     connect_failure_shares: Vec<f64>,
-    /// Learned share of all calls that get no answer.
+    /// Learned fraction of all calls that receive no answer.
     lost_answer_share: f64,
-    /// Seconds for which an idle connection is trusted to be alive.
+    /// The idle time, in seconds, up to which a connection is assumed to be alive.
     trusted_idle_seconds: f64,
     log: Vec<String>,
 }
@@ -70,7 +70,7 @@
     /// Creates an engine with no messages and no endpoints.
     ///
     /// # Errors
-    /// The first setting that cannot be acted on.
+    /// Returns the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let polls = settings.discovery == DiscoveryMode::Poll;
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Takes in all events of a round, then decides once; what the host has to do is appended to `actions`.
+    /// Applies `events`, then makes all decisions that are due at `now`, and appends them to `actions`.
     pub fn step(&mut self, now: Timestamp, events: &[Event], actions: &mut Vec<Action>) {
         self.begin(now, events, actions);
         self.end_expired(actions);
@@ -136,7 +136,7 @@
         self.has_more_work = true;
     }
 
-    /// Asks for a timer at the first moment at which something may be due: most senders are idle mostly.
+    /// Requests a timer for the earliest time at which work may be due, unless an earlier one is already set.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let pending = &self.messages.pending;
         let interval = self.settings.min_step_interval.0;
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Returns whether a message for `destination` may be accepted beside the `held` ones: there is capacity
-    /// and time to deliver it, and discovery names the destination, or did until a short while ago.
+    /// Returns whether a message for `destination` may be accepted while `held` messages are held: there must
+    /// be capacity, time before the process ends, and a known endpoint of the destination.
     pub fn admits(&self, now: Timestamp, held: usize, destination: DestinationId) -> bool {
         let connected = Timestamp(now.0 + self.settings.connect_timeout.0);
         let in_time = self.process_end.is_none_or(|end| end.has_successor || connected < end.at);
@@ -164,18 +164,18 @@
         has_capacity && in_time && self.directory.destination(destination).is_some()
     }
 
-    /// Enters a message whose state has changed into the indices again.
+    /// Updates the index entries of a message whose state has changed.
     fn update_entry(&mut self, id: MessageId) {
         self.messages.update_entry(id, self.now, &self.settings);
     }
 
-    /// An attempt of this key may still run: newer messages wait until that is over.
+    /// Holds back newer messages of a key while an earlier attempt may still be running.
     fn hold_key(&mut self, key: OrderKey) {
         let until = Timestamp(self.now.0 + self.settings.rules.ordering_hold.0);
         self.messages.hold_key(key, until, self.now, &self.settings);
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number in `[0, 1)`.
     fn random_unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -1,13 +1,12 @@
-//! What the end of an attempt changes: the message, the routes of its call, and the connections kept to
-//! endpoints.
+//! Applies the outcome of an attempt to the message, to the routes of its call and to idle connections.
 
 use super::*;
 
-/// Learned share of calls without an answer at which answers count as getting lost.
+/// Learned fraction of unanswered calls above which answers are considered to be getting lost.
 pub(super) const LOST_ANSWER_THRESHOLD: f64 = 0.075;
-/// Learned share of a kind's calls without a connection at which its connection tables count as full.
+/// Learned fraction of failed connects of a kind above which its connection tables are considered full.
 const CONNECT_FAILURE_THRESHOLD: f64 = 0.01;
-/// Weight of one more call in a share that is learned over many routes.
+/// Weight of a new sample in the fractions that are learned over many routes.
 const POOLED_LEARNING_WEIGHT: f64 = 0.05;
 
 impl DeliveryEngine {
@@ -20,7 +19,7 @@
         if attempt + 1 != state.attempts {
             return;
         }
-        let over = completes || matches!(state.phase, Phase::Detached(_));
+        let is_finished = completes || matches!(state.phase, Phase::Detached(_));
         state.phase = Phase::Pending(self.now);
         state.attempts -= u32::from(outcome == Outcome::Deferred);
         let may_have_run =
@@ -36,17 +35,19 @@
         }
         self.review_idle_connections(active, outcome, actions);
         self.record_call_end(active, outcome, report);
-        if over {
+        if is_finished {
             self.messages.forget(id, self.now, &self.settings);
         } else {
             self.retry(id, outcome, actions);
         }
     }
 
-    /// Idle connections can be dead without notice. After silence they are closed, and those idle for as long
-    /// as the lost call's was are used nowhere, for a time that grows again. They also fill small connection
-    /// tables: while a kind's calls get no connection, a sender that calls rarely keeps none. Both cost
-    /// handshakes where a destination is merely slow or down.
+    /// Closes idle connections that may be dead or that exhaust the peer's connection table.
+    ///
+    /// After a timeout or a reset, the endpoint's idle connections are closed, and connections that have been
+    /// idle for at least as long as the lost call's are not reused anywhere; this limit grows again over
+    /// time. While connects to a kind of destination fail, endpoints that are called rarely keep no idle
+    /// connection.
     fn review_idle_connections(
         &mut self,
         active: ActiveAttempt,
@@ -58,21 +59,21 @@
         let window = seconds(self.settings.rules.overload_window.0);
         let is_rare = self.pacer(route).rate * window < 1.0 && route.in_flight.len() <= 1;
         let share = &mut self.connect_failure_shares[endpoint.kind.0];
-        let silent = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
-        if !silent {
+        let got_no_answer = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
+        if !got_no_answer {
             update_mean_share(share, outcome == Outcome::ConnectFailed, POOLED_LEARNING_WEIGHT);
         }
-        if silent || (*share > CONNECT_FAILURE_THRESHOLD && is_rare) {
+        if got_no_answer || (*share > CONNECT_FAILURE_THRESHOLD && is_rare) {
             actions.push(Action::CloseIdleConnections(active.endpoint));
         }
         let healthy = seconds(route.latency_bound(route::OVERDUE_DEVIATIONS) as u64);
         let call = self.calls.get(active.call);
-        if let Some(call) = call.filter(|call| silent && call.idle_seconds > healthy) {
+        if let Some(call) = call.filter(|call| got_no_answer && call.idle_seconds > healthy) {
             self.trusted_idle_seconds = self.trusted_idle_seconds.min(call.idle_seconds);
         }
     }
 
-    /// Records an outcome on the routes of its call; a batch shares one fate and counts once.
+    /// Records the outcome of an attempt on the routes of its call. A batch counts once.
     fn record_call_end(&mut self, active: ActiveAttempt, outcome: Outcome, report: Option<LoadReport>) {
         let Some(progress) = self.calls.end(active.call) else { return };
         let Some(endpoint) = self.directory.endpoint(active.endpoint) else { return };
@@ -93,14 +94,14 @@
             if progress.is_first {
                 recovered |= self.record_on_route(slot, &progress.call, outcome, report, enforces_limit);
             }
-            // Each message of a batch may name a delay of its own: the longest holds.
+            // Each message of a batch may carry its own delay; the longest applies.
             if let (Outcome::Rejected { retry_after: Some(delay) }, true) = (outcome, enforces_limit) {
-                self.hold_route(slot, delay);
+                self.extend_retry_after(slot, delay);
             }
         }
-        let says_nothing =
+        let is_inconclusive =
             matches!(outcome, Outcome::Success | Outcome::Cancelled | Outcome::NotSent | Outcome::Deferred);
-        if progress.is_first && !says_nothing {
+        if progress.is_first && !is_inconclusive {
             self.eject_shared_route(destination);
         }
         if recovered {
@@ -109,7 +110,7 @@
         self.messages.pending.mark_changed(destination);
     }
 
-    /// Records the outcome of a call on one of its routes; returns whether that ended an outage.
+    /// Records the outcome of a call on one of its routes. Returns whether the route recovered.
     fn record_on_route(
         &mut self,
         slot: usize,
@@ -140,7 +141,7 @@
         was_ejected && matches!(route.pacer.health, Health::SlowStart(_))
     }
 
-    /// An outage mostly takes all endpoints of a destination: where one has recovered, the others may have.
+    /// Makes trials of all ejected endpoints of a destination due now, as they usually recover together.
     fn retry_siblings(&mut self, id: DestinationId) {
         let destination = self.directory.destination(id);
         let Some(destination) = destination.filter(|destination| destination.shared_route.is_some()) else {
@@ -156,15 +157,15 @@
         }
     }
 
-    /// With the last endpoint that shares a limit the destination is out, and its recovery is paced as one;
-    /// so it is with the last whose calls fail, where all of late did.
+    /// Ejects a shared route when the last endpoint of its destination is ejected or, if all recent calls
+    /// failed, when the last one fails. The recovery is then paced for the destination as a whole.
     fn eject_shared_route(&mut self, id: DestinationId) {
         let Some(shared) = self.directory.destination(id).and_then(|destination| destination.shared_route)
         else {
             return;
         };
         let all_fail = self.directory.route(shared).rate_before_failing.is_some();
-        // When an endpoint can be tried again: at once if it serves, never while it recovers by itself.
+        // Returns when an endpoint can be tried again: 0 if it is available, `None` if it is recovering.
         let next_trial = |endpoint: &Endpoint| {
             let route = self.directory.route(endpoint.route);
             let fails = all_fail && (route.consecutive_failures > 0 || route.is_stalled(self.now));
--- a/src/decision/route.rs
+++ b/src/decision/route.rs
@@ -1,35 +1,35 @@
-//! What the outcome of a call says about its route: latency, pace, outages and the recovery from them.
+//! Updates a route from the outcome of a call: latency, pace, outage detection and recovery.
 
 use super::*;
 use crate::pacing::route::{LEARNING_WEIGHT, ObservedOutcome};
 use crate::pacing::{PaceBounds, mean_trial_offset, min_trial_rate};
 
-/// A call is overdue this many mean deviations past the mean.
+/// A call is overdue when its latency exceeds the mean by this many mean deviations.
 pub(super) const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// Failures in a row that count as an outage.
+/// Number of consecutive failures that count as an outage.
 const OUTAGE_FAILURES: u32 = 4;
-/// Learned share of failed calls that counts as an outage.
+/// Learned fraction of failed calls above which a route is considered to be in an outage.
 const OUTAGE_SHARE: f64 = 0.65;
-/// Pace left after a rejection above the limit, as a share of what got through.
+/// Pace after a rejection that the limit doesn't explain, as a fraction of the rate of successful calls.
 const REJECTION_PACE_FACTOR: f64 = 0.8;
-/// First backoff of a route after a rejection without a Retry-After, in overload windows; doubled each time.
+/// Initial backoff of a route after a rejection without a Retry-After, in overload windows.
 const BACKOFF_OVERLOAD_WINDOWS: f64 = 0.25;
-/// The doubling of that backoff stops after this many rejections.
-const BACKOFF_DOUBLINGS: u32 = 4;
-/// A Retry-After of this many overload windows comes from no limit: the route is closed.
+/// Number of consecutive rejections after which the backoff of a route stops doubling.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// A Retry-After longer than this many overload windows indicates an outage, not an exceeded limit.
 const CLOSED_OVERLOAD_WINDOWS: f64 = 2.0;
-/// Remaining share of a limit at which it explains no rejection.
+/// A rejection is not attributed to the limit if at least this fraction of the limit remains.
 const UNEXPLAINED_REMAINING_SHARE: f64 = 0.3;
 
 impl Route {
-    /// Whether it has been silent for longer than a healthy answer takes, with a call in flight for as long.
+    /// Returns whether calls are in flight and no answer has come for longer than a healthy one takes.
     pub(super) fn is_stalled(&self, now: Timestamp) -> bool {
         let oldest = self.in_flight.values().next().filter(|_| self.endpoint.is_some());
         let Some(oldest) = oldest.filter(|_| self.latency > 0.0) else { return false };
         since(now, self.last_answer.max(*oldest)) as f64 > self.latency_bound(OVERDUE_DEVIATIONS)
     }
 
-    /// Learns from how a call ended; returns whether that closed a healthy route.
+    /// Updates the route from the outcome of a call. Returns whether the route was healthy and no longer is.
     pub(super) fn record_outcome(
         &mut self,
         now: Timestamp,
@@ -68,18 +68,18 @@
         let failing = self.rate_before_failing.take();
         pacer.rate = pacer.rate.max(failing.unwrap_or(0.0)) + 1.0 / RATE_WINDOW_SECONDS;
         if failing.is_some() || matches!(pacer.health, Health::Ejected(_)) {
-            // It recovered somewhere between the last trial and this one.
+            // The destination recovered at some time between the last trial and this one.
             let silence = since(now, self.last_answer).min(settings.rules.slow_start_duration.0);
-            let recovered = silence as f64 * mean_trial_offset(settings.fleet_size);
-            pacer.health = Health::SlowStart(Timestamp(now.0 - recovered as u64));
+            let recovered_micros = silence as f64 * mean_trial_offset(settings.fleet_size);
+            pacer.health = Health::SlowStart(Timestamp(now.0 - recovered_micros as u64));
             pacer.tokens = if failing.is_some() { jitter } else { 0.0 };
         }
-        let calm = since(now, self.last_rejection) > settings.rules.slow_start_duration.0;
-        let most = bounds.max_rate();
-        if bounds.is_limited() && most < pacer.pace {
-            (pacer.pace, pacer.tokens) = (most, pacer.tokens.min(1.0));
-        } else if bounds.is_limited() && calm {
-            pacer.pace += (most - pacer.pace) / 2.0;
+        let no_recent_rejection = since(now, self.last_rejection) > settings.rules.slow_start_duration.0;
+        let max_rate = bounds.max_rate();
+        if bounds.is_limited() && max_rate < pacer.pace {
+            (pacer.pace, pacer.tokens) = (max_rate, pacer.tokens.min(1.0));
+        } else if bounds.is_limited() && no_recent_rejection {
+            pacer.pace += (max_rate - pacer.pace) / 2.0;
         } else if bounds.is_limited() && self.remaining_share > UNEXPLAINED_REMAINING_SHARE {
             pacer.pace = pacer.pace.max(bounds.equal_rate());
         }
@@ -96,35 +96,34 @@
         self.consecutive_rejections += 1;
         self.last_rejection = now;
         let window = settings.rules.overload_window.0 as f64;
-        // What the limit explains says nothing of an outage.
-        let spent = |report: LoadReport| report.remaining_share < UNEXPLAINED_REMAINING_SHARE;
-        let explained = bounds.is_limited() && seen.report.is_none_or(spent);
+        // A rejection because of an exceeded limit is no sign of an outage.
+        let is_limit_spent = |report: LoadReport| report.remaining_share < UNEXPLAINED_REMAINING_SHARE;
+        let explained_by_limit = bounds.is_limited() && seen.report.is_none_or(is_limit_spent);
         if retry_after.is_none() || !self.enforces_limit {
-            let doublings = self.consecutive_rejections.min(BACKOFF_DOUBLINGS) - 1;
+            let doublings = self.consecutive_rejections.min(MAX_BACKOFF_DOUBLINGS) - 1;
             let backoff = window * BACKOFF_OVERLOAD_WINDOWS * f64::from(1 << doublings) * (0.5 + seen.jitter);
             self.backoff_until = after(now, backoff);
         }
         let pacer = &mut self.pacer;
-        if explained {
-            // All senders that were rejected together earn their next tokens apart.
+        if explained_by_limit {
+            // Jitter spreads the next calls of senders that were rejected at the same time.
             self.remaining_share = 0.0;
             pacer.pace = pacer.pace.min(bounds.rate_after_rejection());
             pacer.tokens = pacer.tokens.min(seen.jitter);
         } else if self.enforces_limit {
-            // Never under half of the equal share, nor under the rate of trials. After a Retry-After there is
-            // capacity; otherwise the next call waits for its token.
-            let least = (bounds.equal_share / 2.0).max(min_trial_rate(settings));
-            pacer.pace = (pacer.rate.min(pacer.pace) * REJECTION_PACE_FACTOR).max(least);
+            // After a Retry-After there is capacity, so up to one token is kept; otherwise none is.
+            let min_rate = (bounds.equal_share / 2.0).max(min_trial_rate(settings));
+            pacer.pace = (pacer.rate.min(pacer.pace) * REJECTION_PACE_FACTOR).max(min_rate);
             pacer.tokens = if retry_after.is_some() { pacer.tokens.clamp(0.0, 1.0) } else { 0.0 };
         }
-        // Rejected and nothing else, or for longer than any limit takes: closed, not busy. A sender that
-        // knows when it opens begins its slow start then.
-        let many = self.consecutive_rejections > OUTAGE_FAILURES && !explained;
-        let closed =
-            retry_after.is_some_and(|delay| delay.0 as f64 > CLOSED_OVERLOAD_WINDOWS * window) || many;
-        if closed && retry_after.is_some() {
+        // Many rejections in a row, or a long Retry-After, mean an outage rather than overload. If the end is
+        // known from a Retry-After, the slow start begins then.
+        let is_repeated = self.consecutive_rejections > OUTAGE_FAILURES && !explained_by_limit;
+        let is_closed =
+            retry_after.is_some_and(|delay| delay.0 as f64 > CLOSED_OVERLOAD_WINDOWS * window) || is_repeated;
+        if is_closed && retry_after.is_some() {
             (pacer.health, pacer.tokens) = (Health::SlowStart(seen.retry_after_end(now)), seen.jitter);
-        } else if closed || pacer.health != Health::Healthy {
+        } else if is_closed || pacer.health != Health::Healthy {
             pacer.health = Health::Ejected(now);
         }
     }
@@ -135,32 +134,38 @@
             self.last_repeated_failure = Some(now);
         }
         let elapsed = since(now, seen.sent_at) as f64;
-        let unanswered = self.last_success < seen.sent_at;
-        // A full connection table refuses at once; a dial that times out tells of a dead endpoint.
-        let dead_dial =
+        let no_success_since_sent = self.last_success < seen.sent_at;
+        // A full connection table refuses immediately; a connect that times out indicates a dead endpoint.
+        let connect_timed_out =
             seen.outcome == Outcome::ConnectFailed && elapsed > settings.connect_timeout.0 as f64 / 2.0;
         let pacer = &mut self.pacer;
-        // Answers get lost by the dozen, errors seldom: where little is known one error says as much as all
-        // else.
-        let sample = 1.0 / (if dead_dial { 1.0 } else { 2.0 } + pacer.rate * RATE_WINDOW_SECONDS);
-        let explicit = matches!(seen.outcome, Outcome::Failure | Outcome::ConnectFailed);
-        let weight = if explicit { LEARNING_WEIGHT.max(sample) } else { LEARNING_WEIGHT };
+        // Explicit errors are rarer than lost answers, so at a low call rate an error has more weight.
+        let sample = 1.0 / (if connect_timed_out { 1.0 } else { 2.0 } + pacer.rate * RATE_WINDOW_SECONDS);
+        let is_explicit_error = matches!(seen.outcome, Outcome::Failure | Outcome::ConnectFailed);
+        let weight = if is_explicit_error { LEARNING_WEIGHT.max(sample) } else { LEARNING_WEIGHT };
         pacer.failure_share += weight * (1.0 - pacer.failure_share);
-        let silent = seen.outcome == Outcome::TimedOut && unanswered && self.consecutive_failures > 1;
-        let relapsed = pacer.health != Health::Healthy && self.consecutive_failures > 2;
-        let ejected = matches!(pacer.health, Health::Ejected(_));
-        let many = self.consecutive_failures >= OUTAGE_FAILURES || pacer.failure_share > OUTAGE_SHARE;
-        // Endpoints that share a limit can still fail one by one: only rejections close them all.
-        if self.endpoint.is_some() && (silent || relapsed || ejected || many || (dead_dial && unanswered)) {
+        let is_unresponsive =
+            seen.outcome == Outcome::TimedOut && no_success_since_sent && self.consecutive_failures > 1;
+        let has_relapsed = pacer.health != Health::Healthy && self.consecutive_failures > 2;
+        let is_ejected = matches!(pacer.health, Health::Ejected(_));
+        let is_outage = self.consecutive_failures >= OUTAGE_FAILURES || pacer.failure_share > OUTAGE_SHARE;
+        // Endpoints that share a limit can fail individually, so failures eject only the endpoint's route.
+        if self.endpoint.is_some()
+            && (is_unresponsive
+                || has_relapsed
+                || is_ejected
+                || is_outage
+                || (connect_timed_out && no_success_since_sent))
+        {
             pacer.health = Health::Ejected(now);
         }
-        // Calls that go to one endpoint after the other show no outage at any of them.
-        if self.endpoint.is_none() && (silent || self.consecutive_failures >= OUTAGE_FAILURES) {
+        // If calls rotate over endpoints, an outage may stay below the thresholds of each of them.
+        if self.endpoint.is_none() && (is_unresponsive || self.consecutive_failures >= OUTAGE_FAILURES) {
             self.rate_before_failing = self.rate_before_failing.or(Some(pacer.rate));
         }
     }
 
-    /// Sets when an ejected route is tried next. Trials that never run cost little; others cost a message.
+    /// Schedules the next trial of an ejected route, sooner if the last call is known not to have run.
     fn schedule_trial(
         &mut self,
         now: Timestamp,
@@ -168,10 +173,10 @@
         bounds: &PaceBounds,
         seen: &ObservedOutcome,
     ) {
-        let harmless = matches!(seen.outcome, Outcome::ConnectFailed | Outcome::Rejected { .. });
-        let least = 2.0 * min_trial_rate(settings);
-        let most = if harmless { 1e6 / settings.rules.overload_window.0 as f64 } else { least };
-        let rate = self.pacer.trial_rate(now, bounds, settings).min(most).max(least);
+        let never_ran = matches!(seen.outcome, Outcome::ConnectFailed | Outcome::Rejected { .. });
+        let min_rate = 2.0 * min_trial_rate(settings);
+        let max_rate = if never_ran { 1e6 / settings.rules.overload_window.0 as f64 } else { min_rate };
+        let rate = self.pacer.trial_rate(now, bounds, settings).min(max_rate).max(min_rate);
         let next = after(seen.retry_after_end(now), (0.5 + seen.jitter) / rate * 1e6);
         self.pacer.health = Health::Ejected(next);
     }
--- a/src/decision/scheduling.rs
+++ b/src/decision/scheduling.rs
@@ -1,37 +1,36 @@
-//! Which message goes next, to which endpoint, and how long the call may take.
+//! Selects the next message to send, its endpoint and the timeout of the call.
 
 use super::*;
 
-/// A call is given up this many mean deviations past the mean latency: far in the tail of healthy answers.
+/// Timeout of a call, in mean deviations above the mean latency.
 const TIMEOUT_DEVIATIONS: f64 = 8.0;
-/// Retryable messages: timeout in latency objectives, so that one retry still meets the objective.
+/// Default minimum timeout of retryable messages, in latency objectives; the maximum is twice this.
 const RETRYABLE_TIMEOUT_OBJECTIVES: f64 = 1.2;
-/// Non-idempotent messages: timeout in latency objectives. A timeout costs their only attempt, a late answer
-/// less.
+/// The same for non-idempotent messages, which have only one attempt.
 const SINGLE_ATTEMPT_TIMEOUT_OBJECTIVES: f64 = 2.3;
-/// Least timeout, as a share of the longest, of a retryable message while answers get lost, and of a
-/// non-idempotent one while calls are scarce.
+/// Minimum timeout while answers get lost (retryable messages) or call slots are scarce (non-idempotent
+/// ones), as a fraction of the maximum timeout.
 const LOSSY_TIMEOUT_SHARE: f64 = 0.2;
-/// Least timeout of a retryable message while calls are scarce, as a share of the longest.
+/// Minimum timeout of retryable messages while call slots are scarce, as a fraction of the maximum timeout.
 const SCARCE_TIMEOUT_SHARE: f64 = 0.1;
-/// Share of the calls in flight from which on they count as scarce.
+/// Fraction of call slots in use at which they count as scarce.
 const SCARCE_CALLS_SHARE: f64 = 0.75;
-/// Share of the calls that one destination may take, so that a silent one cannot take them all.
+/// Maximum fraction of call slots for one destination, so that an unresponsive one cannot occupy them all.
 const DESTINATION_CALLS_SHARE: f64 = 0.5;
-/// How long a non-idempotent message may be held back from a failing route, in slow starts: about an outage.
+/// Assumed time that a non-idempotent message is held back from a failing route, in slow-start durations.
 const HOLD_SLOW_STARTS: f64 = 0.5;
-/// Least learned share of failures at which a non-idempotent message is held back: below, chance rules.
+/// Minimum learned fraction of failures at which non-idempotent messages are held back.
 const HOLD_FAILURE_SHARE: f64 = 0.2;
-/// Calls that all senders together may have in flight to a destination of which they know nothing.
+/// Maximum calls in flight from all senders together to endpoints that have not answered yet.
 const UNKNOWN_DESTINATION_CALLS: usize = 20;
-/// Cost of another zone, as a factor on the expected latency: such calls have a price.
+/// Cost factor of an endpoint in another zone, as cross-zone traffic is charged for.
 const REMOTE_ZONE_COST: f64 = 1.2;
-/// Weight of the learned share of failures in choosing an endpoint.
+/// Weight of the learned fraction of failures in the cost of an endpoint.
 const FAILURE_COST: f64 = 4.0;
 
 impl DeliveryEngine {
-    /// Limits of the sender's own making: backoff after a rejection, silence, first contact, the learned
-    /// pace.
+    /// Returns whether the sender's own limits permit a call: backoff after a rejection, stalled calls, the
+    /// learned pace, and the limit for endpoints without history.
     pub(super) fn is_within_pace(&self, route: &Route) -> bool {
         self.now >= route.backoff_until
             && !route.is_stalled(self.now)
@@ -39,8 +38,8 @@
             && (route.has_history() || !self.is_first_contact_full(route.destination))
     }
 
-    /// Whether enough calls are in flight to endpoints of which nothing is known: until an answer comes
-    /// nothing tells the limit. Senders that have just started must not send all that they hold.
+    /// Returns whether this sender's share of calls to endpoints without history is in flight. Their limits
+    /// are unknown until the first answer, so even senders that have just started send little to them.
     fn is_first_contact_full(&self, destination: DestinationId) -> bool {
         let endpoints = self.directory.endpoints_of(destination);
         let unknown = endpoints
@@ -50,13 +49,13 @@
         in_flight >= (UNKNOWN_DESTINATION_CALLS / self.settings.fleet_size).max(1)
     }
 
-    /// Whether a destination may take one more call, whatever its routes.
+    /// Returns whether a destination is below its maximum of calls in flight.
     pub(super) fn has_free_calls(&self, id: DestinationId) -> bool {
         let share = (self.settings.max_concurrent_calls as f64 * DESTINATION_CALLS_SHARE) as usize;
         self.directory.destination(id).is_some_and(|destination| destination.calls < share.max(2))
     }
 
-    /// While the process is ending, no call starts whose answer would come after the end.
+    /// Returns whether a call's answer is expected before the process ends; `true` if no end is scheduled.
     pub(super) fn completes_before_process_end(&self, route: &Route) -> bool {
         let known = match route.latency > 0.0 {
             true => route.latency_bound(route::OVERDUE_DEVIATIONS),
@@ -66,30 +65,28 @@
         self.process_end.is_none_or(|end| after(self.now, latency) < end.at)
     }
 
-    /// When an attempt is given up.
+    /// Returns when an attempt times out.
     fn expiry(&self, state: &MessageState, route: &Route) -> Timestamp {
         let class = &self.settings.classes[state.message.class.0];
         let retryable = class.idempotency != Idempotency::NonIdempotent;
         let objectives =
             if retryable { RETRYABLE_TIMEOUT_OBJECTIVES } else { SINGLE_ATTEMPT_TIMEOUT_OBJECTIVES };
-        // While answers get lost, a retryable message waits no longer than for the slowest healthy one; while
-        // calls are scarce none does.
-        let most = 2.0 * class.latency_objective.0 as f64 * objectives;
-        let scarce =
+        // Timeouts may be shorter while answers get lost or call slots are scarce.
+        let max_timeout = 2.0 * class.latency_objective.0 as f64 * objectives;
+        let slots_are_scarce =
             self.calls.len() as f64 >= SCARCE_CALLS_SHARE * self.settings.max_concurrent_calls as f64;
-        let lossy = self.lost_answer_share > outcomes::LOST_ANSWER_THRESHOLD;
-        let least = match route.latency > 0.0 {
-            true if scarce && retryable => most * SCARCE_TIMEOUT_SHARE,
-            true if scarce || retryable && lossy => most * LOSSY_TIMEOUT_SHARE,
-            _ => most / 2.0,
+        let loses_answers = self.lost_answer_share > outcomes::LOST_ANSWER_THRESHOLD;
+        let min_timeout = match route.latency > 0.0 {
+            true if slots_are_scarce && retryable => max_timeout * SCARCE_TIMEOUT_SHARE,
+            true if slots_are_scarce || retryable && loses_answers => max_timeout * LOSSY_TIMEOUT_SHARE,
+            _ => max_timeout / 2.0,
         };
-        let timeout = route.latency_bound(TIMEOUT_DEVIATIONS).clamp(least, most);
+        let timeout = route.latency_bound(TIMEOUT_DEVIATIONS).clamp(min_timeout, max_timeout);
         after(self.now, timeout).min(Timestamp(state.deadline.0 - self.settings.min_step_interval.0))
     }
 
-    /// Fair queueing: each free call goes to the pending destination with the fewest calls in flight; among
-    /// those to the one whose first message has the most weight, then to the one whose first deadline comes
-    /// first.
+    /// Assigns each free call slot to the destination with the fewest calls in flight; ties are broken by the
+    /// highest weight, then the earliest deadline, of its first message.
     pub(super) fn schedule(&mut self, actions: &mut Vec<Action>) {
         self.rank_changed_destinations();
         for _ in 0..MAX_WORK_PER_STEP {
@@ -122,15 +119,17 @@
         self.messages.pending.rank(id, calls);
     }
 
-    /// The candidate of most weight; among equals the first deadline, then the least item.
+    /// Returns the candidate with the highest weight, then the earliest deadline, then the smallest item.
     fn heaviest<T: Ord>(&self, candidates: impl Iterator<Item = (ClassId, Timestamp, T)>) -> Option<T> {
         let weighted = candidates
             .map(|(class, deadline, item)| (self.weight_after(class, deadline, 0.0), deadline, item));
-        let most = weighted.min_by(|a, b| b.0.total_cmp(&a.0).then_with(|| (a.1, &a.2).cmp(&(b.1, &b.2))));
-        most.map(|(_, _, item)| item)
+        let heaviest =
+            weighted.min_by(|a, b| b.0.total_cmp(&a.0).then_with(|| (a.1, &a.2).cmp(&(b.1, &b.2))));
+        heaviest.map(|(_, _, item)| item)
     }
 
-    /// What goes next to a destination, and where; or else when to look again, if time alone may change that.
+    /// Returns the next message for a destination and its endpoint, or else when to check again; `None` if
+    /// only an event can change the result.
     fn next_send(&self, id: DestinationId) -> Result<(MessageId, EndpointId), Option<Timestamp>> {
         if !self.has_free_calls(id) {
             return Err(None);
@@ -150,14 +149,14 @@
         }
         let message = self.first_message(id, &open, true);
         let send = message.and_then(|message| Some((message, self.choose_endpoint(message, &open)?)));
-        // Otherwise the rest is held back from failing routes, which weakens little by little.
-        let held_back = Timestamp(self.now.0 + self.end_margin());
-        send.ok_or(opens_at.into_iter().chain([held_back]).min())
+        // The remaining messages are held back from failing routes; the reasons fade over time.
+        let recheck_at = Timestamp(self.now.0 + self.end_margin());
+        send.ok_or(opens_at.into_iter().chain([recheck_at]).min())
     }
 
-    /// The first message for a destination that one of these endpoints may be sent; `may_hold_back`: unless
-    /// it is better held back from failing routes. Urgent messages come before all: those queued behind them
-    /// may be for destinations that have capacity.
+    /// Returns the first message for a destination that may be sent to one of the `open` endpoints. With
+    /// `may_hold_back`, messages to hold back from failing routes are skipped. Urgent messages come first, as
+    /// those that wait for them may be for destinations with free capacity.
     fn first_message(
         &self,
         destination: DestinationId,
@@ -171,13 +170,14 @@
             }
             let idempotency = self.settings.classes[queue.class.0].idempotency;
             let may_hold_back = may_hold_back && idempotency == Idempotency::NonIdempotent;
-            let goes = |deadline: Timestamp| {
+            let is_sendable = |deadline: Timestamp| {
                 let route = |endpoint: &Endpoint| self.directory.route(endpoint.route);
-                let held = |endpoint: &Endpoint| self.is_better_held(queue.class, deadline, route(endpoint));
-                !(may_hold_back && open().all(held))
+                let holds_back =
+                    |endpoint: &Endpoint| self.should_hold_back(queue.class, deadline, route(endpoint));
+                !(may_hold_back && open().all(holds_back))
             };
             let boundaries = self.messages.pending.boundaries(queue.class);
-            let (deadline, id) = queue.messages.heaviest_where((), &boundaries, goes)?;
+            let (deadline, id) = queue.messages.heaviest_where((), &boundaries, is_sendable)?;
             Some((queue.class, deadline, id))
         };
         [true, false].into_iter().find_map(|urgent| {
@@ -186,7 +186,7 @@
         })
     }
 
-    /// Starts a call with a message, and with those that may share it.
+    /// Starts a call with a message, and adds further messages up to the batch size.
     pub(super) fn start_call(&mut self, id: MessageId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         let Some(to) = self.directory.endpoint(endpoint) else { return };
         let (first, destination, size) = (actions.len(), to.destination, self.batch_size(to));
@@ -202,14 +202,14 @@
         }
     }
 
-    /// A call has one end: it is given up when the last of its messages would be, but none is kept too long.
+    /// Gives all messages of a call the same expiry: the latest one, but before the earliest deadline.
     pub(super) fn expire_together(&self, call: &mut [Action]) {
         let ends = call.iter().filter_map(|action| match action {
             Action::Send { message, expires, .. } => Some((*expires, self.messages.get(*message)?.deadline)),
             _ => None,
         });
-        let Some((longest, due)) = ends.reduce(|a, b| (a.0.max(b.0), a.1.min(b.1))) else { return };
-        let end = longest.min(Timestamp(due.0.saturating_sub(self.settings.min_step_interval.0)));
+        let Some((latest_expiry, due)) = ends.reduce(|a, b| (a.0.max(b.0), a.1.min(b.1))) else { return };
+        let end = latest_expiry.min(Timestamp(due.0.saturating_sub(self.settings.min_step_interval.0)));
         for action in call {
             if let Action::Send { expires, .. } = action {
                 *expires = end;
@@ -217,14 +217,14 @@
         }
     }
 
-    /// Messages that the next call to an endpoint may carry: one where its health is in doubt.
+    /// Returns how many messages the next call to an endpoint may carry: one unless its route is healthy.
     pub(super) fn batch_size(&self, endpoint: &Endpoint) -> usize {
         let pacer = self.pacer(self.directory.route(endpoint.route));
         let is_healthy = pacer.health == Health::Healthy;
         if is_healthy { self.settings.kinds[endpoint.kind.0].max_batch_size.max(1) } else { 1 }
     }
 
-    /// The endpoint expected to answer first among the open ones, a due trial before the others.
+    /// Returns the open endpoint of least cost by latency, load, zone and failures; due trials are free.
     pub(super) fn choose_endpoint(&self, id: MessageId, open: &[EndpointId]) -> Option<EndpointId> {
         let state = self.messages.get(id)?;
         let class = &self.settings.classes[state.message.class.0];
@@ -234,25 +234,27 @@
         for id in open {
             let endpoint = self.directory.endpoint(*id)?;
             let route = self.directory.route(endpoint.route);
-            let held_back = single_attempt && self.is_better_held(state.message.class, state.deadline, route);
-            if held_back || !self.is_send_allowed(state.message.id, *id, false) {
+            let is_held_back =
+                single_attempt && self.should_hold_back(state.message.class, state.deadline, route);
+            if is_held_back || !self.is_send_allowed(state.message.id, *id, false) {
                 continue;
             }
             let pacer = self.pacer(route);
-            // An ejected route that passed the guards has a trial due.
+            // An ejected route passes the guards only when a trial is due.
             let trial_due = matches!(pacer.health, Health::Ejected(_));
             let load = if trial_due { 0.0 } else { 1.0 + route.in_flight.len() as f64 };
             let distance = if endpoint.zone == self.settings.zone { 1.0 } else { REMOTE_ZONE_COST };
             let latency = if route.latency > 0.0 { route.latency } else { unknown_latency };
             let cost = latency * load * distance * (1.0 + FAILURE_COST * pacer.failure_share);
-            if best.is_none_or(|(least, _)| cost < least) {
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, *id));
             }
         }
         best.map(|(_, endpoint)| endpoint)
     }
 
-    /// The latency assumed of an endpoint not yet called: the least known one, less where many calls follow.
+    /// Returns the latency assumed for an endpoint without history: the lowest known one, divided by the
+    /// expected calls per overload window, so that busy destinations try new endpoints sooner.
     fn latency_of_unknown(&self, destination: DestinationId) -> f64 {
         let endpoints = || self.directory.endpoints_of(destination);
         let routes = || endpoints().map(|(_, endpoint)| self.directory.route(endpoint.route));
@@ -262,10 +264,10 @@
         known.min_by(f64::total_cmp).unwrap_or(1.0) / calls.max(1.0)
     }
 
-    /// A non-idempotent message has one attempt: it waits while failures would cost it more, by the learned
-    /// share, than the hold does. That share leaps with each failure: it counts only where failures came in a
-    /// row within a slow start.
-    fn is_better_held(&self, class: ClassId, deadline: Timestamp, route: &Route) -> bool {
+    /// Returns whether a non-idempotent message, which has only one attempt, should wait because the expected
+    /// loss by failure exceeds the weight lost by waiting. The learned fraction of failures is volatile, so
+    /// it counts only if consecutive failures occurred within the last slow-start duration.
+    fn should_hold_back(&self, class: ClassId, deadline: Timestamp, route: &Route) -> bool {
         let slow_start = self.settings.rules.slow_start_duration.0;
         if route.last_repeated_failure.is_none_or(|failure| since(self.now, failure) >= slow_start) {
             return false;
@@ -276,8 +278,7 @@
         self.pacer(route).failure_share * weight > cost.max(HOLD_FAILURE_SHARE * weight)
     }
 
-    /// Sends a message with a call that is about to go out, or with a new one; returns the number of the
-    /// call.
+    /// Sends a message in the call `join`, or in a new call if it is `None`. Returns the number of the call.
     pub(super) fn send_in_call(
         &mut self,
         id: MessageId,
@@ -302,7 +303,7 @@
         Some(call)
     }
 
-    /// Opens a call to an endpoint, on a new connection where an idle one may be dead; returns its number.
+    /// Opens a call and returns its number. Idle connections that may be dead are closed first.
     fn open_call(&mut self, id: EndpointId, actions: &mut Vec<Action>) -> Option<u64> {
         let endpoint = self.directory.endpoint(id)?;
         let (routes, route) = (self.directory.route_slots(endpoint), self.directory.route(endpoint.route));
