--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! micadrum delivers outbound messages to other firms' systems, with operation-aware retries.
+//! micadrum delivers outbound messages to the systems of other companies, with operation-aware retries.
 //!
-//! The crate has two layers. The decision core decides when each message is sent, where, whether it is tried again, and
-//! when it is given up. It performs no I/O and reads no clock: a host feeds [`Event`]s to [`DeliveryEngine::step`] and
-//! carries out the [`Action`]s. The [`daemon`] is that host on real sockets: it accepts messages over HTTP, journals
-//! them, follows discovery and calls endpoints.
+//! The crate has two layers. The decision core decides when and where each message is sent, whether it is
+//! retried, and when it ends undelivered. It performs no I/O and reads no clock: a host passes [`Event`]s to
+//! [`DeliveryEngine::step`] and executes the returned [`Action`]s. The [`daemon`] is the host that uses real
+//! sockets: it accepts messages over HTTP, writes them to a journal, watches discovery and calls endpoints.
 //!
 //! ```
 //! use micadrum::*;
@@ -16,12 +16,13 @@
 //!     kinds: vec![DestinationKind { limits_per_endpoint: false, max_batch_size: 1 }],
 //!     tenants: vec![], over_quota_weight: 1.0, zone: ZoneId(0), fleet_size: 1, max_concurrent_calls: 4,
 //!     max_pending_messages: 50, max_attempts: 6, min_step_interval: TimeDelta(5_000),
-//!     connect_timeout: TimeDelta(second), weight_decay: WeightDecay::Linear, discovery: DiscoveryMode::Watch,
-//!     capacity_hints: CapacityHints::None, health_checks: false, cancellation: true,
-//!     completion_requires_acknowledgement: false, batch_expires_together: false,
+//!     connect_timeout: TimeDelta(second), weight_decay: WeightDecay::Linear,
+//!     discovery: DiscoveryMode::Watch, capacity_hints: CapacityHints::None, health_checks: false,
+//!     cancellation: true, completion_requires_acknowledgement: false, batch_expires_together: false,
 //!     rules: Rules {
-//!         drain_grace: TimeDelta(second), slow_start_share: 0.2, slow_start_duration: TimeDelta(10 * second),
-//!         overload_factor: 2.0, overload_window: TimeDelta(second), ordering_hold: TimeDelta(0),
+//!         drain_grace: TimeDelta(second), slow_start_share: 0.2,
+//!         slow_start_duration: TimeDelta(10 * second), overload_factor: 2.0,
+//!         overload_window: TimeDelta(second), ordering_hold: TimeDelta(0),
 //!         discovery_staleness_limit: TimeDelta(10 * second),
 //!     },
 //! };
--- a/src/observe.rs
+++ b/src/observe.rs
@@ -1,20 +1,21 @@
-//! What the host reads of the decision core, and what a later process restores. Nothing here decides.
+//! Queries of the host on the state of the decision core, and snapshots of routes for a later process.
 use crate::decision::DeliveryEngine;
 use crate::pacing::{Health, Route};
 use crate::{ClassId, EndpointId, EndpointState, MessageId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What was learned of one route: of an endpoint, or of a destination whose endpoints share a limit.
+/// The learned state of a route: an endpoint, or a destination whose endpoints share a limit.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct RouteSnapshot(pub(crate) Route);
 
 impl DeliveryEngine {
-    /// Returns the class of a message that has not ended.
+    /// Returns the class of a message; `None` if the message has ended.
     pub fn class_of(&self, message: MessageId) -> Option<ClassId> {
         self.messages.get(message).map(|state| state.message.class)
     }
 
-    /// Returns whether nothing is sent to an endpoint at `now`, or nothing but a trial.
+    /// Returns whether an endpoint gets no calls at `now` other than trials: it is unknown, not active,
+    /// ejected, or under a Retry-After.
     pub fn is_unavailable(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.directory.endpoint(endpoint) else { return true };
         let is_closed = |route: &Route| {
@@ -24,29 +25,32 @@
         endpoint.state != EndpointState::Active || self.directory.routes(endpoint).any(is_closed)
     }
 
-    /// Returns whether a rule depends at `now` on what was learned of an endpoint: it is stored before mere estimates.
+    /// Returns whether a Retry-After, an outage or a slow start restricts calls to an endpoint at `now`. The
+    /// state of such endpoints is stored before that of others.
     pub fn is_restricted(&self, now: Timestamp, endpoint: EndpointId) -> bool {
         let endpoint = self.directory.endpoint(endpoint);
         endpoint.is_some_and(|endpoint| self.directory.routes(endpoint).any(|route| route.is_restricted(now)))
     }
 
-    /// Returns what was learned of an endpoint's own route and of the one that it shares, for the next process.
+    /// Returns snapshots of an endpoint's own route and of the one that it shares; `None` where there is no
+    /// such route.
     pub fn route_snapshots(&self, endpoint: EndpointId) -> [Option<RouteSnapshot>; 2] {
         self.slots_of(endpoint).map(|slot| {
             let mut route = self.directory.route(slot?).clone();
-            // Calls in flight end with their process.
+            // Calls in flight end with this process.
             route.in_flight.clear();
             Some(RouteSnapshot(route))
         })
     }
 
-    /// Restores what an earlier process learned of an endpoint that discovery has named by now.
-    pub fn restore_routes(&mut self, endpoint: EndpointId, learned: [Option<RouteSnapshot>; 2]) {
-        for (slot, learned) in self.slots_of(endpoint).into_iter().zip(learned) {
-            if let (Some(slot), Some(RouteSnapshot(mut route))) = (slot, learned) {
+    /// Restores snapshots of an earlier process for an endpoint. Has no effect if discovery has not listed it
+    /// yet.
+    pub fn restore_routes(&mut self, endpoint: EndpointId, snapshots: [Option<RouteSnapshot>; 2]) {
+        for (slot, snapshot) in self.slots_of(endpoint).into_iter().zip(snapshots) {
+            if let (Some(slot), Some(RouteSnapshot(mut route))) = (slot, snapshot) {
                 let own = self.directory.route_mut(slot);
                 (route.destination, route.endpoint) = (own.destination, own.endpoint);
-                // A hint of discovery is better than an unknown limit.
+                // Keep the capacity hint of discovery if the snapshot has no limit.
                 route.limit = if route.limit > 0.0 { route.limit } else { own.limit };
                 *own = route;
             }
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -1,8 +1,9 @@
-//! What an earlier process learned of a route, and what of it still holds. Free of I/O and clocks.
+//! Adapts route snapshots of an earlier process to the time since they were written. Performs no I/O and
+//! reads no clock.
 //!
-//! Two kinds of knowledge are restored. What a rule depends on binds as long as it would have bound the earlier process: a
-//! Retry-After, an outage that was seen, the progress of a slow start. Estimates age: what was left of a limit is worth
-//! nothing after an overload window; limits, paces and latencies nothing after a slow start.
+//! Restrictions that the rules of delivery require (a Retry-After, an outage, the progress of a slow start)
+//! stay in force for as long as they would have in the earlier process. Estimates expire: the remaining share
+//! of a limit after an overload window; limits, paces and latencies after the duration of a slow start.
 use crate::interface::since;
 use crate::observe::RouteSnapshot;
 use crate::pacing::{Health, Pacer};
@@ -10,19 +11,21 @@
 use micadrum_recovery::peer_report::ReportedHealth;
 
 impl RouteSnapshot {
-    /// Returns what the snapshot is worth at `now`, to a process that starts now, if it was `written` then.
+    /// Returns the state of the route at `now`, for a process that starts then, given that the snapshot was
+    /// written at `written_at`.
     ///
-    /// `jitter`, from 0 to 1, keeps senders apart that start together: none has a token saved up.
-    pub fn aged(mut self, written: Timestamp, now: Timestamp, jitter: f64, settings: &Settings) -> Self {
-        // The clock was set back, or the file is from the future: as if it had been written just now.
-        self.shift_back(TimeDelta(since(written, now)));
-        let age = since(now, written);
+    /// `jitter`, from 0 to 1, limits the saved tokens, so that senders that start together don't send at the
+    /// same time.
+    pub fn aged(mut self, written_at: Timestamp, now: Timestamp, jitter: f64, settings: &Settings) -> Self {
+        // If the clock was set back since, treat the snapshot as written now.
+        self.shift_back(TimeDelta(since(written_at, now)));
+        let age = since(now, written_at);
         let rules = &settings.rules;
         let route = &mut self.0;
         route.pacer = route.pacer_at(now, settings);
         if let Health::Ejected(due) = &mut route.pacer.health {
-            // Senders that start together would all make the trials that came due meanwhile at once: the time since is
-            // waited once more, so that the trials stay as far apart as they were due.
+            // Overdue trials are delayed by the time that they are overdue. Otherwise senders that start
+            // together would all make them at once.
             *due = Timestamp(now.0 + since(now, *due).min(rules.slow_start_duration.0));
         }
         if age >= rules.slow_start_duration.0 {
@@ -33,19 +36,20 @@
         self
     }
 
-    /// Returns the same where nobody can tell how long ago the snapshot was written: what binds does so for all of its
-    /// time from `now` on, and estimates are worth nothing.
+    /// Returns the state of the route at `now` if it is unknown how long ago the snapshot was written:
+    /// restrictions that were active then last for their full remaining time from `now` on, and estimates are
+    /// dropped.
     pub fn aged_without_clock(
         mut self,
-        written: Timestamp,
+        written_at: Timestamp,
         now: Timestamp,
         jitter: f64,
         settings: &Settings,
     ) -> Self {
-        let age = since(now, written);
+        let age = since(now, written_at);
         let route = &mut self.0;
         let shift = |time: &mut Timestamp| time.0 = time.0.saturating_add(age);
-        if route.retry_after_until > written {
+        if route.retry_after_until > written_at {
             shift(&mut route.retry_after_until);
         }
         if let Health::Ejected(at) | Health::SlowStart(at) = &mut route.pacer.health {
@@ -54,20 +58,21 @@
         shift(&mut route.pacer.updated_at);
         route.forget_estimates();
         route.remaining_share = 0.0;
-        self.aged(now.max(written), now, jitter, settings)
+        self.aged(now.max(written_at), now, jitter, settings)
     }
 
-    /// Returns what other senders are told of the route: how long a Retry-After goes on, and whether it answers.
+    /// Returns the report on the route for other senders: the remaining time of a Retry-After, and the
+    /// health.
     pub fn report(&self, now: Timestamp) -> (TimeDelta, ReportedHealth) {
         let health = match self.0.pacer.health {
             Health::Healthy => ReportedHealth::Healthy,
             Health::Ejected(_) => ReportedHealth::Ejected,
-            Health::SlowStart(began) => ReportedHealth::SlowStart(since(now, began)),
+            Health::SlowStart(began_at) => ReportedHealth::SlowStart(since(now, began_at)),
         };
         (TimeDelta(since(self.0.retry_after_until, now)), health)
     }
 
-    /// Shifts all times of the snapshot back.
+    /// Moves all times of the snapshot back by `delta`.
     fn shift_back(&mut self, delta: TimeDelta) {
         if delta.0 == 0 {
             return;
@@ -91,18 +96,18 @@
 }
 
 impl DeliveryEngine {
-    /// Applies another sender's report on an endpoint: it may add caution, and never takes it away.
+    /// Applies another sender's report on an endpoint. It may add restrictions, but never removes one.
     pub fn apply_peer_report(&mut self, now: Timestamp, endpoint: EndpointId, reported: ReportedHealth) {
         let endpoint = self.directory.endpoint(endpoint);
         let Some(slot) = endpoint.map(|endpoint| endpoint.route) else { return };
         let pacer = self.directory.route(slot).pacer_at(now, &self.settings);
-        let began = |age| Timestamp(now.0.saturating_sub(age));
+        let began_at = |age| Timestamp(now.0.saturating_sub(age));
         let health = match (pacer.health, reported) {
-            // A trial as soon as there is a message for it.
+            // A trial is due immediately.
             (Health::Healthy | Health::SlowStart(_), ReportedHealth::Ejected) => Health::Ejected(now),
-            (Health::Healthy, ReportedHealth::SlowStart(age)) => Health::SlowStart(began(age)),
+            (Health::Healthy, ReportedHealth::SlowStart(age)) => Health::SlowStart(began_at(age)),
             (Health::SlowStart(own), ReportedHealth::SlowStart(age)) => {
-                Health::SlowStart(own.max(began(age)))
+                Health::SlowStart(own.max(began_at(age)))
             }
             (own, _) => own,
         };
