--- a/src/pacing/mod.rs
+++ b/src/pacing/mod.rs
@@ -1,8 +1,8 @@
-//! How much may be sent on a route as time passes: token arithmetic, free of I/O and clocks.
+//! Rate limiting of routes by token buckets. Performs no I/O and reads no clock.
 //!
-//! The limit of a route is shared by the whole fleet. Senders cannot ask each other, so each counts on an equal share of
-//! it, and on more where the last load report showed spare capacity. What the fleet sends is the sum: no share may be
-//! computed in a way that is harmless from one sender and too much from a hundred.
+//! All senders of the fleet share the limit of a route without coordinating. Each uses an equal share of it,
+//! and more if the last load report showed spare capacity. As the destination gets the sum of what all
+//! senders send, shares must be computed so that the sum stays below the limit for any fleet size.
 pub(crate) mod pacer;
 pub(crate) mod route;
 
@@ -12,36 +12,37 @@
 use crate::Settings;
 use crate::interface::seconds;
 
-/// Part of the equal share of a limit that is used when no capacity is known to be left: limits are reported with noise.
+/// Fraction of the equal share that is used without known spare capacity; reported limits are noisy.
 const SAFE_SHARE: f64 = 0.85;
-/// The same right after a rejection. Rejected calls use a limit up too: senders that together go on at its rate are
-/// rejected every time and never let it recover.
+/// Fraction of the equal share that is used after a rejection. It is lower because rejected calls count
+/// towards the limit, too, and would otherwise keep it exhausted.
 const REJECTED_SHARE: f64 = 0.5;
-/// What is added where all of the limit is left, in equal shares. It grows with the cube of what is left: many senders
-/// read the same report, and all that act on it do so together.
+/// Multiple of the equal share that is added if the whole limit remains. It is scaled by the cube of the
+/// remaining share, because many senders see the same report and react to it at the same time.
 const SPARE_CAPACITY_FACTOR: f64 = 8.0;
-/// A route in slow start gets at most this share of what the recovery rule allows, as other senders come back too.
+/// Fraction of the rate allowed by the recovery rule that is used, as other senders return at the same time.
 const SLOW_START_SAFETY: f64 = 0.9;
-/// Part of the equal share that a route is expected to take, where this sender has seen less of it.
+/// Minimum fraction of the equal share that a healthy route is assumed to accept, in a small fleet.
 const EXPECTED_SHARE: f64 = 0.8;
-/// What is added to that part in a fleet of unbounded size.
+/// Amount by which `EXPECTED_SHARE` grows towards an unbounded fleet size.
 const EXPECTED_SHARE_LARGE_FLEET: f64 = 0.4;
-/// Up to this many senders count as few: what one does is not averaged out by the others.
+/// Maximum number of senders in a small fleet, in which the traffic of single senders doesn't average out.
 const SMALL_FLEET: f64 = 20.0;
 
-/// What bounds the pace of a route beside what was learned of it.
+/// Bounds of the pace of a route by its limit and the last load report.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PaceBounds {
-    /// The equal share of the limit, in calls a second; 0 where no limit is known.
+    /// This sender's equal share of the limit, in calls per second; 0 if no limit is known.
     pub(crate) equal_share: f64,
-    /// Whether the limit is this route's own, so that the pace keeps to it.
+    /// Whether the limit applies to this route itself, so that the pace must respect it.
     pub(crate) enforces_limit: bool,
-    /// The share of the limit that was left when it was last reported.
+    /// The unused fraction of the limit in the last load report.
     pub(crate) remaining_share: f64,
 }
 
 impl PaceBounds {
-    /// Divides a `limit`, in calls a second, equally among the fleet and the `routes` over which it extends.
+    /// Divides `limit`, in calls per second, equally among the senders of the fleet and the `routes` that
+    /// share it.
     pub(crate) fn new(
         limit: f64,
         routes: usize,
@@ -54,12 +55,12 @@
         Self { equal_share, enforces_limit, remaining_share }
     }
 
-    /// Returns whether a limit is known that the pace keeps to.
+    /// Returns whether a known limit applies to the pace.
     pub(crate) fn is_limited(&self) -> bool {
         self.enforces_limit && self.equal_share > 0.0
     }
 
-    /// Returns the calls a second that the last load report allows.
+    /// Returns the maximum rate by the last load report, in calls per second; infinite without a limit.
     pub(crate) fn max_rate(&self) -> f64 {
         if !self.is_limited() {
             return f64::INFINITY;
@@ -67,44 +68,48 @@
         self.equal_share * (SAFE_SHARE + SPARE_CAPACITY_FACTOR * self.remaining_share.clamp(0.0, 1.0).powi(3))
     }
 
-    /// Returns the calls a second that no load report has to allow.
+    /// Returns the rate that is allowed without spare capacity, in calls per second.
     pub(crate) fn equal_rate(&self) -> f64 {
         self.equal_share * SAFE_SHARE
     }
 
-    /// Returns the calls a second to go on with after a rejection.
+    /// Returns the rate after a rejection, in calls per second.
     pub(crate) fn rate_after_rejection(&self) -> f64 {
         self.equal_share * REJECTED_SHARE
     }
 
-    /// Returns the calls a second that a healthy route takes from this sender, if it took `rate` before.
+    /// Returns the rate that a healthy route is expected to accept from this sender, in calls per second, if
+    /// it has accepted `rate` before.
     pub(crate) fn expected_rate(&self, rate: f64, settings: &Settings) -> f64 {
         let share = self.equal_share * expected_share(settings.fleet_size);
-        let least = 1.0 / seconds(settings.rules.slow_start_duration.0).max(0.1);
-        rate.max(share).max(least)
+        let min_rate = 1.0 / seconds(settings.rules.slow_start_duration.0).max(0.1);
+        rate.max(share).max(min_rate)
     }
 }
 
-/// Returns the calls a second that are safe towards anything: one an overload window from the whole fleet, or the
-/// initial slow-start share of one message a slow start, as in a large fleet only senders with a pending message call.
+/// Returns a rate that is safe for any destination, in calls per second: one call per overload window from
+/// the whole fleet, or the initial slow-start share of one call per slow start if that is more. The latter is
+/// safe because in a large fleet only the senders with pending messages make calls.
 pub(crate) fn min_trial_rate(settings: &Settings) -> f64 {
     let equal = 1.0 / (settings.fleet_size as f64 * seconds(settings.rules.overload_window.0).max(0.1));
     equal.max(initial_slow_start_share(settings) / seconds(settings.rules.slow_start_duration.0).max(0.1))
 }
 
-/// The part of its equal share that a sender counts on during a slow start. Most senders of a large fleet have nothing
-/// to send at any one moment, so what is used stays well under the sum of the shares.
+/// Returns the fraction of its equal share that a sender uses during a slow start. It is higher in a large
+/// fleet, where most senders have nothing to send at any one time.
 fn expected_share(fleet_size: usize) -> f64 {
     EXPECTED_SHARE + EXPECTED_SHARE_LARGE_FLEET * (1.0 - SMALL_FLEET / fleet_size.max(1) as f64).max(0.0)
 }
 
-/// Returns for which part of the time since a failed trial a route counts as recovered, when the next trial succeeds.
-/// On the mean over a large fleet it is half; a few senders may be wrong together, and count on none.
+/// Returns the fraction of the time between a failed and a successful trial during which a route is assumed
+/// to have been available again. It approaches the mean, one half, in a large fleet, and is 0 in a small one,
+/// where errors don't average out.
 pub(crate) fn mean_trial_offset(fleet_size: usize) -> f64 {
     (1.0 - SMALL_FLEET / fleet_size.max(1) as f64).max(0.0) / 2.0
 }
 
-/// Returns what the recovery rule allows towards a route that has just recovered, as a share of what it takes when healthy.
+/// Returns the rate that the recovery rule allows for a route that has just recovered, as a fraction of its
+/// healthy rate.
 pub(crate) fn initial_slow_start_share(settings: &Settings) -> f64 {
     settings.rules.slow_start_share * settings.rules.overload_factor * SLOW_START_SAFETY
 }
