--- a/src/profile.rs
+++ b/src/profile.rs
@@ -1,39 +1,40 @@
-//! The settings as JSON, as a sender's configuration and the first message of the simulator hold them.
+//! The platform's JSON settings, found in a sender's configuration and in the `start` message of the
+//! simulator.
 //!
-//! Field names here are those of the JSON, which the platform's protocol defines; [`Profile::settings`] maps them to the
-//! names of the core.
+//! The platform's protocol defines the names in the JSON; [`Profile::settings`] converts them to the core's
+//! [`Settings`].
 use crate::interface::*;
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// A part of the settings that cannot be understood.
+/// An invalid part of the JSON settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProfileError {
-    /// A name that the settings do not define.
+    /// A name that the settings don't define.
     #[error("unknown {what} {name:?}")]
     UnknownName {
-        /// What the name stands for, such as a zone.
+        /// What kind of name it is, such as a zone.
         what: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// A class whose deduplication scope is none.
-    #[error("class {class:?}: unknown group {group:?}")]
+    /// A class without a valid deduplication scope.
+    #[error("class {class:?}: group must be \"all\", \"zone\" or \"cell\", got {group:?}")]
     UnknownScope {
-        /// The class.
+        /// The name of the class.
         class: String,
         /// The scope that was given, if any.
         group: Option<String>,
     },
-    /// A class that deduplicates by key, with no window.
-    #[error("a keyed class lacks key_ttl")]
+    /// A class that deduplicates by key without a deduplication window.
+    #[error("a class with \"repeat\": \"dedup\" requires key_ttl")]
     MissingWindow,
-    /// A decay that does not exist.
+    /// An unknown weight decay.
     #[error("specifics.decay: {0:?} is neither even nor by_half")]
     UnknownDecay(String),
 }
 
-/// What a sender is told at its start. Keys that nothing here needs are passed over.
+/// The settings of a sender as the platform writes them. Unknown keys are ignored.
 #[derive(Deserialize)]
 pub struct Profile {
     #[serde(rename = "azs")]
@@ -43,13 +44,13 @@
     fleet_size: usize,
     kinds: Vec<String>,
     #[serde(rename = "lanes")]
-    classes: Vec<ClassRow>,
+    classes: Vec<ClassEntry>,
     limits: LimitsTable,
     #[serde(rename = "invariants")]
     rules: RulesTable,
     specifics: SpecificsTable,
     #[serde(default)]
-    tenants: Vec<TenantRow>,
+    tenants: Vec<TenantEntry>,
     #[serde(rename = "over_share_worth")]
     over_quota_weight: Option<f64>,
     #[serde(rename = "period")]
@@ -68,7 +69,7 @@
 }
 
 #[derive(Deserialize)]
-struct ClassRow {
+struct ClassEntry {
     name: String,
     #[serde(rename = "aim")]
     latency_objective: u64,
@@ -125,7 +126,7 @@
 }
 
 #[derive(Deserialize)]
-struct TenantRow {
+struct TenantEntry {
     name: String,
     #[serde(rename = "allowance_per_s")]
     quota_per_second: f64,
@@ -137,16 +138,16 @@
     names: Vec<String>,
 }
 
-/// The numbers of the core for the names that the settings use.
+/// Maps the names in the settings to the identifiers of the core.
 #[derive(PartialEq)]
 pub struct Names {
-    /// Classes of messages.
+    /// The classes of messages.
     pub classes: HashMap<String, ClassId>,
-    /// Tenants.
+    /// The tenants.
     pub tenants: HashMap<String, TenantId>,
-    /// Kinds of destination.
+    /// The kinds of destination.
     pub kinds: HashMap<String, KindId>,
-    /// Zones.
+    /// The zones.
     pub zones: HashMap<String, ZoneId>,
 }
 
@@ -154,10 +155,10 @@
     names.enumerate().map(|(index, name)| (name, id(index))).collect()
 }
 
-/// Returns the number of the core for a name.
+/// Returns the identifier of a name in `table`.
 ///
 /// # Errors
-/// `table` lacks the name; the error says `what` it would have been.
+/// Returns [`ProfileError::UnknownName`] with the kind of name, `what`, if `table` doesn't contain it.
 pub fn look_up<T: Copy>(
     table: &HashMap<String, T>,
     name: &str,
@@ -166,7 +167,7 @@
     table.get(name).copied().ok_or_else(|| ProfileError::UnknownName { what, name: name.to_owned() })
 }
 
-impl ClassRow {
+impl ClassEntry {
     fn class(&self) -> Result<Class, ProfileError> {
         Ok(Class {
             latency_objective: TimeDelta(self.latency_objective),
@@ -192,7 +193,7 @@
     fn scope(&self) -> Result<DeduplicationScope, ProfileError> {
         match self.group.as_deref() {
             Some("all") => Ok(DeduplicationScope::Destination),
-            // A cell is one destination here, so its zone's part is always inside it.
+            // A destination lies within one cell, so the narrower zone scope is safe for both.
             Some("zone" | "cell") => Ok(DeduplicationScope::Zone),
             other => {
                 Err(ProfileError::UnknownScope { class: self.name.clone(), group: other.map(str::to_owned) })
@@ -217,10 +218,10 @@
 
 impl SpecificsTable {
     fn kind(&self, index: usize) -> DestinationKind {
-        let apart = self.kind_apart.as_ref().and_then(|kinds| kinds.get(index));
+        let has_own_limits = self.kind_apart.as_ref().and_then(|kinds| kinds.get(index));
         let batch = self.bundle_max.as_ref().and_then(|kinds| kinds.get(index));
         DestinationKind {
-            limits_per_endpoint: apart.copied().unwrap_or(false),
+            limits_per_endpoint: has_own_limits.copied().unwrap_or(false),
             max_batch_size: batch.copied().unwrap_or(1),
         }
     }
@@ -235,7 +236,7 @@
 }
 
 impl Profile {
-    /// Numbers all names.
+    /// Assigns identifiers to all names, in the order of the settings.
     pub fn names(&self) -> Names {
         Names {
             classes: numbered(self.classes.iter().map(|class| class.name.clone()), ClassId),
@@ -245,38 +246,38 @@
         }
     }
 
-    /// Returns the classes by name, in the order of the settings.
+    /// Returns the classes with their names, in the order of the settings.
     ///
     /// # Errors
-    /// A class that cannot be understood.
+    /// Returns an error for the first invalid class.
     pub fn classes(&self) -> Result<Vec<(String, Class)>, ProfileError> {
-        self.classes.iter().map(|row| Ok((row.name.clone(), row.class()?))).collect()
+        self.classes.iter().map(|entry| Ok((entry.name.clone(), entry.class()?))).collect()
     }
 
-    /// Returns the position of the named field in a load report.
+    /// Returns the index of the named field in a load report; `None` if reports don't have it.
     pub fn report_field(&self, name: &str) -> Option<usize> {
         self.report.names.iter().position(|field| field == name)
     }
 
-    /// Returns how many calls may be in flight at once.
+    /// Returns the maximum number of calls in flight.
     pub fn max_concurrent_calls(&self) -> usize {
         self.specifics.max_calls
     }
 
-    /// Returns for how long an endpoint keeps an idle connection open; zero where the settings say nothing, as a call on
-    /// a connection that the endpoint has closed may be lost.
+    /// Returns how long endpoints keep idle connections open. If the settings don't specify it, returns 0, so
+    /// that connections aren't reused: a call on a connection that the endpoint has closed may be lost.
     pub fn connection_idle_timeout(&self) -> TimeDelta {
         TimeDelta(self.limits.conn_idle.unwrap_or(0))
     }
 
-    /// Returns the settings of the core.
+    /// Converts to the settings of the core.
     ///
     /// # Errors
-    /// A part that cannot be understood.
+    /// Returns an error for the first invalid part.
     pub fn settings(&self, names: &Names) -> Result<Settings, ProfileError> {
         let no_hints = self.weights == "none";
         Ok(Settings {
-            classes: self.classes.iter().map(ClassRow::class).collect::<Result<_, _>>()?,
+            classes: self.classes.iter().map(ClassEntry::class).collect::<Result<_, _>>()?,
             kinds: (0..self.kinds.len()).map(|index| self.specifics.kind(index)).collect(),
             tenants: self
                 .tenants
