--- a/src/bin/micadrum-adapter/error.rs
+++ b/src/bin/micadrum-adapter/error.rs
@@ -1,57 +1,57 @@
-//! Why the adapter cannot go on.
+//! Errors that end the adapter.
 use micadrum::SettingsError;
 use micadrum::profile::ProfileError;
 use std::io;
 
-/// Input that cannot be understood, or output that cannot be written.
+/// Invalid input, or output that cannot be written.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// Standard input cannot be read.
-    #[error("reading standard input: {0}")]
+    /// Reading standard input failed.
+    #[error("failed to read standard input: {0}")]
     Read(io::Error),
-    /// A reply cannot be encoded.
-    #[error("writing a reply: {0}")]
+    /// Encoding a reply as JSON failed.
+    #[error("failed to encode a reply: {0}")]
     Write(serde_json::Error),
-    /// A line is no batch.
+    /// A line is not a valid JSON batch.
     #[error("{0}")]
     Json(serde_json::Error),
-    /// A line cannot be answered.
+    /// Processing a line failed.
     #[error("line {number}: {source}")]
     Line {
-        /// The number of the line, from 1.
+        /// The line number, starting at 1.
         number: u64,
-        /// What is wrong with it.
+        /// The cause.
         source: Box<AdapterError>,
     },
-    /// An input of a batch cannot be understood.
+    /// An input in a batch is invalid.
     #[error("sender {sender}, input {position}: {source}")]
     Input {
-        /// The sender that it is for.
+        /// The sender to which the input belongs.
         sender: u64,
-        /// Its position among the inputs of that sender, from 0.
+        /// The index of the input among those of the sender, starting at 0.
         position: usize,
-        /// What is wrong with it.
+        /// The cause.
         source: Box<AdapterError>,
     },
-    /// The settings of a sender cannot be understood, or name something unknown.
+    /// The settings of a sender contain an invalid value or an unknown name.
     #[error(transparent)]
     Profile(#[from] ProfileError),
-    /// The settings of a sender cannot be acted on.
+    /// The core rejected the settings of a sender.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An input for a sender that was not started.
-    #[error("unknown instance")]
+    /// An input is for a sender that has not been started.
+    #[error("the sender has not been started")]
     UnknownSender,
-    /// A list of endpoints without its page.
-    #[error("discovery without a page")]
+    /// A discovery input has no catalog page.
+    #[error("a discovery input requires a catalog page")]
     MissingPage,
-    /// A page that no catalog has announced.
+    /// A discovery input refers to a catalog page that has not been received.
     #[error("unknown catalog page {0}")]
     UnknownPage(u64),
-    /// A tenant given by a number other than 0.
-    #[error("unknown tenant {0}")]
+    /// A tenant is given as a number other than 0.
+    #[error("unknown tenant {0}, expected a name or 0")]
     UnknownTenant(u64),
-    /// An ordering key that is no hexadecimal number.
-    #[error("bad key {0:?}")]
+    /// An ordering key is not a 64-bit hexadecimal number.
+    #[error("invalid ordering key {0:?}, expected a 64-bit hexadecimal number")]
     OrderKey(String),
 }
--- a/src/bin/micadrum-adapter/instance.rs
+++ b/src/bin/micadrum-adapter/instance.rs
@@ -1,26 +1,27 @@
-//! One sender of the simulation: its engine, and the numbers of the names on the wire.
+//! A simulated sender: its engine, and the mapping between names on the wire and identifiers.
 use crate::error::AdapterError;
 use crate::wire::{self, Input, ListKind, Output, Readiness, Status};
 use micadrum::profile::{Names, Profile, look_up};
 use micadrum::*;
 use std::collections::HashMap;
 
-/// Lists of endpoints by the number of the catalog page that announced them.
-pub type CatalogPages = HashMap<u64, Vec<wire::Row>>;
+/// Lists of endpoints by catalog page number.
+pub type CatalogPages = HashMap<u64, Vec<wire::CatalogEntry>>;
 
-/// The names of the two fields of a load report that the core reads: what is left of the limit, and the limit.
+/// The load report field with the unused share of the limit.
 const REMAINING_SHARE_FIELD: &str = "x0";
+/// The load report field with the limit.
 const LIMIT_FIELD: &str = "x1";
 
-/// A sender.
+/// A simulated sender.
 pub struct Instance {
     engine: DeliveryEngine,
-    /// By class: whether its messages keep order.
+    /// Whether messages are ordered, by class.
     ordered: Vec<bool>,
     names: Names,
     endpoint_ids: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
-    /// The positions of the fields in a load report.
+    /// The indices of the fields in a load report; `None` if reports lack the field.
     remaining_share_at: Option<usize>,
     limit_at: Option<usize>,
 }
@@ -38,15 +39,15 @@
     }
 }
 
-/// The delay of a rejection, given in milliseconds; 0 or less for none.
+/// Converts the delay of a rejection from milliseconds; `None` if it isn't positive.
 fn retry_after(millis: f64) -> Option<TimeDelta> {
     (millis > 0.0).then(|| TimeDelta((millis * 1000.0).ceil() as u64))
 }
 
-/// A message that a client submits.
+/// A message submitted by a client.
 struct Submission {
     job: u32,
-    realm: Option<wire::Name>,
+    realm: Option<wire::TenantName>,
     subject: Option<String>,
     service: String,
     time_budget: u64,
@@ -54,10 +55,10 @@
 }
 
 impl Instance {
-    /// Starts a sender.
+    /// Creates a sender.
     ///
     /// # Errors
-    /// Settings that cannot be understood or acted on.
+    /// Returns an error if the settings are invalid.
     pub fn new(seed: u64, profile: &Profile) -> Result<Self, AdapterError> {
         let names = profile.names();
         let settings = profile.settings(&names)?;
@@ -72,17 +73,17 @@
         })
     }
 
-    /// Steps the engine; returns its actions, as far as the wire has a form for them.
+    /// Steps the engine and returns its actions, without those that the protocol doesn't have.
     pub fn step(&mut self, now: Timestamp, events: &[Event]) -> Vec<Output> {
         let mut actions = Vec::new();
         self.engine.step(now, events, &mut actions);
         actions.into_iter().filter_map(|action| self.output(action)).collect()
     }
 
-    /// Converts an input to an event; returns none for what the core does not need.
+    /// Converts an input to an event; returns `None` for inputs that the core doesn't use.
     ///
     /// # Errors
-    /// A name, page or number that is not known.
+    /// Returns an error for an unknown name, page or tenant, or an invalid ordering key.
     pub fn event(&mut self, input: Input, pages: &CatalogPages) -> Result<Option<Event>, AdapterError> {
         Ok(Some(match input {
             Input::Discovery { kind: ListKind::Broken, .. } => Event::DiscoveryFailed,
@@ -116,22 +117,25 @@
         }))
     }
 
-    fn entries(&mut self, rows: &[wire::Row]) -> Result<Vec<EndpointEntry>, AdapterError> {
-        rows.iter().map(|row| self.entry(row)).collect()
+    fn entries(
+        &mut self,
+        catalog_entries: &[wire::CatalogEntry],
+    ) -> Result<Vec<EndpointEntry>, AdapterError> {
+        catalog_entries.iter().map(|catalog_entry| self.entry(catalog_entry)).collect()
     }
 
-    fn entry(&mut self, row: &wire::Row) -> Result<EndpointEntry, AdapterError> {
+    fn entry(&mut self, catalog_entry: &wire::CatalogEntry) -> Result<EndpointEntry, AdapterError> {
         Ok(EndpointEntry {
-            endpoint: self.endpoint_id(&row.endpoint),
-            destination: DestinationId(row.dest),
-            kind: look_up(&self.names.kinds, &row.flavor, "kind")?,
-            zone: look_up(&self.names.zones, &row.rack_zone, "zone")?,
-            state: match row.readiness {
+            endpoint: self.endpoint_id(&catalog_entry.endpoint),
+            destination: DestinationId(catalog_entry.dest),
+            kind: look_up(&self.names.kinds, &catalog_entry.flavor, "kind")?,
+            zone: look_up(&self.names.zones, &catalog_entry.rack_zone, "zone")?,
+            state: match catalog_entry.readiness {
                 Readiness::Active => EndpointState::Active,
                 Readiness::Leaving => EndpointState::Draining,
                 Readiness::Left => EndpointState::Removed,
             },
-            capacity_hint: row.power_hint.unwrap_or(0.0),
+            capacity_hint: catalog_entry.power_hint.unwrap_or(0.0),
         })
     }
 
@@ -148,9 +152,9 @@
     fn message(&self, submission: Submission) -> Result<Message, AdapterError> {
         let class = look_up(&self.names.classes, &submission.service, "class")?;
         let tenant = match submission.realm {
-            Some(wire::Name::Text(name)) => Some(look_up(&self.names.tenants, &name, "tenant")?),
-            Some(wire::Name::Number(0)) | None => None,
-            Some(wire::Name::Number(number)) => return Err(AdapterError::UnknownTenant(number)),
+            Some(wire::TenantName::Text(name)) => Some(look_up(&self.names.tenants, &name, "tenant")?),
+            Some(wire::TenantName::Number(0)) | None => None,
+            Some(wire::TenantName::Number(number)) => return Err(AdapterError::UnknownTenant(number)),
         };
         let subject = submission.subject.filter(|_| self.ordered[class.0]);
         let key = subject.map(|text| {
@@ -166,7 +170,7 @@
         })
     }
 
-    /// Reads the fields of a load report; none where the settings name neither of them, or the report has neither.
+    /// Reads a load report; returns `None` if it has neither of the two fields.
     fn load_report(&self, fields: &[f64]) -> Option<LoadReport> {
         let value = |position: Option<usize>| position.and_then(|at| fields.get(at)).copied();
         match (value(self.remaining_share_at), value(self.limit_at)) {
@@ -178,7 +182,8 @@
         }
     }
 
-    /// Returns none for a forgotten endpoint: on the wire names are never used again.
+    /// Converts an action to its wire format; `None` for `ForgetEndpoint`, as the protocol never reuses
+    /// names.
     fn output(&self, action: Action) -> Option<Output> {
         let name = |endpoint: EndpointId| self.endpoint_names[endpoint.0 as usize].clone();
         Some(match action {
--- a/src/bin/micadrum-adapter/main.rs
+++ b/src/bin/micadrum-adapter/main.rs
@@ -1,5 +1,5 @@
-//! `micadrum-adapter` runs the decision core on the simulator's protocol: JSON lines on standard input and output, with
-//! one [`micadrum::DeliveryEngine`] for each sender that the simulator starts.
+//! `micadrum-adapter` connects the decision core to the simulator's protocol, which is JSON lines on standard
+//! input and output. It runs a [`micadrum::DeliveryEngine`] for each sender that the simulator starts.
 mod error;
 mod instance;
 mod wire;
@@ -9,7 +9,7 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Answers each line of standard input, until it ends or nobody reads the replies.
+/// Answers each line of standard input until end of file or until standard output is closed.
 fn run() -> Result<(), AdapterError> {
     let mut world = world::World::default();
     let mut output = std::io::stdout().lock();
@@ -27,7 +27,7 @@
         let mut text = serde_json::to_vec(&reply).map_err(AdapterError::Write)?;
         text.push(b'\n');
         if output.write_all(&text).and_then(|()| output.flush()).is_err() {
-            return Ok(()); // the reader has gone: nothing is left to answer
+            return Ok(()); // the reader closed standard output
         }
     }
 }
--- a/src/bin/micadrum-adapter/wire.rs
+++ b/src/bin/micadrum-adapter/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's protocol as serde types. Names are those of the protocol, except where serde maps them.
+//! Serde types of the simulator's protocol. Names are those of the protocol unless a serde attribute maps
+//! them.
 use micadrum::profile::Profile;
 use serde::{Deserialize, Serialize};
 
@@ -6,11 +7,11 @@
 pub struct Batch {
     pub sim_time: u64,
     pub serial: u64,
-    pub senders: Vec<Group>,
+    pub senders: Vec<SenderInputs>,
 }
 
 #[derive(Deserialize)]
-pub struct Group {
+pub struct SenderInputs {
     pub sender: u64,
     pub input: Vec<Input>,
 }
@@ -25,7 +26,7 @@
     Down {},
     Catalog {
         page: u64,
-        entries: Vec<Row>,
+        entries: Vec<CatalogEntry>,
     },
     Discovery {
         kind: ListKind,
@@ -33,7 +34,7 @@
     },
     Ask {
         job: u32,
-        realm: Option<Name>,
+        realm: Option<TenantName>,
         subject: Option<String>,
         service: String,
         time_budget: u64,
@@ -62,10 +63,10 @@
     PeerData {},
 }
 
-/// A tenant's name, or 0 where there are no tenants.
+/// The name of a tenant, or 0 if there are no tenants.
 #[derive(Deserialize)]
 #[serde(untagged)]
-pub enum Name {
+pub enum TenantName {
     Text(String),
     Number(u64),
 }
@@ -94,7 +95,7 @@
 }
 
 #[derive(Deserialize)]
-pub struct Row {
+pub struct CatalogEntry {
     pub readiness: Readiness,
     pub dest: u64,
     pub rack_zone: String,
@@ -114,11 +115,11 @@
 #[derive(Serialize)]
 pub struct Reply {
     pub serial: u64,
-    pub senders: Vec<Answer>,
+    pub senders: Vec<SenderActions>,
 }
 
 #[derive(Serialize)]
-pub struct Answer {
+pub struct SenderActions {
     pub sender: u64,
     #[serde(rename = "do")]
     pub actions: Vec<Output>,
--- a/src/bin/micadrum-adapter/world.rs
+++ b/src/bin/micadrum-adapter/world.rs
@@ -1,11 +1,11 @@
-//! The simulated fleet: all senders of one process, and the catalog pages that they refer to.
+//! The simulated senders of this process, and the catalog pages that they share.
 use crate::error::AdapterError;
 use crate::instance::{CatalogPages, Instance};
 use crate::wire::{self, Input, Output};
 use micadrum::{Event, Timestamp};
 use std::collections::HashMap;
 
-/// All senders, by their numbers on the wire.
+/// The state of the simulation: senders by their numbers on the wire, and catalog pages.
 #[derive(Default)]
 pub struct World {
     instances: HashMap<u64, Instance>,
@@ -13,10 +13,10 @@
 }
 
 impl World {
-    /// Takes in one batch and answers it.
+    /// Applies a batch of inputs, steps the senders that it names, and returns their actions.
     ///
     /// # Errors
-    /// The first input that cannot be understood.
+    /// Returns an error for the first invalid input.
     pub fn answer(&mut self, batch: wire::Batch) -> Result<wire::Reply, AdapterError> {
         let now = Timestamp(batch.sim_time);
         let mut senders = Vec::new();
@@ -26,14 +26,14 @@
             let Some(instance) = self.instances.get_mut(&sender) else { continue };
             let actions: Vec<Output> = instance.step(now, &events);
             if !actions.is_empty() {
-                senders.push(wire::Answer { sender, actions });
+                senders.push(wire::SenderActions { sender, actions });
             }
         }
         Ok(wire::Reply { serial: batch.serial, senders })
     }
 
-    /// Applies the inputs of one sender; returns the events for its engine.
-    fn events(&mut self, group: wire::Group) -> Result<Vec<Event>, AdapterError> {
+    /// Applies the inputs of a sender and returns the events for its engine.
+    fn events(&mut self, group: wire::SenderInputs) -> Result<Vec<Event>, AdapterError> {
         let sender = group.sender;
         let mut events = Vec::new();
         for (position, input) in group.input.into_iter().enumerate() {
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -125,7 +125,7 @@
         batch(2, &[ask(3, 7).replace(r#""service":"c""#, r#""service":"other""#)]),
         &["class", "other", "sender 3"],
     );
-    bad(batch(2, &[ask(8, 7)]), &["unknown instance", "sender 8"]);
+    bad(batch(2, &[ask(8, 7)]), &["the sender has not been started", "sender 8"]);
     bad(
         batch(2, &[r#"{"sender":3,"input":[{"t":"discovery","kind":"whole","rev":2,"page":9}]}"#.into()]),
         &["catalog page 9"],
