--- a/src/pacing/mod.rs
+++ b/src/pacing/mod.rs
@@ -24,7 +24,7 @@
 const SLOW_START_SAFETY: f64 = 0.9;
 /// Minimum fraction of the equal share that a healthy route is assumed to accept, in a small fleet.
 const EXPECTED_SHARE: f64 = 0.8;
-/// Amount by which `EXPECTED_SHARE` grows towards an unbounded fleet size.
+/// Amount added to `EXPECTED_SHARE` in the limit of a very large fleet; smaller fleets add less.
 const EXPECTED_SHARE_LARGE_FLEET: f64 = 0.4;
 /// Maximum number of senders in a small fleet, in which the traffic of single senders doesn't average out.
 const SMALL_FLEET: f64 = 20.0;
--- a/src/profile.rs
+++ b/src/profile.rs
@@ -193,7 +193,7 @@
     fn scope(&self) -> Result<DeduplicationScope, ProfileError> {
         match self.group.as_deref() {
             Some("all") => Ok(DeduplicationScope::Destination),
-            // A destination lies within one cell, so the narrower zone scope is safe for both.
+            // A cell is one destination, so its zones are within it and the zone scope is safe for both.
             Some("zone" | "cell") => Ok(DeduplicationScope::Zone),
             other => {
                 Err(ProfileError::UnknownScope { class: self.name.clone(), group: other.map(str::to_owned) })
