--- a/crates/micadrum-config/src/diagnostics.rs
+++ b/crates/micadrum-config/src/diagnostics.rs
@@ -7,7 +7,7 @@
 /// Names less similar than this are not suggested (Jaro-Winkler similarity, 0 to 1).
 const MIN_SUGGESTION_SIMILARITY: f64 = 0.8;
 
-/// A position in a file.
+/// The position of a character in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     /// The line, from 1.
@@ -21,7 +21,7 @@
 pub struct FileError {
     /// The file, as the caller named it.
     pub file: String,
-    /// Where the error is.
+    /// The start of the text that is in error.
     pub position: Position,
     /// What is wrong.
     pub message: String,
@@ -50,7 +50,8 @@
         FileError { file: self.file.to_owned(), position: Position { line, column }, message: message.into() }
     }
 
-    /// Converts an error of the TOML parser, and adds the nearest known name if a field or variant is unknown.
+    /// Converts an error of the TOML parser. For an unknown field or variant it suggests the nearest known
+    /// name.
     pub fn toml_error(&self, error: &toml::de::Error) -> FileError {
         let mut message = error.message().replace('\n', " ").trim().to_owned();
         if message.starts_with("unknown field") || message.starts_with("unknown variant") {
@@ -65,7 +66,7 @@
         self.error(error.span().unwrap_or(0..0), message)
     }
 
-    /// Returns a span within bounds, or the default if none is given.
+    /// Returns the given span if it is within the bounds of the setting, or the default if none is given.
     pub fn span_within(
         &self,
         given: Option<Spanned<Span>>,
@@ -77,7 +78,7 @@
         if (*min..=*max).contains(&span) {
             Ok(span)
         } else {
-            Err(self.error(given.span(), format!("`{key}` must lie between {min} and {max}")))
+            Err(self.error(given.span(), format!("`{key}` must be between {min} and {max}, but is {span}")))
         }
     }
 }
@@ -90,7 +91,7 @@
     pub max: Span,
 }
 
-/// Returns the known name most similar to a written one, if any is similar enough.
+/// Returns the known name most similar to `written`, or `None` if none is similar enough.
 pub(crate) fn nearest_name<'a>(written: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let scored = known.map(|name| (strsim::jaro_winkler(written, name), name));
     let similar = scored.filter(|(similarity, _)| *similarity >= MIN_SUGGESTION_SIMILARITY);
--- a/crates/micadrum-config/src/durability.rs
+++ b/crates/micadrum-config/src/durability.rs
@@ -1,14 +1,15 @@
-//! `[durability]`: which failures the journal survives.
+//! The `[durability]` section: which failures the journal survives.
 use crate::diagnostics::{FileError, SourceText};
 use crate::units::Span;
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The default and the longest time that a record waits for others to be synced with it.
+/// The default time that a record waits for others to be synced with it.
 const DEFAULT_DELAY: Span = Span(0);
+/// The longest configurable delay; responses to clients wait for the sync.
 const MAX_DELAY: Span = Span::millis(100);
 
-/// Which failures the journal survives.
+/// The failures that the journal survives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
     /// A crash of the process: a record is durable once written.
@@ -28,7 +29,7 @@
     Machine,
 }
 
-/// The section as written.
+/// The section as written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawDurability {
@@ -43,14 +44,15 @@
         match (self.survives, self.delay) {
             (SurvivedFailure::Process, None) => Ok(Durability::Process),
             (SurvivedFailure::Process, Some(delay)) => {
-                Err(text.error(delay.span(), "`delay` means nothing where records are not synced"))
+                Err(text.error(delay.span(), "`delay` requires `outlasts = \"machine\"`"))
             }
             (SurvivedFailure::Machine, None) => Ok(Durability::Machine { delay: DEFAULT_DELAY }),
             (SurvivedFailure::Machine, Some(delay)) if *delay.get_ref() <= MAX_DELAY => {
                 Ok(Durability::Machine { delay: delay.into_inner() })
             }
             (SurvivedFailure::Machine, Some(delay)) => {
-                let message = format!("`delay` must lie between 0 ms and {MAX_DELAY}: answers wait for it");
+                let given = delay.get_ref();
+                let message = format!("`delay` must be between 0 ms and {MAX_DELAY}, but is {given}");
                 Err(text.error(delay.span(), message))
             }
         }
--- a/crates/micadrum-config/src/error.rs
+++ b/crates/micadrum-config/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a configuration cannot be reloaded.
+//! Errors of a reload.
 
-/// Why a changed configuration requires a restart.
+/// A change of the configuration that requires a restart.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ChangeError {
-    /// A section takes effect at the start only, for example because sockets are opened then.
-    #[error("[{0}] cannot be turned on, off or over while a sender runs: restart it")]
+    /// A section that takes effect only at the start of the process was added, removed or changed.
+    #[error("this change to [{0}] requires a restart of the sender")]
     Section(&'static str),
-    /// The sender's own identity among its peers has changed.
-    #[error("peers: own {0} cannot change while a sender runs: restart it")]
+    /// The name, address or key under which this sender's peers know it has changed.
+    #[error("a change of this sender's {0} in [peers] requires a restart of the sender")]
     OwnIdentity(&'static str),
 }
--- a/crates/micadrum-config/src/lib.rs
+++ b/crates/micadrum-config/src/lib.rs
@@ -1,10 +1,12 @@
-//! The operator's configuration file: what the people who run a sender may enable beyond the platform's configuration.
+//! The operator's configuration file, which enables features that the platform's configuration does not
+//! cover.
 //!
-//! One TOML file, identical for every sender of a fleet, named by `MICADRUM_OPERATOR`. A section that the file lacks is
-//! disabled. The file is validated completely before any of it takes effect: an unknown field, a missing unit or a
-//! duplicate name is rejected with file, line and column, and with the nearest known name where one is similar.
+//! It is a single TOML file, identical for every sender of a fleet; the environment variable
+//! `MICADRUM_OPERATOR` holds its path. A feature whose section is missing is disabled. The file is validated
+//! completely before any of it takes effect: an unknown field, a missing unit or a duplicate name is rejected
+//! with file, line and column, and with the nearest known name where one is similar.
 //!
-//! This package performs no I/O; the caller passes the text of the file.
+//! This crate performs no I/O; the caller passes the text of the file.
 #![forbid(unsafe_code)]
 
 mod diagnostics;
@@ -28,15 +30,15 @@
 /// The operator's configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// The members of the fleet; `None` disables membership.
+    /// The members of the fleet and the settings of the failure detector; `None` disables membership.
     pub peers: Option<Peers>,
-    /// Which failures the journal survives.
+    /// The failures that the journal survives.
     pub durability: Durability,
-    /// What a sender does after its machine has restarted; `None` treats that like any other restart.
+    /// The recovery after a restart of the machine; `None` handles it like a restart of the process.
     pub recovery: Option<Recovery>,
 }
 
-/// The file as written.
+/// The file as written, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawConfig {
@@ -46,7 +48,7 @@
 }
 
 impl OperatorConfig {
-    /// Parses and validates a file for the sender `own_name`; `file` only appears in errors.
+    /// Parses and validates the text of a file for the sender `own_name`; `file` is the path shown in errors.
     ///
     /// # Errors
     /// Returns the first error in the file, with its position.
@@ -62,7 +64,7 @@
     /// Checks whether a process that started with this configuration can reload `next` without a restart.
     ///
     /// # Errors
-    /// Returns what requires a restart.
+    /// Returns the first change that requires a restart.
     pub fn check_reload(&self, next: &Self) -> Result<(), ChangeError> {
         if self.durability != next.durability {
             return Err(ChangeError::Section("durability"));
--- a/crates/micadrum-config/src/recovery.rs
+++ b/crates/micadrum-config/src/recovery.rs
@@ -1,15 +1,15 @@
-//! `[recovery]`: what a sender does after its machine has restarted.
+//! The `[recovery]` section: what a sender does after its machine has restarted.
 use crate::diagnostics::{FileError, SourceText, SpanSetting};
 use crate::units::{Rate, Span};
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The longest time that one phase may take: a sender that stays away for longer is of no use.
+/// The longest configurable timeout of a recovery phase.
 const MAX_PHASE: Span = Span::seconds(30);
 const MAX_ADMISSION_RAMP: Span = Span::seconds(120);
 const MAX_DEDUPLICATION_HOLD: Span = Span::seconds(3600);
 const DEFAULT_ADMISSIONS_PER_SECOND: f64 = 100.0;
-/// The file in which Linux names the boot.
+/// The file from which Linux provides the id of the current boot.
 pub const DEFAULT_BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
 const PEER_QUERY_TIMEOUT: SpanSetting =
@@ -23,25 +23,25 @@
 const DEDUPLICATION_HOLD: SpanSetting =
     SpanSetting { key: "wait_out", default: Span(0), min: Span(0), max: MAX_DEDUPLICATION_HOLD };
 
-/// The validated section.
+/// The validated `[recovery]` section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovery {
-    /// How long peers are queried at most.
+    /// The maximum time to query peers.
     pub peer_query_timeout: Span,
-    /// How long the endpoint list is waited for.
+    /// The maximum time to wait for the endpoint list.
     pub endpoint_list_timeout: Span,
-    /// How long pending messages of before the restart take precedence over new ones.
+    /// The maximum time for which messages from before the restart take precedence over new ones.
     pub backlog_timeout: Span,
-    /// New messages admitted per second at first.
+    /// The number of new messages per second that are admitted at first.
     pub initial_admissions_per_second: f64,
-    /// How long it takes until the admission rate is unlimited.
+    /// The time until the admission rate is unlimited.
     pub admission_ramp: Span,
-    /// How long after a start at which ids of completed messages may be missing new messages are rejected that must not
-    /// be delivered twice.
+    /// How long new messages that must not be delivered twice are rejected after the start, if ids of
+    /// completed messages may have been lost.
     pub deduplication_hold: Span,
-    /// The operators guarantee that the clock is set before a sender starts, after every power loss.
+    /// Whether the operators guarantee that, after a power loss, the clock is set before a sender starts.
     pub trusts_clock: bool,
-    /// The file with the kernel's boot id.
+    /// The path of the file with the kernel's boot id.
     pub boot_id_file: String,
 }
 
@@ -52,7 +52,7 @@
     Vouched,
 }
 
-/// The section as written.
+/// The section as written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawRecovery {
--- a/crates/micadrum-config/src/units.rs
+++ b/crates/micadrum-config/src/units.rs
@@ -1,4 +1,4 @@
-//! Quantities as people write them in configuration files, always with a unit.
+//! Quantities as written in configuration files, always with a unit.
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 const MICROS_PER_MINUTE: u64 = 60 * MICROS_PER_SECOND;
 const MICROS_PER_HOUR: u64 = 60 * MICROS_PER_MINUTE;
 
-/// A length of time, in whole microseconds.
+/// A time span in whole microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Span(pub u64);
 
@@ -16,15 +16,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate(pub f64);
 
-/// A share, in percent.
+/// A share in percent.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Percent(pub f64);
 
-/// Why a quantity cannot be read.
+/// Why a quantity cannot be parsed.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 pub enum QuantityError {
     /// The text is not a number with the expected unit.
-    #[error("{text:?} is no {expected}")]
+    #[error("{text:?} is not a {expected}")]
     Invalid {
         /// The text as written.
         text: String,
@@ -32,10 +32,10 @@
         expected: &'static str,
     },
     /// The text lacks a unit of time.
-    #[error("{0:?} needs a unit: us, ms, s, min or h")]
+    #[error("{0:?} needs a unit: expected us, ms, s, min or h")]
     UnitMissing(String),
     /// The unit is not a unit of time.
-    #[error("{0:?} is no unit of time: us, ms, s, min or h")]
+    #[error("{0:?} is not a unit of time: expected us, ms, s, min or h")]
     UnitUnknown(String),
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// A number and the text after it.
+/// A number and the unit that follows it; the unit may be empty.
 struct Quantity<'a> {
     number: f64,
     unit: &'a str,
