--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -11,43 +11,46 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A subcommand. The comments of variants and fields are the help texts.
+/// A subcommand. The doc comments of the variants and fields are the help texts.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Reads an operator's file, and says what is wrong with it
+    /// Validates an operator's configuration file, and reports the first error
     Check {
-        /// The file
+        /// The file to validate
         file: PathBuf,
-        /// The sender that is to read it; the name in PROXY_CONFIG's file if not given
+        /// The name of the sender that would use the file; by default the name in the file that PROXY_CONFIG
+        /// names
         #[arg(long)]
         name: Option<String>,
     },
-    /// Makes a secret key for a member of [peers], and prints the public key that goes with it
+    /// Generates a secret key for a member of [peers], and prints the matching public key
     Key {
-        /// Where the secret is written; there must be nothing yet
+        /// The file to write the secret key to; it must not exist
         file: PathBuf,
     },
-    /// Shows what a running sender believes of its peers
+    /// Shows how a running sender sees the members of its fleet
     Peers {
-        /// Its operators' door; the one in PROXY_CONFIG's file if not given
-        #[arg(long, value_name = "ADDRESS")]
-        door: Option<SocketAddr>,
-        /// Has it ask all of them, and shows who sees whom
+        /// The address of the sender's admin endpoint; by default the one in the file that PROXY_CONFIG names
+        #[arg(long = "door", value_name = "ADDRESS")]
+        admin_address: Option<SocketAddr>,
+        /// Queries all members through this sender, and shows the status of each member as seen by each other
+        /// one
         #[arg(long)]
         all: bool,
     },
-    /// Shows how far service has returned since the start, and what is trusted of the folder
+    /// Shows the progress of a sender's recovery since its start, and how far its journal and clock are
+    /// trusted
     Recovery {
-        /// Its operators' door; the one in PROXY_CONFIG's file if not given
-        #[arg(long, value_name = "ADDRESS")]
-        door: Option<SocketAddr>,
+        /// The address of the sender's admin endpoint; by default the one in the file that PROXY_CONFIG names
+        #[arg(long = "door", value_name = "ADDRESS")]
+        admin_address: Option<SocketAddr>,
     },
 }
 
 /// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A configuration file cannot be used.
+    /// A configuration file cannot be read or is invalid.
     #[error(transparent)]
     File(#[from] StartError),
     /// Random bytes are not available, or a file cannot be written.
@@ -56,8 +59,10 @@
     /// The request to the admin endpoint failed.
     #[error(transparent)]
     AdminClient(#[from] admin_client::AdminClientError),
-    /// The address of the admin endpoint is not known.
-    #[error("the configuration names no `management`: say where with --door")]
+    /// The address of the admin endpoint was not given, and the platform configuration has none.
+    #[error(
+        "the configuration has no `management` address: pass the address of the admin endpoint with --door"
+    )]
     AdminAddressMissing,
 }
 
@@ -65,22 +70,22 @@
     /// Executes the subcommand.
     ///
     /// # Errors
-    /// Returns why the subcommand failed.
+    /// Returns an error if a file or the admin endpoint cannot be used.
     pub fn execute(self) -> Result<(), CommandError> {
         match self {
             Self::Check { file, name } => check(&file, name),
             Self::Key { file } => create_key(&file),
-            Self::Recovery { door } => {
-                let report = admin_client::get(admin_address(door)?, "/status/recovery")?;
-                print!("{}", recovery::format(&report));
+            Self::Recovery { admin_address } => {
+                let report = admin_client::get(resolve_admin_address(admin_address)?, "/status/recovery")?;
+                print!("{}", recovery::format_report(&report));
                 Ok(())
             }
-            Self::Peers { door, all } => {
-                let address = admin_address(door)?;
+            Self::Peers { admin_address, all } => {
+                let address = resolve_admin_address(admin_address)?;
                 if all {
-                    print!("{}", peers::matrix(&admin_client::get(address, "/status/peers/all")?));
+                    print!("{}", peers::format_matrix(&admin_client::get(address, "/status/peers/all")?));
                 } else {
-                    print!("{}", peers::table(&admin_client::get(address, "/status/peers")?));
+                    print!("{}", peers::format_table(&admin_client::get(address, "/status/peers")?));
                 }
                 Ok(())
             }
@@ -88,15 +93,15 @@
     }
 }
 
-/// Returns the address of the admin endpoint: the given one, or that in the platform configuration.
-fn admin_address(given: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
+/// Returns the given address of the admin endpoint, or else the one in the platform configuration.
+fn resolve_admin_address(given: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
     match given {
         Some(address) => Ok(address),
         None => read_platform_config()?.admin_listen.ok_or(CommandError::AdminAddressMissing),
     }
 }
 
-/// Validates an operator's file.
+/// Validates an operator's configuration file, and prints a summary.
 fn check(file: &Path, name: Option<String>) -> Result<(), CommandError> {
     let name = match name {
         Some(name) => name,
@@ -104,8 +109,8 @@
     };
     let operator = read_operator_config(file, &name)?;
     match &operator.peers {
-        Some(peers) => println!("{}: fine: {} of {} members", file.display(), name, peers.members.len()),
-        None => println!("{}: fine: peers are off", file.display()),
+        Some(peers) => println!("{}: valid: {} of {} members", file.display(), name, peers.members.len()),
+        None => println!("{}: valid: membership is disabled", file.display()),
     }
     Ok(())
 }
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovery status of a running sender, as text for the terminal.
+//! Formats the recovery status of a running sender for the terminal.
 use micadrum_recovery::Trust;
 use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine};
 use micadrum_recovery::phases::{PhaseEnd, PhaseRecord, RecoveryPhase};
@@ -8,7 +8,7 @@
 const MICROS_PER_MILLI: u64 = 1_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The answer of `/status/recovery`.
+/// The response to `/status/recovery`.
 #[derive(Deserialize)]
 pub struct Report {
     #[serde(rename = "stage")]
@@ -35,8 +35,8 @@
     timed_out: bool,
 }
 
-/// Formats a recovery status.
-pub fn format(report: &Report) -> String {
+/// Formats a recovery status: the current phase, the assessment of journal and clock, and the ended phases.
+pub fn format_report(report: &Report) -> String {
     let phase = phase_label(report.phase);
     let for_ms = report.for_us / MICROS_PER_MILLI;
     let mut text = format!("{phase} for {for_ms} ms, waits for {}\n", report.waits_for);
@@ -54,35 +54,37 @@
 
 fn format_trust(trust: &Trust) -> String {
     let machine = match trust.machine {
-        Machine::SameBoot => "as it was",
-        Machine::Rebooted => "began anew",
-        Machine::Unknown => "not known",
+        Machine::SameBoot => "same boot",
+        Machine::Rebooted => "rebooted",
+        Machine::Unknown => "unknown",
     };
     let journal = match trust.journal {
-        JournalTrust::Complete => "binds",
-        JournalTrust::Incomplete => "a hint: what it holds may have run, and more may be missing",
-        JournalTrust::Foreign => "another sender's, set aside",
+        JournalTrust::Complete => "complete",
+        JournalTrust::Incomplete => {
+            "incomplete: its pending messages may have been sent, and records may be missing"
+        }
+        JournalTrust::Foreign => "written by another sender, set aside",
     };
     let clock = match trust.clock {
-        Clock::Trusted => "believed".to_owned(),
-        Clock::Unverified => "not vouched for".to_owned(),
-        Clock::Behind(by) => format!("{} s before what was written", by.div_ceil(MICROS_PER_SECOND)),
-        Clock::Skewed(by) => format!("{} s off that of the others", by.div_ceil(MICROS_PER_SECOND)),
+        Clock::Trusted => "trusted".to_owned(),
+        Clock::Unverified => "not verified".to_owned(),
+        Clock::Behind(by) => format!("{} s behind the journal", by.div_ceil(MICROS_PER_SECOND)),
+        Clock::Skewed(by) => format!("{} s off the clocks of other senders", by.div_ceil(MICROS_PER_SECOND)),
     };
     format!("machine  {machine}\njournal  {journal}\nclock    {clock}\n")
 }
 
 fn format_peer_query(summary: Option<&PeerQuerySummary>) -> String {
-    let Some(summary) = summary else { return "peers    not asked\n".to_owned() };
+    let Some(summary) = summary else { return "peers    not queried\n".to_owned() };
     let PeerQuerySummary { answered, at_full_service, unanswered, took_us, timed_out } = summary;
-    let late = if *timed_out { ", until its time was over" } else { "" };
+    let timeout = if *timed_out { ", timed out" } else { "" };
     format!(
-        "peers    {answered} answered, {at_full_service} of them at full service, {unanswered} did not; {} ms{late}\n",
+        "peers    {answered} answered, {at_full_service} of them at full service, {unanswered} did not answer; {} ms{timeout}\n",
         took_us / MICROS_PER_MILLI
     )
 }
 
-/// Returns the name of a phase in the output of the command, which scripts may rely on.
+/// Returns the label of a phase; scripts may match it.
 fn phase_label(phase: RecoveryPhase) -> &'static str {
     match phase {
         RecoveryPhase::QueryingPeers => "Asking",
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `micadrum` binary: runs one sender on real sockets, or executes a subcommand.
+//! The `micadrum` binary: runs a sender, or executes a subcommand.
 mod command;
 
 use clap::Parser;
@@ -17,15 +17,15 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{LocalSet, spawn_local};
 
-/// The exit code of a failed subcommand; a sender that does not start exits with 1.
+/// The exit code of a failed subcommand; a sender that fails to start exits with 1.
 const COMMAND_FAILED: u8 = 2;
 
-/// One sender: takes messages on from clients and delivers them to endpoints.
+/// A message proxy that accepts messages from clients and delivers them to endpoints.
 ///
-/// Without a command it runs. It reads its configuration from the file that PROXY_CONFIG names, what its operators turn
-/// on besides from the one that MICADRUM_OPERATOR names, if any, and keeps what outlasts it in the folder that
-/// PROXY_STATE names. SIGHUP reads both files again, SIGTERM winds it down. With MICADRUM_TRACE=calls it logs a line a
-/// call, with MICADRUM_TRACE=peers a line a change of what it believes of its peers.
+/// Without a command it runs as a sender. PROXY_CONFIG names the file with the platform's configuration,
+/// MICADRUM_OPERATOR the optional file with the operator's configuration, and PROXY_STATE the folder for
+/// persistent state. SIGHUP reloads both files; SIGTERM or SIGINT shuts the sender down gracefully.
+/// MICADRUM_TRACE=calls logs each call, MICADRUM_TRACE=peers each change of the membership view.
 #[derive(Parser)]
 #[command(name = "micadrum", version)]
 struct Arguments {
@@ -33,36 +33,36 @@
     command: Option<Command>,
 }
 
-/// Why the sender did not start.
+/// Why the sender did not start, or a subcommand cannot read a configuration.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error("${0} is not set")]
+    #[error("the environment variable {0} is not set")]
     VariableUnset(&'static str),
-    #[error("{kind} {path}: {source}")]
+    #[error("cannot read {kind} {path}: {source}")]
     Unreadable { kind: &'static str, path: PathBuf, source: std::io::Error },
-    #[error("configuration {path}: {source}")]
+    #[error("invalid configuration {path}: {source}")]
     InvalidPlatformConfig { path: PathBuf, source: serde_json::Error },
-    #[error("operator's file {0}")]
+    #[error("invalid operator's file {0}")]
     InvalidOperatorConfig(#[from] micadrum_config::FileError),
-    #[error("secret {0}: no key: 64 hexadecimal digits, as `micadrum key FILE` writes them")]
+    #[error("invalid secret key {0}: expected 64 hexadecimal digits, as written by `micadrum key FILE`")]
     InvalidSecret(PathBuf),
     #[error(transparent)]
     Daemon(#[from] daemon::StartError),
-    #[error("starting: {0}")]
+    #[error("cannot start: {0}")]
     Runtime(#[from] std::io::Error),
 }
 
-/// Returns the path in an environment variable.
+/// Returns the path that an environment variable holds.
 fn path_variable(name: &'static str) -> Result<PathBuf, StartError> {
     std::env::var_os(name).map(PathBuf::from).ok_or(StartError::VariableUnset(name))
 }
 
-/// Reads a file; `kind` names it in errors.
+/// Reads a file; `kind` describes it in errors.
 fn read_file(kind: &'static str, path: &Path) -> Result<Vec<u8>, StartError> {
     std::fs::read(path).map_err(|source| StartError::Unreadable { kind, path: path.to_owned(), source })
 }
 
-/// Reads the platform's configuration.
+/// Reads the platform's configuration from the file that `PROXY_CONFIG` names.
 fn read_platform_config() -> Result<Config, StartError> {
     let path = path_variable("PROXY_CONFIG")?;
     let text = read_file("configuration", &path)?;
@@ -75,7 +75,7 @@
     Ok(OperatorConfig::parse(&path.display().to_string(), &text, own_name)?)
 }
 
-/// Reads the platform's and the operator's configuration.
+/// Reads the platform's configuration and, if `MICADRUM_OPERATOR` is set, the operator's.
 fn read_config() -> Result<Config, StartError> {
     let config = read_platform_config()?;
     let Some(path) = std::env::var_os("MICADRUM_OPERATOR").map(PathBuf::from) else { return Ok(config) };
@@ -85,20 +85,20 @@
     Ok(config.with_operator(operator, secret.transpose()?))
 }
 
-/// Reads a member's secret key.
+/// Reads this sender's secret key.
 fn read_secret(path: &Path) -> Result<[u8; 32], StartError> {
-    let text = String::from_utf8_lossy(&read_file("secret", path)?).into_owned();
+    let text = String::from_utf8_lossy(&read_file("secret key", path)?).into_owned();
     parse_key(text.trim()).ok_or_else(|| StartError::InvalidSecret(path.to_owned()))
 }
 
-/// Reads the kernel's boot id, if it is available.
+/// Reads the kernel's boot id; returns `None` if it is not available.
 fn read_boot(operator: &OperatorConfig) -> Option<Boot> {
     let configured = operator.recovery.as_ref().map(|recovery| recovery.boot_id_file.as_str());
     let text = std::fs::read_to_string(configured.unwrap_or(DEFAULT_BOOT_ID_FILE)).ok()?;
     Boot::parse(&text)
 }
 
-/// Returns random bytes, or zeros where no enabled feature needs them.
+/// Returns random bytes, or zeros if the operator's configuration enables no feature.
 fn draw_entropy(operator: &OperatorConfig) -> Result<[u8; 32], StartError> {
     let mut entropy = [0; 32];
     if *operator != OperatorConfig::default() {
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Forwards signals and reload requests to the daemon until it has ended.
+    /// Forwards signals and reload requests to the daemon until the daemon has ended.
     async fn forward(mut self, mut reloads: UnboundedReceiver<()>, daemon: UnboundedSender<Signal>) {
         let config = || read_config().map(Box::new).map_err(ConfigReadError::new);
         loop {
@@ -141,7 +141,7 @@
 }
 
 async fn run() -> Result<(), StartError> {
-    // Signal handlers come first: a signal without a handler ends the process.
+    // Handlers are installed first: without one, a signal terminates the process.
     let process_signals = ProcessSignals::install()?;
     let config = read_config()?;
     let (request_reload, reload_requests) = unbounded_channel();
