--- a/crates/micadrum-config/src/peers.rs
+++ b/crates/micadrum-config/src/peers.rs
@@ -123,7 +123,8 @@
         let suspicion_timeout = text.span_within(self.dead_after, &SUSPICION_TIMEOUT)?;
         if suspicion_timeout.0 < MIN_PROBES_BEFORE_DEATH * probe_interval.0 {
             let message = format!(
-                "`dead_after` must be at least three times `probe_every` ({probe_interval}), but is {suspicion_timeout}"
+                "`dead_after` must be at least three times `probe_every` ({probe_interval}), \
+                 but is {suspicion_timeout}"
             );
             return Err(text.error(suspicion_position, message));
         }
