--- a/src/index/calls.rs
+++ b/src/index/calls.rs
@@ -1,26 +1,27 @@
-//! Calls in flight, and the messages that each carries.
+//! Calls in flight, with the number of messages that each carries.
 use crate::Timestamp;
 use rustc_hash::FxHashMap;
 
-/// One call, carrying one message or a batch.
+/// A call that carries one message or a batch of messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// When it was sent.
+    /// When the call was sent.
     pub sent_at: Timestamp,
-    /// How long its endpoint had been without an answer then, in seconds.
+    /// The time since the last response of the endpoint when the call was sent, in seconds.
     pub idle_seconds: f64,
-    /// The slots of its routes: the endpoint's own, and the one shared by its destination.
+    /// The slots of the routes: the endpoint's own route, and the one that all endpoints of the destination
+    /// share.
     pub routes: [Option<usize>; 2],
 }
 
-/// How far a call has got when one of its messages ends.
+/// The progress of a call after one of its messages has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallProgress {
     /// The call.
     pub call: Call,
-    /// Whether this is the first of its messages to end.
+    /// Whether this message is the first one of the call to end.
     pub is_first: bool,
-    /// Whether all of its messages have ended.
+    /// Whether all messages of the call have ended.
     pub is_complete: bool,
 }
 
@@ -31,7 +32,7 @@
     has_ended_message: bool,
 }
 
-/// All calls in flight, by numbers that are never used again.
+/// All calls in flight, by call number. Numbers are never reused.
 #[derive(Clone, Default)]
 pub struct InFlightCalls {
     by_number: FxHashMap<u64, CallInFlight>,
@@ -39,12 +40,12 @@
 }
 
 impl InFlightCalls {
-    /// Returns how many calls are in flight.
+    /// Returns the number of calls in flight.
     pub fn len(&self) -> usize {
         self.by_number.len()
     }
 
-    /// Adds a call with one message; returns its number.
+    /// Adds a call with one message, and returns the number of the call.
     pub fn begin(&mut self, call: Call) -> u64 {
         self.last_number += 1;
         let in_flight = CallInFlight { call, open_messages: 1, has_ended_message: false };
@@ -52,19 +53,20 @@
         self.last_number
     }
 
-    /// Adds one more message to a call.
+    /// Adds one message to a call; does nothing if the call is not in flight.
     pub fn join(&mut self, number: u64) {
         if let Some(in_flight) = self.by_number.get_mut(&number) {
             in_flight.open_messages += 1;
         }
     }
 
-    /// Returns a call in flight.
+    /// Returns the call with a number, or `None` if it is not in flight.
     pub fn get(&self, number: u64) -> Option<&Call> {
         self.by_number.get(&number).map(|in_flight| &in_flight.call)
     }
 
-    /// Records that one message of a call has ended; the call goes with its last message.
+    /// Records that one message of a call has ended, and removes the call after its last message. Returns
+    /// `None` if the call is not in flight.
     pub fn end(&mut self, number: u64) -> Option<CallProgress> {
         let in_flight = self.by_number.get_mut(&number)?;
         in_flight.open_messages -= 1;
--- a/src/index/deadline_index.rs
+++ b/src/index/deadline_index.rs
@@ -1,15 +1,15 @@
-//! Items by deadline, found in the order of their weight.
+//! An index of items by deadline that returns them by weight.
 //!
-//! The weight of a message falls with time, but within one class it falls by one curve for all: full weight until little
-//! enough time is left, then less the earlier the deadline, then the same minimum for all. So the order of deadlines
-//! never changes, and three look-ups, at boundaries that move with the clock, give the exact order of weight at any time
-//! without sorting anything again.
+//! The weight of a message falls with time, but all messages of a class follow the same curve: full weight
+//! until a certain time before the deadline, then a falling weight, which is lower for an earlier deadline,
+//! then the same minimum weight. The order of deadlines therefore never changes, and three lookups at
+//! boundaries that move with the clock find the heaviest item at any time without sorting the items again.
 use crate::{DestinationId, MessageId, Timestamp};
 use std::collections::BTreeSet;
 
-/// A type with a least value, at which a range of it begins.
+/// A type with a minimum value, used as the lower bound of ranges.
 pub trait MinValue {
-    /// The least value.
+    /// The minimum value.
     const MIN: Self;
 }
 
@@ -21,31 +21,35 @@
     const MIN: Self = DestinationId(0);
 }
 
-/// Where the weight of a class changes its course, in deadlines. The three need not be in order.
+/// The deadlines at which the weight of a class changes. The three deadlines need not be in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WeightBoundaries {
-    /// Items with earlier deadlines are not offered any more.
+    /// Items with earlier deadlines are not returned any more.
     pub expired_before: Timestamp,
-    /// Items with earlier deadlines all have the minimum weight.
+    /// Items with earlier deadlines have the minimum weight.
     pub minimum_before: Timestamp,
-    /// Items with this or a later deadline all have full weight; between the two, a later deadline weighs more.
+    /// Items with this or a later deadline have full weight. Between `minimum_before` and this deadline, an
+    /// item weighs more the later its deadline is.
     pub full_from: Timestamp,
 }
 
-/// How the weight of a class falls, in microseconds.
+/// The curve by which the weight of a class falls over time, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightCurve {
-    /// The weight falls once less time than this remains; none where it never falls.
+    /// The weight falls once less than this time remains until the deadline; `None` if it never falls.
     full_until_remaining: Option<u64>,
-    /// The minimum is reached this long after that, if it is reached at all.
+    /// The minimum weight is reached this long after the weight begins to fall; `None` if it is never
+    /// reached.
     minimum_after_late: Option<u64>,
 }
 
 impl WeightCurve {
-    /// Creates the curve of a weight that `falls` once less than `remaining` is left.
+    /// Creates a curve. If `falls` is true, the weight falls once less than `remaining` is left until the
+    /// deadline.
     ///
-    /// `is_minimum` tells whether a message so late has the minimum weight; it holds from some lateness on, at
-    /// `max_lateness` at the latest, or never.
+    /// `is_minimum` returns whether a message has the minimum weight at a lateness, which is the time since
+    /// its weight began to fall. It must return true from some lateness on, which is `max_lateness` at most,
+    /// or always return false.
     pub fn new(falls: bool, remaining: u64, max_lateness: u64, is_minimum: impl Fn(u64) -> bool) -> Self {
         let (mut above, mut minimum) = (0, max_lateness);
         while minimum - above > 1 {
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Returns the boundaries of the curve at `now`.
+    /// Returns the boundaries of the curve at `now`, with the given boundary of expired items.
     pub fn boundaries(&self, now: Timestamp, expired_before: Timestamp) -> WeightBoundaries {
         let full_from =
             self.full_until_remaining.map_or(Timestamp(0), |remaining| Timestamp(now.0 + remaining));
@@ -68,7 +72,8 @@
         WeightBoundaries { expired_before, minimum_before, full_from }
     }
 
-    /// Returns when the item that comes first at `now`, with that deadline, stops doing so by the passing of time alone.
+    /// Returns when the heaviest item at `now`, which has the given deadline, may stop being the heaviest one
+    /// by the passing of time alone, or `None` if it never does.
     pub fn overtaken_at(&self, now: Timestamp, deadline: Timestamp) -> Option<Timestamp> {
         let remaining = self.full_until_remaining?;
         let late = Timestamp((deadline.0 + 1).saturating_sub(remaining));
@@ -79,7 +84,7 @@
     }
 }
 
-/// Items of one class by group and deadline.
+/// The items of one class, by group and deadline.
 #[derive(Clone, Debug)]
 pub struct DeadlineIndex<G, T>(BTreeSet<(G, Timestamp, T)>);
 
@@ -94,7 +99,7 @@
         self.0.insert((group, deadline, item));
     }
 
-    /// Removes an item; nothing happens if it is not there.
+    /// Removes an item; does nothing if the index does not contain it.
     pub fn remove(&mut self, group: G, deadline: Timestamp, item: T) {
         self.0.remove(&(group, deadline, item));
     }
@@ -109,20 +114,22 @@
         self.0.first().copied()
     }
 
-    /// Returns all items in that order.
+    /// Returns all items in the order of groups, then deadlines, then items.
     pub fn iter(&self) -> impl Iterator<Item = (G, Timestamp, T)> {
         self.0.iter().copied()
     }
 
-    /// Returns the item of most weight in a group; among equals the one with the earliest deadline, then the least item.
+    /// Returns the heaviest item of a group. Among items of equal weight it is the one with the earliest
+    /// deadline, then the smallest item.
     pub fn heaviest(&self, group: G, boundaries: &WeightBoundaries) -> Option<(Timestamp, T)> {
         self.heaviest_where(group, boundaries, |_| true)
     }
 
-    /// Returns the item of most weight in a group among those whose deadlines `fits`.
+    /// Returns the heaviest item of a group among those for whose deadline `fits` returns true.
     ///
-    /// Among items of equal weight `fits` must hold up to some deadline and not after it, and among those whose weight
-    /// falls up to some deadline or for none but the latest ones: then a few look-ups find the exact item.
+    /// Among items of equal weight, `fits` must be true up to some deadline and false after it. Among items
+    /// whose weight is falling, it must be true either up to some deadline or from some deadline on. Under
+    /// these conditions a few lookups find the item.
     pub fn heaviest_where(
         &self,
         group: G,
@@ -133,12 +140,12 @@
         let minimum_before = boundaries.minimum_before.max(boundaries.expired_before).min(full_from);
         let full = self.first_from(group, full_from).filter(|(deadline, _)| fits(*deadline));
         full.or_else(|| self.latest_where(group, minimum_before, full_from, &fits)).or_else(|| {
-            let least = self.first_from(group, boundaries.expired_before);
-            least.filter(|(deadline, _)| *deadline < minimum_before && fits(*deadline))
+            let first_unexpired = self.first_from(group, boundaries.expired_before);
+            first_unexpired.filter(|(deadline, _)| *deadline < minimum_before && fits(*deadline))
         })
     }
 
-    /// The first item of the latest deadline that fits, from `from` to before `to`.
+    /// Returns the first item with the latest deadline in `from..to` that fits.
     fn latest_where(
         &self,
         group: G,
@@ -156,7 +163,7 @@
             if !fits(from) {
                 return None;
             }
-            // It fits at `from` and not at `deadline`: bisection finds where that ends, whatever lies between.
+            // `from` fits and `deadline` does not: bisection finds the first deadline that does not fit.
             let (mut fitting, mut unfit) = (from.0, deadline.0);
             while unfit - fitting > 1 {
                 let middle = fitting + (unfit - fitting) / 2;
--- a/src/index/directory.rs
+++ b/src/index/directory.rs
@@ -1,22 +1,22 @@
-//! Endpoints and destinations as discovery names them, with a slot for what is learned of each route.
+//! Endpoints and destinations as reported by discovery, and a slot for the learned state of each route.
 use crate::{DestinationId, EndpointEntry, EndpointId, EndpointState, KindId, Timestamp, ZoneId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// An endpoint that is listed, or was a short while ago.
+/// An endpoint that discovery lists, or that it removed a short while ago.
 #[cfg_attr(test, derive(Clone))]
 pub struct Endpoint {
-    /// Its destination.
+    /// The destination to which the endpoint belongs.
     pub destination: DestinationId,
-    /// Its zone.
+    /// The zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// The kind of its destination.
+    /// The kind of the destination.
     pub kind: KindId,
-    /// Its state by discovery.
+    /// The state that discovery last reported.
     pub state: EndpointState,
-    /// The slot of its own route.
+    /// The slot of the endpoint's own route.
     pub route: usize,
-    /// When it was removed, if it was.
+    /// When the endpoint was removed; meaningful only in the state [`EndpointState::Removed`].
     pub removed_at: Timestamp,
 }
 
@@ -24,41 +24,41 @@
 #[cfg_attr(test, derive(Clone))]
 #[derive(Default)]
 pub struct Destination {
-    /// The slot of the route that its endpoints share, if they share a limit.
+    /// The slot of the route that the endpoints share; `None` if they do not share a limit.
     pub shared_route: Option<usize>,
-    /// Its endpoints, in the order in which they were first listed.
+    /// The endpoints, in the order in which they were first listed.
     pub endpoints: Vec<EndpointId>,
-    /// Calls in flight to it.
+    /// The number of calls in flight to the destination.
     pub calls: usize,
 }
 
-/// An endpoint that discovery has named or left out.
+/// The effect of a discovery update on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointChange {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination of the endpoint.
     pub destination: DestinationId,
-    /// Since when it is removed, if it is.
+    /// When the endpoint was removed; `None` if it is not removed.
     pub removed_at: Option<Timestamp>,
-    /// Its state before the change.
+    /// The state of the endpoint before the update.
     pub previous: EndpointState,
 }
 
-/// What became of an endpoint that may be forgotten.
+/// The outcome of [`Directory::retire`] for one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retirement {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination of the endpoint.
     pub destination: DestinationId,
-    /// Whether the endpoint was forgotten.
+    /// Whether this operation removed the endpoint from the directory.
     pub is_forgotten: bool,
-    /// Until when the endpoint, or its destination, is still needed.
+    /// Until when the endpoint or its destination is still needed; `None` if nothing needs them.
     pub needed_until: Option<Timestamp>,
 }
 
-/// All endpoints and destinations, and their routes; the slot of a route that is gone is used again.
+/// All endpoints and destinations, and their routes. The slot of a removed route is reused.
 #[cfg_attr(test, derive(Clone))]
 pub struct Directory<R> {
     endpoints: FxHashMap<EndpointId, Endpoint>,
@@ -68,7 +68,7 @@
 }
 
 impl<R> Directory<R> {
-    /// Creates a directory with nothing in it.
+    /// Creates an empty directory.
     pub fn new() -> Self {
         Self {
             endpoints: FxHashMap::default(),
@@ -78,24 +78,24 @@
         }
     }
 
-    /// Returns an endpoint, if it is known.
+    /// Returns an endpoint, or `None` if it is unknown.
     pub fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// Returns a destination, if it is known.
+    /// Returns a destination, or `None` if it is unknown.
     pub fn destination(&self, id: DestinationId) -> Option<&Destination> {
         self.destinations.get(&id)
     }
 
-    /// Records that a call to a known endpoint has started.
+    /// Records that a call to an endpoint has started; does nothing if the endpoint is unknown.
     pub fn call_started(&mut self, id: EndpointId) {
         if let Some(destination) = self.destination_of(id) {
             destination.calls += 1;
         }
     }
 
-    /// Records that a call to a known endpoint has ended.
+    /// Records that a call to an endpoint has ended; does nothing if the endpoint is unknown.
     pub fn call_ended(&mut self, id: EndpointId) {
         if let Some(destination) = self.destination_of(id) {
             destination.calls -= 1;
@@ -107,36 +107,43 @@
     }
 
     /// Returns the route in a slot.
+    ///
+    /// # Panics
+    /// Panics if the slot was never allocated.
     pub fn route(&self, slot: usize) -> &R {
         &self.routes[slot]
     }
 
-    /// Returns the route in a slot, to change it.
+    /// Returns a mutable reference to the route in a slot.
+    ///
+    /// # Panics
+    /// Panics if the slot was never allocated.
     pub fn route_mut(&mut self, slot: usize) -> &mut R {
         &mut self.routes[slot]
     }
 
-    /// Returns the slots of an endpoint's own route and of the one that it shares.
+    /// Returns the slots of an endpoint's own route and of the route that it shares with its destination.
     pub fn route_slots(&self, endpoint: &Endpoint) -> [Option<usize>; 2] {
         let destination = self.destinations.get(&endpoint.destination);
         [Some(endpoint.route), destination.and_then(|destination| destination.shared_route)]
     }
 
-    /// Returns an endpoint's own route and the one that it shares.
+    /// Returns an endpoint's own route and the route that it shares with its destination, if any.
     pub fn routes(&self, endpoint: &Endpoint) -> impl Iterator<Item = &R> {
         self.route_slots(endpoint).into_iter().flatten().map(|slot| &self.routes[slot])
     }
 
-    /// Returns the known endpoints of a destination.
+    /// Returns the endpoints of a destination; none if the destination is unknown.
     pub fn endpoints_of(&self, id: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
         let ids = self.destinations.get(&id).into_iter().flat_map(|destination| &destination.endpoints);
         ids.filter_map(|id| self.endpoints.get(id).map(|endpoint| (*id, endpoint)))
     }
 
-    /// Applies what discovery says; if it is `complete`, an endpoint that it does not name is removed.
+    /// Applies a discovery update. If it is `complete`, endpoints that it does not list are removed.
     ///
-    /// A new endpoint gets a route by `new_route`, and so does a new destination whose endpoints share a limit, which
-    /// `shares_limit` tells. Returns a change for each endpoint that was named or left out.
+    /// `new_route` creates the route of a new endpoint, and the shared route of a new destination if
+    /// `shares_limit` returns true for its kind. Returns a change for each endpoint that is listed, or that a
+    /// complete update omits.
     pub fn apply(
         &mut self,
         entries: &[EndpointEntry],
@@ -159,7 +166,7 @@
         changes
     }
 
-    /// The endpoints in service or draining that a complete list does not name.
+    /// Returns the endpoints in service or draining that a complete list omits.
     fn unlisted(&self, entries: &[EndpointEntry]) -> BTreeSet<EndpointId> {
         let listed = self.endpoints.iter().filter(|(_, known)| known.state != EndpointState::Removed);
         let mut unlisted: BTreeSet<EndpointId> = listed.map(|(id, _)| *id).collect();
@@ -178,11 +185,12 @@
     ) {
         let EndpointEntry { endpoint, destination, zone, kind, state, .. } = *entry;
         let route = self.allocate(new_route(entry, Some(endpoint)));
-        let known = self.destinations.get(&destination).and_then(|known| known.shared_route);
-        let shared = known.or_else(|| shares_limit(kind).then(|| self.allocate(new_route(entry, None))));
-        let of = self.destinations.entry(destination).or_default();
-        of.shared_route = shared;
-        of.endpoints.push(endpoint);
+        let existing = self.destinations.get(&destination).and_then(|known| known.shared_route);
+        let shared_route =
+            existing.or_else(|| shares_limit(kind).then(|| self.allocate(new_route(entry, None))));
+        let owner = self.destinations.entry(destination).or_default();
+        owner.shared_route = shared_route;
+        owner.endpoints.push(endpoint);
         self.endpoints.insert(endpoint, Endpoint { destination, zone, kind, state, route, removed_at: now });
     }
 
@@ -200,8 +208,9 @@
         })
     }
 
-    /// Forgets an endpoint that was removed at `removed_before` or earlier, and its destination with the last one, as
-    /// far as no call is in flight to them and `needed_until` names no time up to which their routes are of use.
+    /// Removes an endpoint from the directory if discovery removed it at `removed_before` or earlier, and its
+    /// destination once it has no endpoints and no calls in flight. `needed_until` returns the time until
+    /// which a route has to be kept, or `None` if it may be dropped.
     pub fn retire(
         &mut self,
         id: EndpointId,
@@ -221,22 +230,23 @@
             self.free_slots.push(known.route);
             self.endpoints.remove(&id);
             retired.is_forgotten = true;
-            if let Some(of) = self.destinations.get_mut(&destination) {
-                of.endpoints.retain(|other| *other != id);
+            if let Some(owner) = self.destinations.get_mut(&destination) {
+                owner.endpoints.retain(|other| *other != id);
             }
         }
         retired.needed_until = self.retire_destination(destination, needed_until);
         retired
     }
 
-    /// Forgets a destination without endpoints and calls; returns until when it is still needed.
+    /// Removes a destination without endpoints and calls. Returns the time until which it is still needed, if
+    /// it is.
     fn retire_destination(
         &mut self,
         id: DestinationId,
         needed_until: impl Fn(&R) -> Option<Timestamp>,
     ) -> Option<Timestamp> {
-        let is_empty = |of: &&Destination| of.endpoints.is_empty() && of.calls == 0;
-        let destination = self.destinations.get(&id).filter(is_empty)?;
+        let is_unused = |known: &&Destination| known.endpoints.is_empty() && known.calls == 0;
+        let destination = self.destinations.get(&id).filter(is_unused)?;
         let until = destination.shared_route.and_then(|slot| needed_until(&self.routes[slot]));
         if until.is_some() {
             return until;
@@ -246,7 +256,7 @@
         None
     }
 
-    /// Retires several endpoints, each once, in order.
+    /// Retires several endpoints in ascending order of id, skipping duplicates.
     pub fn retire_all(
         &mut self,
         mut retiring: Vec<(EndpointId, DestinationId)>,
--- a/src/index/directory/tests.rs
+++ b/src/index/directory/tests.rs
@@ -1,89 +1,89 @@
 use super::*;
 
-fn entry(endpoint: u32, destination: u64, listing: EndpointState) -> EndpointEntry {
+fn entry(endpoint: u32, destination: u64, state: EndpointState) -> EndpointEntry {
     let (endpoint, destination) = (EndpointId(endpoint), DestinationId(destination));
-    EndpointEntry {
-        endpoint,
-        destination,
-        kind: KindId(0),
-        zone: ZoneId(0),
-        state: listing,
-        capacity_hint: 0.0,
-    }
+    EndpointEntry { endpoint, destination, kind: KindId(0), zone: ZoneId(0), state, capacity_hint: 0.0 }
 }
 
-fn list(
-    known: &mut Directory<Line>,
+fn apply(
+    directory: &mut Directory<TestRoute>,
     entries: &[EndpointEntry],
-    whole: bool,
+    complete: bool,
     now: u64,
 ) -> Vec<(u32, Option<u64>)> {
-    let line = |entry: &EndpointEntry, own| (entry.destination, own);
-    let changes = known.apply(entries, whole, Timestamp(now), |_| true, line);
+    let new_route = |entry: &EndpointEntry, own| (entry.destination, own);
+    let changes = directory.apply(entries, complete, Timestamp(now), |_| true, new_route);
     changes.into_iter().map(|change| (change.endpoint.0, change.removed_at.map(|at| at.0))).collect()
 }
 
-/// Whether an endpoint was forgotten, and until when it or its destination is needed.
+/// Returns whether an endpoint was forgotten, and until when it or its destination is needed.
 fn outcome(retired: Retirement) -> (bool, Option<Timestamp>) {
     (retired.is_forgotten, retired.needed_until)
 }
 
-type Line = (DestinationId, Option<EndpointId>);
+/// A route that records for which destination, and for which endpoint unless it is shared, it was created.
+type TestRoute = (DestinationId, Option<EndpointId>);
 
-/// Guards against lines that add up as endpoints come and go, and against two endpoints on one line.
+/// Guards against slots that accumulate as endpoints are added and removed, and against two endpoints with
+/// one route.
 #[test]
-fn lines_are_used_again_and_never_shared_by_mistake() {
-    let mut known = Directory::new();
+fn reuses_slots_without_mixing_up_routes() {
+    let mut directory = Directory::new();
     for round in 0..50_u32 {
         let ids: Vec<u32> = (round * 4..round * 4 + 4).collect();
         let entries: Vec<_> =
             ids.iter().map(|id| entry(*id, u64::from(id % 4 / 2), EndpointState::Active)).collect();
-        list(&mut known, &entries, true, 1);
-        let mut places = BTreeSet::new();
-        for (id, at) in (0..2).flat_map(|id| known.endpoints_of(DestinationId(id))) {
-            let lines: Vec<_> = known.routes(at).copied().collect();
-            assert_eq!(lines, [(at.destination, Some(id)), (at.destination, None)]);
-            places.extend(known.route_slots(at).into_iter().flatten());
+        apply(&mut directory, &entries, true, 1);
+        let mut slots = BTreeSet::new();
+        for (id, endpoint) in (0..2).flat_map(|id| directory.endpoints_of(DestinationId(id))) {
+            let routes: Vec<_> = directory.routes(endpoint).copied().collect();
+            assert_eq!(routes, [(endpoint.destination, Some(id)), (endpoint.destination, None)]);
+            slots.extend(directory.route_slots(endpoint).into_iter().flatten());
         }
-        assert_eq!((places.len(), known.routes.len()), (6, 6), "round {round}");
-        list(&mut known, &[], true, 2);
+        assert_eq!((slots.len(), directory.routes.len()), (6, 6), "round {round}");
+        apply(&mut directory, &[], true, 2);
         for entry in &entries {
             assert_eq!(
-                outcome(known.retire(entry.endpoint, entry.destination, Timestamp(2), |_| None)),
+                outcome(directory.retire(entry.endpoint, entry.destination, Timestamp(2), |_| None)),
                 (true, None)
             );
         }
     }
 }
 
-/// Guards against forgetting what is still of use: in service, gone a short while ago, or told to wait.
+/// Guards against forgetting an endpoint that is in service, was removed recently, or has a route that is
+/// still needed.
 #[test]
-fn what_is_still_wanted_stays() {
-    let mut known = Directory::new();
-    list(&mut known, &[entry(1, 7, EndpointState::Active)], false, 1);
-    let retire = |known: &mut Directory<Line>, before, own, shared| {
-        let wanted = |line: &Line| if line.1.is_some() { own } else { shared };
-        outcome(known.retire(EndpointId(1), DestinationId(7), Timestamp(before), wanted))
+fn keeps_endpoints_and_destinations_that_are_still_needed() {
+    let mut directory = Directory::new();
+    apply(&mut directory, &[entry(1, 7, EndpointState::Active)], false, 1);
+    let retire = |directory: &mut Directory<TestRoute>, before, own, shared| {
+        let needed_until = |route: &TestRoute| if route.1.is_some() { own } else { shared };
+        outcome(directory.retire(EndpointId(1), DestinationId(7), Timestamp(before), needed_until))
     };
-    assert_eq!(retire(&mut known, 9, None, None), (false, None), "in service");
-    list(&mut known, &[], true, 5);
-    assert_eq!(retire(&mut known, 4, None, None), (false, None), "gone since");
-    assert_eq!(retire(&mut known, 5, Some(Timestamp(8)), None), (false, Some(Timestamp(8))));
-    assert_eq!(retire(&mut known, 5, None, Some(Timestamp(9))), (true, Some(Timestamp(9))));
-    assert!(known.destination(DestinationId(7)).is_some());
-    assert_eq!(retire(&mut known, 5, None, None), (false, None));
-    assert!(known.destination(DestinationId(7)).is_none());
+    assert_eq!(retire(&mut directory, 9, None, None), (false, None), "in service");
+    apply(&mut directory, &[], true, 5);
+    assert_eq!(retire(&mut directory, 4, None, None), (false, None), "removed later");
+    assert_eq!(retire(&mut directory, 5, Some(Timestamp(8)), None), (false, Some(Timestamp(8))));
+    assert_eq!(retire(&mut directory, 5, None, Some(Timestamp(9))), (true, Some(Timestamp(9))));
+    assert!(directory.destination(DestinationId(7)).is_some());
+    assert_eq!(retire(&mut directory, 5, None, None), (false, None));
+    assert!(directory.destination(DestinationId(7)).is_none());
 }
 
-/// Guards against an endpoint whose time of leaving moves, and against a whole list that leaves it listed.
+/// Guards against a removal time that moves with later updates, and against keeping an endpoint that a
+/// complete list omits.
 #[test]
-fn an_endpoint_is_gone_since_it_was_last_listed() {
-    let mut known = Directory::new();
-    let gone = [entry(1, 1, EndpointState::Removed)];
+fn keeps_the_removal_time_until_the_endpoint_is_listed_again() {
+    let mut directory = Directory::new();
+    let removed = [entry(1, 1, EndpointState::Removed)];
     let first = [entry(1, 1, EndpointState::Active), entry(2, 1, EndpointState::Removed)];
-    assert_eq!(list(&mut known, &first, false, 1), [(1, None), (2, Some(1))]);
-    assert_eq!(list(&mut known, &[entry(3, 1, EndpointState::Active)], true, 5), [(1, Some(5)), (3, None)]);
-    assert_eq!(list(&mut known, &gone, false, 9), [(1, Some(5))]);
-    assert_eq!(list(&mut known, &[entry(1, 1, EndpointState::Draining)], false, 11), [(1, None)]);
-    assert_eq!(list(&mut known, &gone, false, 12), [(1, Some(12))]);
+    assert_eq!(apply(&mut directory, &first, false, 1), [(1, None), (2, Some(1))]);
+    assert_eq!(
+        apply(&mut directory, &[entry(3, 1, EndpointState::Active)], true, 5),
+        [(1, Some(5)), (3, None)]
+    );
+    assert_eq!(apply(&mut directory, &removed, false, 9), [(1, Some(5))]);
+    assert_eq!(apply(&mut directory, &[entry(1, 1, EndpointState::Draining)], false, 11), [(1, None)]);
+    assert_eq!(apply(&mut directory, &removed, false, 12), [(1, Some(12))]);
 }
--- a/src/index/message_state.rs
+++ b/src/index/message_state.rs
@@ -5,49 +5,51 @@
 /// An attempt in flight.
 #[derive(Clone, Copy)]
 pub struct ActiveAttempt {
-    /// The endpoint called.
+    /// The endpoint to which the attempt is sent.
     pub endpoint: EndpointId,
     /// The number of the call that carries the attempt.
     pub call: u64,
 }
 
-/// How far a message has got.
+/// The phase of a message.
 #[derive(Clone, Copy)]
 pub enum Phase {
-    /// It waits to be sent, not before this time.
+    /// The message waits to be sent, and is not sent before this time.
     Pending(Timestamp),
-    /// It waits for the outcome of an attempt.
+    /// The message waits for the outcome of an attempt.
     InFlight(ActiveAttempt),
-    /// It has ended with an attempt in flight: kept for the count of calls and for the order of its key.
+    /// The message has ended while an attempt is in flight. It is kept to count the call and to preserve the
+    /// order of its key.
     Detached(ActiveAttempt),
 }
 
-/// An attempt that may have had an effect.
+/// An attempt whose outcome is unknown, so that it may have had an effect.
 #[derive(Clone, Copy)]
 pub struct UncertainAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Timestamp,
-    /// The zone of its endpoint.
+    /// The zone of the endpoint.
     pub zone: ZoneId,
 }
 
-/// A message and what was done about it.
+/// A message and the progress of its delivery.
 #[derive(Clone)]
 pub struct MessageState {
     /// The message as it was submitted.
     pub message: Message,
-    /// When its time is up.
+    /// When the time to live of the message ends.
     pub deadline: Timestamp,
-    /// Its number in the order of acceptance.
+    /// The number of the message in the order of acceptance.
     pub sequence: u64,
-    /// Attempts started so far.
+    /// The number of attempts started so far.
     pub attempts: u32,
-    /// How far it has got.
+    /// The current phase.
     pub phase: Phase,
     /// The first attempt that may have had an effect.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
-    /// Whether an earlier process accepted it and made no attempt: this process owes it one.
+    /// Whether an earlier process accepted the message but made no attempt, so that this process has to make
+    /// one.
     pub recovered_untried: bool,
-    /// How the indices hold it, while it is pending.
+    /// The entry of the message in the indices; `None` unless it is pending.
     pub entry: Option<PendingEntry>,
 }
--- a/src/index/message_table.rs
+++ b/src/index/message_table.rs
@@ -1,8 +1,8 @@
-//! All messages that the engine holds, together with the indices that find them.
+//! All messages that the engine holds, with their indices.
 //!
-//! The table is the one owner of message states, ordering keys and pending queues, so that they cannot disagree: a
-//! state that changes is entered into the indices again by [`MessageTable::update_entry`]. It decides nothing; whether a
-//! message is sent, retried or ended is asked of the policy.
+//! The table owns the message states, the ordering keys and the pending queues, and keeps them consistent:
+//! after a change of a state, [`MessageTable::update_entry`] updates the indices. The policy decides whether
+//! a message is sent, retried or ended.
 use super::keys::{KeyHead, KeyRelease, OrderingKeys};
 use super::message_state::{MessageState, Phase, UncertainAttempt};
 use super::pending::{PendingEntry, PendingMessages, Readiness, Timer};
@@ -12,14 +12,15 @@
 };
 use rustc_hash::FxHashMap;
 
-/// The place of a message in the queue of its ordering key.
+/// The position of a message in the queue of its ordering key.
 #[derive(Clone, Copy)]
-struct KeyPlace {
+struct KeyPosition {
     key: OrderKey,
     sequence: u64,
 }
 
-/// When the deduplication window of a message closes, and the only zone that still deduplicates it.
+/// The limits of further attempts: the only zone that deduplicates the message, and when its deduplication
+/// window closes. `None` means no limit.
 #[derive(Clone, Copy)]
 struct RetryBounds {
     required_zone: Option<ZoneId>,
@@ -29,16 +30,18 @@
 /// Messages by id, by ordering key, by deadline and by readiness.
 #[cfg_attr(test, derive(Clone))]
 pub struct MessageTable {
-    /// Boxed, as a hash table that grows moves all of its entries in one step.
+    /// Boxed, as a hash table that grows moves all entries at once.
     states: FxHashMap<MessageId, Box<MessageState>>,
     next_sequence: u64,
     keys: OrderingKeys,
     /// The indices of pending messages, and the timers.
     pub pending: PendingMessages,
-    /// Messages that may have to end before their deadlines: their window has closed, or their attempts are used up.
+    /// Messages that may have to end before their deadlines, as their deduplication window has closed or no
+    /// attempts are left.
     pub end_candidates: Vec<MessageId>,
-    /// Messages that ended undelivered and whose end is not acknowledged: until then their key stays taken.
-    unacknowledged: FxHashMap<MessageId, KeyPlace>,
+    /// Messages that ended undelivered and whose end is not acknowledged yet. They keep their place in the
+    /// queue of their key until it is.
+    unacknowledged: FxHashMap<MessageId, KeyPosition>,
 }
 
 impl MessageTable {
@@ -54,32 +57,33 @@
         }
     }
 
-    /// Returns how many messages are held.
+    /// Returns the number of messages held.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Returns the state of a message.
+    /// Returns the state of a message, or `None` if the message is unknown.
     pub fn get(&self, id: MessageId) -> Option<&MessageState> {
         self.states.get(&id).map(|state| &**state)
     }
 
-    /// Returns the state of a message, to change it; [`MessageTable::update_entry`] has to follow.
+    /// Returns the state of a message for modification. The caller must call [`MessageTable::update_entry`]
+    /// afterwards.
     pub fn get_mut(&mut self, id: MessageId) -> Option<&mut MessageState> {
         self.states.get_mut(&id).map(|state| &mut **state)
     }
 
-    /// Returns all messages, in no order.
+    /// Returns all messages in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = (MessageId, &MessageState)> {
         self.states.iter().map(|(id, state)| (*id, &**state))
     }
 
-    /// Adds a message, ready from `now` on.
+    /// Adds a message that may be sent from `now` on.
     pub fn insert(&mut self, message: Message, now: Timestamp, settings: &Settings) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let key = message.key.filter(|_| settings.classes[message.class.0].ordered);
-        let now_followed = key.and_then(|key| self.keys.push(key, sequence, message.id));
+        let gained_successor = key.and_then(|key| self.keys.push(key, sequence, message.id));
         let state = MessageState {
             message,
             deadline: Timestamp(now.0 + message.time_to_live.0),
@@ -92,13 +96,13 @@
         };
         self.states.insert(message.id, Box::new(state));
         self.update_entry(message.id, now, settings);
-        if let Some(first) = now_followed {
+        if let Some(first) = gained_successor {
             self.update_entry(first, now, settings);
         }
     }
 
-    /// Adds what an earlier process recorded to a message that was just inserted; it is retried no sooner than
-    /// `retry_at`.
+    /// Restores the attempts that an earlier process recorded for a message that was just inserted. The
+    /// message is not sent before `retry_at`.
     pub fn restore(
         &mut self,
         recovered: &RecoveredMessage,
@@ -115,7 +119,8 @@
         self.update_entry(recovered.message.id, now, settings);
     }
 
-    /// Enters a pending message into the indices by its present state, in place of an earlier entry.
+    /// Updates the entry of a message in the indices to its current state, and removes the entry of a message
+    /// that is not pending.
     pub fn update_entry(&mut self, id: MessageId, now: Timestamp, settings: &Settings) {
         let Some(state) = self.states.get_mut(&id) else { return };
         if let Some(entry) = state.entry.take() {
@@ -124,14 +129,14 @@
         let Phase::Pending(not_before) = state.phase else { return };
         let class = &settings.classes[state.message.class.0];
         let key = state.message.key.filter(|_| class.ordered);
-        // A message that a restart found untried goes before new ones, and is never shed for them.
+        // A message that had no attempt before a restart is sent before new messages, and is never shed.
         let recovered_untried = state.recovered_untried && state.attempts == 0;
         let urgent = recovered_untried || key.is_some_and(|key| self.keys.has_successors(key));
         let exhausted = state.attempts >= settings.max_attempts;
         let head = key.and_then(|key| self.keys.head(key));
         let readiness = readiness(state, not_before, head, exhausted, now);
         let bounds = retry_bounds(state, class.idempotency, settings, now);
-        // A message that may go only after its window has closed can end now.
+        // A message whose window closes before it may be sent again can end now.
         let window_closes_at = bounds.closes_at.filter(|closes| not_before.max(now) < *closes);
         if window_closes_at != bounds.closes_at || exhausted {
             self.end_candidates.push(id);
@@ -150,50 +155,51 @@
         state.entry = Some(entry);
     }
 
-    /// Forgets a message; the next one of its key comes first.
+    /// Removes a message. The next message of its key takes its place.
     pub fn forget(&mut self, id: MessageId, now: Timestamp, settings: &Settings) {
         let Some(state) = self.remove(id) else { return };
         if let Some(key) = state.message.key {
-            self.release_key(id, KeyPlace { key, sequence: state.sequence }, now, settings);
+            self.release_key(id, KeyPosition { key, sequence: state.sequence }, now, settings);
         }
     }
 
-    /// Forgets a message that ended undelivered. Where the end has to be acknowledged, its key stays taken until then.
+    /// Removes a message that ended undelivered. If its end has to be acknowledged, it blocks its key until
+    /// then.
     pub fn forget_undelivered(&mut self, id: MessageId, now: Timestamp, settings: &Settings) {
-        let key_place =
-            |state: &MessageState| state.message.key.map(|key| KeyPlace { key, sequence: state.sequence });
-        let place = self.get(id).and_then(key_place);
-        match place.filter(|_| settings.completion_requires_acknowledgement) {
-            Some(place) => {
+        let key_position =
+            |state: &MessageState| state.message.key.map(|key| KeyPosition { key, sequence: state.sequence });
+        let position = self.get(id).and_then(key_position);
+        match position.filter(|_| settings.completion_requires_acknowledgement) {
+            Some(position) => {
                 self.remove(id);
-                self.unacknowledged.insert(id, place);
+                self.unacknowledged.insert(id, position);
             }
             None => self.forget(id, now, settings),
         }
     }
 
-    /// Records that the end of a message is acknowledged: its key is free.
+    /// Records that the end of a message is acknowledged, and releases its key.
     pub fn acknowledge(&mut self, id: MessageId, now: Timestamp, settings: &Settings) {
-        if let Some(place) = self.unacknowledged.remove(&id) {
-            self.release_key(id, place, now, settings);
+        if let Some(position) = self.unacknowledged.remove(&id) {
+            self.release_key(id, position, now, settings);
         }
     }
 
-    /// Holds newer messages of a key back until the given time.
+    /// Holds back messages of a key that had no attempt yet until the given time.
     pub fn hold_key(&mut self, key: OrderKey, until: Timestamp, now: Timestamp, settings: &Settings) {
         if let Some(first) = self.keys.hold(key, until) {
             self.update_entry(first, now, settings);
         }
     }
 
-    /// Forgets a key without messages whose hold is over.
+    /// Removes a key that has no messages and is not held any more; sets a timer if it is still held.
     pub fn forget_idle_key(&mut self, key: OrderKey, now: Timestamp) {
         if let Some(held_until) = self.keys.forget(key, now) {
             self.pending.timers.set(held_until, Timer::OrderingHoldElapsed(key));
         }
     }
 
-    /// Returns the first message of a key and until when the key is held, if the key is known.
+    /// Returns the first message of a key and until when the key is held, or `None` if the key is unknown.
     pub fn key_head(&self, key: OrderKey) -> Option<KeyHead> {
         self.keys.head(key)
     }
@@ -206,18 +212,18 @@
         Some(state)
     }
 
-    fn release_key(&mut self, id: MessageId, place: KeyPlace, now: Timestamp, settings: &Settings) {
-        match self.keys.release(place.key, place.sequence, id, now) {
+    fn release_key(&mut self, id: MessageId, position: KeyPosition, now: Timestamp, settings: &Settings) {
+        match self.keys.release(position.key, position.sequence, id, now) {
             KeyRelease::Unchanged => {}
             KeyRelease::NextMessage(first) => self.update_entry(first, now, settings),
             KeyRelease::HeldUntil(until) => {
-                self.pending.timers.set(until, Timer::OrderingHoldElapsed(place.key));
+                self.pending.timers.set(until, Timer::OrderingHoldElapsed(position.key));
             }
         }
     }
 }
 
-/// Whether a message may go now, later, or not before another one of its key.
+/// Returns whether a message may be sent now, at a later time, or only after another event.
 fn readiness(
     state: &MessageState,
     not_before: Timestamp,
@@ -237,7 +243,7 @@
     }
 }
 
-/// Where and until when the destination deduplicates a further attempt.
+/// Returns where and until when the destination deduplicates a further attempt.
 fn retry_bounds(
     state: &MessageState,
     idempotency: Idempotency,
--- a/src/index/mod.rs
+++ b/src/index/mod.rs
@@ -1,7 +1,8 @@
-//! The data structures under the policy: messages by key, deadline and readiness; calls in flight; endpoints.
+//! The data structures that the policy works on: messages by key, deadline and readiness, calls in flight,
+//! and endpoints.
 //!
-//! They decide nothing, read no clock and do no I/O. Each operation costs the logarithm of what is held, or what it
-//! returns.
+//! They contain no policy, read no clock and perform no I/O. An operation takes time logarithmic in the
+//! number of items held, or linear in the size of its result.
 pub(crate) mod calls;
 pub(crate) mod deadline_index;
 pub(crate) mod directory;
--- a/src/index/pending.rs
+++ b/src/index/pending.rs
@@ -1,16 +1,16 @@
-//! The indices of pending messages: which deadline comes first, what a timer waits for, which messages only lack an
-//! endpoint, and which destinations have such messages.
+//! The indices of pending messages: messages by deadline, timers, messages that are ready to be sent, and the
+//! destinations that have such messages.
 //!
-//! Destinations with ready messages are ranked by their calls in flight and the weight of their first message. A
-//! destination that changes is marked and ranked again before the next choice; one that cannot be sent to is taken off
-//! the ranking until a time or an event may have opened it.
+//! Destinations with ready messages are ranked by their calls in flight and the weight of their first
+//! message. A destination that changes is marked and ranked again before the next choice. A destination that
+//! cannot be sent to is removed from the ranking until a given time, or until it changes.
 use super::deadline_index::{DeadlineIndex, WeightBoundaries, WeightCurve};
 use super::timers::Timers;
 use crate::{ClassId, DestinationId, EndpointId, MessageId, OrderKey, Timestamp, ZoneId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// What happens by the passing of time alone.
+/// An event caused by the passing of time alone.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Timer {
     /// The backoff, Retry-After or ordering hold of a message is over.
@@ -19,52 +19,53 @@
     DeduplicationWindowClosed(MessageId),
     /// The hold of an ordering key without messages is over.
     OrderingHoldElapsed(OrderKey),
-    /// A destination may be sent to again, or another of its messages comes first by now.
+    /// A destination may be sent to again, or another of its messages may be the heaviest one now.
     RecheckDestination(DestinationId),
-    /// An endpoint may be forgotten, and its destination with it.
+    /// An endpoint, and possibly its destination, may be removed from the directory.
     ForgetEndpoint(EndpointId, DestinationId),
 }
 
 /// What a pending message waits for.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Readiness {
-    /// For another message of its key, or only for its end, as its attempts are used up.
+    /// It waits for another message of its key, or for its end because no attempts are left.
     Blocked,
-    /// For this time.
+    /// It waits for this time.
     NotBefore(Timestamp),
-    /// For an endpoint.
+    /// It waits only for an endpoint that may be called.
     Ready,
 }
 
-/// A pending message as the indices hold it.
+/// The properties of a pending message by which it is indexed.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingEntry {
-    /// Its class.
+    /// The class of the message.
     pub class: ClassId,
-    /// Its destination.
+    /// The destination of the message.
     pub destination: DestinationId,
-    /// When its time is up.
+    /// When the time to live of the message ends.
     pub deadline: Timestamp,
-    /// Whether it is never shed for others: an attempt may have run, or a restart found it untried.
+    /// Whether the message is never shed, as an attempt may have run, or it had no attempt before a restart.
     pub protected: bool,
-    /// The only zone that it may be sent to.
+    /// The only zone to which the message may be sent; `None` if any zone is possible.
     pub required_zone: Option<ZoneId>,
-    /// When its deduplication window closes.
+    /// When the deduplication window of the message closes; `None` if no timer is needed for it.
     pub window_closes_at: Option<Timestamp>,
-    /// Whether it goes first: others of its key wait behind it, or a restart found it untried.
+    /// Whether the message takes precedence, as others of its key wait for it, or it had no attempt before a
+    /// restart.
     pub urgent: bool,
-    /// What it waits for.
+    /// What the message waits for.
     pub readiness: Readiness,
 }
 
-/// Ready messages of one class, required zone and urgency.
+/// The ready messages of a destination that have the same class, required zone and urgency.
 #[cfg_attr(test, derive(Clone))]
 pub struct ReadyQueue {
-    /// Their class.
+    /// The class of the messages.
     pub class: ClassId,
-    /// The only zone that they may be sent to.
+    /// The only zone to which the messages may be sent; `None` if any zone is possible.
     pub required_zone: Option<ZoneId>,
-    /// Whether they go before others.
+    /// Whether the messages take precedence over others.
     pub urgent: bool,
     /// The messages by deadline.
     pub messages: DeadlineIndex<(), MessageId>,
@@ -77,7 +78,7 @@
     }
 }
 
-/// The first message of a ready queue, as a destination is ranked by it.
+/// The class and deadline of the heaviest message of a ready queue, by which its destination is ranked.
 type QueueHead = (ClassId, Timestamp);
 
 /// The ready messages of one destination.
@@ -85,12 +86,13 @@
 #[derive(Default)]
 struct DestinationQueue {
     ready: Vec<ReadyQueue>,
-    /// The entries of the destination in the ranking, and the calls in flight they were made by.
+    /// The entries of the destination in the ranking.
     ranked_as: Vec<QueueHead>,
+    /// The number of calls in flight under which the destination is ranked.
     ranked_calls: usize,
-    /// When the destination is checked again without an event.
+    /// When the timer fires that checks the destination again.
     recheck_at: Option<Timestamp>,
-    /// Whether it waits to be ranked again.
+    /// Whether the destination has to be ranked again.
     changed: bool,
 }
 
@@ -115,7 +117,7 @@
     }
 }
 
-/// The messages of one class by deadline, those apart that are never shed.
+/// The messages of one class by deadline, divided into those that may be shed and those that are protected.
 #[cfg_attr(test, derive(Clone))]
 struct ClassDeadlines {
     sheddable: DeadlineIndex<(), MessageId>,
@@ -127,11 +129,11 @@
         Self { sheddable: DeadlineIndex::new(), protected: DeadlineIndex::new() }
     }
 
-    fn of(&mut self, entry: &PendingEntry) -> &mut DeadlineIndex<(), MessageId> {
+    fn index_for(&mut self, entry: &PendingEntry) -> &mut DeadlineIndex<(), MessageId> {
         if entry.protected { &mut self.protected } else { &mut self.sheddable }
     }
 
-    fn both(&self) -> [&DeadlineIndex<(), MessageId>; 2] {
+    fn indices(&self) -> [&DeadlineIndex<(), MessageId>; 2] {
         [&self.sheddable, &self.protected]
     }
 }
@@ -139,27 +141,28 @@
 /// All indices of pending messages.
 #[cfg_attr(test, derive(Clone))]
 pub struct PendingMessages {
-    /// All timers, in one order.
+    /// The timers of messages, ordering keys, destinations and endpoints.
     pub timers: Timers<Timer>,
-    /// By class: how its weight falls.
+    /// The weight curves, by class.
     curves: Vec<WeightCurve>,
-    /// By class: its messages by deadline.
+    /// The messages by deadline, by class.
     by_deadline: Vec<ClassDeadlines>,
     queues: FxHashMap<DestinationId, DestinationQueue>,
-    /// By class of the first message: destinations that may be sent to, by calls in flight.
+    /// The ranked destinations by calls in flight and deadline of their first message, by class of that
+    /// message.
     ranked: Vec<DeadlineIndex<usize, DestinationId>>,
     changed: VecDeque<DestinationId>,
-    /// How many messages are ready.
+    /// The number of ready messages.
     ready_count: usize,
-    /// Reused by [`PendingMessages::rank`], which would otherwise allocate each time.
+    /// A buffer that [`PendingMessages::rank`] reuses to avoid allocations.
     scratch_heads: Vec<QueueHead>,
     now: Timestamp,
-    /// Messages of earlier deadlines are not offered any more.
+    /// Messages with earlier deadlines are not returned as candidates any more.
     expired_before: Timestamp,
 }
 
 impl PendingMessages {
-    /// Creates empty indices for classes with these weight curves.
+    /// Creates empty indices for classes with the given weight curves.
     pub fn new(curves: Vec<WeightCurve>) -> Self {
         let mut pending = Self {
             timers: Timers::new(),
@@ -177,21 +180,22 @@
         pending
     }
 
-    /// Replaces the weight curves; earlier classes keep their numbers.
+    /// Replaces the weight curves. Existing classes must keep their numbers.
     pub fn set_curves(&mut self, curves: Vec<WeightCurve>) {
         self.by_deadline.resize_with(curves.len(), ClassDeadlines::new);
         self.ranked.resize_with(curves.len(), DeadlineIndex::new);
         self.curves = curves;
     }
 
-    /// Sets the time; messages with deadlines before `expired_before` are not offered from here on.
+    /// Sets the current time. Messages with deadlines before `expired_before` are not returned as candidates
+    /// any more.
     pub fn advance(&mut self, now: Timestamp, expired_before: Timestamp) {
         (self.now, self.expired_before) = (now, expired_before);
     }
 
     /// Adds a pending message.
     pub fn insert(&mut self, id: MessageId, entry: &PendingEntry) {
-        self.by_deadline[entry.class.0].of(entry).insert((), entry.deadline, id);
+        self.by_deadline[entry.class.0].index_for(entry).insert((), entry.deadline, id);
         if let Some(closes_at) = entry.window_closes_at {
             self.timers.set(closes_at, Timer::DeduplicationWindowClosed(id));
         }
@@ -206,9 +210,9 @@
         }
     }
 
-    /// Removes a message that was added with that entry.
+    /// Removes a message that was added with the given entry.
     pub fn remove(&mut self, id: MessageId, entry: &PendingEntry) {
-        self.by_deadline[entry.class.0].of(entry).remove((), entry.deadline, id);
+        self.by_deadline[entry.class.0].index_for(entry).remove((), entry.deadline, id);
         if let Some(closes_at) = entry.window_closes_at {
             self.timers.unset(closes_at, Timer::DeduplicationWindowClosed(id));
         }
@@ -224,21 +228,21 @@
         }
     }
 
-    /// Returns whether some message only lacks an endpoint.
+    /// Returns whether any message is ready.
     pub fn any_ready(&self) -> bool {
         self.ready_count > 0
     }
 
-    /// Returns the earliest deadline of all pending messages.
+    /// Returns the earliest deadline of all pending messages, or `None` if there are none.
     pub fn first_deadline(&self) -> Option<Timestamp> {
-        let indices = self.by_deadline.iter().flat_map(ClassDeadlines::both);
+        let indices = self.by_deadline.iter().flat_map(ClassDeadlines::indices);
         indices.filter_map(DeadlineIndex::first).map(|((), deadline, _)| deadline).min()
     }
 
-    /// Returns at most `max` messages whose deadlines have passed, earliest first within a class.
+    /// Returns at most `max` messages whose deadlines are before `expired_before`.
     pub fn expired(&self, max: usize) -> Vec<MessageId> {
         let mut expired = Vec::new();
-        for index in self.by_deadline.iter().flat_map(ClassDeadlines::both).filter(|_| max > 0) {
+        for index in self.by_deadline.iter().flat_map(ClassDeadlines::indices).filter(|_| max > 0) {
             let passed = index.iter().take_while(|(_, deadline, _)| *deadline < self.expired_before);
             expired.extend(passed.map(|(_, _, id)| id).take(max));
         }
@@ -246,7 +250,7 @@
         expired
     }
 
-    /// Returns by class the message of the earliest deadline that may be shed.
+    /// Returns for each class the sheddable message with the earliest deadline, if there is one.
     pub fn sheddable(&self) -> impl Iterator<Item = (ClassId, Timestamp, MessageId)> {
         let first = |(class, deadlines): (usize, &ClassDeadlines)| {
             let ((), deadline, id) = deadlines.sheddable.first()?;
@@ -255,7 +259,7 @@
         self.by_deadline.iter().enumerate().filter_map(first)
     }
 
-    /// Returns where the weight of a class changes its course now.
+    /// Returns the weight boundaries of a class at the current time.
     pub fn boundaries(&self, class: ClassId) -> WeightBoundaries {
         self.curves[class.0].boundaries(self.now, self.expired_before)
     }
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Takes the next destination that has to be ranked again.
+    /// Removes and returns the next destination that has to be ranked again.
     pub fn next_changed(&mut self) -> Option<DestinationId> {
         while let Some(destination) = self.changed.pop_front() {
             if self.queues.get(&destination).is_some_and(|queue| queue.changed) {
@@ -286,8 +290,8 @@
         None
     }
 
-    /// Ranks a destination by the first message of each of its queues. Without `calls`, the count of calls in flight to
-    /// it, the destination is not known and cannot be sent to.
+    /// Ranks a destination by the heaviest message of each of its queues. `calls` is the number of calls in
+    /// flight to it; `None` means that the destination is unknown, so that it is not ranked.
     pub fn rank(&mut self, destination: DestinationId, calls: Option<usize>) {
         let Some(queue) = self.queues.get_mut(&destination) else { return };
         queue.changed = false;
@@ -313,7 +317,7 @@
         self.schedule_recheck(destination, overtaken_at);
     }
 
-    /// Takes a destination off the ranking until `recheck_at`, or until it changes.
+    /// Removes a destination from the ranking until `recheck_at`, or until it changes.
     pub fn unrank(&mut self, destination: DestinationId, recheck_at: Option<Timestamp>) {
         let Some(queue) = self.queues.get_mut(&destination) else { return };
         queue.changed = false;
@@ -323,8 +327,9 @@
         self.schedule_recheck(destination, recheck_at);
     }
 
-    /// Sees to it that a destination is checked by then. An earlier check stays and sets the later one when it is due:
-    /// one check too many, and far fewer timers to set and unset. An empty queue goes with its timer.
+    /// Schedules a check of a destination no later than `at`. An earlier timer is kept, as one check too many
+    /// is cheaper than changing the timer each time. A destination without messages and without a timer is
+    /// removed.
     fn schedule_recheck(&mut self, destination: DestinationId, at: Option<Timestamp>) {
         let Some(queue) = self.queues.get_mut(&destination) else { return };
         if let Some(at) = at.filter(|at| queue.recheck_at.is_none_or(|set| *at < set)) {
@@ -338,7 +343,7 @@
         }
     }
 
-    /// Checks a destination whose timer has fired.
+    /// Marks a destination whose timer has fired, so that it is ranked again.
     pub fn recheck(&mut self, destination: DestinationId) {
         if let Some(queue) = self.queues.get_mut(&destination) {
             queue.recheck_at = None;
@@ -346,12 +351,14 @@
         }
     }
 
-    /// Returns, among the ranked destinations with the fewest calls in flight, by class the one whose first message has
-    /// the most weight.
+    /// Returns for each class, among the ranked destinations with the fewest calls in flight, the one whose
+    /// first message is the heaviest.
     pub fn best_ranked(&mut self) -> Vec<(ClassId, Timestamp, DestinationId)> {
         loop {
             let first = self.ranked.iter().filter_map(|ranked| ranked.first());
-            let Some((calls, _, some)) = first.min_by_key(|(calls, ..)| *calls) else { return Vec::new() };
+            let Some((calls, _, destination)) = first.min_by_key(|(calls, ..)| *calls) else {
+                return Vec::new();
+            };
             let best = self.ranked.iter().enumerate().filter_map(|(class, ranked)| {
                 let (deadline, destination) = ranked.heaviest(calls, &self.boundaries(ClassId(class)))?;
                 Some((ClassId(class), deadline, destination))
@@ -360,12 +367,14 @@
             if !best.is_empty() {
                 return best;
             }
-            // The first messages of all of them have expired, though not ended yet: those behind them count.
-            self.rank(some, Some(calls));
+            // The first messages of all these destinations have expired: rank one by its next message, and
+            // try again.
+            self.rank(destination, Some(calls));
         }
     }
 
-    /// Returns whether a destination is off the ranking until a time to come, with no change since.
+    /// Returns whether a destination is removed from the ranking until a future time and has not changed
+    /// since.
     #[cfg(test)]
     pub fn is_deferred(&self, destination: DestinationId) -> bool {
         let is_deferred = |queue: &DestinationQueue| {
--- a/src/index/timers/tests.rs
+++ b/src/index/timers/tests.rs
@@ -2,9 +2,9 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
-/// Guards against a moment that is lost, comes early, or comes out of order: against a list that is sorted anew.
+/// Guards against a timer that is lost, fires early or fires out of order, by comparison with a sorted list.
 #[test]
-fn timers_act_as_a_sorted_list_does() {
+fn fires_timers_in_the_order_of_a_sorted_list() {
     for seed in 0..50 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut draw = move |n: u32| random.next_u32() % n;
--- a/src/index/weight.rs
+++ b/src/index/weight.rs
@@ -1,11 +1,11 @@
-//! The weight of a message as time passes: the curves that the settings define, and where they change their course.
+//! The weight of a message over time, as defined by the settings, and helpers for mean rates and shares.
 use super::deadline_index::WeightCurve;
 use crate::{Class, Settings, Timestamp, WeightDecay};
 
-/// In an exponential decay nothing is left to halve after this many latency objectives.
+/// An exponential decay underflows to zero within this many halvings, one for each latency objective.
 const MAX_HALVINGS: u64 = 1100;
 
-/// The share of its weight that is left of a message that is `late` microseconds past its objective.
+/// Returns the share of its full weight that a message has `late` microseconds after its latency objective.
 fn weight_share(class: &Class, decay: WeightDecay, late: f64) -> f64 {
     let (objective, deadline) = (class.latency_objective.0 as f64, class.deadline.0 as f64);
     match decay {
@@ -14,7 +14,8 @@
     }
 }
 
-/// Returns the weight of a message of that deadline when it is delivered `delay` microseconds after `now`.
+/// Returns the weight of a message with the given deadline if it is delivered `delay` microseconds after
+/// `now`.
 pub fn remaining_weight(
     class: &Class,
     decay: WeightDecay,
@@ -27,15 +28,16 @@
     class.priority_weight * weight_share(class, decay, late)
 }
 
-/// Returns the mean of a rate that grows linearly from `a` to `b`, limited to `most` and, above all, at least `least`.
-pub fn mean_rate(a: f64, b: f64, least: f64, most: f64) -> f64 {
-    let [x, y] = [a, b].map(|rate| rate.min(most).max(least));
-    let below = least * (b.min(least) - a.min(least));
+/// Returns the mean of a rate that changes linearly from `a` to `b` and is clamped to `min..=max`. If `min`
+/// exceeds `max`, `min` takes precedence.
+pub fn mean_rate(a: f64, b: f64, min: f64, max: f64) -> f64 {
+    let [x, y] = [a, b].map(|rate| rate.min(max).max(min));
+    let below = min * (b.min(min) - a.min(min));
     let above = if b > y { y * (b - a.max(y)) } else { 0.0 };
     if b > a { (below + (y * y - x * x) / 2.0 + above) / (b - a) } else { x }
 }
 
-/// Moves a learned share by one more observation of the given weight.
+/// Updates an exponentially weighted moving average of a share with an observation of the given weight.
 pub fn update_mean_share(share: &mut f64, observed: bool, weight: f64) {
     *share += weight * (f64::from(u8::from(observed)) - *share);
 }
@@ -45,10 +47,10 @@
     settings.classes.iter().map(|class| weight_curve(class, settings.weight_decay)).collect()
 }
 
-/// Returns when the weight of a class begins to fall, and when it falls no more.
+/// Returns the weight curve of a class.
 pub fn weight_curve(class: &Class, decay: WeightDecay) -> WeightCurve {
     let falls = class.priority_weight > 0.0 && class.late_weight < 1.0;
-    // A linear decay reaches its minimum at the deadline, where nothing is left to choose.
+    // A linear decay reaches its minimum only at the deadline, so its curve needs no minimum.
     let max_lateness = match decay {
         WeightDecay::Exponential => class.latency_objective.0.max(1).saturating_mul(MAX_HALVINGS),
         WeightDecay::Linear => 0,
