--- a/src/index/weight.rs
+++ b/src/index/weight.rs
@@ -1,4 +1,4 @@
-//! The weight of a message over time, as defined by the settings, and helpers for mean rates and shares.
+//! The weight of a message over time, as defined by the settings, and the means of rates and shares.
 use super::deadline_index::WeightCurve;
 use crate::{Class, Settings, Timestamp, WeightDecay};
 
