--- a/src/daemon/event_loop/attempt_check.rs
+++ b/src/daemon/event_loop/attempt_check.rs
@@ -1,10 +1,10 @@
-//! The run-time check of an attempt, right before it is recorded.
+//! The run-time check of an attempt before it is recorded in the journal.
 use super::EventLoop;
-use crate::daemon::runtime_checks::{SendFacts, SendViolation, UncertainSend, check_send};
+use crate::daemon::runtime_checks::{SendContext, SendViolation, UncertainAttempt, check_send};
 use crate::{EndpointId, Idempotency, MessageId, Timestamp};
 
 impl EventLoop {
-    /// Checks an attempt against the journal and the endpoint list, apart from the engine's own guards.
+    /// Checks an attempt against the journal and the endpoint list, independently of the engine's own checks.
     pub(super) fn check_attempt(
         &self,
         number: u32,
@@ -17,11 +17,11 @@
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| {
             self.configuration.settings.classes[class.0].idempotency
         });
-        let uncertain = pending.first_uncertain_attempt.as_ref().map(|attempt| UncertainSend {
+        let uncertain = pending.first_uncertain_attempt.as_ref().map(|attempt| UncertainAttempt {
             started_at: Timestamp(attempt.started_at),
             is_same_zone: tracked.is_some_and(|tracked| tracked.listed.zone == attempt.zone),
         });
-        check_send(&SendFacts {
+        check_send(&SendContext {
             now,
             is_finished: pending.final_outcome.is_some(),
             is_in_flight: pending.active_attempt.is_some(),
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: how they begin, how they end, and how messages end with them.
+//! Calls to endpoints: starting them, recording the outcomes of their attempts, and ending messages.
 use super::EventLoop;
 use super::durable_effects::DeferredEffect;
 use crate::daemon::connection::Connection;
@@ -18,7 +18,7 @@
 
 /// The calls in flight, and the idle connections that further calls may use.
 pub(super) struct CallTable {
-    /// When each call began, by its number.
+    /// The start time of each call, by call number.
     started: BTreeMap<u64, Timestamp>,
     next_number: u64,
     pub(super) pool: ConnectionPool<Connection>,
@@ -26,17 +26,17 @@
 }
 
 impl CallTable {
-    /// A table without calls.
+    /// Creates an empty table.
     pub(super) fn new(pool: ConnectionPool<Connection>, context: CallContext) -> Self {
         Self { started: BTreeMap::new(), next_number: 0, pool, context }
     }
 
-    /// Whether no call is in flight.
+    /// Returns whether no call is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.started.is_empty()
     }
 
-    /// Counts the messages that were written whole to endpoints.
+    /// Returns the number of messages that were completely written to endpoints.
     pub(super) fn messages_written(&self) -> u64 {
         self.context.written_messages.load(Ordering::Relaxed)
     }
@@ -49,12 +49,12 @@
         number
     }
 
-    /// Removes a call, and returns when it began.
+    /// Removes a call, and returns its start time.
     pub(super) fn remove(&mut self, number: u64) -> Option<Timestamp> {
         self.started.remove(&number)
     }
 
-    /// Makes a call, on an idle connection if there is one.
+    /// Spawns a task that performs a call, on an idle connection if there is one.
     fn spawn(&mut self, call: Call, tasks: &mut JoinSet<()>) {
         let (endpoint, address) = (call.endpoint, call.address);
         let idle = self.pool.take(endpoint, address, Instant::now());
@@ -68,22 +68,22 @@
 }
 
 impl EventLoop {
-    /// Begins a call with these messages, once their attempts are recorded.
+    /// Records an attempt for each message, and starts a call with the messages whose attempts were recorded.
     pub(super) fn begin_call(&mut self, endpoint: EndpointId, messages: Vec<MessageId>, expires: Timestamp) {
         let now = self.clock.now();
-        // The engine forgets no endpoint that it sends to.
+        // Always present: the engine does not forget an endpoint that it sends to.
         let Some(tracked) = self.endpoints.get(endpoint) else { return };
         let (address, zone) = (tracked.listed.address, tracked.listed.zone.clone());
         let mut batch = Vec::with_capacity(messages.len());
         let mut deferred = Vec::new();
         for MessageId(number) in messages {
             if let Err(violation) = self.check_attempt(number, endpoint, now) {
-                self.violations.record_send(violation);
+                self.violations.record_blocked_send(violation);
                 let attempts =
                     self.messages.journal.get(number).map_or(0, |pending| pending.attempts_started);
                 deferred.push((MessageId(number), attempts));
                 self.log_folder_error(format_args!(
-                    "violation: attempt stopped reason={violation} number={number}"
+                    "violation: attempt blocked reason={violation} number={number}"
                 ));
                 continue;
             }
@@ -93,11 +93,11 @@
                 .start_attempt(number, Attempt { started_at: now.0, zone: zone.clone() });
             let Some(pending) = self.messages.journal.get(number) else { continue };
             if let Err(error) = recorded {
-                // An attempt that a restart would not know of must not go out. It counts as none, and the message waits
-                // for space.
+                // An attempt without a record must not be made: it would be unknown after a restart. It is
+                // not counted, and the message waits until the journal can be written.
                 deferred.push((MessageId(number), pending.attempts_started));
                 self.log_folder_error(format_args!(
-                    "calls: attempt deferred, it cannot be recorded error={error}"
+                    "calls: attempt deferred, journal write failed error={error}"
                 ));
                 continue;
             }
@@ -121,12 +121,12 @@
         self.perform_when_durable(DeferredEffect::Call(call));
     }
 
-    /// Makes a call whose records are as durable as they have to be.
+    /// Starts a call whose journal records are durable.
     pub(super) fn start_call(&mut self, call: Call) {
         self.calls.spawn(call, &mut self.tasks);
     }
 
-    /// Answers a call that has a new connection: whether its messages may still be sent on it.
+    /// Tells a call that has opened a connection whether its messages may still be sent.
     pub(super) fn confirm_call(
         &mut self,
         endpoint: EndpointId,
@@ -141,7 +141,7 @@
         let _ = is_allowed.send(messages.iter().all(may_send));
     }
 
-    /// Keeps an idle connection, unless its endpoint is draining, removed, or moved to another address.
+    /// Adds an idle connection to the pool, unless its endpoint is draining, removed, or has another address.
     pub(super) fn pool_connection(
         &mut self,
         endpoint: EndpointId,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes in how a call ended.
+    /// Processes the completion of a call.
     pub(super) fn complete_call(&mut self, completion: CallCompletion) {
         let CallCompletion { number, endpoint, completed_at, outcomes, retry_after, report } = completion;
         let ended = self.clock.timestamp(completed_at);
@@ -190,7 +190,7 @@
         self.trace.call(ended, &completed);
     }
 
-    /// Records how the attempts of a call ended, and tells the engine.
+    /// Records the outcomes of a call's attempts in the journal, and queues them for the engine.
     pub(super) fn record_outcomes(
         &mut self,
         started: Timestamp,
@@ -238,7 +238,7 @@
         self.check_recorded(recorded);
     }
 
-    /// Ends a message undelivered, and has the platform notified.
+    /// Ends an undelivered message, and notifies the platform of its outcome.
     pub(super) fn finish_message(&mut self, number: u32, outcome: FinalOutcome) {
         let Some(pending) = self.messages.journal.get(number) else { return };
         let id = pending.message.id.clone();
@@ -263,26 +263,27 @@
         }
     }
 
-    /// Removes a message for which nothing is left to do.
+    /// Removes a message that was delivered, or whose notification was acknowledged.
     pub(super) fn remove_message(&mut self, number: u32) {
         let Some(recorded) = self.messages.remove(number, self.clock.now().0) else { return };
         self.check_recorded(recorded);
     }
 
-    /// Logs a record that could not be written: the next compaction makes good for it, and the sender goes on.
+    /// Logs an error if a journal write or a compaction failed. The next compaction writes the missing
+    /// record.
     pub(super) fn check_recorded(&mut self, recorded: Result<(), JournalError>) {
         if let Err(error) = recorded {
             self.log_folder_error(format_args!("{error}"));
         }
         if let Some(error) = self.messages.journal.take_compaction_error() {
             self.log_folder_error(format_args!(
-                "journal: compaction failed, the old file stays error={error}"
+                "journal: compaction failed, keeping the old file error={error}"
             ));
         }
     }
 }
 
-/// Returns the event for an attempt that was decided on and not made.
+/// Returns the event for an attempt that the engine requested and that was not made.
 fn attempt_deferred(message: MessageId, attempt: u32) -> Event {
     let (outcome, elapsed) = (Outcome::Deferred, TimeDelta(0));
     Event::AttemptEnded { message, attempt, outcome, elapsed, completes: false, report: None }
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -1,4 +1,4 @@
-//! Sets up an event loop: from the configuration, the journal, and what an earlier process left.
+//! Creates an event loop from the configuration, the journal, and the state of an earlier process.
 use super::admin::{MetricsRecorder, PublishedConfiguration};
 use super::calls::CallTable;
 use super::checkpointing::{CheckpointAge, Checkpointing};
@@ -34,7 +34,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What an earlier process left to this one, beside the journal.
+/// The state of an earlier process, apart from the journal.
 struct EarlierState {
     file: CheckpointFile,
     checkpoint: Checkpoint,
@@ -43,7 +43,7 @@
 }
 
 impl EarlierState {
-    /// Prefers what a predecessor handed over to what stands in the state folder.
+    /// Loads the state that a predecessor handed over, or else the checkpoint in the state folder.
     fn load(inheritance: Option<InheritedState>, name: &str, seed: u64, ports: &Ports) -> Self {
         let opened = CheckpointFile::open(ports.storage.clone(), name);
         let file = opened.file;
@@ -63,10 +63,10 @@
 }
 
 impl EventLoop {
-    /// Sets up an event loop that takes over the messages in `journal`.
+    /// Creates an event loop that resumes the messages in `journal`.
     ///
     /// # Errors
-    /// The settings cannot be used.
+    /// Returns an error if the settings or the classes are invalid.
     pub fn new(
         start: EventLoopConfig,
         journal: Journal,
@@ -131,17 +131,17 @@
         Ok(event_loop)
     }
 
-    /// Checks that every message of the journal was taken over, before anybody is served.
+    /// Counts and logs messages of the journal that were not recovered. Runs before any client is served.
     fn check_takeover(&self) {
         let pending = self.messages.journal.pending().count();
         let missing = pending.abs_diff(self.messages.len());
         if missing > 0 {
-            self.violations.record_not_taken_over(missing as u64);
-            self.log(format_args!("violation: messages of the journal were not taken over count={missing}"));
+            self.violations.record_unrecovered(missing as u64);
+            self.log(format_args!("violation: messages of the journal not recovered count={missing}"));
         }
     }
 
-    /// Takes over what an earlier process left, and decides on a first step.
+    /// Restores the state of an earlier process, and runs the first step of the engine.
     fn restore(
         &mut self,
         checkpoint: Checkpoint,
@@ -151,7 +151,7 @@
         self.list_classes_in_metrics();
         if self.durable_effects.is_some() {
             let enabled = self.messages.journal.enable_durability();
-            // Until the file is rewritten, effects wait, and nothing is accepted.
+            // On failure, effects are deferred and messages are rejected until the journal is rewritten.
             self.check_recorded(enabled);
         }
         self.restore_checkpoint(checkpoint, age);
--- a/src/daemon/runtime_checks/mod.rs
+++ b/src/daemon/runtime_checks/mod.rs
@@ -1,23 +1,24 @@
-//! Run-time checks of the delivery rules, apart from the code that keeps them: what sends, repeats, closes and starts is checked
-//! once more, right before it happens. A violation is a fault of this program; it is counted in the metrics and logged, and
-//! what would break the rule does not happen.
+//! Run-time checks of the delivery rules, independent of the code that implements the rules. They cover
+//! sends, retries, closed connections and startup. A violation is a bug in this program: it is counted in the
+//! metrics and logged, and a send that would break a rule is blocked.
 mod send_check;
 
-pub use send_check::{SendFacts, SendViolation, UncertainSend, check_send};
+pub use send_check::{SendContext, SendViolation, UncertainAttempt, check_send};
 use serde::Serialize;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How often each check found a violation, as `/status/metrics` names them.
+/// The number of violations that each check found, under the names in `/status/metrics`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ViolationCounts {
-    /// A message was about to be sent that must not be: unrecorded, ended, already out, or to an endpoint out of service.
+    /// Blocked sends of messages that are not in the journal, have ended or are already in flight, or to an
+    /// endpoint that is not serving.
     pub sending: u64,
-    /// A message was about to be sent again although a second effect was possible.
+    /// Blocked retries that could have taken effect twice.
     pub repeating: u64,
-    /// A client's connection ended while a request on it had no response.
+    /// Client connections that were closed while a request had no response.
     pub closing: u64,
-    /// A process was about to serve without having taken over a message of its journal.
+    /// Messages of the journal that were not recovered before the process began to serve.
     pub starting: u64,
 }
 
@@ -29,31 +30,31 @@
     starting: AtomicU64,
 }
 
-/// The violations of one process, shared by all that check.
+/// The violation counters of a process. Clones share the counters.
 #[derive(Clone, Debug, Default)]
 pub struct Violations(Arc<Counters>);
 
 impl Violations {
-    /// Counts a send that the check stopped.
-    pub fn record_send(&self, violation: SendViolation) {
+    /// Counts a send that the check blocked.
+    pub fn record_blocked_send(&self, violation: SendViolation) {
         let counter = match violation {
-            SendViolation::Repeated => &self.0.repeating,
+            SendViolation::UnsafeRetry => &self.0.repeating,
             _ => &self.0.sending,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a connection that ended while a request on it had no response.
+    /// Counts a client connection that was closed while a request had no response.
     pub fn record_unanswered_request(&self) {
         self.0.closing.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts messages of the journal that a process had not taken over when it was about to serve.
-    pub fn record_not_taken_over(&self, messages: u64) {
+    /// Counts messages of the journal that were not recovered before the process began to serve.
+    pub fn record_unrecovered(&self, messages: u64) {
         self.0.starting.fetch_add(messages, Ordering::Relaxed);
     }
 
-    /// Returns the counts up to now.
+    /// Returns the current counts.
     #[must_use]
     pub fn counts(&self) -> ViolationCounts {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
--- a/src/daemon/runtime_checks/send_check.rs
+++ b/src/daemon/runtime_checks/send_check.rs
@@ -1,44 +1,45 @@
-//! Checks one attempt against the journal and the endpoint list. No I/O and no clock.
+//! The check of an attempt against the state of the journal and the endpoint list. Performs no I/O and reads
+//! no clock.
 use crate::{DeduplicationScope, Idempotency, Timestamp};
 use std::fmt;
 
 /// The first attempt of a message that may have taken effect.
 #[derive(Clone, Copy, Debug)]
-pub struct UncertainSend {
+pub struct UncertainAttempt {
     /// When the attempt started.
     pub started_at: Timestamp,
-    /// Whether its endpoint is in the zone of the one that is about to be called.
+    /// Whether its endpoint is in the same zone as the endpoint of the checked attempt.
     pub is_same_zone: bool,
 }
 
-/// What the journal and the endpoint list say of an attempt that is about to be recorded.
+/// The state of the journal and the endpoint list for an attempt that is about to be recorded.
 #[derive(Clone, Copy, Debug)]
-pub struct SendFacts {
-    /// The present time.
+pub struct SendContext {
+    /// The current time.
     pub now: Timestamp,
     /// Whether the message has its final outcome.
     pub is_finished: bool,
-    /// Whether an attempt of the message is out.
+    /// Whether an attempt of the message is in flight.
     pub is_in_flight: bool,
-    /// Whether the endpoint is listed as in service, and no operator has taken it out.
+    /// Whether the endpoint is listed as serving and is not in maintenance.
     pub is_endpoint_serving: bool,
-    /// What makes repeating the message harmless.
+    /// Under which conditions the message may be sent again.
     pub idempotency: Idempotency,
-    /// The attempt that may have taken effect.
-    pub uncertain: Option<UncertainSend>,
+    /// The first attempt that may have taken effect; `None` if there is none.
+    pub uncertain: Option<UncertainAttempt>,
 }
 
-/// Why an attempt must not be made.
+/// Why an attempt is blocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendViolation {
     /// The message has its final outcome.
     Finished,
-    /// Another attempt of the message is out.
+    /// Another attempt of the message is in flight.
     InFlight,
-    /// The endpoint drains, is deleted, or was taken out of service.
-    EndpointOut,
-    /// The message may have taken effect, and could take effect once more.
-    Repeated,
+    /// The endpoint is unknown, draining, deleted, or in maintenance.
+    EndpointOutOfService,
+    /// The message may have taken effect, and another attempt could take effect again.
+    UnsafeRetry,
 }
 
 impl fmt::Display for SendViolation {
@@ -46,38 +47,38 @@
         f.write_str(match self {
             Self::Finished => "finished",
             Self::InFlight => "in_flight",
-            Self::EndpointOut => "endpoint_out_of_service",
-            Self::Repeated => "may_take_effect_twice",
+            Self::EndpointOutOfService => "endpoint_out_of_service",
+            Self::UnsafeRetry => "may_take_effect_twice",
         })
     }
 }
 
-/// Checks an attempt.
+/// Checks an attempt against the delivery rules.
 ///
 /// # Errors
-/// The rule that the attempt would break.
-pub fn check_send(facts: &SendFacts) -> Result<(), SendViolation> {
-    if facts.is_finished {
+/// Returns the first rule that the attempt would break.
+pub fn check_send(context: &SendContext) -> Result<(), SendViolation> {
+    if context.is_finished {
         return Err(SendViolation::Finished);
     }
-    if facts.is_in_flight {
+    if context.is_in_flight {
         return Err(SendViolation::InFlight);
     }
-    if !facts.is_endpoint_serving {
-        return Err(SendViolation::EndpointOut);
+    if !context.is_endpoint_serving {
+        return Err(SendViolation::EndpointOutOfService);
     }
-    match facts.uncertain {
-        Some(uncertain) if !is_repeatable(facts, uncertain) => Err(SendViolation::Repeated),
+    match context.uncertain {
+        Some(uncertain) if !is_safe_to_retry(context, uncertain) => Err(SendViolation::UnsafeRetry),
         _ => Ok(()),
     }
 }
 
-fn is_repeatable(facts: &SendFacts, uncertain: UncertainSend) -> bool {
-    match facts.idempotency {
+fn is_safe_to_retry(context: &SendContext, uncertain: UncertainAttempt) -> bool {
+    match context.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::WithKey { scope, window } => {
-            let elapsed = facts.now.0.saturating_sub(uncertain.started_at.0);
+            let elapsed = context.now.0.saturating_sub(uncertain.started_at.0);
             let is_in_scope = scope == DeduplicationScope::Destination || uncertain.is_same_zone;
             is_in_scope && elapsed < window.0
         }
--- a/src/daemon/runtime_checks/send_check/tests.rs
+++ b/src/daemon/runtime_checks/send_check/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the check of one attempt.
+//! Tests of the run-time check of an attempt.
 use super::*;
 use crate::TimeDelta;
 
 const WINDOW: TimeDelta = TimeDelta(5_000_000);
 
-fn allowed() -> SendFacts {
-    SendFacts {
+fn allowed_send() -> SendContext {
+    SendContext {
         now: Timestamp(20_000_000),
         is_finished: false,
         is_in_flight: false,
@@ -15,37 +15,38 @@
     }
 }
 
-/// Guards against a check that lets one of the rules go, or stops what all of them allow.
+/// Guards against a check that misses a broken rule, or blocks an attempt that all rules allow.
 #[test]
-fn each_rule_is_checked() {
-    assert_eq!(check_send(&allowed()), Ok(()));
+fn reports_the_violated_rule() {
+    assert_eq!(check_send(&allowed_send()), Ok(()));
     let cases = [
-        (SendFacts { is_finished: true, ..allowed() }, SendViolation::Finished),
-        (SendFacts { is_in_flight: true, ..allowed() }, SendViolation::InFlight),
-        (SendFacts { is_endpoint_serving: false, ..allowed() }, SendViolation::EndpointOut),
+        (SendContext { is_finished: true, ..allowed_send() }, SendViolation::Finished),
+        (SendContext { is_in_flight: true, ..allowed_send() }, SendViolation::InFlight),
+        (SendContext { is_endpoint_serving: false, ..allowed_send() }, SendViolation::EndpointOutOfService),
     ];
-    for (facts, violation) in cases {
-        assert_eq!(check_send(&facts), Err(violation));
+    for (context, violation) in cases {
+        assert_eq!(check_send(&context), Err(violation));
     }
 }
 
-/// Guards against a second effect: of a message that must not be repeated, after the window, and in another zone.
+/// Guards against a message that takes effect twice: without idempotency, after the deduplication window, or
+/// in another zone.
 #[test]
-fn a_message_is_repeated_only_as_its_class_permits() {
-    let within = UncertainSend { started_at: Timestamp(16_000_000), is_same_zone: false };
-    let after = UncertainSend { started_at: Timestamp(15_000_000), is_same_zone: true };
+fn allows_only_retries_that_cannot_take_effect_twice() {
+    let within = UncertainAttempt { started_at: Timestamp(16_000_000), is_same_zone: false };
+    let after = UncertainAttempt { started_at: Timestamp(15_000_000), is_same_zone: true };
     let with_key = |scope| Idempotency::WithKey { scope, window: WINDOW };
     let check = |idempotency, uncertain| {
-        check_send(&SendFacts { idempotency, uncertain: Some(uncertain), ..allowed() })
+        check_send(&SendContext { idempotency, uncertain: Some(uncertain), ..allowed_send() })
     };
-    let repeated = Err(SendViolation::Repeated);
+    let unsafe_retry = Err(SendViolation::UnsafeRetry);
     assert_eq!(check(Idempotency::Idempotent, after), Ok(()));
-    assert_eq!(check(Idempotency::NonIdempotent, within), repeated);
+    assert_eq!(check(Idempotency::NonIdempotent, within), unsafe_retry);
     assert_eq!(check(with_key(DeduplicationScope::Destination), within), Ok(()));
-    assert_eq!(check(with_key(DeduplicationScope::Destination), after), repeated);
-    assert_eq!(check(with_key(DeduplicationScope::Zone), within), repeated);
+    assert_eq!(check(with_key(DeduplicationScope::Destination), after), unsafe_retry);
+    assert_eq!(check(with_key(DeduplicationScope::Zone), within), unsafe_retry);
     assert_eq!(
-        check(with_key(DeduplicationScope::Zone), UncertainSend { is_same_zone: true, ..within }),
+        check(with_key(DeduplicationScope::Zone), UncertainAttempt { is_same_zone: true, ..within }),
         Ok(())
     );
 }
