--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Requests of operators: changed configurations, metrics.
+//! Configuration reloads, metrics, and requests through the admin endpoint.
 use super::EventLoop;
 use super::configuration::{PreparedReload, ReloadError, idle_timeout, polling_terms, report_fields};
 use crate::daemon::config::{Config, ConfigReadError};
@@ -15,20 +15,20 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-/// A snapshot of the metrics serves all requests within this time.
+/// How long a snapshot of the metrics is reused for further requests.
 const SNAPSHOT_LIFETIME: Duration = Duration::from_millis(100);
 
-/// The parts of the configuration that other tasks follow.
+/// The parts of the configuration that are published to other tasks.
 pub(super) struct PublishedConfiguration {
-    /// Where the discovery agent listens, which takes notifications, too.
+    /// The address of the discovery agent, which also receives the notifications.
     pub(super) discovery: WatchCell<SocketAddr>,
-    /// The terms on which the endpoint list is polled.
+    /// The settings for polling the endpoint list.
     pub(super) polling_terms: WatchCell<PollingTerms>,
-    /// Takes the members of the fleet, where membership is on.
+    /// Sends changed members of the fleet to the membership task; `None` if membership is disabled.
     pub(super) members: Option<UnboundedSender<Members>>,
 }
 
-/// The counts of this process, and the last snapshot that was made of them.
+/// The metrics of this process, and the latest snapshot of them.
 pub(super) struct MetricsRecorder {
     pub(super) counts: Metrics,
     snapshot: Option<MetricsSnapshot>,
@@ -40,17 +40,17 @@
 }
 
 impl MetricsRecorder {
-    /// Continues from these counts.
+    /// Creates a recorder that continues from `counts`.
     pub(super) fn new(counts: Metrics) -> Self {
         Self { counts, snapshot: None }
     }
 
-    /// Has the next request make a new snapshot.
+    /// Discards the snapshot, so that the next request captures a new one.
     pub(super) fn discard_snapshot(&mut self) {
         self.snapshot = None;
     }
 
-    /// Returns the last snapshot if it is recent enough at `now`.
+    /// Returns the latest snapshot if it has not expired at `now`.
     fn recent_snapshot(&self, now: Instant) -> Option<Rc<Metrics>> {
         let snapshot =
             self.snapshot.as_ref().filter(|snapshot| now < snapshot.captured_at + SNAPSHOT_LIFETIME);
@@ -59,7 +59,7 @@
 }
 
 impl EventLoop {
-    /// Answers a request of an operator or of a peer.
+    /// Answers a request from an operator or a peer.
     pub(super) fn handle_admin_request(&mut self, request: AdminRequest) {
         match request {
             AdminRequest::Metrics(reply) => drop(reply.send(self.metrics_snapshot())),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Follows a changed configuration. A file that cannot be used must not stop a sender at work.
+    /// Applies a changed configuration. If it is invalid, logs the error and keeps the active configuration.
     pub(super) fn reload(&mut self, config: Result<Box<Config>, ConfigReadError>) {
         let applied = config.map_err(ReloadError::from).and_then(|config| self.apply_configuration(config));
         match applied {
@@ -84,12 +84,13 @@
             }
             Err(error) => {
                 self.metrics.counts.reconfig_failed += 1;
-                self.log(format_args!("reload: rejected, the running configuration stays error={error}"));
+                self.log(format_args!("reload: rejected, keeping the running configuration error={error}"));
             }
         }
     }
 
-    /// Applies a configuration whole, or leaves everything as it was; true if the discovery agent has moved.
+    /// Applies a configuration completely, or changes nothing if it is invalid. Returns whether the address
+    /// of the discovery agent has changed.
     fn apply_configuration(&mut self, config: Box<Config>) -> Result<bool, ReloadError> {
         let mut prepared = self.configuration.prepare(&config, &*self.ports.storage)?;
         let members = prepared.members.take();
@@ -114,23 +115,23 @@
         }
     }
 
-    /// Writes down what the classes mean, before any client is served.
+    /// Stores the classes in the state folder before any client is served. Logs an error if that fails.
     pub(super) fn store_classes(&self) {
         if let Err(error) = self.configuration.store_classes(&*self.ports.storage) {
             self.log(format_args!(
-                "classes: not written down, a next process goes by the classes in its settings error={error}"
+                "classes: storing failed, after a restart only the classes in the settings are known error={error}"
             ));
         }
     }
 
-    /// Lists all configured classes in the metrics, also those of which no message has ended.
+    /// Adds all configured classes to the metrics, including those without an ended message.
     pub(super) fn list_classes_in_metrics(&mut self) {
         for class in self.configuration.classes.names() {
             self.metrics.counts.add_class(class);
         }
     }
 
-    /// Returns the metrics as they are now, or were a moment ago.
+    /// Returns the current metrics, or a snapshot of them that has not expired.
     pub(super) fn metrics_snapshot(&mut self) -> Rc<Metrics> {
         let now = Instant::now();
         if let Some(metrics) = self.metrics.recent_snapshot(now) {
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -7,12 +7,12 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use tokio::time::Instant;
 
-/// Stands for the number of a message until the journal has assigned one.
+/// Placeholder for the number of a message until the journal assigns one.
 const UNASSIGNED: u32 = 0;
 
 impl EventLoop {
-    /// Accepts a message that may be delivered until `deadline`, or says why not. A message that was accepted
-    /// before is accepted again without a further effect.
+    /// Accepts a message that may be delivered until `deadline`, or returns why it is rejected. Submitting an
+    /// accepted message again returns `Accepted` without further effect.
     pub(super) fn submit(&mut self, message: SubmittedMessage, deadline: Instant) -> SubmitResponse {
         if self.messages.has_accepted(&message.id) {
             return SubmitResponse::Accepted;
@@ -29,7 +29,7 @@
         self.accept(pending, message)
     }
 
-    /// Translates a new message into the engine's terms.
+    /// Translates a new message into the engine's representation, or returns why it is invalid.
     fn validate(&self, pending: &PendingMessage) -> Result<Message, InvalidMessage> {
         let SubmittedMessage { class, tenant, .. } = &pending.message;
         let class_id = self.configuration.classes.current(class);
@@ -42,7 +42,7 @@
         self.engine_message(UNASSIGNED, class_id, pending)
     }
 
-    /// Returns the response to a valid message for which there is no capacity now; `None` if there is.
+    /// Returns the rejection of a valid message if there is no capacity for it now, or `None` if there is.
     fn shed(&self, pending: &PendingMessage, message: &Message) -> Option<SubmitResponse> {
         if self.is_journal_lost() {
             return Some(SubmitResponse::Rejected);
@@ -78,17 +78,17 @@
             Err(error) => {
                 self.metrics.counts.record_rejected(&class);
                 self.log_folder_error(format_args!(
-                    "admission: message rejected, it cannot be recorded error={error}"
+                    "admission: message rejected, journal write failed error={error}"
                 ));
                 SubmitResponse::Rejected
             }
         }
     }
 
-    /// Translates a message of a known class into the engine's terms.
+    /// Translates a message of a known class into the engine's representation.
     ///
     /// # Errors
-    /// The class needs an idempotency key, and the message has none.
+    /// Returns an error if the class needs an idempotency key and the message has none.
     pub(super) fn engine_message(
         &self,
         number: u32,
@@ -100,7 +100,7 @@
         if matches!(settings.idempotency, Idempotency::WithKey { .. }) && idempotency_key.is_none() {
             return Err(InvalidMessage::MissingIdempotencyKey(class.clone()));
         }
-        // A recovered message may belong to a tenant that the settings no longer name.
+        // The tenant of a recovered message may no longer be in the settings.
         let tenants = &self.configuration.names.tenants;
         let tenant = tenant.as_ref().and_then(|name| tenants.get(name).copied());
         Ok(Message {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Hashes an ordering key. Two keys of one hash wait for each other, which is harmless.
+/// Hashes an ordering key. Messages whose keys collide wait for each other, which is harmless.
 fn order_key(key: &str) -> OrderKey {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -1,4 +1,5 @@
-//! Checkpoints: the endpoint list and what the engine learned, as a process finds them at its start and writes them down.
+//! Checkpoints of the endpoint list and the engine's route states: restored at startup, and written step by
+//! step.
 use super::EventLoop;
 use super::endpoint_table::TrackedEndpoint;
 use crate::daemon::checkpoint::file::{CheckpointFile, CheckpointWrite};
@@ -13,19 +14,19 @@
 use std::io;
 use tokio::time::Instant;
 
-/// The checkpoint file, the schedule of writes to it, and the version of the list that it holds.
+/// The checkpoint file, the schedule of writes to it, and the version of the endpoint list.
 pub(super) struct Checkpointing {
     pub(super) file: CheckpointFile,
     pub(super) schedule: CheckpointSchedule,
-    /// The version of the list that was heard last; `None` asks for the whole list.
+    /// The latest version of the endpoint list; `None` if the whole list is to be requested.
     pub(super) version: Option<DiscoveryVersion>,
-    /// Whether the discovery agent has begun to count its versions anew since other processes may have heard of them:
-    /// its versions compare with none of theirs.
+    /// Whether the discovery agent has reset its revision counter, so that its versions cannot be compared
+    /// with those that other processes have stored.
     has_version_restarted: bool,
 }
 
 impl Checkpointing {
-    /// Checkpointing to `file` in the order of `schedule`.
+    /// Creates the checkpoint state of an event loop that has no version of the endpoint list yet.
     pub(super) fn new(file: CheckpointFile, schedule: CheckpointSchedule) -> Self {
         Self { file, schedule, version: None, has_version_restarted: false }
     }
@@ -35,8 +36,8 @@
         self.version.filter(|_| !self.has_version_restarted)
     }
 
-    /// Sets the version of the list; false if the agent has begun to count anew, so that the file's version would be
-    /// taken for a newer one.
+    /// Sets the version of the list. Returns `false` if the agent has reset its revision counter, so that the
+    /// version in the file would be mistaken for a newer one.
     fn advance_version(&mut self, version: DiscoveryVersion) -> bool {
         let before = self.version.replace(version);
         if before.is_some_and(|before| version.is_reset_since(before)) {
@@ -53,17 +54,18 @@
     }
 }
 
-/// How old the restored checkpoint is.
+/// Where the restored checkpoint comes from.
 pub(super) enum CheckpointAge {
-    /// The predecessor handed the checkpoint over just now.
+    /// The predecessor has just handed over the checkpoint.
     Current,
-    /// The checkpoint is that of a process that ended. What was learned has aged, and the random numbers spread the load
-    /// of senders that start together.
+    /// An ended process wrote the checkpoint, so its route states have aged. The random numbers spread the
+    /// load of senders that start at the same time.
     Restart(Box<ChaCha8Rng>),
 }
 
 impl EventLoop {
-    /// Starts from the configuration's endpoint list and the checkpoint of an earlier process.
+    /// Restores endpoints and routes from the configured endpoint list and the checkpoint of an earlier
+    /// process.
     pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut age: CheckpointAge) {
         let config = self.configuration.config.clone();
         let configured = EndpointList { agent: Some(config.discovery), ..config.initial_endpoints.clone() };
@@ -82,7 +84,7 @@
         let restored = restore(checkpoint, &configured, continuity, times);
         if restored.excluded > 0 {
             self.log(format_args!(
-                "checkpoint: endpoints stay out of service, an earlier process heard that they drain or are removed \
+                "checkpoint: endpoints kept out of service, an earlier process received them as draining or removed \
                  count={}",
                 restored.excluded
             ));
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Takes in the restored endpoints, with when their phases were heard.
+    /// Adds the restored endpoints, with the times at which their phases were first received.
     fn restore_endpoints(&mut self, revision: u64, restored: Vec<ObservedEndpoint>) {
         let (members, heard_at): (Vec<_>, Vec<_>) =
             restored.into_iter().map(|restored| (restored.endpoint, restored.observed_at)).unzip();
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Returns what a route that was written down at `written_at` is worth at `now`.
+    /// Returns a route captured at `captured_at` as it is to be restored at `now`.
     fn age_route(
         &self,
         route: RouteSnapshot,
@@ -133,12 +135,13 @@
         }
     }
 
-    /// Returns the revision from which the discovery agent is asked first; `None` for the whole list.
+    /// Returns the revision since which changes are requested first, or `None` to request the whole list.
     pub fn resume_revision(&self) -> Option<u64> {
         self.checkpointing.version.map(|version| version.revision)
     }
 
-    /// Records that the list is at `version` and that these endpoints have changed, before anything follows from it.
+    /// Writes the version of the endpoint list and the changed endpoints to the checkpoint before the engine
+    /// acts on them.
     pub(super) fn record_list_version(&mut self, version: DiscoveryVersion, changed: Vec<EndpointId>) {
         if self.checkpointing.version == Some(version) && changed.is_empty() {
             return;
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Writes the whole checkpoint to a new file: later changes are appended to a file that holds everything else.
+    /// Writes the whole checkpoint to a new file, to which later changes are appended.
     pub(super) fn write_full_checkpoint(&mut self) {
         self.try_checkpoint(|event_loop| {
             let ids = event_loop.begin_checkpoint_file()?;
@@ -160,7 +163,7 @@
         });
     }
 
-    /// Returns when the next part of the checkpoint is due: only once the engine has learned from all that happened.
+    /// Returns when the next part of the checkpoint is due, or `None` while events are queued for the engine.
     pub(super) fn checkpoint_due(&self) -> Option<Timestamp> {
         self.checkpointing.schedule.due().filter(|_| self.queue.is_empty())
     }
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Begins a new file, and returns what goes into it: endpoints under restrictions first.
+    /// Starts a new file, and returns the endpoints to write to it, restricted ones first.
     fn begin_checkpoint_file(&mut self) -> io::Result<Vec<EndpointId>> {
         let bytes = self.checkpointing.file.start_new()?;
         let now = self.clock.now();
@@ -231,8 +234,8 @@
         Ok(())
     }
 
-    /// Writes to the checkpoint if the journal leaves space. Where the journal or the disk has none, the checkpoint is
-    /// abandoned for now: nothing of it is owed to anybody.
+    /// Writes to the checkpoint if the journal leaves space for it. On failure, removes the checkpoint and
+    /// retries later: the sender works without it.
     fn try_checkpoint(&mut self, write: impl FnOnce(&mut Self) -> io::Result<()>) {
         let written = match self.messages.journal.has_capacity() {
             true => write(self),
@@ -241,15 +244,15 @@
         let Err(error) = written else { return };
         self.checkpointing.file.remove();
         self.checkpointing.schedule.abandoned(self.clock.now());
-        self.log(format_args!("checkpoint: abandoned for now error={error}"));
+        self.log(format_args!("checkpoint: not written, retrying later error={error}"));
     }
 }
 
 /// Why endpoints are written to the checkpoint.
 #[derive(Clone, Copy)]
 enum WriteReason {
-    /// The list has changed: both the file in place and the one being written need to know.
+    /// The endpoint list has changed: the change goes to the current file and to the one being written.
     ListChanged,
-    /// The schedule asks for these endpoints.
+    /// The endpoints are next in the schedule.
     Scheduled,
 }
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that the event loop follows, and what follows from it: settings, names, classes.
+//! The active configuration, and the settings, names and classes derived from it.
 use crate::daemon::class_registry::{ClassRegistry, ClassRegistryError, NamedClass, RecoveredClass};
 use crate::daemon::config::{Config, ConfigReadError};
 use crate::daemon::config_schema::ConfigSchema;
@@ -16,21 +16,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The classes that messages may belong to, in the state folder: the next process may be given others.
+/// The file in the state folder that stores the classes of messages. The configuration of the next process
+/// may lack some of them.
 const CLASSES_FILE: &str = "classes.json";
-/// The name of that file until it is complete.
+/// The temporary name of [`CLASSES_FILE`] while it is being written.
 const NEW_CLASSES_FILE: &str = "classes.json.new";
 
-/// Why an event loop cannot be set up.
+/// Why an event loop cannot be created.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
     /// The platform's settings cannot be translated into the engine's.
     #[error("{0}")]
     Profile(#[from] ProfileError),
-    /// The classes contradict each other, or are too many.
+    /// The classes contradict each other, or there are too many of them.
     #[error(transparent)]
     Classes(#[from] ClassRegistryError),
-    /// The engine does not accept the settings.
+    /// The engine rejected the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The journal cannot be made durable.
@@ -38,33 +39,33 @@
     Journal(#[from] JournalError),
 }
 
-/// Why a changed configuration is not applied; everything stays as it was.
+/// Why a changed configuration is rejected. The active configuration stays unchanged.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReloadError {
     /// The configuration cannot be read.
     #[error(transparent)]
     Unreadable(#[from] ConfigReadError),
-    /// The configuration lacks a key that the first one had.
-    #[error("{0} is missing")]
+    /// The configuration lacks a key of the initial configuration.
+    #[error("configuration key {0:?} is missing")]
     MissingKey(String),
     /// The operator's file changes something that needs a restart.
     #[error(transparent)]
     Operator(#[from] ChangeError),
-    /// The operator's list of members cannot be used.
+    /// The operator's list of members is invalid.
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// The numbers of kinds and zones are fixed for the life of a process.
-    #[error("kinds and zones cannot change while a sender runs")]
+    /// The configuration changes the kinds or zones, whose numeric IDs are fixed while a process runs.
+    #[error("kinds and zones cannot change while a sender runs: restart it")]
     KindsOrZonesChanged,
-    /// The new settings cannot be used.
+    /// The new settings are invalid.
     #[error(transparent)]
     Invalid(#[from] EventLoopError),
-    /// The classes cannot be written down.
+    /// The classes cannot be stored.
     #[error("writing {CLASSES_FILE}: {0}")]
     WriteClasses(#[source] io::Error),
 }
 
-/// Why the classes of an earlier process cannot be read.
+/// Why the stored classes cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadClassesError {
     #[error(transparent)]
@@ -73,17 +74,17 @@
     Parse(#[from] serde_json::Error),
 }
 
-/// The configuration in force.
+/// The active configuration, with the settings, names and classes derived from it.
 pub(super) struct ActiveConfiguration {
     pub(super) config: Rc<Config>,
-    /// The keys that every configuration has to hold.
+    /// The keys that a reloaded configuration must contain.
     schema: ConfigSchema,
     pub(super) settings: Settings,
     pub(super) names: Names,
     pub(super) classes: ClassRegistry,
 }
 
-/// A configuration that was found usable and is not in force yet.
+/// A validated configuration that is not active yet.
 pub(super) struct PreparedReload {
     pub(super) settings: Settings,
     pub(super) members: Option<Members>,
@@ -92,11 +93,11 @@
 }
 
 impl ActiveConfiguration {
-    /// Sets up the first configuration of a process, with the classes that the messages in `journal` need.
-    /// `inherited` are the classes that the predecessor handed over.
+    /// Creates the initial configuration of a process, including the classes of the messages in `journal`.
+    /// `inherited` holds the classes that the predecessor handed over.
     ///
     /// # Errors
-    /// The settings cannot be used.
+    /// Returns an error if the settings or the classes are invalid.
     pub(super) fn new(
         config: Rc<Config>,
         schema: ConfigSchema,
@@ -113,7 +114,7 @@
             ));
             Vec::new()
         });
-        // A class that no message belongs to is of no more use.
+        // Drops stored classes that no pending message belongs to.
         let is_used =
             |class: &NamedClass| journal.pending().any(|(_, pending)| pending.message.class == class.0);
         let retired = inherited.into_iter().chain(stored).filter(is_used).collect();
@@ -132,11 +133,12 @@
         Ok(Self { config, schema, settings, names, classes })
     }
 
-    /// Checks a changed configuration, and writes its classes down before a message of a new class can be
+    /// Validates a changed configuration, and stores its classes before messages of a new class can be
     /// submitted.
     ///
     /// # Errors
-    /// Why the configuration cannot be applied.
+    /// Returns an error if the configuration is invalid, if it changes what is fixed while a process runs, or
+    /// if its classes cannot be stored.
     pub(super) fn prepare(
         &self,
         config: &Config,
@@ -162,7 +164,7 @@
         Ok(PreparedReload { settings, members, names, classes })
     }
 
-    /// Puts a prepared configuration in force; true if the engine's settings have changed.
+    /// Activates a prepared configuration. Returns whether the engine's settings have changed.
     pub(super) fn apply(&mut self, prepared: PreparedReload) -> bool {
         (self.classes, self.names) = (prepared.classes, prepared.names);
         let has_changed = prepared.settings != self.settings;
@@ -170,10 +172,10 @@
         has_changed
     }
 
-    /// Writes down what the classes mean, unless the file says so already.
+    /// Stores the classes, unless the file already contains them.
     ///
     /// # Errors
-    /// The file cannot be written; it is then as before.
+    /// Returns an error if the file cannot be written; its previous content is kept.
     pub(super) fn store_classes(&self, storage: &dyn Storage) -> io::Result<()> {
         if stored_classes(storage).is_ok_and(|stored| stored == self.classes.named()) {
             return Ok(());
@@ -199,12 +201,12 @@
     }
 }
 
-/// Returns the class as a recovered message names it.
+/// Returns the class name of a recovered message, and whether the message has an idempotency key.
 pub(super) fn recovered_class(message: &SubmittedMessage) -> RecoveredClass {
     RecoveredClass { name: message.class.clone(), has_idempotency_key: message.idempotency_key.is_some() }
 }
 
-/// Translates a profile into the engine's settings, with all classes that there have been.
+/// Translates a profile into the engine's settings, with all classes, including retired ones.
 fn engine_settings(
     profile: &Profile,
     names: &Names,
@@ -219,7 +221,7 @@
     })
 }
 
-/// Returns the terms on which the endpoint list is polled.
+/// Returns the settings for polling the endpoint list.
 pub(super) fn polling_terms(settings: &Settings) -> PollingTerms {
     let Settings { fleet_size, discovery, rules, .. } = settings;
     PollingTerms {
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -1,4 +1,5 @@
-//! Effects that wait until the journal's records before them are durable: responses, calls, notifications.
+//! Effects that are deferred until the preceding journal records are durable: responses, calls and
+//! notifications.
 use super::EventLoop;
 use crate::daemon::durability::{
     DeferredEffects, GroupCommit, NextStep, REPLACEMENT_RETRY_DELAY, SyncResult,
@@ -13,13 +14,13 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// An effect that a record has to precede.
+/// An effect that requires a durable record in the journal.
 pub(super) enum DeferredEffect {
-    /// Accepts a message towards its client.
+    /// Responds to a client that its message is accepted.
     Accept(oneshot::Sender<SubmitResponse>),
-    /// Makes a call.
+    /// Starts a call.
     Call(Call),
-    /// Notifies the platform.
+    /// Notifies the platform of an outcome.
     Notification(Notification),
 }
 
@@ -27,14 +28,14 @@
 pub(super) struct DurableEffects {
     group_commit: GroupCommit,
     deferred: DeferredEffects<DeferredEffect>,
-    /// How many files the journal had begun when the group commit last heard of one.
+    /// The number of journal rewrites that the group commit knows of.
     journal_files: u64,
-    /// The instant from which the group commit counts time.
+    /// The instant at which the group commit's time is zero.
     origin: Instant,
 }
 
 impl DurableEffects {
-    /// Returns `None` where a record counts as soon as it is written.
+    /// Returns `None` if records count as durable as soon as they are written.
     pub(super) fn new(operator: &OperatorConfig) -> Option<Self> {
         let Durability::Machine { delay } = operator.durability else { return None };
         let group_commit = GroupCommit::new(Duration::from_micros(delay.0));
@@ -42,7 +43,7 @@
         Some(Self { group_commit, deferred, journal_files: 0, origin: Instant::now() })
     }
 
-    /// Returns when the group commit has something to do.
+    /// Returns when the next step of the group commit is due.
     pub(super) fn due(&self) -> Option<Instant> {
         match self.group_commit.next_step(self.origin.elapsed()) {
             NextStep::Wait(at) => at.map(|at| self.origin + at),
@@ -50,13 +51,13 @@
         }
     }
 
-    /// Takes note that the journal has begun so many files in all.
+    /// Informs the group commit that the journal was rewritten, `files` times in total.
     fn note_new_files(&mut self, files: u64) {
         self.journal_files = files;
         self.group_commit.file_replaced();
     }
 
-    /// Returns the next effect whose records are durable.
+    /// Removes and returns the next effect whose records are durable.
     fn next_released(&mut self) -> Option<DeferredEffect> {
         self.deferred.pop_ready(self.group_commit.durable_sequence())
     }
@@ -71,11 +72,12 @@
         }
     }
 
-    /// Responds to a client. Only an acceptance is a promise, and waits for its record.
+    /// Responds to a client. An acceptance is deferred until its record is durable; other responses are sent
+    /// immediately.
     pub(super) fn respond(&mut self, client: oneshot::Sender<SubmitResponse>, response: SubmitResponse) {
         match response {
             SubmitResponse::Accepted => self.perform_when_durable(DeferredEffect::Accept(client)),
-            // A client that has gone submits again under a new ID.
+            // Sending fails if the client has disconnected; it then submits again under a new ID.
             response => drop(client.send(response)),
         }
     }
@@ -88,21 +90,22 @@
         }
     }
 
-    /// Whether effects wait for their records.
+    /// Returns whether effects are deferred.
     pub(super) fn has_deferred_effects(&self) -> bool {
         self.durable_effects.as_ref().is_some_and(|durable| !durable.deferred.is_empty())
     }
 
-    /// Whether the journal's file is lost and has no replacement yet: nothing can be promised then.
+    /// Returns whether the journal's file has failed and is not replaced yet, so that no message can be
+    /// accepted.
     pub(super) fn is_journal_lost(&self) -> bool {
         self.durable_effects.as_ref().is_some_and(|durable| durable.group_commit.has_failed())
     }
 
-    /// Takes in how a sync of one of the journal's files ended.
+    /// Processes the result of a sync of one of the journal's files.
     pub(super) fn journal_synced(&mut self, file: u64, result: io::Result<()>) {
         if let Err(error) = &result {
             self.log(format_args!(
-                "journal: sync failed, unsynced records count as unwritten and a new file is begun error={error}"
+                "journal: sync failed, unsynced records count as unwritten until a new file replaces this one error={error}"
             ));
         }
         if let Some(durable) = &mut self.durable_effects {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Syncs the journal if that is due, and performs the effects whose records are durable by now.
+    /// Starts a sync of the journal if one is due, and performs the effects whose records are durable.
     pub(super) fn release_durable_effects(&mut self) {
         let Some(durable) = &mut self.durable_effects else { return };
         let journal = &mut self.messages.journal;
@@ -141,7 +144,7 @@
         });
     }
 
-    /// Begins a new journal file at `now`, as the group commit counts time, or tries again later.
+    /// Replaces the journal's failed file, or schedules another attempt. `now` is in the group commit's time.
     fn replace_lost_journal(&mut self, now: Duration) {
         let rewritten = self.messages.journal.rewrite();
         let Some(durable) = &mut self.durable_effects else { return };
@@ -150,13 +153,14 @@
             Err(error) => {
                 durable.group_commit.replacement_failed(now + REPLACEMENT_RETRY_DELAY);
                 self.log(format_args!(
-                    "journal: no new file, new messages are rejected until there is one error={error}"
+                    "journal: replacing the file failed, new messages are rejected until it succeeds error={error}"
                 ));
             }
         }
     }
 
-    /// Makes a call that waited for its records, unless what it was decided on has changed meanwhile.
+    /// Starts a deferred call. If it has expired, its endpoint has another address or the engine no longer
+    /// allows it, ends its attempts as deferred.
     fn start_deferred_call(&mut self, call: Call) {
         let now = self.clock.now();
         let is_allowed = call
--- a/src/daemon/event_loop/endpoint_table.rs
+++ b/src/daemon/event_loop/endpoint_table.rs
@@ -1,22 +1,22 @@
-//! The endpoints that discovery has listed, by the engine's numbers and by their names.
+//! The endpoints from discovery, by the engine's IDs and by name.
 use crate::daemon::endpoint_list::{ListedEndpoint, Phase};
 use crate::daemon::maintenance::Maintenance;
 use crate::profile::Names;
 use crate::{DestinationId, EndpointEntry, EndpointId, EndpointState, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One endpoint as the list last described it.
+/// An endpoint with its latest entry in the endpoint list.
 pub(super) struct TrackedEndpoint {
     pub(super) listed: ListedEndpoint,
-    /// How many messages a call to the endpoint may carry.
+    /// The maximum number of messages per call to the endpoint.
     pub(super) max_batch_size: usize,
-    /// When this sender first heard of the endpoint's phase, wall clock.
+    /// When this sender first received the endpoint's current phase, in wall time.
     pub(super) phase_since: Timestamp,
-    /// Whether the list has the endpoint in service and no operator has taken it out.
+    /// Whether the endpoint is listed as serving and is not in maintenance.
     pub(super) is_serving: bool,
 }
 
-/// All endpoints that the engine still has a use for, and those that operators have taken out of service.
+/// The endpoints that the engine has not forgotten, and the names of endpoints in maintenance.
 pub(super) struct EndpointTable {
     endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
     ids: BTreeMap<String, EndpointId>,
@@ -25,27 +25,27 @@
 }
 
 impl EndpointTable {
-    /// A table without endpoints.
+    /// Creates a table without endpoints.
     pub(super) fn new(maintenance: Maintenance) -> Self {
         Self { endpoints: BTreeMap::new(), ids: BTreeMap::new(), next_id: 0, maintenance }
     }
 
-    /// Returns an endpoint by its number.
+    /// Returns the endpoint with this ID.
     pub(super) fn get(&self, id: EndpointId) -> Option<&TrackedEndpoint> {
         self.endpoints.get(&id)
     }
 
-    /// Returns an endpoint by its number, to change it.
+    /// Returns a mutable reference to the endpoint with this ID.
     pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut TrackedEndpoint> {
         self.endpoints.get_mut(&id)
     }
 
-    /// Returns the number of the endpoint with that name.
+    /// Returns the ID of the endpoint with this name.
     pub(super) fn id_of(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
-    /// Returns the number of the endpoint with that name, and assigns one to a new name.
+    /// Returns the ID of the endpoint with this name, and assigns one if the name is new.
     pub(super) fn assign_id(&mut self, name: &str) -> EndpointId {
         *self.ids.entry(name.to_owned()).or_insert_with(|| {
             let id = EndpointId(self.next_id);
@@ -54,12 +54,12 @@
         })
     }
 
-    /// Returns all endpoints in the order of their numbers.
+    /// Returns all endpoints in the order of their IDs.
     pub(super) fn iter(&self) -> impl Iterator<Item = (EndpointId, &TrackedEndpoint)> + Clone {
         self.endpoints.iter().map(|(id, tracked)| (*id, tracked))
     }
 
-    /// Takes in what the list says of an endpoint; true if that differs from what was known.
+    /// Updates an endpoint from its list entry. Returns whether the entry is new or has changed.
     pub(super) fn update(
         &mut self,
         id: EndpointId,
@@ -75,7 +75,7 @@
         has_changed
     }
 
-    /// Marks all endpoints that a complete list does not name as deleted.
+    /// Marks all endpoints that are missing from a complete list as deleted.
     pub(super) fn delete_unlisted(&mut self, listed: &BTreeSet<EndpointId>, now: Timestamp) -> Removals {
         let mut removals = Removals::default();
         for (id, tracked) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -90,15 +90,15 @@
         removals
     }
 
-    /// Forgets an endpoint and its name.
+    /// Removes an endpoint and its name.
     pub(super) fn remove(&mut self, id: EndpointId) {
         if let Some(removed) = self.endpoints.remove(&id) {
             self.ids.remove(&removed.listed.id);
         }
     }
 
-    /// Returns what the engine is told of an endpoint, and updates whether the endpoint is serving. An
-    /// endpoint in maintenance drains whatever the list says.
+    /// Returns the engine's entry for an endpoint, and updates whether the endpoint is serving. An endpoint
+    /// in maintenance is draining even if the list has it as serving.
     pub(super) fn entry(&mut self, id: EndpointId, names: &Names) -> Option<EndpointEntry> {
         let tracked = self.endpoints.get_mut(&id)?;
         let listed = &tracked.listed;
@@ -120,11 +120,11 @@
     }
 }
 
-/// What a complete list changed about endpoints that it does not name.
+/// The endpoints that changed because a complete list does not contain them.
 #[derive(Default)]
 pub(super) struct Removals {
-    /// Endpoints that are deleted since this list.
+    /// Endpoints that became deleted with this list.
     pub(super) deleted: Vec<EndpointId>,
-    /// Endpoints that were in service until this list.
+    /// Endpoints that stopped serving with this list.
     pub(super) out_of_service: Vec<EndpointId>,
 }
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies endpoint lists from discovery, and the operators' maintenance requests beside them.
+//! Applies endpoint lists from discovery, and maintenance requests from operators.
 use super::EventLoop;
 use crate::daemon::checkpoint::DiscoveryVersion;
 use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint, Phase};
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl EventLoop {
-    /// Applies an endpoint list, or the changes to one.
+    /// Applies a complete endpoint list, or an incremental update of one.
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         let now = self.clock.now();
         self.trace.endpoint_list(now, &list);
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Takes in one entry of a list, and adds it to `changed` if it says something new; `None` if its kind or
-    /// zone is not in the settings.
+    /// Applies one entry of a list, and adds its endpoint to `changed` if the entry is new or has changed.
+    /// Returns `None` if its kind or zone is not in the settings.
     fn update_endpoint(
         &mut self,
         listed: ListedEndpoint,
@@ -41,7 +41,7 @@
     ) -> Option<EndpointId> {
         let Some(max_batch_size) = self.configuration.max_batch_size(&listed) else {
             self.log(format_args!(
-                "discovery: endpoint of an unknown kind or zone endpoint={} kind={} zone={}",
+                "discovery: endpoint ignored, unknown kind or zone endpoint={} kind={} zone={}",
                 listed.id, listed.kind, listed.zone
             ));
             return None;
@@ -53,7 +53,8 @@
         Some(id)
     }
 
-    /// Marks the endpoints that are not among `entries` as deleted, and returns those that were not before.
+    /// Marks the endpoints that are not among `entries` as deleted, and returns those that were not deleted
+    /// before.
     fn delete_unlisted(&mut self, entries: &[EndpointEntry], now: Timestamp) -> Vec<EndpointId> {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         let removals = self.endpoints.delete_unlisted(&listed, now);
@@ -66,7 +67,7 @@
     /// Takes an endpoint out of service for an operator, or puts it back.
     ///
     /// # Errors
-    /// The endpoint is unknown, or the change cannot be written down.
+    /// Returns an error if the endpoint is unknown or the change cannot be stored.
     pub(super) fn change_maintenance(
         &mut self,
         name: &str,
@@ -92,8 +93,7 @@
         Ok(())
     }
 
-    /// Returns what the engine is told of an endpoint, and closes the idle connections to one that is not
-    /// serving.
+    /// Returns the engine's entry for an endpoint, and closes its idle connections if it is not serving.
     pub(super) fn endpoint_entry(&mut self, id: EndpointId) -> Option<EndpointEntry> {
         let entry = self.endpoints.entry(id, &self.configuration.names)?;
         if self.endpoints.get(id).is_some_and(|tracked| !tracked.is_serving) {
--- a/src/daemon/event_loop/journal_repair.rs
+++ b/src/daemon/event_loop/journal_repair.rs
@@ -1,5 +1,5 @@
-//! What the event loop does while the folder fails: it tries to rewrite the journal, and holds back ends that a process after
-//! a restart would not know of.
+//! Handling of write errors in the state folder: retries rewriting the journal, and holds notifications of
+//! outcomes that are not recorded.
 use super::EventLoop;
 use super::durable_effects::DeferredEffect;
 use crate::Timestamp;
@@ -10,28 +10,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often rewriting the journal is tried.
+/// The time between two attempts to rewrite the journal.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The repair of the journal, and the ends that wait for it.
+/// The state of the journal's repair, and the notifications that wait for it.
 ///
-/// A message that ended early would be sent again by a process after a restart that lacks the record of the end, although its
-/// client may have submitted it elsewhere. After its deadline nobody sends it any more.
+/// If a process restarts without the record of an outcome, it sends the message again, although the notified
+/// client may have submitted it elsewhere. No process sends the message after its deadline.
 #[derive(Default)]
 pub(super) struct JournalRepair {
     next_attempt: Option<Instant>,
-    /// Ends whose records are not written, by deadline and number.
+    /// Notifications whose outcomes are not recorded, by deadline and number of the message.
     unrecorded_ends: BTreeMap<(Timestamp, u32), Notification>,
     log_limit: ErrorLogLimit,
 }
 
 impl JournalRepair {
-    /// Holds an end back until its record is written, or the deadline of its message has passed.
+    /// Holds a notification until its outcome is recorded, or the deadline of its message has passed.
     pub(super) fn hold_end(&mut self, deadline: Timestamp, notification: Notification) {
         self.unrecorded_ends.insert((deadline, notification.number), notification);
     }
 
-    /// Returns the ends that may be told at `now`.
+    /// Removes and returns the notifications that may be sent at `now`.
     fn release_ends(&mut self, lacks_records: bool, now: Timestamp) -> Vec<Notification> {
         let still_held = match lacks_records {
             true => self.unrecorded_ends.split_off(&(Timestamp(now.0 + 1), 0)),
@@ -46,7 +46,7 @@
 }
 
 impl EventLoop {
-    /// Returns when the repair of the journal has something to do.
+    /// Returns when the journal is to be rewritten, or a held notification to be sent.
     pub(super) fn journal_repair_due(&self) -> Option<Instant> {
         let needs_rewrite = self.messages.journal.needs_rewrite();
         let attempt = needs_rewrite.then(|| self.journal_repair.next_attempt.unwrap_or_else(Instant::now));
@@ -54,7 +54,8 @@
         attempt.into_iter().chain(release).min()
     }
 
-    /// Rewrites the journal if its file cannot be relied on, and tells the ends that need to wait no longer.
+    /// Rewrites the journal if its file is incomplete or unreliable, and sends the notifications that no
+    /// longer have to wait.
     pub(super) fn repair_journal(&mut self, now: Instant) {
         let is_due = self.journal_repair.next_attempt.is_none_or(|due| due <= now);
         if self.messages.journal.needs_rewrite() && is_due {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Logs an error of the folder, if none was logged a moment ago.
+    /// Logs an error at a limited rate, with the number of errors suppressed since the last logged one.
     pub(super) fn log_folder_error(&mut self, line: fmt::Arguments<'_>) {
         let now = Duration::from_micros(self.clock.now().0);
         if let Some(suppressed) = self.journal_repair.log_limit.admit(now) {
@@ -78,7 +79,7 @@
         match self.messages.journal.rewrite() {
             Ok(()) => {
                 self.journal_repair.next_attempt = None;
-                self.log(format_args!("journal: rewritten, all records are in the file again"));
+                self.log(format_args!("journal: rewritten, no records are missing"));
             }
             Err(_) => self.journal_repair.next_attempt = Some(now + REPAIR_INTERVAL),
         }
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -1,9 +1,10 @@
-//! The event loop around the decision engine: it gives the engine events, carries out the engine's actions,
-//! and keeps the journal ahead of both. It translates the names on the wire into the engine's numbers.
+//! The event loop that drives the decision engine: it passes events to the engine, performs the actions that
+//! the engine returns, and writes the journal records that have to precede them. It maps names on the wire to
+//! the engine's numeric IDs.
 //!
-//! Each part of the loop's state has one owner: [`endpoint_table`], [`message_table`], [`calls`],
-//! [`checkpointing`], [`recovery`], [`shutdown`] and [`admin`] each hold a type with the state and the loop's
-//! methods that use it most.
+//! The state is divided among the modules [`endpoint_table`], [`message_table`], [`calls`],
+//! [`checkpointing`], [`recovery`], [`shutdown`] and [`admin`]. Each defines a type that owns its part, and
+//! the methods of [`EventLoop`] that mainly use it.
 mod admin;
 mod admission;
 mod attempt_check;
@@ -57,7 +58,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// A sender at work.
+/// A running sender: its decision engine, state and channels.
 pub struct EventLoop {
     engine: DeliveryEngine,
     configuration: ActiveConfiguration,
@@ -67,9 +68,9 @@
     endpoints: EndpointTable,
     messages: MessageTable,
     calls: CallTable,
-    /// Takes notifications for the platform.
+    /// Sends notifications to the task that delivers them to the platform.
     notifications: UnboundedSender<Notification>,
-    /// The effects that wait for their records, where records have to outlast the machine.
+    /// Effects that wait until their records are synced; `None` if records need not survive a machine crash.
     durable_effects: Option<DurableEffects>,
     journal_repair: JournalRepair,
     checkpointing: Checkpointing,
@@ -79,58 +80,59 @@
     trace: Trace,
     clock: Clock,
     violations: Violations,
-    /// Calls and syncs under way.
+    /// Running calls and journal syncs.
     tasks: JoinSet<()>,
-    /// Takes events for this loop.
+    /// Sends events to this loop.
     events: UnboundedSender<LoopEvent>,
     ports: Ports,
 }
 
-/// The ends of the channels that an event loop works with.
+/// The channels that connect an event loop to other tasks.
 pub struct EventLoopChannels {
-    /// Takes events for the loop.
+    /// Sends events to the loop.
     pub events: UnboundedSender<LoopEvent>,
-    /// Takes notifications for the platform.
+    /// Sends notifications to the task that delivers them to the platform.
     pub notifications: UnboundedSender<Notification>,
-    /// Tells the listeners whether clients are served.
+    /// Publishes to the listeners whether clients are served.
     pub listener: WatchCell<ListenerState>,
-    /// Where the discovery agent listens, which takes notifications, too.
+    /// Publishes the address of the discovery agent, which also receives the notifications.
     pub discovery: WatchCell<SocketAddr>,
-    /// Takes the members of the fleet, where membership is on.
+    /// Sends changed members of the fleet to the membership task; `None` if membership is disabled.
     pub members: Option<UnboundedSender<Members>>,
 }
 
-/// What an event loop starts from.
+/// The inputs from which an event loop is created.
 pub struct EventLoopConfig {
-    /// The configuration.
+    /// The initial configuration.
     pub config: Rc<Config>,
-    /// The keys that every configuration has to hold.
+    /// The keys that a reloaded configuration must contain.
     pub schema: ConfigSchema,
-    /// The seed for random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// What the predecessor handed over, if there was one.
+    /// The state that the predecessor handed over; `None` without a predecessor.
     pub inheritance: Option<InheritedState>,
-    /// The counts of this process so far.
+    /// The metrics that this process has counted so far.
     pub metrics: Metrics,
-    /// How far the recovery has come.
+    /// The progress of the recovery after a restart.
     pub recovery: RecoveryStatus,
-    /// What the recovery found at the start.
+    /// The endpoint restrictions that peers reported, and the stamp to write to the journal.
     pub recovery_start: RecoveryStart,
-    /// The clock, which continues that of the journal's earlier processes.
+    /// The clock, which continues the time of the processes that wrote the journal.
     pub clock: Clock,
-    /// What the run-time checks of this process found.
+    /// The counters of the violations that the run-time checks of this process find.
     pub violations: Violations,
 }
 
 impl EventLoop {
-    /// Returns the terms on which the endpoint list is polled, to be followed as they change.
+    /// Returns a cell with the settings for polling the endpoint list. Reloads update the cell.
     pub fn polling_terms(&self) -> WatchCell<PollingTerms> {
         self.published.polling_terms.clone()
     }
 
-    /// Runs until a graceful shutdown is over (`None`), or a successor takes over.
+    /// Runs the loop. Returns `None` after a graceful shutdown, or the state to hand over if a successor
+    /// takes over.
     pub async fn run(mut self, events: &mut UnboundedReceiver<LoopEvent>) -> Option<HandoverState> {
-        // Messages that were recovered may have ended already, and their notifications be due.
+        // Recovered messages that have already ended may have notifications to send.
         self.release_durable_effects();
         loop {
             let due = self.due();
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Returns when the loop has something to do without another event.
+    /// Returns the time at which the next timer of the loop expires, or `None` if no timer is set.
     fn due(&self) -> Option<Instant> {
         let dues = [
             self.step_due(),
@@ -174,7 +176,7 @@
         self.queue.due(self.configuration.min_step_interval())
     }
 
-    /// Does everything that is due at `now`.
+    /// Runs all work that is due at `now`.
     fn proceed(&mut self, now: Instant) {
         if self.step_due().is_some_and(|due| due <= now) {
             self.step();
@@ -182,16 +184,15 @@
         self.advance_recovery();
         self.repair_journal(now);
         self.release_durable_effects();
-        // After the step: the journal's own records come first.
+        // Comes last, because journal records take precedence over the checkpoint for disk space.
         self.advance_checkpoint(now);
     }
 
-    /// Handles one event.
     fn handle(&mut self, event: LoopEvent) {
         match event {
             LoopEvent::Submit { message, deadline, reply } => {
-                // A client that has gone submits again under a new ID; this message is delivered all the
-                // same.
+                // The message is delivered even if its client has disconnected and submits it again under a
+                // new ID.
                 let response = self.submit(message, deadline);
                 self.respond(reply, response);
             }
--- a/src/daemon/event_loop/peer_reports.rs
+++ b/src/daemon/event_loop/peer_reports.rs
@@ -1,4 +1,4 @@
-//! What senders tell each other of endpoints when one of them recovers.
+//! Endpoint reports that senders exchange when one of them recovers.
 use super::EventLoop;
 use crate::daemon::endpoint_list::Phase;
 use crate::{EndpointEntry, EndpointId, Event, TimeDelta, Timestamp};
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 impl EventLoop {
-    /// Applies what peers warn of. What this sender knows itself stands beside that, and its own list
-    /// overrides it.
+    /// Applies restrictions that peers reported, in addition to what this sender has observed. A later
+    /// endpoint list overrides the reported phases.
     pub(super) fn apply_restrictions(&mut self, restrictions: EndpointRestrictions) {
         if !self.recovery.status.sends_backlog() {
-            // Changes since a version come when there are some: only a request for the whole list is answered
-            // at once.
+            // The discovery agent answers a request for the whole list immediately, but one for changes only
+            // when there are some.
             self.checkpointing.version = None;
         }
         let now = self.clock.now();
@@ -30,14 +30,14 @@
         }
         if !entries.is_empty() {
             self.log(format_args!(
-                "recovery: endpoints stay out of service, peers heard that they drain or are removed count={}",
+                "recovery: endpoints kept out of service, peers reported them as draining or removed count={}",
                 entries.len()
             ));
             self.queue.push(now, Event::EndpointUpdates(entries));
         }
     }
 
-    /// Drains an endpoint that this sender has in service, until a whole list says otherwise.
+    /// Marks a serving endpoint as draining until the next complete endpoint list.
     fn drain_restricted(&mut self, id: EndpointId) -> Option<EndpointEntry> {
         let tracked = self.endpoints.get_mut(id).filter(|tracked| tracked.listed.phase == Phase::Serving)?;
         tracked.listed.phase = Phase::Draining;
@@ -46,7 +46,7 @@
         entry
     }
 
-    /// Returns what this sender reports of endpoints to a peer that recovers.
+    /// Returns the endpoint reports for a peer that recovers, by endpoint name, without empty ones.
     pub(super) fn endpoint_reports(&self) -> BTreeMap<String, EndpointReport> {
         let now = self.clock.now();
         let reports = self.endpoints.iter().map(|(id, tracked)| {
@@ -63,7 +63,7 @@
         for (wait, _) in own.iter().chain(&shared) {
             report.retry_after_us = report.retry_after_us.max(wait.0);
         }
-        // Only the endpoint's own route says whether it answers.
+        // Only the endpoint's own route has information about the endpoint's health.
         if let Some((_, health)) = own {
             report.health = health;
         }
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery after a restart: which messages of the journal end at once, and which are sent in which phase.
+//! Recovery of the journal's messages after a restart: which ones end immediately, and in which phase the
+//! others are sent.
 use super::EventLoop;
 use super::configuration::recovered_class;
 use crate::daemon::clock::ClockContinuity;
@@ -13,28 +14,30 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Stands for a moment that nobody knows any more: every window since then is over.
+/// The start of an attempt at an unknown time, in microseconds: every deduplication window since then has
+/// expired.
 const LONG_AGO: u64 = 0;
-/// Stands for a zone that the settings no longer name.
+/// Placeholder for a zone that is no longer in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(usize::MAX);
 
-/// How far the recovery has come.
+/// The progress of the recovery, and the messages that wait for its next phase.
 pub(super) struct RecoveryProgress {
     pub(super) status: RecoveryStatus,
     pub(super) time_marks: Marks,
-    /// The latest moment that the journal mentioned when it was opened, in microseconds of wall time.
+    /// The latest time in the journal when it was opened, in microseconds of wall time.
     last_journal_time: u64,
     /// Recovered messages that must not be sent yet, by deadline (in microseconds of wall time) and number.
     held_messages: BTreeMap<(u64, u32), RecoveredMessage>,
 }
 
 impl RecoveryProgress {
-    /// The beginning of a recovery from a journal that mentions no later moment than `last_journal_time`.
+    /// Creates the state of a recovery that starts. `last_journal_time` is the latest time in the journal, in
+    /// microseconds of wall time.
     pub(super) fn new(status: RecoveryStatus, last_journal_time: u64) -> Self {
         Self { status, time_marks: Marks::default(), last_journal_time, held_messages: BTreeMap::new() }
     }
 
-    /// Returns the earliest deadline among the messages that are held.
+    /// Returns the earliest deadline of the held messages.
     fn first_deadline(&self) -> Option<Timestamp> {
         self.held_messages.first_key_value().map(|((deadline, _), _)| Timestamp(*deadline))
     }
@@ -45,7 +48,7 @@
 }
 
 impl EventLoop {
-    /// Returns whether a message of that class may be sent twice.
+    /// Returns the effect of delivering a message of the class twice.
     pub(super) fn repeats(&self, class: ClassId) -> Redelivery {
         match self.configuration.settings.classes[class.0].idempotency {
             Idempotency::Idempotent => Redelivery::Harmless,
@@ -54,7 +57,7 @@
         }
     }
 
-    /// Takes over all messages that the journal holds from an earlier process.
+    /// Recovers all messages that earlier processes left in the journal.
     pub(super) fn recover_messages(&mut self) {
         let recovered: Vec<(u32, PendingMessage)> =
             self.messages.journal.pending().map(|(number, pending)| (number, pending.clone())).collect();
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Takes over one message: ends it at once, or hands it to the engine.
+    /// Recovers one message: ends it immediately, or passes it to the engine.
     fn recover_message(&mut self, number: u32, mut pending: PendingMessage) {
         self.messages.register(pending.message.id.clone(), number);
         let class = self.recovered_class(&pending);
@@ -93,7 +96,7 @@
             }
         };
         if pending.active_attempt.is_some() {
-            // The process ended during the call: nobody knows how far the call had come.
+            // The process ended during the call, so it is unknown whether the message was delivered.
             let recorded = self.messages.journal.end_attempt(number, AttemptEffect::Uncertain);
             self.check_recorded(recorded);
         }
@@ -121,8 +124,8 @@
         RecoveredMessage { message, attempts, first_uncertain_attempt, ended }
     }
 
-    /// Corrects what the journal says of a message as far as that cannot be trusted. Returns an outcome if
-    /// the message has to end at once.
+    /// Corrects the recorded state of a message where the journal cannot be trusted. Returns the outcome if
+    /// the message has to end immediately.
     fn judge_recovered(
         &mut self,
         number: u32,
@@ -143,7 +146,7 @@
                 self.record_uncertain_attempt(number, Attempt { started_at: at, zone }, pending);
             }
             Verdict::Return => return Some(FinalOutcome::Returned(None)),
-            // The journal of another sender is set aside before it is read here.
+            // `Discard` is not expected here: the journal of another sender is set aside when it is opened.
             Verdict::Fail | Verdict::Discard => return Some(FinalOutcome::Failed),
         }
         self.reset_deadline(number, class, pending);
@@ -153,14 +156,14 @@
         None
     }
 
-    /// Whether nobody knows how long ago the times in the journal are, and the recovery does not judge them.
+    /// Returns whether the age of the journal's times is unknown and no configured recovery assesses them.
     pub(super) fn doubts_journal_times(&self) -> bool {
         let is_judged_elsewhere = self.configuration.config.operator.recovery.is_some();
         self.clock.continuity() == ClockContinuity::Unknown && !is_judged_elsewhere
     }
 
-    /// Takes the cautious side of each time of a message: its destination has forgotten the key, and it has no more time left
-    /// than a new message of its class.
+    /// Assumes the worst case for the times of a message: its destination no longer knows its idempotency
+    /// key, and it has no more time left than a new message of its class.
     fn assume_cautious_times(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if pending.final_outcome.is_some() {
             return;
@@ -178,7 +181,8 @@
         }
     }
 
-    /// Continues the journal's times with those of this process, once all messages have times of this process.
+    /// Continues the journal on the clock of this process. Runs after the times of all messages are on this
+    /// clock.
     pub(super) fn adopt_journal_times(&mut self) {
         if self.doubts_journal_times() {
             self.messages.journal.reset_clock(self.clock.now().0);
@@ -193,14 +197,13 @@
     fn rewrite_on_new_clock(&mut self) {
         if let Err(error) = self.messages.journal.rewrite() {
             self.log(format_args!(
-                "journal: not rewritten on the new clock, IDs of completed messages may be forgotten early \
-                 error={error}"
+                "journal: rewrite on the new clock failed, IDs of completed messages may expire early error={error}"
             ));
         }
     }
 
-    /// Records that a message may have run: a successor on this boot of the machine trusts the journal to be
-    /// complete.
+    /// Records that a message may have taken effect. The record is needed because later processes on this
+    /// boot of the machine trust the journal to be complete.
     fn record_uncertain_attempt(&mut self, number: u32, attempt: Attempt, pending: &mut PendingMessage) {
         pending.attempts_started = pending.attempts_started.max(1);
         (pending.first_uncertain_attempt, pending.active_attempt) = (Some(attempt.clone()), None);
@@ -208,8 +211,8 @@
         self.check_recorded(recorded);
     }
 
-    /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the
-    /// machine trusts its clock.
+    /// Converts a recovered deadline to the current clock, and records it. Later processes on this boot of
+    /// the machine trust the clock and do not convert the deadline again.
     fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if self.recovery.status.trusts_clock() || pending.final_outcome.is_some() {
             return;
@@ -226,8 +229,8 @@
         self.check_recorded(recorded);
     }
 
-    /// Writes down who continues the journal, once all that follows from its state stands in it: a process
-    /// that ends before finds the journal in that state again.
+    /// Records that this process continues the journal. Runs after all corrections are recorded: if the
+    /// process ends earlier, the next one assesses the journal in the same state.
     pub(super) fn stamp_journal(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
         if !self.recovery.status.trusts_clock() {
@@ -236,17 +239,17 @@
         }
         let recorded = self.messages.journal.stamp(stamp);
         self.check_recorded(recorded);
-        // The stamp is durable whatever the other records are: a state folder that a loss of power emptied is
-        // told from a new one.
+        // Makes the stamp durable regardless of the durability setting, so that a state folder emptied by a
+        // power failure can be distinguished from a new one.
         if let Err(error) = self.messages.journal.enable_durability() {
             self.log(format_args!(
-                "journal: stamp is not durable, after a loss of power this may look like a first start error={error}"
+                "journal: sync of the stamp failed, the start after a power failure may look like a first start error={error}"
             ));
         }
     }
 
-    /// Hands a recovered message to the engine if recovered messages are sent in this phase, or if its end
-    /// needs no call.
+    /// Passes a recovered message to the engine if this phase sends recovered messages or if the message ends
+    /// without a call. Holds it otherwise.
     fn hand_over_recovered(&mut self, recovered: RecoveredMessage) {
         let needs_no_call = recovered.ended || recovered.message.time_to_live == TimeDelta(0);
         if needs_no_call || self.sends_recovered() {
@@ -261,14 +264,14 @@
         self.recovery.status.sends_backlog() || self.lifecycle.is_shutting_down()
     }
 
-    /// Returns when the recovery proceeds by time alone: at the end of a phase, or at the deadline of a held
-    /// message.
+    /// Returns when the recovery has work without another event: at the end of a phase, or at the deadline of
+    /// a held message.
     pub(super) fn recovery_due(&self) -> Option<Instant> {
         let first_deadline = self.recovery.first_deadline().map(|deadline| self.clock.instant(deadline));
         self.recovery.status.due().into_iter().chain(first_deadline).min()
     }
 
-    /// Proceeds with the recovery if its phase has changed, or the deadline of a held message has passed.
+    /// Advances the phase of the recovery, and releases held messages whose phase or deadline has come.
     pub(super) fn advance_recovery(&mut self) {
         if self.recovery.is_finished() {
             return;
@@ -280,8 +283,8 @@
         }
     }
 
-    /// Hands held messages to the engine in the order in which they were accepted: all of them if their phase
-    /// has come, or else those whose deadline has passed.
+    /// Passes held messages to the engine in the order in which they were accepted: all of them if this phase
+    /// sends recovered messages, otherwise those whose deadline has passed.
     fn release_held_messages(&mut self) {
         let now = self.clock.now();
         let still_held = match self.sends_recovered() {
--- a/src/daemon/event_loop/shutdown.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! How an event loop ends: by a graceful shutdown, or by a handover to a successor.
+//! The end of an event loop: by a graceful shutdown, or by a handover to a successor.
 use super::EventLoop;
 use crate::Event;
 use crate::daemon::config::Config;
@@ -11,33 +11,35 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep};
 
-/// From SIGTERM to the end of the process: the platform kills the process no sooner than 3.7 s after SIGTERM.
+/// The maximum time from SIGTERM to the end of the process. The platform sends SIGKILL 3.7 s after SIGTERM at
+/// the earliest.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3400);
-/// How long after SIGTERM the process serves even with nothing left to do: clients still come for 0.4 s.
+/// The minimum time from SIGTERM to the end of the process. New clients may connect until 0.4 s after
+/// SIGTERM.
 const MIN_SHUTDOWN_DURATION: Duration = Duration::from_millis(600);
-/// From a successor's request until the handover: calls that take longer are abandoned.
+/// The maximum time from a successor's request to the handover. Calls that take longer are aborted.
 const HANDOVER_SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an abandoned call may take to be closed: nobody may send a second copy while its connection is
-/// open.
+/// The time allowed for closing the connections of aborted calls. While a connection is open, its messages
+/// must not be sent again.
 const CONNECTION_CLOSE_DELAY: Duration = Duration::from_millis(10);
 
-/// When a graceful shutdown ends.
+/// The bounds of the end of a graceful shutdown.
 #[derive(Clone, Copy)]
 struct ShutdownDeadlines {
-    /// From then on the process ends as soon as nothing is left to do.
+    /// From this time on, the process ends as soon as no work is left.
     earliest: Instant,
-    /// Then the process ends with what it has.
+    /// At this time the process ends even if work is left.
     latest: Instant,
 }
 
-/// A successor that has asked to take over.
+/// A successor's request to take over.
 struct RequestedHandover {
     successor: Successor,
-    /// When the handover begins at the latest.
+    /// The latest time at which the handover starts.
     deadline: Instant,
 }
 
-/// Whether the event loop is to end, and what its listener does meanwhile.
+/// The shutdown or handover in progress, and the state of the listener.
 pub(super) struct Lifecycle {
     pub(super) listener: WatchCell<ListenerState>,
     shutdown: Option<ShutdownDeadlines>,
@@ -45,17 +47,17 @@
 }
 
 impl Lifecycle {
-    /// A loop that is to go on.
+    /// Creates the state of a loop without a shutdown or handover in progress.
     pub(super) fn new(listener: WatchCell<ListenerState>) -> Self {
         Self { listener, shutdown: None, handover: None }
     }
 
-    /// Whether a graceful shutdown has begun.
+    /// Returns whether a graceful shutdown has begun.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
-    /// Returns when the shutdown or the handover proceeds by time alone.
+    /// Returns the next deadline of the shutdown or handover, or `None` if neither is in progress.
     pub(super) fn due(&self) -> Option<Instant> {
         let shutdown = self.shutdown.map(|deadlines| {
             if Instant::now() < deadlines.earliest { deadlines.earliest } else { deadlines.latest }
@@ -64,33 +66,34 @@
         shutdown.into_iter().chain(handover).min()
     }
 
-    /// Whether the shutdown is over at `now`.
+    /// Returns whether a shutdown was requested and is complete at `now`.
     fn is_shutdown_over(&self, now: Instant, is_idle: impl FnOnce() -> bool) -> bool {
         self.shutdown
             .is_some_and(|deadlines| now >= deadlines.earliest && (now >= deadlines.latest || is_idle()))
     }
 
-    /// Takes the successor if the handover begins at `now`: its time has come, or no call is in flight.
+    /// Removes and returns the successor if the handover starts at `now`: its deadline has passed, or no call
+    /// is in flight.
     pub(super) fn take_successor(&mut self, now: Instant, has_calls: bool) -> Option<Successor> {
         let handover = self.handover.take_if(|handover| now >= handover.deadline || !has_calls);
         handover.map(|handover| handover.successor)
     }
 }
 
-/// What an event loop leaves behind that gives way to a successor.
+/// The state that an event loop returns when a successor takes over.
 pub struct HandoverState {
-    /// The successor.
+    /// The process that takes over.
     pub successor: Successor,
-    /// What the successor inherits, beside the journal.
+    /// The state that the successor inherits in addition to the journal.
     pub inheritance: InheritedState,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Rc<Config>,
     /// The last snapshot of the metrics.
     pub metrics: Rc<Metrics>,
 }
 
 impl EventLoop {
-    /// Begins the graceful shutdown that was requested at `requested_at`, unless one has begun.
+    /// Begins a graceful shutdown that was requested at `requested_at`, unless one has already begun.
     pub(super) fn begin_shutdown(&mut self, requested_at: Instant) {
         if self.lifecycle.is_shutting_down() {
             return;
@@ -102,8 +105,8 @@
         self.queue.push(self.clock.now(), Event::Shutdown(self.clock.timestamp(latest)));
     }
 
-    /// Whether the shutdown is over. The listener serves until the process ends: a client may use a
-    /// connection for as long as it is open, and a closed one sends the client to a new one.
+    /// Returns whether the shutdown is complete. The listener serves until the process ends, because clients
+    /// may use a connection until it is closed.
     pub(super) fn is_shutdown_over(&self, now: Instant) -> bool {
         self.lifecycle.is_shutdown_over(now, || {
             let has_messages = self.messages.journal.pending().next().is_some();
@@ -111,23 +114,25 @@
         })
     }
 
-    /// Begins to give way to a successor. A second request during a handover breaks the link of its sender.
+    /// Begins a handover to a successor. A second request during a handover is dropped, which closes the
+    /// connection to its process.
     pub(super) fn request_handover(&mut self, successor: Successor) {
         if self.lifecycle.handover.is_some() {
             return;
         }
         if self.messages.journal.lacks_records() {
-            // The successor would read a journal that lacks what this process knows.
+            // The successor would recover from an incomplete journal.
             self.log(format_args!("handover: refused, the journal lacks records"));
             return;
         }
         let deadline = Instant::now() + HANDOVER_SETTLE_TIMEOUT;
-        self.log(format_args!("handover: a successor asks to take over"));
+        self.log(format_args!("handover: requested by a successor"));
         self.lifecycle.handover = Some(RequestedHandover { successor, deadline });
         self.queue.push(self.clock.now(), Event::Handover(self.clock.timestamp(deadline)));
     }
 
-    /// Ends the loop with all calls closed and the journal as it is; nothing is accepted from here on.
+    /// Ends the loop: aborts all calls, processes the remaining events, and returns the state for the
+    /// successor. No messages are accepted from here on.
     pub(super) async fn hand_over(
         mut self,
         successor: Successor,
@@ -137,7 +142,7 @@
         self.tasks.shutdown().await;
         sleep(CONNECTION_CLOSE_DELAY).await;
         self.handle_last_events(events);
-        // No call may begin that would end after now: none at all.
+        // With `now` as the deadline, the engine starts no further call.
         let now = self.clock.now();
         self.queue.push(now, Event::Handover(now));
         self.step();
@@ -149,8 +154,9 @@
         HandoverState { successor, inheritance, config, metrics: Rc::new(metrics) }
     }
 
-    /// Handles what has ended by now: a Retry-After binds the successor, too. Submitted messages are
-    /// forwarded to the successor by the listener, and orders wait for whoever has the listener at the end.
+    /// Processes completions and endpoint lists that are still queued, so that a Retry-After also applies to
+    /// the successor. Drops submitted messages, as the listener forwards them to the successor. Queues
+    /// shutdown, reload and admin requests again in case this process keeps the listener.
     fn handle_last_events(&mut self, events: &mut UnboundedReceiver<LoopEvent>) {
         let mut orders = Vec::new();
         while let Ok(event) = events.try_recv() {
@@ -166,7 +172,7 @@
                 | LoopEvent::Connected { .. }
                 | LoopEvent::ConnectionIdle { .. }
                 | LoopEvent::Successor(_) => {}
-                // A sync of a file that this loop has closed.
+                // The event loop no longer uses the synced file.
                 LoopEvent::JournalSynced { .. } => {}
             }
         }
--- a/src/daemon/event_loop/step.rs
+++ b/src/daemon/event_loop/step.rs
@@ -1,4 +1,4 @@
-//! One step of the decision engine, and the actions that follow from it.
+//! Running a step of the decision engine, and performing the actions that it returns.
 use super::EventLoop;
 use crate::daemon::journal::FinalOutcome;
 use crate::{Action, EndpointId, MessageId, TimeDelta, Timestamp};
@@ -13,7 +13,7 @@
 }
 
 impl EventLoop {
-    /// Gives the engine all that happened since the last step, and carries out what the engine decides.
+    /// Passes all queued events to the engine, and performs the actions that it returns.
     pub(super) fn step(&mut self) {
         let at = Instant::now();
         let now = self.clock.timestamp(at);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Carries out an action of a step at `at`; sends are gathered in `calls`.
+    /// Performs an action of a step at `at`. Sends are collected in `calls`.
     fn carry_out(&mut self, action: Action, at: Instant, calls: &mut Vec<PlannedCall>) {
         match action {
             Action::Send { message, endpoint, expires } => {
@@ -46,8 +46,8 @@
                 self.endpoints.remove(endpoint);
             }
             Action::Log(line) => self.log(format_args!("{line}")),
-            // The endpoint list is always watched; the engine is set up neither to cancel calls nor to check
-            // health.
+            // Not needed: the endpoint list is always watched, and the engine is configured without
+            // cancellation and health checks.
             Action::WatchEndpoints
             | Action::PollEndpoints
             | Action::Cancel { .. }
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Adds a message to the last call, or plans another one. The sends of a call come one after the other,
-    /// and the engine lets the messages of a batch expire together.
+    /// Adds a message to the last planned call, or plans another call. Checking the last one is enough,
+    /// because the engine emits the sends of a batch consecutively and with the same expiry.
     fn plan_send(
         &self,
         calls: &mut Vec<PlannedCall>,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Rounds a time up to milliseconds, as notifications state it.
+/// Converts a duration to milliseconds, the unit of notifications, rounding up.
 fn milliseconds(time: TimeDelta) -> u64 {
     time.0.div_ceil(1000)
 }
--- a/src/daemon/event_loop/step_queue.rs
+++ b/src/daemon/event_loop/step_queue.rs
@@ -1,9 +1,9 @@
-//! The events that the decision engine has not seen yet, and when its next step is due.
+//! The events that are queued for the next step of the decision engine, and the time of that step.
 use crate::{Event, Outcome, Timestamp};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Events in the order in which they happened, with the engine's timer.
+/// A queue of events in the order in which they occurred, with the engine's timer.
 pub(super) struct StepQueue {
     events: Vec<(Timestamp, Event)>,
     last_step: Instant,
@@ -11,22 +11,23 @@
 }
 
 impl StepQueue {
-    /// An empty queue; the first step comes no sooner than one interval after `now`.
+    /// Creates an empty queue. The first step is due one interval after `now` at the earliest.
     pub(super) fn new(now: Instant) -> Self {
         Self { events: Vec::new(), last_step: now, timer: None }
     }
 
-    /// Queues an event that happened at `at` for the next step.
+    /// Queues an event that occurred at `at` for the next step.
     pub(super) fn push(&mut self, at: Timestamp, event: Event) {
         self.events.push((at, event));
     }
 
-    /// Whether the engine has seen all that happened.
+    /// Returns whether no event is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// Returns when the next step is due: no sooner than `min_interval` after the last one.
+    /// Returns when the next step is due, at the earliest `min_interval` after the last one. Returns `None`
+    /// if no event is queued and no timer is set.
     pub(super) fn due(&self, min_interval: Duration) -> Option<Instant> {
         let earliest = self.last_step + min_interval;
         if self.events.is_empty() { self.timer.map(|timer| timer.max(earliest)) } else { Some(earliest) }
@@ -37,7 +38,7 @@
         self.timer = Some(self.timer.map_or(at, |timer| timer.min(at)));
     }
 
-    /// Takes all events for a step at `at`, which is `now` on the engine's clock.
+    /// Removes and returns the events for a step at `at`, which is `now` on the engine's clock.
     pub(super) fn take_step(&mut self, at: Instant, now: Timestamp) -> Vec<Event> {
         self.last_step = at;
         let mut events = Vec::with_capacity(self.events.len() + 1);
@@ -52,8 +53,8 @@
     }
 }
 
-/// Shortens the time left in an event by its age in microseconds: times left run from when something
-/// happened, not from the step that processes the event.
+/// Subtracts the age of an event, in microseconds, from the remaining time that it carries. Remaining times
+/// count from when the event occurred, not from the step that processes it.
 fn shorten_wait(event: &mut Event, age: u64) {
     match event {
         Event::Message(message) => {
