--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -105,7 +105,7 @@
 
     fn apply_settings(&mut self, prepared: PreparedReload, config: &Config) {
         let has_changed = self.configuration.apply(prepared);
-        self.list_classes_in_metrics();
+        self.register_classes_in_metrics();
         self.calls.pool.set_idle_time(idle_timeout(&config.settings));
         self.calls.context.report_fields = report_fields(&config.settings);
         if has_changed {
@@ -125,7 +125,7 @@
     }
 
     /// Adds all configured classes to the metrics, including those without an ended message.
-    pub(super) fn list_classes_in_metrics(&mut self) {
+    pub(super) fn register_classes_in_metrics(&mut self) {
         for class in self.configuration.classes.names() {
             self.metrics.counts.add_class(class);
         }
@@ -143,14 +143,16 @@
             inflight: self.messages.unfinished(),
             violations: self.violations.counts(),
             hosts_listed: listed.clone().count(),
-            hosts_down: listed.filter(|(id, tracked)| !tracked.is_serving || self.avoids(*id, now)).count(),
+            hosts_down: listed
+                .filter(|(id, tracked)| !tracked.is_serving || self.is_avoided(*id, now))
+                .count(),
             ..self.metrics.counts.clone()
         });
         self.metrics.snapshot = Some(MetricsSnapshot { captured_at: now, metrics: metrics.clone() });
         metrics
     }
 
-    fn avoids(&self, endpoint: EndpointId, now: Instant) -> bool {
+    fn is_avoided(&self, endpoint: EndpointId, now: Instant) -> bool {
         self.engine.is_avoided(self.clock.timestamp(now), endpoint)
     }
 }
--- a/src/daemon/event_loop/admission.rs
+++ b/src/daemon/event_loop/admission.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 /// Placeholder for the number of a message until the journal assigns one.
-const UNASSIGNED: u32 = 0;
+const UNASSIGNED_NUMBER: u32 = 0;
 
 impl EventLoop {
     /// Accepts a message that may be delivered until `deadline`, or returns why it is rejected. Submitting an
@@ -39,7 +39,7 @@
         if let Some(name) = tenant.as_ref().filter(is_unknown) {
             return Err(InvalidMessage::UnknownTenant(name.clone()));
         }
-        self.engine_message(UNASSIGNED, class_id, pending)
+        self.engine_message(UNASSIGNED_NUMBER, class_id, pending)
     }
 
     /// Returns the rejection of a valid message if there is no capacity for it now, or `None` if there is.
@@ -48,7 +48,7 @@
             return Some(SubmitResponse::Rejected);
         }
         let status = &self.recovery.status;
-        let wait = status.rejects_for(self.repeats(message.class)).or_else(|| status.admit().err());
+        let wait = status.rejects_for(self.redelivery(message.class)).or_else(|| status.admit().err());
         if let Some(wait) = wait {
             return Some(SubmitResponse::RetryAfter(wait));
         }
@@ -77,7 +77,7 @@
             }
             Err(error) => {
                 self.metrics.counts.record_rejected(&class);
-                self.log_folder_error(format_args!(
+                self.log_rate_limited(format_args!(
                     "admission: message rejected, journal write failed error={error}"
                 ));
                 SubmitResponse::Rejected
--- a/src/daemon/event_loop/calls.rs
+++ b/src/daemon/event_loop/calls.rs
@@ -82,7 +82,7 @@
                 let attempts =
                     self.messages.journal.get(number).map_or(0, |pending| pending.attempts_started);
                 deferred.push((MessageId(number), attempts));
-                self.log_folder_error(format_args!(
+                self.log_rate_limited(format_args!(
                     "violation: attempt blocked reason={violation} number={number}"
                 ));
                 continue;
@@ -96,7 +96,7 @@
                 // An attempt without a record must not be made: it would be unknown after a restart. It is
                 // not counted, and the message waits until the journal can be written.
                 deferred.push((MessageId(number), pending.attempts_started));
-                self.log_folder_error(format_args!(
+                self.log_rate_limited(format_args!(
                     "calls: attempt deferred, journal write failed error={error}"
                 ));
                 continue;
@@ -109,7 +109,7 @@
             });
         }
         for (message, attempt) in deferred {
-            self.queue.push(now, attempt_deferred(message, attempt));
+            self.queue.push(now, deferred_attempt_event(message, attempt));
         }
         if batch.is_empty() {
             return;
@@ -235,7 +235,7 @@
             Outcome::Deferred => journal.defer_attempt(number),
             _ => journal.end_attempt(number, effect),
         };
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
     }
 
     /// Ends an undelivered message, and notifies the platform of its outcome.
@@ -254,29 +254,29 @@
         let deadline = Timestamp(pending.deadline);
         let recorded = self.messages.finish(number, outcome);
         let is_recorded = recorded.is_ok() || !self.messages.journal.lacks_records();
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
         let notification = Notification { number, id, outcome };
         if is_recorded {
             self.perform_when_durable(DeferredEffect::Notification(notification));
         } else {
-            self.journal_repair.hold_end(deadline, notification);
+            self.journal_repair.hold_notification(deadline, notification);
         }
     }
 
     /// Removes a message that was delivered, or whose notification was acknowledged.
     pub(super) fn remove_message(&mut self, number: u32) {
         let Some(recorded) = self.messages.remove(number, self.clock.now().0) else { return };
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
     }
 
     /// Logs an error if a journal write or a compaction failed. The next compaction writes the missing
     /// record.
-    pub(super) fn check_recorded(&mut self, recorded: Result<(), JournalError>) {
+    pub(super) fn log_journal_errors(&mut self, recorded: Result<(), JournalError>) {
         if let Err(error) = recorded {
-            self.log_folder_error(format_args!("{error}"));
+            self.log_rate_limited(format_args!("{error}"));
         }
         if let Some(error) = self.messages.journal.take_compaction_error() {
-            self.log_folder_error(format_args!(
+            self.log_rate_limited(format_args!(
                 "journal: compaction failed, keeping the old file error={error}"
             ));
         }
@@ -284,7 +284,7 @@
 }
 
 /// Returns the event for an attempt that the engine requested and that was not made.
-fn attempt_deferred(message: MessageId, attempt: u32) -> Event {
+fn deferred_attempt_event(message: MessageId, attempt: u32) -> Event {
     let (outcome, elapsed) = (Outcome::Deferred, TimeDelta(0));
     Event::AttemptEnded { message, attempt, outcome, elapsed, completes: false, report: None }
 }
--- a/src/daemon/event_loop/checkpointing.rs
+++ b/src/daemon/event_loop/checkpointing.rs
@@ -22,18 +22,18 @@
     pub(super) version: Option<DiscoveryVersion>,
     /// Whether the discovery agent has reset its revision counter, so that its versions cannot be compared
     /// with those that other processes have stored.
-    has_version_restarted: bool,
+    has_version_reset: bool,
 }
 
 impl Checkpointing {
     /// Creates the checkpoint state of an event loop that has no version of the endpoint list yet.
     pub(super) fn new(file: CheckpointFile, schedule: CheckpointSchedule) -> Self {
-        Self { file, schedule, version: None, has_version_restarted: false }
+        Self { file, schedule, version: None, has_version_reset: false }
     }
 
     /// Returns the version of the list, if other processes can compare theirs with it.
     fn comparable_version(&self) -> Option<DiscoveryVersion> {
-        self.version.filter(|_| !self.has_version_restarted)
+        self.version.filter(|_| !self.has_version_reset)
     }
 
     /// Sets the version of the list. Returns `false` if the agent has reset its revision counter, so that the
@@ -41,10 +41,10 @@
     fn advance_version(&mut self, version: DiscoveryVersion) -> bool {
         let before = self.version.replace(version);
         if before.is_some_and(|before| version.is_reset_since(before)) {
-            self.has_version_restarted = true;
+            self.has_version_reset = true;
             return false;
         }
-        self.has_version_restarted &= before.is_none_or(|before| before.agent == version.agent);
+        self.has_version_reset &= before.is_none_or(|before| before.agent == version.agent);
         true
     }
 
@@ -55,9 +55,9 @@
 }
 
 /// Where the restored checkpoint comes from.
-pub(super) enum CheckpointAge {
+pub(super) enum CheckpointOrigin {
     /// The predecessor has just handed over the checkpoint.
-    Current,
+    Handover,
     /// An ended process wrote the checkpoint, so its route states have aged. The random numbers spread the
     /// load of senders that start at the same time.
     Restart(Box<ChaCha8Rng>),
@@ -66,15 +66,15 @@
 impl EventLoop {
     /// Restores endpoints and routes from the configured endpoint list and the checkpoint of an earlier
     /// process.
-    pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut age: CheckpointAge) {
+    pub(super) fn restore_checkpoint(&mut self, checkpoint: Checkpoint, mut origin: CheckpointOrigin) {
         let config = self.configuration.config.clone();
         let configured = EndpointList { agent: Some(config.discovery), ..config.initial_endpoints.clone() };
         let now = self.clock.now();
-        self.checkpointing.has_version_restarted =
+        self.checkpointing.has_version_reset =
             checkpoint.version.is_none() && !checkpoint.endpoints.is_empty();
-        let continuity = match age {
-            CheckpointAge::Current => Continuity::Handover,
-            CheckpointAge::Restart(_) => Continuity::Restart,
+        let continuity = match origin {
+            CheckpointOrigin::Handover => Continuity::Handover,
+            CheckpointOrigin::Restart(_) => Continuity::Restart,
         };
         let times = ObservationTimes {
             now,
@@ -98,21 +98,21 @@
             let captured_at = restored.captured_at;
             let aged = restored
                 .routes
-                .map(|route| route.map(|route| self.age_route(route, captured_at, now, &mut age)));
+                .map(|route| route.map(|route| self.age_route(route, captured_at, now, &mut origin)));
             self.engine.restore_routes(id, aged);
         }
     }
 
     /// Adds the restored endpoints, with the times at which their phases were first received.
     fn restore_endpoints(&mut self, revision: u64, restored: Vec<ObservedEndpoint>) {
-        let (members, heard_at): (Vec<_>, Vec<_>) =
+        let (members, observed_at): (Vec<_>, Vec<_>) =
             restored.into_iter().map(|restored| (restored.endpoint, restored.observed_at)).unzip();
         let names: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
         self.apply_endpoint_list(EndpointList { agent: None, revision, complete: true, endpoints: members });
-        for (name, heard_at) in names.iter().zip(heard_at) {
+        for (name, observed_at) in names.iter().zip(observed_at) {
             let id = self.endpoints.id_of(name);
             if let Some(tracked) = id.and_then(|id| self.endpoints.get_mut(id)) {
-                tracked.phase_since = heard_at;
+                tracked.phase_since = observed_at;
             }
         }
     }
@@ -121,17 +121,17 @@
     fn age_route(
         &self,
         route: RouteSnapshot,
-        written_at: Timestamp,
+        captured_at: Timestamp,
         now: Timestamp,
-        age: &mut CheckpointAge,
+        origin: &mut CheckpointOrigin,
     ) -> RouteSnapshot {
-        let CheckpointAge::Restart(random) = age else { return route };
+        let CheckpointOrigin::Restart(random) = origin else { return route };
         let fraction = f64::from(random.next_u32()) / f64::from(u32::MAX);
         let settings = &self.configuration.settings;
         if self.recovery.status.trusts_clock() && self.clock.continuity() == ClockContinuity::Continued {
-            route.aged(written_at, now, fraction, settings)
+            route.aged(captured_at, now, fraction, settings)
         } else {
-            route.aged_without_clock(written_at, now, fraction, settings)
+            route.aged_without_clock(captured_at, now, fraction, settings)
         }
     }
 
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -1,7 +1,7 @@
 //! Creates an event loop from the configuration, the journal, and the state of an earlier process.
 use super::admin::{MetricsRecorder, PublishedConfiguration};
 use super::calls::CallTable;
-use super::checkpointing::{CheckpointAge, Checkpointing};
+use super::checkpointing::{CheckpointOrigin, Checkpointing};
 use super::configuration::{ActiveConfiguration, EventLoopError, idle_timeout, polling_terms, report_fields};
 use super::durable_effects::DurableEffects;
 use super::endpoint_table::EndpointTable;
@@ -35,14 +35,14 @@
 use tokio::time::Instant;
 
 /// The state of an earlier process, apart from the journal.
-struct EarlierState {
+struct PreviousState {
     file: CheckpointFile,
     checkpoint: Checkpoint,
     classes: Vec<NamedClass>,
-    age: CheckpointAge,
+    origin: CheckpointOrigin,
 }
 
-impl EarlierState {
+impl PreviousState {
     /// Loads the state that a predecessor handed over, or else the checkpoint in the state folder.
     fn load(inheritance: Option<InheritedState>, name: &str, seed: u64, ports: &Ports) -> Self {
         let opened = CheckpointFile::open(ports.storage.clone(), name);
@@ -52,11 +52,11 @@
         }
         match inheritance {
             Some(InheritedState { checkpoint, classes }) => {
-                Self { file, checkpoint, classes, age: CheckpointAge::Current }
+                Self { file, checkpoint, classes, origin: CheckpointOrigin::Handover }
             }
             None => {
-                let age = CheckpointAge::Restart(Box::new(ChaCha8Rng::seed_from_u64(seed)));
-                Self { file, checkpoint: opened.checkpoint, classes: Vec::new(), age }
+                let origin = CheckpointOrigin::Restart(Box::new(ChaCha8Rng::seed_from_u64(seed)));
+                Self { file, checkpoint: opened.checkpoint, classes: Vec::new(), origin }
             }
         }
     }
@@ -85,8 +85,8 @@
             clock,
             violations,
         } = start;
-        let EarlierState { file, checkpoint, classes, age } =
-            EarlierState::load(inheritance, &config.name, seed, &ports);
+        let PreviousState { file, checkpoint, classes, origin } =
+            PreviousState::load(inheritance, &config.name, seed, &ports);
         let (storage, log) = (&*ports.storage, &*ports.log);
         let configuration = ActiveConfiguration::new(config, schema, classes, &journal, storage, log)?;
         let (maintenance, unreadable) = Maintenance::open(ports.storage.clone());
@@ -127,12 +127,12 @@
             ports,
             configuration,
         };
-        event_loop.restore(checkpoint, age, recovery_start)?;
+        event_loop.restore(checkpoint, origin, recovery_start)?;
         Ok(event_loop)
     }
 
     /// Counts and logs messages of the journal that were not recovered. Runs before any client is served.
-    fn check_takeover(&self) {
+    fn check_all_messages_recovered(&self) {
         let pending = self.messages.journal.pending().count();
         let missing = pending.abs_diff(self.messages.len());
         if missing > 0 {
@@ -145,22 +145,22 @@
     fn restore(
         &mut self,
         checkpoint: Checkpoint,
-        age: CheckpointAge,
+        origin: CheckpointOrigin,
         recovery_start: RecoveryStart,
     ) -> Result<(), EventLoopError> {
-        self.list_classes_in_metrics();
+        self.register_classes_in_metrics();
         if self.durable_effects.is_some() {
             let enabled = self.messages.journal.enable_durability();
             // On failure, effects are deferred and messages are rejected until the journal is rewritten.
-            self.check_recorded(enabled);
+            self.log_journal_errors(enabled);
         }
-        self.restore_checkpoint(checkpoint, age);
+        self.restore_checkpoint(checkpoint, origin);
         self.apply_restrictions(recovery_start.restrictions);
         self.recover_messages();
         self.store_classes();
-        self.adopt_journal_times();
+        self.continue_journal_clock();
         self.stamp_journal(recovery_start.stamp);
-        self.check_takeover();
+        self.check_all_messages_recovered();
         self.step();
         self.write_full_checkpoint();
         Ok(())
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -29,7 +29,7 @@
     group_commit: GroupCommit,
     deferred: DeferredEffects<DeferredEffect>,
     /// The number of journal rewrites that the group commit knows of.
-    journal_files: u64,
+    known_rewrites: u64,
     /// The instant at which the group commit's time is zero.
     origin: Instant,
 }
@@ -40,7 +40,7 @@
         let Durability::Machine { delay } = operator.durability else { return None };
         let group_commit = GroupCommit::new(Duration::from_micros(delay.0));
         let deferred = DeferredEffects::default();
-        Some(Self { group_commit, deferred, journal_files: 0, origin: Instant::now() })
+        Some(Self { group_commit, deferred, known_rewrites: 0, origin: Instant::now() })
     }
 
     /// Returns when the next step of the group commit is due.
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Informs the group commit that the journal was rewritten, `files` times in total.
-    fn note_new_files(&mut self, files: u64) {
-        self.journal_files = files;
+    /// Informs the group commit that the journal was rewritten, `rewrites` times in total.
+    fn record_rewrites(&mut self, rewrites: u64) {
+        self.known_rewrites = rewrites;
         self.group_commit.file_replaced();
     }
 
     /// Removes and returns the next effect whose records are durable.
-    fn next_released(&mut self) -> Option<DeferredEffect> {
+    fn pop_durable(&mut self) -> Option<DeferredEffect> {
         self.deferred.pop_ready(self.group_commit.durable_sequence())
     }
 }
@@ -102,7 +102,7 @@
     }
 
     /// Processes the result of a sync of one of the journal's files.
-    pub(super) fn journal_synced(&mut self, file: u64, result: io::Result<()>) {
+    pub(super) fn complete_sync(&mut self, file: u64, result: io::Result<()>) {
         if let Err(error) = &result {
             self.log(format_args!(
                 "journal: sync failed, unsynced records count as unwritten until a new file replaces this one error={error}"
@@ -119,15 +119,15 @@
         let journal = &mut self.messages.journal;
         let now = durable.origin.elapsed();
         durable.group_commit.records_written(journal.last_sequence(), now);
-        if durable.journal_files != journal.compactions() {
-            durable.note_new_files(journal.compactions());
+        if durable.known_rewrites != journal.compactions() {
+            durable.record_rewrites(journal.compactions());
         }
         match durable.group_commit.next_step(now) {
             NextStep::Wait(_) => {}
             NextStep::Sync => self.begin_sync(),
             NextStep::ReplaceFile => self.replace_lost_journal(now),
         }
-        while let Some(effect) = self.durable_effects.as_mut().and_then(DurableEffects::next_released) {
+        while let Some(effect) = self.durable_effects.as_mut().and_then(DurableEffects::pop_durable) {
             match effect {
                 DeferredEffect::Call(call) => self.start_deferred_call(call),
                 effect => self.perform(effect),
@@ -149,7 +149,7 @@
         let rewritten = self.messages.journal.rewrite();
         let Some(durable) = &mut self.durable_effects else { return };
         match rewritten {
-            Ok(()) => durable.note_new_files(self.messages.journal.compactions()),
+            Ok(()) => durable.record_rewrites(self.messages.journal.compactions()),
             Err(error) => {
                 durable.group_commit.replacement_failed(now + REPLACEMENT_RETRY_DELAY);
                 self.log(format_args!(
--- a/src/daemon/event_loop/endpoints.rs
+++ b/src/daemon/event_loop/endpoints.rs
@@ -81,12 +81,12 @@
         if listed.is_none() && !maintenance.contains(name) {
             return Err(AdminError::UnknownEndpoint(name.to_owned()));
         }
-        let (has_changed, what) = match change {
+        let (has_changed, event) = match change {
             MaintenanceChange::Enter => (maintenance.enter(name)?, "endpoint taken out of service"),
             MaintenanceChange::Exit => (maintenance.exit(name)?, "endpoint put back into service"),
         };
         if let Some(id) = listed.filter(|_| has_changed) {
-            self.log(format_args!("maintenance: {what} endpoint={name}"));
+            self.log(format_args!("maintenance: {event} endpoint={name}"));
             let entries = self.endpoint_entry(id).into_iter().collect();
             self.queue.push(self.clock.now(), Event::EndpointUpdates(entries));
         }
--- a/src/daemon/event_loop/journal_repair.rs
+++ b/src/daemon/event_loop/journal_repair.rs
@@ -21,27 +21,27 @@
 pub(super) struct JournalRepair {
     next_attempt: Option<Instant>,
     /// Notifications whose outcomes are not recorded, by deadline and number of the message.
-    unrecorded_ends: BTreeMap<(Timestamp, u32), Notification>,
+    held_notifications: BTreeMap<(Timestamp, u32), Notification>,
     log_limit: ErrorLogLimit,
 }
 
 impl JournalRepair {
     /// Holds a notification until its outcome is recorded, or the deadline of its message has passed.
-    pub(super) fn hold_end(&mut self, deadline: Timestamp, notification: Notification) {
-        self.unrecorded_ends.insert((deadline, notification.number), notification);
+    pub(super) fn hold_notification(&mut self, deadline: Timestamp, notification: Notification) {
+        self.held_notifications.insert((deadline, notification.number), notification);
     }
 
     /// Removes and returns the notifications that may be sent at `now`.
-    fn release_ends(&mut self, lacks_records: bool, now: Timestamp) -> Vec<Notification> {
+    fn release_notifications(&mut self, lacks_records: bool, now: Timestamp) -> Vec<Notification> {
         let still_held = match lacks_records {
-            true => self.unrecorded_ends.split_off(&(Timestamp(now.0 + 1), 0)),
+            true => self.held_notifications.split_off(&(Timestamp(now.0 + 1), 0)),
             false => BTreeMap::new(),
         };
-        std::mem::replace(&mut self.unrecorded_ends, still_held).into_values().collect()
+        std::mem::replace(&mut self.held_notifications, still_held).into_values().collect()
     }
 
     fn first_deadline(&self) -> Option<Timestamp> {
-        self.unrecorded_ends.first_key_value().map(|((deadline, _), _)| *deadline)
+        self.held_notifications.first_key_value().map(|((deadline, _), _)| *deadline)
     }
 }
 
@@ -62,13 +62,13 @@
             self.rewrite_failing_journal(now);
         }
         let lacks_records = self.messages.journal.lacks_records();
-        for notification in self.journal_repair.release_ends(lacks_records, self.clock.now()) {
+        for notification in self.journal_repair.release_notifications(lacks_records, self.clock.now()) {
             self.perform_when_durable(DeferredEffect::Notification(notification));
         }
     }
 
     /// Logs an error at a limited rate, with the number of errors suppressed since the last logged one.
-    pub(super) fn log_folder_error(&mut self, line: fmt::Arguments<'_>) {
+    pub(super) fn log_rate_limited(&mut self, line: fmt::Arguments<'_>) {
         let now = Duration::from_micros(self.clock.now().0);
         if let Some(suppressed) = self.journal_repair.log_limit.admit(now) {
             self.log(format_args!("{line} suppressed={suppressed}"));
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -148,7 +148,7 @@
                 self.handle(event);
             }
             let now = Instant::now();
-            self.proceed(now);
+            self.run_due_work(now);
             if self.is_shutdown_over(now) {
                 return None;
             }
@@ -177,7 +177,7 @@
     }
 
     /// Runs all work that is due at `now`.
-    fn proceed(&mut self, now: Instant) {
+    fn run_due_work(&mut self, now: Instant) {
         if self.step_due().is_some_and(|due| due <= now) {
             self.step();
         }
@@ -209,7 +209,7 @@
             LoopEvent::ReloadIfChanged(Ok(config)) if config.reads_as(&self.configuration.config) => {}
             LoopEvent::Reload(config) | LoopEvent::ReloadIfChanged(config) => self.reload(config),
             LoopEvent::Successor(successor) => self.request_handover(successor),
-            LoopEvent::JournalSynced { file, result } => self.journal_synced(file, result),
+            LoopEvent::JournalSynced { file, result } => self.complete_sync(file, result),
             LoopEvent::Admin(request) => self.handle_admin_request(request),
         }
     }
--- a/src/daemon/event_loop/peer_reports.rs
+++ b/src/daemon/event_loop/peer_reports.rs
@@ -50,16 +50,16 @@
     pub(super) fn endpoint_reports(&self) -> BTreeMap<String, EndpointReport> {
         let now = self.clock.now();
         let reports = self.endpoints.iter().map(|(id, tracked)| {
-            let is_out = tracked.listed.phase != Phase::Serving;
-            (tracked.listed.id.clone(), self.endpoint_report(id, is_out, now))
+            let is_withdrawn = tracked.listed.phase != Phase::Serving;
+            (tracked.listed.id.clone(), self.endpoint_report(id, is_withdrawn, now))
         });
         reports.filter(|(_, report)| !report.is_empty()).collect()
     }
 
-    fn endpoint_report(&self, id: EndpointId, is_out: bool, now: Timestamp) -> EndpointReport {
+    fn endpoint_report(&self, id: EndpointId, is_withdrawn: bool, now: Timestamp) -> EndpointReport {
         let [own, shared] =
             self.engine.route_snapshots(id).map(|learned| learned.map(|route| route.report(now)));
-        let mut report = EndpointReport { is_withdrawn: is_out, ..EndpointReport::default() };
+        let mut report = EndpointReport { is_withdrawn, ..EndpointReport::default() };
         for (wait, _) in own.iter().chain(&shared) {
             report.retry_after_us = report.retry_after_us.max(wait.0);
         }
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -16,7 +16,7 @@
 
 /// The start of an attempt at an unknown time, in microseconds: every deduplication window since then has
 /// expired.
-const LONG_AGO: u64 = 0;
+const UNKNOWN_START: u64 = 0;
 /// Placeholder for a zone that is no longer in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(usize::MAX);
 
@@ -49,7 +49,7 @@
 
 impl EventLoop {
     /// Returns the effect of delivering a message of the class twice.
-    pub(super) fn repeats(&self, class: ClassId) -> Redelivery {
+    pub(super) fn redelivery(&self, class: ClassId) -> Redelivery {
         match self.configuration.settings.classes[class.0].idempotency {
             Idempotency::Idempotent => Redelivery::Harmless,
             Idempotency::WithKey { .. } => Redelivery::HarmlessWithinWindow,
@@ -81,9 +81,9 @@
     fn recover_message(&mut self, number: u32, mut pending: PendingMessage) {
         self.messages.register(pending.message.id.clone(), number);
         let class = self.recovered_class(&pending);
-        let verdict =
-            class.as_ref().ok().and_then(|class| self.judge_recovered(number, *class, &mut pending));
-        if let Some(outcome) = verdict {
+        let immediate_outcome =
+            class.as_ref().ok().and_then(|class| self.assess_recovered(number, *class, &mut pending));
+        if let Some(outcome) = immediate_outcome {
             self.finish_message(number, outcome);
             return;
         }
@@ -98,10 +98,10 @@
         if pending.active_attempt.is_some() {
             // The process ended during the call, so it is unknown whether the message was delivered.
             let recorded = self.messages.journal.end_attempt(number, AttemptEffect::Uncertain);
-            self.check_recorded(recorded);
+            self.log_journal_errors(recorded);
         }
         let recovered = self.recovered_message(message, &pending);
-        self.hand_over_recovered(recovered);
+        self.enqueue_or_hold(recovered);
         if let Some(end) = pending.final_outcome {
             self.messages.register_unacknowledged();
             let _ = self.notifications.send(Notification { number, id: pending.message.id, outcome: end });
@@ -126,7 +126,7 @@
 
     /// Corrects the recorded state of a message where the journal cannot be trusted. Returns the outcome if
     /// the message has to end immediately.
-    fn judge_recovered(
+    fn assess_recovered(
         &mut self,
         number: u32,
         class: ClassId,
@@ -139,7 +139,7 @@
             first_attempt_at: first_attempt.as_ref().map(|attempt| attempt.started_at),
             not_accepted_before: self.messages.journal.accepted_not_before(number),
         };
-        match self.recovery.status.assess_message(self.repeats(class), leftover) {
+        match self.recovery.status.assess_message(self.redelivery(class), leftover) {
             Verdict::Unchanged => {}
             Verdict::Uncertain(at) => {
                 let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
@@ -149,22 +149,22 @@
             // `Discard` is not expected here: the journal of another sender is set aside when it is opened.
             Verdict::Fail | Verdict::Discard => return Some(FinalOutcome::Failed),
         }
-        self.reset_deadline(number, class, pending);
-        if self.doubts_journal_times() {
-            self.assume_cautious_times(number, class, pending);
+        self.convert_deadline(number, class, pending);
+        if self.has_unknown_journal_times() {
+            self.assume_worst_case_times(number, class, pending);
         }
         None
     }
 
     /// Returns whether the age of the journal's times is unknown and no configured recovery assesses them.
-    pub(super) fn doubts_journal_times(&self) -> bool {
-        let is_judged_elsewhere = self.configuration.config.operator.recovery.is_some();
-        self.clock.continuity() == ClockContinuity::Unknown && !is_judged_elsewhere
+    pub(super) fn has_unknown_journal_times(&self) -> bool {
+        let is_assessed_by_recovery = self.configuration.config.operator.recovery.is_some();
+        self.clock.continuity() == ClockContinuity::Unknown && !is_assessed_by_recovery
     }
 
     /// Assumes the worst case for the times of a message: its destination no longer knows its idempotency
     /// key, and it has no more time left than a new message of its class.
-    fn assume_cautious_times(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
+    fn assume_worst_case_times(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if pending.final_outcome.is_some() {
             return;
         }
@@ -173,24 +173,25 @@
         if pending.deadline > latest_deadline {
             pending.deadline = latest_deadline;
             let recorded = self.messages.journal.set_deadline(number, latest_deadline);
-            self.check_recorded(recorded);
+            self.log_journal_errors(recorded);
         }
         let attempt = pending.first_uncertain_attempt.as_ref().or(pending.active_attempt.as_ref()).cloned();
-        if let Some(attempt) = attempt.filter(|_| self.repeats(class) == Redelivery::HarmlessWithinWindow) {
-            self.record_uncertain_attempt(number, Attempt { started_at: LONG_AGO, ..attempt }, pending);
+        if let Some(attempt) = attempt.filter(|_| self.redelivery(class) == Redelivery::HarmlessWithinWindow)
+        {
+            self.record_uncertain_attempt(number, Attempt { started_at: UNKNOWN_START, ..attempt }, pending);
         }
     }
 
     /// Continues the journal on the clock of this process. Runs after the times of all messages are on this
     /// clock.
-    pub(super) fn adopt_journal_times(&mut self) {
-        if self.doubts_journal_times() {
+    pub(super) fn continue_journal_clock(&mut self) {
+        if self.has_unknown_journal_times() {
             self.messages.journal.reset_clock(self.clock.now().0);
             self.rewrite_on_new_clock();
         }
         if let Some(anchor) = self.clock.new_anchor() {
             let recorded = self.messages.journal.anchor_clock(anchor);
-            self.check_recorded(recorded);
+            self.log_journal_errors(recorded);
         }
     }
 
@@ -208,12 +209,12 @@
         pending.attempts_started = pending.attempts_started.max(1);
         (pending.first_uncertain_attempt, pending.active_attempt) = (Some(attempt.clone()), None);
         let recorded = self.messages.journal.set_uncertain_attempt(number, attempt);
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
     }
 
     /// Converts a recovered deadline to the current clock, and records it. Later processes on this boot of
     /// the machine trust the clock and do not convert the deadline again.
-    fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
+    fn convert_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if self.recovery.status.trusts_clock() || pending.final_outcome.is_some() {
             return;
         }
@@ -226,7 +227,7 @@
         };
         pending.deadline = now + self.recovery.status.time_left(times);
         let recorded = self.messages.journal.set_deadline(number, pending.deadline);
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
     }
 
     /// Records that this process continues the journal. Runs after all corrections are recorded: if the
@@ -238,7 +239,7 @@
             self.rewrite_on_new_clock();
         }
         let recorded = self.messages.journal.stamp(stamp);
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
         // Makes the stamp durable regardless of the durability setting, so that a state folder emptied by a
         // power failure can be distinguished from a new one.
         if let Err(error) = self.messages.journal.enable_durability() {
@@ -250,9 +251,9 @@
 
     /// Passes a recovered message to the engine if this phase sends recovered messages or if the message ends
     /// without a call. Holds it otherwise.
-    fn hand_over_recovered(&mut self, recovered: RecoveredMessage) {
+    fn enqueue_or_hold(&mut self, recovered: RecoveredMessage) {
         let needs_no_call = recovered.ended || recovered.message.time_to_live == TimeDelta(0);
-        if needs_no_call || self.sends_recovered() {
+        if needs_no_call || self.can_send_recovered() {
             self.queue.push(self.clock.now(), Event::Recovered(recovered));
         } else {
             let deadline = self.clock.now().0 + recovered.message.time_to_live.0;
@@ -260,7 +261,7 @@
         }
     }
 
-    fn sends_recovered(&self) -> bool {
+    fn can_send_recovered(&self) -> bool {
         self.recovery.status.sends_backlog() || self.lifecycle.is_shutting_down()
     }
 
@@ -276,9 +277,9 @@
         if self.recovery.is_finished() {
             return;
         }
-        let has_moved = self.recovery.status.handle(Input::Backlog(self.messages.len()));
+        let has_phase_changed = self.recovery.status.handle(Input::Backlog(self.messages.len()));
         self.release_held_messages();
-        if has_moved && self.recovery.status.is_open() && !self.lifecycle.is_shutting_down() {
+        if has_phase_changed && self.recovery.status.is_open() && !self.lifecycle.is_shutting_down() {
             self.lifecycle.listener.set(ListenerState::Accepting);
         }
     }
@@ -287,7 +288,7 @@
     /// sends recovered messages, otherwise those whose deadline has passed.
     fn release_held_messages(&mut self) {
         let now = self.clock.now();
-        let still_held = match self.sends_recovered() {
+        let still_held = match self.can_send_recovered() {
             true => BTreeMap::new(),
             false => self.recovery.held_messages.split_off(&(now.0 + 1, 0)),
         };
--- a/src/daemon/event_loop/shutdown.rs
+++ b/src/daemon/event_loop/shutdown.rs
@@ -141,7 +141,7 @@
         self.lifecycle.listener.set(ListenerState::HandingOver);
         self.tasks.shutdown().await;
         sleep(CONNECTION_CLOSE_DELAY).await;
-        self.handle_last_events(events);
+        self.handle_remaining_events(events);
         // With `now` as the deadline, the engine starts no further call.
         let now = self.clock.now();
         self.queue.push(now, Event::Handover(now));
@@ -157,8 +157,8 @@
     /// Processes completions and endpoint lists that are still queued, so that a Retry-After also applies to
     /// the successor. Drops submitted messages, as the listener forwards them to the successor. Queues
     /// shutdown, reload and admin requests again in case this process keeps the listener.
-    fn handle_last_events(&mut self, events: &mut UnboundedReceiver<LoopEvent>) {
-        let mut orders = Vec::new();
+    fn handle_remaining_events(&mut self, events: &mut UnboundedReceiver<LoopEvent>) {
+        let mut requests = Vec::new();
         while let Ok(event) = events.try_recv() {
             match event {
                 LoopEvent::CallCompleted(_)
@@ -167,7 +167,7 @@
                 LoopEvent::Shutdown(_)
                 | LoopEvent::Reload(_)
                 | LoopEvent::ReloadIfChanged(_)
-                | LoopEvent::Admin(_) => orders.push(event),
+                | LoopEvent::Admin(_) => requests.push(event),
                 LoopEvent::Submit { .. }
                 | LoopEvent::Connected { .. }
                 | LoopEvent::ConnectionIdle { .. }
@@ -176,8 +176,8 @@
                 LoopEvent::JournalSynced { .. } => {}
             }
         }
-        for order in orders {
-            let _ = self.events.send(order);
+        for request in requests {
+            let _ = self.events.send(request);
         }
     }
 }
--- a/src/daemon/event_loop/step.rs
+++ b/src/daemon/event_loop/step.rs
@@ -17,12 +17,12 @@
     pub(super) fn step(&mut self) {
         let at = Instant::now();
         let now = self.clock.timestamp(at);
-        let events = self.queue.take_step(at, now);
+        let events = self.queue.take_events(at, now);
         let mut actions = Vec::new();
         self.engine.step(now, &events, &mut actions);
         let mut calls = Vec::new();
         for action in actions {
-            self.carry_out(action, at, &mut calls);
+            self.perform_action(action, at, &mut calls);
         }
         for PlannedCall { endpoint, messages, expires } in calls {
             self.begin_call(endpoint, messages, expires);
@@ -30,13 +30,13 @@
     }
 
     /// Performs an action of a step at `at`. Sends are collected in `calls`.
-    fn carry_out(&mut self, action: Action, at: Instant, calls: &mut Vec<PlannedCall>) {
+    fn perform_action(&mut self, action: Action, at: Instant, calls: &mut Vec<PlannedCall>) {
         match action {
             Action::Send { message, endpoint, expires } => {
                 self.plan_send(calls, message, endpoint, expires);
             }
             Action::Return { message, retry_after } => {
-                self.finish_message(message.0, FinalOutcome::Returned(retry_after.map(milliseconds)));
+                self.finish_message(message.0, FinalOutcome::Returned(retry_after.map(to_milliseconds)));
             }
             Action::Fail(message) => self.finish_message(message.0, FinalOutcome::Failed),
             Action::SetTimer(delay) => self.queue.set_timer(at + Duration::from_micros(delay.0)),
@@ -65,10 +65,10 @@
         expires: Timestamp,
     ) {
         let max_batch_size = self.endpoints.get(endpoint).map_or(1, |tracked| tracked.max_batch_size);
-        let open = calls.last_mut().filter(|call| {
+        let open_call = calls.last_mut().filter(|call| {
             call.endpoint == endpoint && call.expires == expires && call.messages.len() < max_batch_size
         });
-        match open {
+        match open_call {
             Some(call) => call.messages.push(message),
             None => calls.push(PlannedCall { endpoint, messages: vec![message], expires }),
         }
@@ -76,6 +76,6 @@
 }
 
 /// Converts a duration to milliseconds, the unit of notifications, rounding up.
-fn milliseconds(time: TimeDelta) -> u64 {
+fn to_milliseconds(time: TimeDelta) -> u64 {
     time.0.div_ceil(1000)
 }
--- a/src/daemon/event_loop/step_queue.rs
+++ b/src/daemon/event_loop/step_queue.rs
@@ -39,11 +39,11 @@
     }
 
     /// Removes and returns the events for a step at `at`, which is `now` on the engine's clock.
-    pub(super) fn take_step(&mut self, at: Instant, now: Timestamp) -> Vec<Event> {
+    pub(super) fn take_events(&mut self, at: Instant, now: Timestamp) -> Vec<Event> {
         self.last_step = at;
         let mut events = Vec::with_capacity(self.events.len() + 1);
-        for (happened, mut event) in self.events.drain(..) {
-            shorten_wait(&mut event, now.0.saturating_sub(happened.0));
+        for (occurred_at, mut event) in self.events.drain(..) {
+            subtract_age(&mut event, now.0.saturating_sub(occurred_at.0));
             events.push(event);
         }
         if self.timer.take_if(|timer| *timer <= at).is_some() {
@@ -55,7 +55,7 @@
 
 /// Subtracts the age of an event, in microseconds, from the remaining time that it carries. Remaining times
 /// count from when the event occurred, not from the step that processes it.
-fn shorten_wait(event: &mut Event, age: u64) {
+fn subtract_age(event: &mut Event, age: u64) {
     match event {
         Event::Message(message) => {
             message.time_to_live.0 = message.time_to_live.0.saturating_sub(age);
