--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery after a restart: which messages of the journal end at once, and which are sent in which phase.
+//! Recovery of the journal's messages after a restart: which ones end immediately, and in which phase the
+//! others are sent.
 use super::EventLoop;
 use super::configuration::recovered_class;
 use crate::daemon::clock::ClockContinuity;
@@ -13,28 +14,30 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Stands for a moment that nobody knows any more: every window since then is over.
-const LONG_AGO: u64 = 0;
-/// Stands for a zone that the settings no longer name.
+/// The start of an attempt at an unknown time, in microseconds: every deduplication window since then has
+/// expired.
+const UNKNOWN_START: u64 = 0;
+/// Placeholder for a zone that is no longer in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(usize::MAX);
 
-/// How far the recovery has come.
+/// The progress of the recovery, and the messages that wait for its next phase.
 pub(super) struct RecoveryProgress {
     pub(super) status: RecoveryStatus,
     pub(super) time_marker: TimeMarker,
-    /// The latest moment that the journal mentioned when it was opened, in microseconds of wall time.
+    /// The latest time in the journal when it was opened, in microseconds of wall time.
     last_journal_time: u64,
     /// Recovered messages that must not be sent yet, by deadline (in microseconds of wall time) and number.
     held_messages: BTreeMap<(u64, u32), RecoveredMessage>,
 }
 
 impl RecoveryProgress {
-    /// The beginning of a recovery from a journal that mentions no later moment than `last_journal_time`.
+    /// Creates the state of a recovery that starts. `last_journal_time` is the latest time in the journal, in
+    /// microseconds of wall time.
     pub(super) fn new(status: RecoveryStatus, last_journal_time: u64) -> Self {
         Self { status, time_marker: TimeMarker::default(), last_journal_time, held_messages: BTreeMap::new() }
     }
 
-    /// Returns the earliest deadline among the messages that are held.
+    /// Returns the earliest deadline of the held messages.
     fn first_deadline(&self) -> Option<Timestamp> {
         self.held_messages.first_key_value().map(|((deadline, _), _)| Timestamp(*deadline))
     }
@@ -45,8 +48,8 @@
 }
 
 impl EventLoop {
-    /// Returns whether a message of that class may be sent twice.
-    pub(super) fn repeats(&self, class: ClassId) -> Redelivery {
+    /// Returns the effect of delivering a message of the class twice.
+    pub(super) fn redelivery(&self, class: ClassId) -> Redelivery {
         match self.configuration.settings.classes[class.0].idempotency {
             Idempotency::Idempotent => Redelivery::Harmless,
             Idempotency::WithKey { .. } => Redelivery::HarmlessWithinWindow,
@@ -54,7 +57,7 @@
         }
     }
 
-    /// Takes over all messages that the journal holds from an earlier process.
+    /// Recovers all messages that earlier processes left in the journal.
     pub(super) fn recover_messages(&mut self) {
         let recovered: Vec<(u32, PendingMessage)> =
             self.messages.journal.pending().map(|(number, pending)| (number, pending.clone())).collect();
@@ -74,13 +77,13 @@
         }
     }
 
-    /// Takes over one message: ends it at once, or hands it to the engine.
+    /// Recovers one message: ends it immediately, or passes it to the engine.
     fn recover_message(&mut self, number: u32, mut pending: PendingMessage) {
         self.messages.register(pending.message.id.clone(), number);
         let class = self.recovered_class(&pending);
-        let verdict =
-            class.as_ref().ok().and_then(|class| self.judge_recovered(number, *class, &mut pending));
-        if let Some(outcome) = verdict {
+        let immediate_outcome =
+            class.as_ref().ok().and_then(|class| self.assess_recovered(number, *class, &mut pending));
+        if let Some(outcome) = immediate_outcome {
             self.finish_message(number, outcome);
             return;
         }
@@ -93,12 +96,12 @@
             }
         };
         if pending.active_attempt.is_some() {
-            // The process ended during the call: nobody knows how far the call had come.
+            // The process ended during the call, so it is unknown whether the message was delivered.
             let recorded = self.messages.journal.end_attempt(number, AttemptEffect::Uncertain);
-            self.check_recorded(recorded);
+            self.log_journal_errors(recorded);
         }
         let recovered = self.recovered_message(message, &pending);
-        self.hand_over_recovered(recovered);
+        self.enqueue_or_hold(recovered);
         if let Some(end) = pending.final_outcome {
             self.messages.register_unacknowledged();
             let _ = self.notifications.send(Notification { number, id: pending.message.id, outcome: end });
@@ -121,9 +124,9 @@
         RecoveredMessage { message, attempts, first_uncertain_attempt, ended }
     }
 
-    /// Corrects what the journal says of a message as far as that cannot be trusted. Returns an outcome if
-    /// the message has to end at once.
-    fn judge_recovered(
+    /// Corrects the recorded state of a message where the journal cannot be trusted. Returns the outcome if
+    /// the message has to end immediately.
+    fn assess_recovered(
         &mut self,
         number: u32,
         class: ClassId,
@@ -136,32 +139,32 @@
             first_attempt_at: first_attempt.as_ref().map(|attempt| attempt.started_at),
             not_accepted_before: self.messages.journal.accepted_not_before(number),
         };
-        match self.recovery.status.assess_message(self.repeats(class), leftover) {
+        match self.recovery.status.assess_message(self.redelivery(class), leftover) {
             Verdict::Unchanged => {}
             Verdict::Uncertain(at) => {
                 let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
                 self.record_uncertain_attempt(number, Attempt { started_at: at, zone }, pending);
             }
             Verdict::Return => return Some(FinalOutcome::Returned(None)),
-            // The journal of another sender is set aside before it is read here.
+            // `Discard` is not expected here: the journal of another sender is set aside when it is opened.
             Verdict::Fail | Verdict::Discard => return Some(FinalOutcome::Failed),
         }
-        self.reset_deadline(number, class, pending);
-        if self.doubts_journal_times() {
-            self.assume_cautious_times(number, class, pending);
+        self.convert_deadline(number, class, pending);
+        if self.has_unknown_journal_times() {
+            self.assume_worst_case_times(number, class, pending);
         }
         None
     }
 
-    /// Whether nobody knows how long ago the times in the journal are, and the recovery does not judge them.
-    pub(super) fn doubts_journal_times(&self) -> bool {
-        let is_judged_elsewhere = self.configuration.config.operator.recovery.is_some();
-        self.clock.continuity() == ClockContinuity::Unknown && !is_judged_elsewhere
+    /// Returns whether the age of the journal's times is unknown and no configured recovery assesses them.
+    pub(super) fn has_unknown_journal_times(&self) -> bool {
+        let is_assessed_by_recovery = self.configuration.config.operator.recovery.is_some();
+        self.clock.continuity() == ClockContinuity::Unknown && !is_assessed_by_recovery
     }
 
-    /// Takes the cautious side of each time of a message: its destination has forgotten the key, and it has no more time left
-    /// than a new message of its class.
-    fn assume_cautious_times(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
+    /// Assumes the worst case for the times of a message: its destination no longer knows its idempotency
+    /// key, and it has no more time left than a new message of its class.
+    fn assume_worst_case_times(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if pending.final_outcome.is_some() {
             return;
         }
@@ -170,47 +173,48 @@
         if pending.deadline > latest_deadline {
             pending.deadline = latest_deadline;
             let recorded = self.messages.journal.set_deadline(number, latest_deadline);
-            self.check_recorded(recorded);
+            self.log_journal_errors(recorded);
         }
         let attempt = pending.first_uncertain_attempt.as_ref().or(pending.active_attempt.as_ref()).cloned();
-        if let Some(attempt) = attempt.filter(|_| self.repeats(class) == Redelivery::HarmlessWithinWindow) {
-            self.record_uncertain_attempt(number, Attempt { started_at: LONG_AGO, ..attempt }, pending);
+        if let Some(attempt) = attempt.filter(|_| self.redelivery(class) == Redelivery::HarmlessWithinWindow)
+        {
+            self.record_uncertain_attempt(number, Attempt { started_at: UNKNOWN_START, ..attempt }, pending);
         }
     }
 
-    /// Continues the journal's times with those of this process, once all messages have times of this process.
-    pub(super) fn adopt_journal_times(&mut self) {
-        if self.doubts_journal_times() {
+    /// Continues the journal on the clock of this process. Runs after the times of all messages are on this
+    /// clock.
+    pub(super) fn continue_journal_clock(&mut self) {
+        if self.has_unknown_journal_times() {
             self.messages.journal.reset_clock(self.clock.now().0);
             self.rewrite_on_new_clock();
         }
         if let Some(anchor) = self.clock.new_anchor() {
             let recorded = self.messages.journal.anchor_clock(anchor);
-            self.check_recorded(recorded);
+            self.log_journal_errors(recorded);
         }
     }
 
     fn rewrite_on_new_clock(&mut self) {
         if let Err(error) = self.messages.journal.rewrite() {
             self.log(format_args!(
-                "journal: not rewritten on the new clock, IDs of completed messages may be forgotten early \
-                 error={error}"
+                "journal: rewrite on the new clock failed, IDs of completed messages may expire early error={error}"
             ));
         }
     }
 
-    /// Records that a message may have run: a successor on this boot of the machine trusts the journal to be
-    /// complete.
+    /// Records that a message may have taken effect. The record is needed because later processes on this
+    /// boot of the machine trust the journal to be complete.
     fn record_uncertain_attempt(&mut self, number: u32, attempt: Attempt, pending: &mut PendingMessage) {
         pending.attempts_started = pending.attempts_started.max(1);
         (pending.first_uncertain_attempt, pending.active_attempt) = (Some(attempt.clone()), None);
         let recorded = self.messages.journal.set_uncertain_attempt(number, attempt);
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
     }
 
-    /// Puts a recovered deadline on the present clock, once and for all: a successor on this boot of the
-    /// machine trusts its clock.
-    fn reset_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
+    /// Converts a recovered deadline to the current clock, and records it. Later processes on this boot of
+    /// the machine trust the clock and do not convert the deadline again.
+    fn convert_deadline(&mut self, number: u32, class: ClassId, pending: &mut PendingMessage) {
         if self.recovery.status.trusts_clock() || pending.final_outcome.is_some() {
             return;
         }
@@ -223,11 +227,11 @@
         };
         pending.deadline = now + self.recovery.status.time_left(times);
         let recorded = self.messages.journal.set_deadline(number, pending.deadline);
-        self.check_recorded(recorded);
+        self.log_journal_errors(recorded);
     }
 
-    /// Writes down who continues the journal, once all that follows from its state stands in it: a process
-    /// that ends before finds the journal in that state again.
+    /// Records that this process continues the journal. Runs after all corrections are recorded: if the
+    /// process ends earlier, the next one assesses the journal in the same state.
     pub(super) fn stamp_journal(&mut self, stamp: Option<JournalStamp>) {
         let Some(stamp) = stamp else { return };
         if !self.recovery.status.trusts_clock() {
@@ -235,21 +239,21 @@
             self.rewrite_on_new_clock();
         }
         let recorded = self.messages.journal.stamp(stamp);
-        self.check_recorded(recorded);
-        // The stamp is durable whatever the other records are: a state folder that a loss of power emptied is
-        // told from a new one.
+        self.log_journal_errors(recorded);
+        // Makes the stamp durable regardless of the durability setting, so that a state folder emptied by a
+        // power failure can be distinguished from a new one.
         if let Err(error) = self.messages.journal.enable_durability() {
             self.log(format_args!(
-                "journal: stamp is not durable, after a loss of power this may look like a first start error={error}"
+                "journal: sync of the stamp failed, the start after a power failure may look like a first start error={error}"
             ));
         }
     }
 
-    /// Hands a recovered message to the engine if recovered messages are sent in this phase, or if its end
-    /// needs no call.
-    fn hand_over_recovered(&mut self, recovered: RecoveredMessage) {
+    /// Passes a recovered message to the engine if this phase sends recovered messages or if the message ends
+    /// without a call. Holds it otherwise.
+    fn enqueue_or_hold(&mut self, recovered: RecoveredMessage) {
         let needs_no_call = recovered.ended || recovered.message.time_to_live == TimeDelta(0);
-        if needs_no_call || self.sends_recovered() {
+        if needs_no_call || self.can_send_recovered() {
             self.queue.push(self.clock.now(), Event::Recovered(recovered));
         } else {
             let deadline = self.clock.now().0 + recovered.message.time_to_live.0;
@@ -257,34 +261,34 @@
         }
     }
 
-    fn sends_recovered(&self) -> bool {
+    fn can_send_recovered(&self) -> bool {
         self.recovery.status.sends_backlog() || self.lifecycle.is_shutting_down()
     }
 
-    /// Returns when the recovery proceeds by time alone: at the end of a phase, or at the deadline of a held
-    /// message.
+    /// Returns when the recovery has work without another event: at the end of a phase, or at the deadline of
+    /// a held message.
     pub(super) fn recovery_due(&self) -> Option<Instant> {
         let first_deadline = self.recovery.first_deadline().map(|deadline| self.clock.instant(deadline));
         self.recovery.status.due().into_iter().chain(first_deadline).min()
     }
 
-    /// Proceeds with the recovery if its phase has changed, or the deadline of a held message has passed.
+    /// Advances the phase of the recovery, and releases held messages whose phase or deadline has come.
     pub(super) fn advance_recovery(&mut self) {
         if self.recovery.is_finished() {
             return;
         }
-        let has_moved = self.recovery.status.handle(Input::Backlog(self.messages.len()));
+        let has_phase_changed = self.recovery.status.handle(Input::Backlog(self.messages.len()));
         self.release_held_messages();
-        if has_moved && self.recovery.status.admits_messages() && !self.lifecycle.is_shutting_down() {
+        if has_phase_changed && self.recovery.status.admits_messages() && !self.lifecycle.is_shutting_down() {
             self.lifecycle.listener.set(ListenerState::Accepting);
         }
     }
 
-    /// Hands held messages to the engine in the order in which they were accepted: all of them if their phase
-    /// has come, or else those whose deadline has passed.
+    /// Passes held messages to the engine in the order in which they were accepted: all of them if this phase
+    /// sends recovered messages, otherwise those whose deadline has passed.
     fn release_held_messages(&mut self) {
         let now = self.clock.now();
-        let still_held = match self.sends_recovered() {
+        let still_held = match self.can_send_recovered() {
             true => BTreeMap::new(),
             false => self.recovery.held_messages.split_off(&(now.0 + 1, 0)),
         };
