--- a/src/daemon/checkpoint/file.rs
+++ b/src/daemon/checkpoint/file.rs
@@ -1,10 +1,10 @@
-//! The checkpoint's file in the state folder: a log of records, in which the last record of an endpoint counts.
+//! The checkpoint file in the state folder: a log of records in which the last record of an endpoint wins.
 //!
-//! A file may end anywhere: the records before the first one that cannot be read count. A file of another sender or in another
-//! format is ignored. Neither ever prevents a start.
+//! Reading stops at the first unreadable record and keeps the records before it. A file of another sender or
+//! in another format is ignored. Neither prevents a start.
 //!
-//! A new file is written beside the old one, a part at a time, and replaces the old one once it is complete. Updates from
-//! discovery go to both until then, so that the old one stays current.
+//! A new file is written in slices while the current one stays in use, and replaces it once complete. Until
+//! then, updates from discovery are written to both files, so that the current one stays up to date.
 use super::{Checkpoint, Coverage, DiscoveryVersion, EndpointCheckpoint};
 use crate::daemon::frame::{append_frame, read_frame};
 use crate::daemon::ports::{AppendFile, Storage};
@@ -14,56 +14,59 @@
 
 const NAME: &str = "memory.log";
 const NEW_NAME: &str = "memory.log.new";
-/// The version of the records; a file in another one is ignored and replaced.
+/// The version of the record format. A file in another version is ignored and replaced.
 const FORMAT_VERSION: u32 = 1;
 
-/// Stored by position: variants and fields may be renamed, but not reordered, and new variants are added at the end.
+/// A record of the file. Stored by position: variants and fields may be renamed but not reordered, and new
+/// variants are added at the end.
 #[derive(Serialize, Deserialize)]
 enum Record {
-    /// The first record.
+    /// The first record of a file.
     Header { format_version: u32, sender: String },
-    /// The state of an endpoint from here on.
+    /// The state of an endpoint; replaces earlier records of the same endpoint.
     Endpoint(Box<EndpointCheckpoint>),
-    /// All endpoints up to here lead to this version of the list.
+    /// The records so far contain every change up to this version of the list.
     Version(DiscoveryVersion),
-    /// Whether the file has all endpoints of the list.
+    /// Whether the file holds every endpoint of the list.
     IsComplete(bool),
 }
 
-/// Why nothing was restored from the file, or less than was written.
+/// Why a checkpoint file was ignored, or read only in part.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CheckpointReadError {
     /// The file cannot be read.
     #[error("checkpoint: read failed file={NAME} error={0}")]
     Read(String),
-    /// The file does not start with a header of this version.
+    /// The file does not start with a header of the supported format version.
     #[error("checkpoint: ignored file={NAME} reason=unknown_format")]
     UnknownFormat,
-    /// The file was written by another sender.
+    /// The file was written by the named other sender.
     #[error("checkpoint: ignored file={NAME} reason=other_sender sender={0:?}")]
     OtherSender(String),
-    /// The file is truncated or damaged: that many bytes at its end cannot be read.
+    /// The file is truncated or damaged, and this many bytes at its end cannot be read.
     #[error("checkpoint: truncated file={NAME} unread_bytes={0}")]
     Truncated(usize),
 }
 
-/// What opening the file gives.
+/// The result of [`CheckpointFile::open`].
 pub struct OpenedCheckpoint {
     pub file: CheckpointFile,
     pub checkpoint: Checkpoint,
+    /// Why the file was ignored or read only in part; `None` if it was read in full or does not exist.
     pub error: Option<CheckpointReadError>,
 }
 
-/// What a write contains.
+/// The kind of a write, which selects the files that it goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckpointWrite {
-    /// A part of the present state: it goes to the new file if there is one, and else to the current one.
+    /// A part of the current state; goes to the new file if there is one, and to the current file otherwise.
     Snapshot,
-    /// An update from discovery, which leads to this version if it can be compared: it goes to both files.
+    /// An update from discovery; goes to both files. Holds the version of the updated list, or `None` if
+    /// other processes cannot compare it.
     Update(Option<DiscoveryVersion>),
 }
 
-/// The current file, and the one that is to replace it.
+/// The current checkpoint file, and the new file that is to replace it.
 pub struct CheckpointFile {
     folder: Rc<dyn Storage>,
     sender: String,
@@ -72,8 +75,8 @@
 }
 
 impl CheckpointFile {
-    /// Reads what an earlier process of this sender wrote. That file stays in place, and is not appended to, until this
-    /// process has replaced it: updates from now on must not be mixed with the state of another list.
+    /// Reads the file that an earlier process of this sender wrote. The file is kept, but not appended to,
+    /// until this process has replaced it: new updates must not be mixed with the state of an older list.
     pub fn open(folder: Rc<dyn Storage>, sender: &str) -> OpenedCheckpoint {
         let (checkpoint, error) = match folder.read(NAME) {
             Ok(Some(bytes)) => read_checkpoint(&bytes, sender),
@@ -85,7 +88,7 @@
         OpenedCheckpoint { file, checkpoint, error }
     }
 
-    /// Creates a new file, and returns its length in bytes.
+    /// Creates a new file and returns its length in bytes.
     ///
     /// # Errors
     /// The file cannot be created or written.
@@ -98,12 +101,12 @@
         Ok(header.len() as u64)
     }
 
-    /// Writes endpoints, and returns how many bytes were written to the file that is being filled. `fits` is asked for each
-    /// endpoint whether there is space for that many bytes in all; an endpoint that does not fit is left out, and then the
-    /// version of an update is not written.
+    /// Writes endpoints and returns the number of bytes written to each file. `fits` is called with the total
+    /// length of the write including the next endpoint; an endpoint for which it returns false is left out,
+    /// and the version of an update is then not written.
     ///
     /// # Errors
-    /// The write failed; the file may then end within a record.
+    /// The write failed. The file may then end with an incomplete record.
     pub fn write(
         &mut self,
         endpoints: impl Iterator<Item = EndpointCheckpoint>,
@@ -139,10 +142,10 @@
         self.file.as_mut().map_or(Ok(()), |file| file.append(bytes))
     }
 
-    /// Replaces the current file by the new one.
+    /// Completes the new file and replaces the current file with it.
     ///
     /// # Errors
-    /// The new file cannot be completed or renamed; the current one is unchanged.
+    /// The new file cannot be completed or renamed. The current file is unchanged.
     pub fn finish_new(&mut self, version: Option<DiscoveryVersion>, coverage: Coverage) -> io::Result<()> {
         let Some(mut new_file) = self.new_file.take() else { return Ok(()) };
         let mut bytes = Vec::new();
@@ -156,12 +159,12 @@
         Ok(())
     }
 
-    /// Whether there is a file to write to.
+    /// Returns whether a current or a new file is open for writing.
     pub fn is_open(&self) -> bool {
         self.file.is_some() || self.new_file.is_some()
     }
 
-    /// Removes all files, so that their space is free for the journal.
+    /// Removes both files to free their space for the journal.
     pub fn remove(&mut self) {
         (self.file, self.new_file) = (None, None);
         for name in [NEW_NAME, NAME] {
@@ -170,7 +173,7 @@
     }
 }
 
-/// Returns what the file holds, and what is wrong with it.
+/// Decodes the `bytes` of a file, and returns why they were ignored or read only in part.
 fn read_checkpoint(bytes: &[u8], sender: &str) -> (Checkpoint, Option<CheckpointReadError>) {
     let mut checkpoint = Checkpoint::default();
     let Some((Record::Header { format_version: FORMAT_VERSION, sender: writer }, mut position)) =
--- a/src/daemon/checkpoint/file/tests.rs
+++ b/src/daemon/checkpoint/file/tests.rs
@@ -33,8 +33,9 @@
     DiscoveryVersion { agent: SocketAddr::from(([127, 0, 0, 1], 1)), revision }
 }
 
-/// Writes a file with two endpoints at version 1, and an update at version 2: one more endpoint, and one that drains.
-fn written(folder: &Path) -> CheckpointFile {
+/// Writes a file with two endpoints at version 1, and an update to version 2 with a third endpoint and a
+/// draining one.
+fn write_two_versions(folder: &Path) -> CheckpointFile {
     let OpenedCheckpoint { mut file, .. } = open(folder, "n1");
     file.start_new().unwrap();
     let two = ["a", "b"].map(|id| state(id, Phase::Serving));
@@ -49,11 +50,11 @@
     checkpoint.endpoints.iter().map(|(id, state)| (id.as_str(), state.endpoint.phase)).collect()
 }
 
-/// Guards against a file that prevents a start, wherever it ends, or has a version without what led to it.
+/// Guards against damage that prevents a start, or that restores a version without every change up to it.
 #[test]
-fn file_truncated_or_damaged_at_any_byte_restores_what_precedes() {
+fn file_truncated_or_damaged_at_any_byte_restores_the_records_before_it() {
     let folder = tempfile::tempdir().unwrap();
-    drop(written(folder.path()));
+    drop(write_two_versions(folder.path()));
     let OpenedCheckpoint { checkpoint, error, .. } = open(folder.path(), "n1");
     let expected = [("a", Phase::Draining), ("b", Phase::Serving), ("c", Phase::Serving)];
     assert_eq!(
@@ -63,30 +64,34 @@
     assert_eq!(error, None);
     let path = folder.path().join(NAME);
     let intact = std::fs::read(&path).unwrap();
-    let mut between = 0;
+    let mut intact_cuts = 0;
     for cut in 0..intact.len() {
         std::fs::write(&path, &intact[..cut]).unwrap();
         let OpenedCheckpoint { checkpoint, error, .. } = open(folder.path(), "n1");
-        assert!(checkpoint.version != Some(version(2)), "{cut}: the version follows all that led to it");
+        assert!(
+            checkpoint.version != Some(version(2)),
+            "cut at byte {cut}: version restored without its update"
+        );
         if checkpoint.version.is_some() {
-            assert!(checkpoint.endpoints.len() >= 2, "{cut}");
+            assert!(checkpoint.endpoints.len() >= 2, "cut at byte {cut}");
         }
-        between += usize::from(error.is_none());
+        intact_cuts += usize::from(error.is_none());
         let mut damaged = intact.clone();
         damaged[cut] ^= 0x55;
         std::fs::write(&path, &damaged).unwrap();
         let OpenedCheckpoint { checkpoint, error, .. } = open(folder.path(), "n1");
-        assert!(error.is_some() && checkpoint.version != Some(version(2)), "byte {cut}");
+        assert!(error.is_some() && checkpoint.version != Some(version(2)), "damaged byte {cut}");
     }
-    // After the header, a, b, version 1, the completeness, a, c; a cut anywhere else is reported.
-    assert_eq!(between, 7);
+    // A cut after the header, a, b, version 1, the completeness, a or c is valid; every other cut is an
+    // error.
+    assert_eq!(intact_cuts, 7);
 }
 
-/// Guards against restoring the file of another sender or another format.
+/// Guards against restoring a file of another sender or in another format.
 #[test]
-fn foreign_files_are_ignored() {
+fn files_of_other_senders_or_formats_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
-    drop(written(folder.path()));
+    drop(write_two_versions(folder.path()));
     let OpenedCheckpoint { checkpoint, error, .. } = open(folder.path(), "n2");
     assert_eq!(
         (checkpoint.endpoints.len(), error),
@@ -101,12 +106,11 @@
     }
 }
 
-/// Guards against a file that mixes two states: a new file counts only once it is complete, and updates go to both until
-/// then.
+/// Guards against restoring an unfinished new file, and against losing updates while it is written.
 #[test]
-fn current_file_counts_until_the_new_one_is_complete() {
+fn current_file_is_restored_until_the_new_one_is_complete() {
     let folder = tempfile::tempdir().unwrap();
-    let mut file = written(folder.path());
+    let mut file = write_two_versions(folder.path());
     file.start_new().unwrap();
     file.write([state("a", Phase::Serving)].into_iter(), CheckpointWrite::Snapshot, |_| true).unwrap();
     file.write([state("b", Phase::Draining)].into_iter(), CheckpointWrite::Update(Some(version(3))), |_| {
@@ -116,7 +120,7 @@
     let OpenedCheckpoint { checkpoint, .. } = open(folder.path(), "n1");
     let old = [("a", Phase::Draining), ("b", Phase::Draining), ("c", Phase::Serving)];
     assert_eq!((phases(&checkpoint), checkpoint.version), (old.into(), Some(version(3))));
-    // Opening the file removed the new one, as a start does: it is started again.
+    // `open` removed the unfinished new file, so another one is started.
     file.start_new().unwrap();
     let all = ["a", "b"].map(|id| state(id, Phase::Serving));
     file.write(all.into_iter(), CheckpointWrite::Snapshot, |_| true).unwrap();
@@ -129,11 +133,12 @@
     );
 }
 
-/// Guards against a version whose update did not fit: the next process would never ask for that update.
+/// Guards against writing a version whose update did not fit: the next process would never request that
+/// update.
 #[test]
-fn version_is_written_only_with_all_that_led_to_it() {
+fn version_is_written_only_if_its_whole_update_fits() {
     let folder = tempfile::tempdir().unwrap();
-    let mut file = written(folder.path());
+    let mut file = write_two_versions(folder.path());
     let mut fits = [true, false].into_iter();
     let update = [state("b", Phase::Draining), state("d", Phase::Serving)];
     file.write(update.into_iter(), CheckpointWrite::Update(Some(version(3))), |_| fits.next().unwrap())
@@ -142,7 +147,7 @@
     assert_eq!(checkpoint.version, Some(version(2)));
     assert_eq!(checkpoint.endpoints["b"].endpoint.phase, Phase::Draining);
     file.remove();
-    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 0, "the space is free for the journal");
+    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 0, "no file is left");
     file.write([state("b", Phase::Serving)].into_iter(), CheckpointWrite::Update(Some(version(4))), |_| true)
         .unwrap();
 }
@@ -151,9 +156,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards against a record whose bytes change with its names: the file of an earlier version could not be read.
+/// Guards against a change of the encoding, which would make files of earlier versions unreadable.
 #[test]
-fn records_keep_their_bytes() {
+fn records_encode_to_the_same_bytes_as_in_earlier_versions() {
     let cases = [
         (Record::Header { format_version: 1, sender: "n1".to_owned() }, "05000000f9a406bd0001026e31"),
         (
@@ -168,9 +173,9 @@
     }
 }
 
-/// Guards against a handover between two versions that fails because a name has changed.
+/// Guards against a change of the encoding, which would break a handover between two versions.
 #[test]
-fn handed_over_checkpoint_keeps_its_bytes() {
+fn handed_over_checkpoint_encodes_to_the_same_bytes_as_in_earlier_versions() {
     let endpoints = [("a".to_owned(), state("a", Phase::Draining))].into();
     let checkpoint = Checkpoint { version: Some(version(300)), is_complete: true, endpoints };
     let inherited = InheritedState { checkpoint, classes: Vec::new() };
--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -1,10 +1,11 @@
-//! What a new process starts from until its discovery agent answers: the endpoint list in the configuration, merged with the
-//! checkpoint of an earlier process. No I/O and no clock.
+//! Computes the endpoint list that a new process starts with until its discovery agent answers: the list in
+//! the configuration, merged with the checkpoint of an earlier process. No I/O and no clock.
 //!
-//! The configuration has the platform's view of the list that this sender last had, which may be older than what the sender
-//! received itself. Revisions of one agent tell which of the two is newer. Where they cannot be compared (the agent has moved,
-//! or counts from the beginning again), an endpoint that was reported as draining or deleted stays out of service until the
-//! agent says otherwise, unless the endpoint was started again since.
+//! The configuration holds the list that this sender has according to the platform, which may be older than
+//! the list that the sender last received. Revisions of the same agent show which of the two is newer. If
+//! they are not comparable (the agent's address has changed, or the agent has restarted its revision count),
+//! an endpoint that was reported as draining or deleted stays out of service until the agent reports
+//! otherwise, unless the endpoint has restarted since.
 use super::{Checkpoint, DiscoveryVersion, EndpointCheckpoint, EndpointRoutes};
 use crate::daemon::endpoint_list::{EndpointList, ListedEndpoint, Phase};
 use crate::{TimeDelta, Timestamp};
@@ -13,51 +14,52 @@
 /// How the previous process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartKind {
-    /// Some time ago: discovery may have reported something newer since.
+    /// It ended some time ago; discovery may have reported newer states since.
     Restart,
-    /// Just now, by a handover: the checkpoint is the newest there is.
+    /// It hands over to this process; its checkpoint is the newest state.
     Handover,
 }
 
-/// How the times in a checkpoint compare with others.
+/// Relates the times in a checkpoint to the present time and to the platform's clock.
 #[derive(Clone, Copy)]
 pub struct ObservationTimes {
-    /// The present time, on the clock that the checkpoint's times continue.
+    /// The present time, in engine time.
     pub now: Timestamp,
-    /// How far the wall clock may be ahead of that clock.
+    /// How far the wall clock may be ahead of engine time.
     pub wall_lead: TimeDelta,
-    /// Whether the checkpoint's times are on that clock.
+    /// Whether the checkpoint's times can be compared with `now`.
     pub is_comparable: bool,
 }
 
 impl ObservationTimes {
-    /// Returns the latest time on the platform's clock at which a state may have been observed; none where nobody knows.
+    /// Returns the latest time on the platform's clock at which a state received at `observed_at` can have
+    /// been observed, or `None` if the checkpoint's times are not comparable.
     fn platform_time(self, observed_at: Timestamp) -> Option<Timestamp> {
         self.is_comparable.then(|| Timestamp(observed_at.0.saturating_add(self.wall_lead.0)))
     }
 }
 
-/// An endpoint, and when its state was received.
+/// An endpoint and the time at which its phase was first reported.
 pub struct ObservedEndpoint {
     pub endpoint: ListedEndpoint,
     pub observed_at: Timestamp,
 }
 
-/// What was learned of the routes of an endpoint, and when that was captured.
+/// Route snapshots of an endpoint and the time at which they were captured.
 pub struct RestoredRoutes {
     pub endpoint_id: String,
     pub routes: EndpointRoutes,
     pub captured_at: Timestamp,
 }
 
-/// What a process starts from.
+/// The state that a process starts with.
 #[derive(Default)]
 pub struct RestoredCheckpoint {
     pub endpoints: Vec<ObservedEndpoint>,
-    /// The revision from which the agent is asked for changes; none asks for the complete list.
+    /// The revision from which the agent is asked for changes; `None` requests the complete list.
     pub resume_revision: Option<u64>,
     pub routes: Vec<RestoredRoutes>,
-    /// How many endpoints are in service in the configuration's list, and stay out of service.
+    /// The number of endpoints that are serving by the configuration's list but stay out of service.
     pub excluded: usize,
 }
 
@@ -111,7 +113,7 @@
                 None => self.add_configured(listed, precedence, times),
             }
         }
-        // An endpoint that the configuration does not list is of use only if the configuration is older.
+        // An endpoint that the configuration does not list is restored only if the checkpoint is newer.
         if let Precedence::Checkpoint { .. } = precedence {
             for state in checkpointed.into_values() {
                 self.push(state.endpoint.clone(), state, times);
@@ -141,10 +143,10 @@
         self.push(endpoint, state, times);
     }
 
-    /// Adds an endpoint that the checkpoint does not have.
+    /// Adds an endpoint that is not in the checkpoint.
     fn add_configured(&mut self, listed: &ListedEndpoint, precedence: Precedence, times: ObservationTimes) {
         let phase = match precedence {
-            // The newer list is complete, and does not name the endpoint any more.
+            // The newer list is complete and no longer contains the endpoint.
             Precedence::Checkpoint { is_complete: true } => Phase::Deleted,
             _ => listed.phase,
         };
@@ -156,12 +158,13 @@
     fn push(&mut self, endpoint: ListedEndpoint, state: EndpointCheckpoint, times: ObservationTimes) {
         let EndpointCheckpoint { observed_at, routes, captured_at, .. } = state;
         self.routes.push(RestoredRoutes { endpoint_id: endpoint.id.clone(), routes, captured_at });
-        // The clock may have been set back since.
+        // The clock may have been stepped back since the observation.
         self.endpoints.push(ObservedEndpoint { endpoint, observed_at: observed_at.min(times.now) });
     }
 }
 
-/// Returns the revision from which the agent can be asked for changes.
+/// Returns the revision from which the agent can be asked for changes, or `None` if the complete list is
+/// needed.
 fn resume_revision(
     same_agent: Option<DiscoveryVersion>,
     configured: &EndpointList,
@@ -171,20 +174,20 @@
     match same_agent {
         Some(version) if is_newer => Some(version.revision),
         Some(_) => Some(configured.revision),
-        // Changes since a revision would not mention an endpoint that was in service before it, and an agent that counts
-        // from the beginning may have no revision newer than one that was known long ago.
+        // Changes since a revision omit endpoints whose state is older than the revision, and an agent that
+        // has restarted its count may not have reached a known revision again.
         None => Some(configured.revision).filter(|_| is_empty),
     }
 }
 
-/// Returns the phase of an endpoint by two lists of which neither is known to be newer; the checkpoint's was observed at most
-/// at `observed_at` by the platform's clock.
+/// Returns the phase of an endpoint if neither list is known to be newer. `observed_at` is the latest time,
+/// on the platform's clock, at which the checkpoint's phase can have been observed.
 fn stricter_phase(listed: &ListedEndpoint, checkpointed: Phase, observed_at: Option<Timestamp>) -> Phase {
     let started_at = Timestamp(listed.started_at_ms.saturating_mul(1_000));
     let was_started_since = observed_at.is_some_and(|observed_at| started_at > observed_at);
     match checkpointed {
         Phase::Serving => listed.phase,
-        // An endpoint that is deleted under its id would not be listed: it drains until the agent says what became of it.
+        // A deleted endpoint would not be listed, so it counts as draining until the agent reports its phase.
         Phase::Draining | Phase::Deleted if listed.phase == Phase::Serving && !was_started_since => {
             Phase::Draining
         }
--- a/src/daemon/checkpoint/restore/tests.rs
+++ b/src/daemon/checkpoint/restore/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn checkpoint(revision: u64, is_complete: bool, of: &[(&str, Phase)]) -> Checkpoint {
+fn checkpoint(revision: u64, is_complete: bool, phases: &[(&str, Phase)]) -> Checkpoint {
     let state = |(id, phase): &(&str, Phase)| {
         let observed_at = Timestamp(NOW.0 - 5_000_000);
         let endpoint = endpoint(id, *phase, 0);
@@ -31,7 +31,7 @@
         ((*id).to_owned(), EndpointCheckpoint { endpoint, observed_at, routes, captured_at })
     };
     let version = Some(DiscoveryVersion { agent: agent(1), revision });
-    Checkpoint { version, is_complete, endpoints: of.iter().map(state).collect() }
+    Checkpoint { version, is_complete, endpoints: phases.iter().map(state).collect() }
 }
 
 fn configured(agent_port: u16, revision: u64, members: Vec<ListedEndpoint>) -> EndpointList {
@@ -39,26 +39,31 @@
 }
 
 fn phases(restored: &RestoredCheckpoint) -> Vec<(&str, Phase)> {
-    restored.endpoints.iter().map(|of| (of.endpoint.id.as_str(), of.endpoint.phase)).collect()
+    restored
+        .endpoints
+        .iter()
+        .map(|observed| (observed.endpoint.id.as_str(), observed.endpoint.phase))
+        .collect()
 }
 
 use Phase::{Deleted, Draining, Serving};
 
-/// Guards against using the configuration's list where the sender itself received a newer one.
+/// Guards against using the configuration's list if the sender itself received a newer one.
 #[test]
-fn drain_in_the_checkpoint_overrides_an_older_list() {
+fn newer_checkpoint_overrides_the_configured_list() {
     let newer_checkpoint = || checkpoint(7, true, &[("a", Draining), ("c", Serving)]);
     let list = vec![endpoint("a", Serving, 0), endpoint("b", Serving, 0)];
     let newer = restore(newer_checkpoint(), &configured(1, 6, list.clone()), StartKind::Restart, TIMES);
     assert_eq!(phases(&newer), [("a", Draining), ("b", Deleted), ("c", Serving)]);
     assert_eq!((newer.resume_revision, newer.excluded), (Some(7), 2));
-    // An endpoint that a partial checkpoint lacks may be in service.
+    // An endpoint that is missing from a partial checkpoint may be in service.
     let partial = Checkpoint { is_complete: false, ..newer_checkpoint() };
     assert_eq!(
         phases(&restore(partial, &configured(1, 6, list.clone()), StartKind::Restart, TIMES))[1],
         ("b", Serving)
     );
-    // The platform's list is as new, or newer: it decides, and an endpoint that it does not list is deleted.
+    // A configured list of the same or a newer revision decides, and endpoints that it does not list are
+    // dropped.
     for revision in [7, 8] {
         let not_newer =
             restore(newer_checkpoint(), &configured(1, revision, list.clone()), StartKind::Restart, TIMES);
@@ -67,8 +72,8 @@
     }
 }
 
-/// Guards against forgetting a drain because another agent counts its revisions independently; and against excluding an
-/// endpoint that has been started again since under its id.
+/// Guards against losing a drain because revisions of different agents were compared, and against excluding
+/// an endpoint that has restarted since under the same ID.
 #[test]
 fn revisions_of_two_agents_are_not_compared() {
     let observed_at_ms = NOW.0 / 1_000 - 5_000;
@@ -82,18 +87,19 @@
                 TIMES,
             );
             assert_eq!(phases(&restored), [("a", phase), ("b", Serving)], "{up_since} {revision}");
-            assert_eq!(restored.resume_revision, None, "only the whole list can be compared with nothing");
+            assert_eq!(restored.resume_revision, None, "the complete list is requested");
         }
     }
     let list = vec![endpoint("a", Draining, 0)];
     let restored =
         restore(checkpoint(7, true, &[("a", Serving)]), &configured(2, 1, list), StartKind::Restart, TIMES);
-    assert_eq!(phases(&restored), [("a", Draining)], "either may know of a drain");
+    assert_eq!(phases(&restored), [("a", Draining)], "a drain in either list is kept");
 }
 
-/// Guards against forgetting what an agent reported that has started to count from the beginning under its address.
+/// Guards against losing a drain reported by an agent that has restarted its revision count at the same
+/// address.
 #[test]
-fn revisions_of_an_agent_that_was_reset_are_not_compared() {
+fn revisions_of_a_reset_agent_are_not_compared() {
     let reset = || Checkpoint { version: None, ..checkpoint(3, true, &[("a", Draining), ("c", Serving)]) };
     let list = configured(1, 41, vec![endpoint("a", Serving, 0), endpoint("b", Serving, 0)]);
     let restarted = restore(reset(), &list, StartKind::Restart, TIMES);
@@ -101,7 +107,7 @@
         (phases(&restarted), restarted.resume_revision),
         (vec![("a", Draining), ("b", Serving)], None)
     );
-    // The previous process was running until just now: its checkpoint is the newest there is.
+    // After a handover, the checkpoint is the newest state.
     let handed_over = restore(reset(), &list, StartKind::Handover, TIMES);
     let all = vec![("a", Draining), ("b", Deleted), ("c", Serving)];
     assert_eq!((phases(&handed_over), handed_over.resume_revision), (all, None));
@@ -110,16 +116,16 @@
     assert!(!version(1, 41).is_reset_since(version(1, 41)));
 }
 
-/// Guards against an empty checkpoint that changes the configuration's list.
+/// Guards against deleting configured endpoints because the checkpoint is empty.
 #[test]
-fn empty_checkpoint_changes_nothing() {
+fn empty_checkpoint_leaves_the_configured_list_unchanged() {
     let list = vec![endpoint("a", Serving, 0), endpoint("b", Draining, 0)];
     let restored = restore(Checkpoint::default(), &configured(1, 3, list), StartKind::Restart, TIMES);
     assert_eq!(phases(&restored), [("a", Serving), ("b", Draining)]);
     assert_eq!((restored.resume_revision, restored.excluded, restored.routes.len()), (Some(3), 0, 0));
 }
 
-/// Guards against observations in the future, by a clock that was set back.
+/// Guards against observation times in the future after the clock was stepped back.
 #[test]
 fn observation_in_the_future_counts_as_now() {
     let mut checkpoint = checkpoint(7, true, &[("a", Draining)]);
--- a/src/daemon/checkpoint/schedule.rs
+++ b/src/daemon/checkpoint/schedule.rs
@@ -1,51 +1,52 @@
-//! What of the checkpoint is written when: in slices, so that no step of the event loop waits for all of it. No I/O and no
-//! clock.
+//! Decides what to write to the checkpoint file and when, in slices, so that no step of the event loop waits
+//! for the whole checkpoint to be written. No I/O and no clock.
 //!
-//! Changes are appended to the file, which is rewritten when its length has doubled. No promise rests on the file: where there
-//! is no space for it, it is abandoned, and started again later.
+//! Changes are appended to the file, which is rewritten when its length has doubled. The file is optional: if
+//! there is no space for it, it is removed, and a new one is started later.
 use super::Coverage;
 use crate::{EndpointId, Timestamp};
 use std::collections::BTreeSet;
 
-/// Endpoints in one slice: as measured with 10,000 endpoints, a slice takes 0.13 ms and 14 KB.
+/// Maximum number of endpoints in one slice; bounds the time of one step.
 const MAX_SLICE_ENDPOINTS: usize = 64;
 /// Pause between two slices, in microseconds.
 const SLICE_INTERVAL_US: u64 = 100_000;
-/// Pause after there was no space, in microseconds.
+/// Delay before a new file is started after one was abandoned, in microseconds.
 const RETRY_DELAY_US: u64 = 5_000_000;
-/// A file is rewritten when it is this much longer than twice its length when it was new, in bytes.
+/// A file is rewritten when it exceeds twice its initial length by this many bytes.
 const REWRITE_SLACK_BYTES: u64 = 8 * 1024;
 
-/// What is to be done next.
+/// The step that the caller performs next.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CheckpointStep {
-    /// Start a new file, and report that by [`CheckpointSchedule::file_started`].
+    /// Start a new file, then call [`CheckpointSchedule::file_started`].
     StartFile,
-    /// Write the state of these endpoints, in the new file if there is one.
+    /// Write the states of these endpoints, to the new file if there is one.
     Write(Vec<EndpointId>),
-    /// The new file is complete: replace the current one by it.
+    /// Replace the current file with the new one, which is complete.
     FinishFile,
 }
 
-/// Decides the order of writes.
+/// Schedules the writes to the checkpoint file.
 pub struct CheckpointSchedule {
     max_file_bytes: u64,
-    /// Endpoints that have changed since they were written.
+    /// Endpoints that have changed since they were last written.
     changed: BTreeSet<EndpointId>,
-    /// Endpoints that the new file lacks, the next one last; none if there is no new file.
+    /// Endpoints still to be written to the new file, the next one last; `None` if there is no new file.
     remaining: Option<Vec<EndpointId>>,
-    /// Length of the file that is being filled.
+    /// Length of the file that is being written, in bytes.
     file_bytes: u64,
-    /// Length of the last complete file when it was new.
+    /// Initial length of the last complete file, in bytes.
     new_file_bytes: u64,
     needs_new_file: bool,
     /// Whether every endpoint fitted into the file.
     coverage: Coverage,
+    /// The earliest time of the next step.
     not_before: Timestamp,
 }
 
 impl CheckpointSchedule {
-    /// Creates the schedule of a file that does not exist yet.
+    /// Creates a schedule whose first step starts a file of at most `max_file_bytes`.
     pub fn new(max_file_bytes: u64) -> Self {
         Self {
             max_file_bytes,
@@ -64,13 +65,13 @@
         self.changed.insert(id);
     }
 
-    /// Returns when the next step is due, if there is one.
+    /// Returns when the next step is due, or `None` if there is nothing to write.
     pub fn due(&self) -> Option<Timestamp> {
         let has_work = self.needs_new_file || self.remaining.is_some() || !self.changed.is_empty();
         has_work.then_some(self.not_before)
     }
 
-    /// Returns the step that is due `now`, if one is.
+    /// Returns the step that is due at `now`, or `None` if none is due.
     pub fn next_step(&mut self, now: Timestamp) -> Option<CheckpointStep> {
         if self.due().is_none_or(|due| now < due) {
             return None;
@@ -96,14 +97,15 @@
             let Some(id) = self.changed.pop_first() else { break };
             slice.push(id);
         }
-        // An endpoint that is copied to the new file now needs no further write.
+        // An endpoint that this slice writes to the new file needs no second write for its change.
         for id in &slice {
             self.changed.remove(id);
         }
         slice
     }
 
-    /// Notes that a new file of that length was started, into which these endpoints go in this order.
+    /// Notes that a new file was started with `bytes` bytes, to which the endpoints in `order` are to be
+    /// written.
     pub fn file_started(&mut self, bytes: u64, mut order: Vec<EndpointId>) {
         order.reverse();
         self.remaining = Some(order);
@@ -112,7 +114,7 @@
         self.needs_new_file = false;
     }
 
-    /// Whether that many more bytes fit into the file. If not, the file counts as partial.
+    /// Returns whether `bytes` more bytes fit into the file. If not, the file is marked as partial.
     pub fn check_fit(&mut self, bytes: u64) -> bool {
         let fits = self.file_bytes + bytes <= self.max_file_bytes;
         if !fits {
@@ -121,24 +123,24 @@
         fits
     }
 
-    /// Notes that that many bytes were written.
+    /// Notes that `bytes` bytes were written.
     pub fn bytes_written(&mut self, bytes: u64) {
         self.file_bytes += bytes;
         let has_doubled = self.file_bytes > 2 * self.new_file_bytes + REWRITE_SLACK_BYTES;
         let is_near_limit = self.file_bytes + REWRITE_SLACK_BYTES > self.max_file_bytes;
-        // A file near its limit is rewritten only after it has grown by as much as a slice.
+        // Keeps a file near its limit from being rewritten after every write.
         let has_grown = self.file_bytes > self.new_file_bytes + REWRITE_SLACK_BYTES;
         self.needs_new_file |= self.remaining.is_none() && (has_doubled || is_near_limit) && has_grown;
     }
 
-    /// Notes that the new file has replaced the current one, and returns whether it has all endpoints.
+    /// Notes that the new file replaces the current one, and returns whether it holds every endpoint.
     pub fn file_finished(&mut self) -> Coverage {
         self.remaining = None;
         self.new_file_bytes = self.file_bytes;
         self.coverage
     }
 
-    /// Notes that the files were removed because there was no space: a new one is started later.
+    /// Notes that the files were removed for lack of space. A new one is started after a delay.
     pub fn abandoned(&mut self, now: Timestamp) {
         *self = Self { not_before: Timestamp(now.0 + RETRY_DELAY_US), ..Self::new(self.max_file_bytes) };
     }
