--- a/src/daemon/clock/continuity.rs
+++ b/src/daemon/clock/continuity.rs
@@ -1,27 +1,27 @@
-//! How the engine's time goes on from one process to the next. No I/O and no clock: the readings are arguments.
+//! Continues engine time from one process to the next. No I/O and no clock: the readings are arguments.
 use micadrum_recovery::Boot;
 use serde::{Deserialize, Serialize};
 
-/// An earlier process whose time cannot be continued is assumed to have ended no longer ago than this, in microseconds.
+/// The longest downtime, in microseconds, that is assumed after a process whose time cannot be continued.
 const MAX_ASSUMED_DOWNTIME_US: u64 = 30_000_000;
-/// By so much a record may be younger than the continued time, in microseconds: times are rounded.
+/// How far the time in a record may be ahead of the continued time, in microseconds; allows for rounding.
 const RECORD_TOLERANCE_US: u64 = 100_000;
 
-/// A moment at which both the engine's time and the monotonic clock were known. Stored by position.
+/// Engine time and the monotonic clock at the same instant. Stored by position: fields must not be reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockAnchor {
-    /// The boot of the machine that the monotonic clock counts from.
+    /// The boot of the machine from which the monotonic clock counts.
     pub boot: Boot,
     /// The monotonic clock, in microseconds.
     pub monotonic_us: u64,
-    /// The engine's time, in microseconds.
+    /// Engine time, in microseconds.
     pub engine_us: u64,
 }
 
-/// What the clocks of the machine show at the start of a process.
+/// The clocks of the machine at the start of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The boot of the machine; none where the system does not name it.
+    /// The current boot of the machine; `None` if the system does not identify it.
     pub boot: Option<Boot>,
     /// The monotonic clock, in microseconds.
     pub monotonic_us: u64,
@@ -30,23 +30,23 @@
 }
 
 impl ClockReading {
-    /// Returns an anchor of the engine's time at this moment; none where the boot is unknown.
+    /// Returns an anchor with the engine time `engine_us` at this reading, or `None` if the boot is unknown.
     pub fn anchor_at(self, engine_us: u64) -> Option<ClockAnchor> {
         let Self { boot, monotonic_us, .. } = self;
         Some(ClockAnchor { boot: boot?, monotonic_us, engine_us })
     }
 }
 
-/// What earlier processes left in the journal.
+/// What the journal shows of the previous process's engine time.
 #[derive(Clone, Copy, Debug)]
-pub struct Previous {
-    /// Their last anchor.
+pub struct PreviousProcess {
+    /// The last anchor in the journal.
     pub anchor: Option<ClockAnchor>,
-    /// The latest of their times that a record mentions, in microseconds.
+    /// The latest time in a record, in microseconds; 0 if there is none.
     pub latest_us: u64,
-    /// The journal holds nothing.
+    /// Whether the journal is empty.
     pub is_empty: bool,
-    /// The earlier process hands over just now.
+    /// Whether the previous process is handing over to this one.
     pub hands_over: bool,
 }
 
@@ -55,43 +55,45 @@
 pub enum ClockContinuity {
     /// This process continues the time of the earlier ones, or is the first one.
     Continued,
-    /// Nobody knows how long ago the last process ended.
+    /// The time since the previous process ended is unknown.
     Unknown,
 }
 
-/// The engine's time at the start of a process.
+/// Engine time at the start of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineTime {
-    /// The time, in microseconds.
+    /// Engine time, in microseconds.
     pub now_us: u64,
-    /// What earlier times are worth.
+    /// Whether times of earlier processes are comparable with it.
     pub continuity: ClockContinuity,
 }
 
-/// Decides on the engine's time at the start of a process.
+/// Returns engine time at the start of a process.
 ///
-/// Without an anchor of this boot the wall clock is believed only as far as it can be true: it does not show a time before
-/// the last record, nor one long after it, so that a message is neither an hour late nor has an hour left.
-pub fn continue_time(previous: &Previous, reading: ClockReading) -> EngineTime {
+/// Without an anchor of this boot, the wall clock is used only if it is plausible, that is neither before the
+/// latest record nor long after it. Otherwise engine time starts at the latest record, so that a wrong wall
+/// clock moves no deadline by hours.
+pub fn continue_time(previous: &PreviousProcess, reading: ClockReading) -> EngineTime {
     if let Some(now_us) = continued_from_anchor(previous, reading) {
         return EngineTime { now_us, continuity: ClockContinuity::Continued };
     }
     if previous.is_empty || (previous.hands_over && previous.anchor.is_none()) {
         return EngineTime { now_us: reading.wall_us, continuity: ClockContinuity::Continued };
     }
-    let plausible = previous.latest_us..=previous.latest_us.saturating_add(MAX_ASSUMED_DOWNTIME_US);
-    let is_believed = previous.latest_us == 0 || plausible.contains(&reading.wall_us);
-    let now_us = if is_believed { reading.wall_us } else { previous.latest_us };
+    let plausible_times = previous.latest_us..=previous.latest_us.saturating_add(MAX_ASSUMED_DOWNTIME_US);
+    let is_plausible = previous.latest_us == 0 || plausible_times.contains(&reading.wall_us);
+    let now_us = if is_plausible { reading.wall_us } else { previous.latest_us };
     EngineTime { now_us, continuity: ClockContinuity::Unknown }
 }
 
-/// Returns the time that follows from the anchor; none if the anchor is of another boot, or contradicts the records.
-fn continued_from_anchor(previous: &Previous, reading: ClockReading) -> Option<u64> {
+/// Returns engine time as continued from the anchor, or `None` if there is no anchor of this boot or if it
+/// contradicts the records.
+fn continued_from_anchor(previous: &PreviousProcess, reading: ClockReading) -> Option<u64> {
     let anchor = previous.anchor.filter(|anchor| Some(anchor.boot) == reading.boot)?;
     let elapsed_us = reading.monotonic_us.checked_sub(anchor.monotonic_us)?;
     let now_us = anchor.engine_us.saturating_add(elapsed_us);
-    let contradicts = previous.latest_us > now_us.saturating_add(RECORD_TOLERANCE_US);
-    (!contradicts).then_some(now_us)
+    let contradicts_records = previous.latest_us > now_us.saturating_add(RECORD_TOLERANCE_US);
+    (!contradicts_records).then_some(now_us)
 }
 
 #[cfg(test)]
