--- a/src/daemon/durability/deferred_effects.rs
+++ b/src/daemon/durability/deferred_effects.rs
@@ -19,7 +19,8 @@
         self.effects.push_back((sequence, effect));
     }
 
-    /// Removes the next effect if all records that it waits for are among those up to `durable_sequence`.
+    /// Removes and returns the next effect, if the records up to `durable_sequence` include all that it waits
+    /// for.
     pub fn pop_ready(&mut self, durable_sequence: u64) -> Option<T> {
         if self.effects.front().is_some_and(|(sequence, _)| *sequence <= durable_sequence) {
             return self.effects.pop_front().map(|(_, effect)| effect);
@@ -27,7 +28,7 @@
         None
     }
 
-    /// Whether no effect is waiting.
+    /// Returns whether no effect is waiting.
     pub fn is_empty(&self) -> bool {
         self.effects.is_empty()
     }
--- a/src/daemon/durability/durable_storage.rs
+++ b/src/daemon/durability/durable_storage.rs
@@ -1,12 +1,13 @@
-//! Durable replacement of whole files: incarnations, maintenance, classes.
+//! Durable replacement of whole files: incarnations, the maintenance state and classes.
 //!
-//! Such a file is written under another name and renamed. A rename may become durable before the content does, so that a
-//! crash would leave an empty file under the final name. Here the file is synced before its rename, and the folder after.
+//! Such a file is written under a temporary name and then renamed. The rename may become durable before the
+//! content, in which case a crash leaves an empty file under the final name. The file is therefore synced
+//! before the rename, and the folder after it.
 use crate::daemon::ports::{AppendFile, Storage};
 use std::io;
 use std::rc::Rc;
 
-/// A folder whose renames are durable when they return.
+/// A folder in which a rename, and the content of the renamed file, are durable when `rename` returns.
 pub struct DurableStorage(pub Rc<dyn Storage>);
 
 impl Storage for DurableStorage {
--- a/src/daemon/durability/group_commit.rs
+++ b/src/daemon/durability/group_commit.rs
@@ -1,8 +1,10 @@
-//! Group commit: when to sync the journal, and which of its records are durable. No I/O and no clock.
+//! Group commit: decides when to sync the journal, and tracks which of its records are durable. No I/O and no
+//! clock.
 //!
-//! At most one sync runs at a time; records written meanwhile are covered by the next one. A failed sync is final for its
-//! file: the system may have dropped the pages, and a second sync would report success. No record of that file counts as
-//! durable until the journal's state has been written to a new file.
+//! At most one sync runs at a time; records written meanwhile are covered by the next one. A failed sync is
+//! final for its file: the kernel may have dropped the dirty pages, so that a second sync would report
+//! success. No further record of that file counts as durable until the journal's state has been written to a
+//! new file.
 //!
 //! Times are durations since an origin that the caller chooses.
 use std::time::Duration;
@@ -10,11 +12,11 @@
 /// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing; ask again at that time, or after the next change if none is given.
+    /// Do nothing until this time, or until the next change if `None`.
     Wait(Option<Duration>),
-    /// Sync all that is written now.
+    /// Sync everything written so far.
     Sync,
-    /// Replace the file by a new one.
+    /// Replace the file with a new one.
     ReplaceFile,
 }
 
@@ -23,7 +25,7 @@
 pub enum SyncResult {
     /// The records that were written when the sync started are durable.
     Durable,
-    /// The file is lost.
+    /// The file can no longer be relied on and has to be replaced.
     Failed,
 }
 
@@ -33,7 +35,7 @@
     }
 }
 
-/// The state of one journal.
+/// The group commit state of one journal.
 #[derive(Debug)]
 pub struct GroupCommit {
     /// How long a record waits for others before it is synced.
@@ -42,18 +44,19 @@
     written_sequence: u64,
     /// Sequence number up to which all records are durable.
     durable_sequence: u64,
-    /// Sequence number up to which the running sync covers the records.
+    /// Sequence number up to which the running sync covers the records; `None` if no sync is running.
     syncing_sequence: Option<u64>,
-    /// When the oldest record was written that no sync covers yet.
+    /// When the oldest record that no sync covers yet was written.
     oldest_unsynced_at: Option<Duration>,
-    /// Set while the file is lost: when to try to replace it.
+    /// When to replace the file next; `None` unless a sync of it has failed.
     replace_at: Option<Duration>,
-    /// Counts the files of the journal: a sync of an earlier one says nothing about this one.
+    /// Number of times the file was replaced; tells a sync of an earlier file from one of the current file.
     generation: u64,
 }
 
 impl GroupCommit {
-    /// Creates the state of a journal all of whose records are durable.
+    /// Creates the state of a journal in which all records are durable. A sync is due when the oldest record
+    /// that no sync covers has waited for `delay`.
     pub fn new(delay: Duration) -> Self {
         Self {
             delay,
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Notes that the records up to `sequence` are written.
+    /// Notes that the records up to `sequence` were written by `now`.
     pub fn records_written(&mut self, sequence: u64, now: Duration) {
         if sequence > self.written_sequence {
             self.written_sequence = sequence;
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Returns what has to be done now.
+    /// Returns the step to perform at `now`.
     pub fn next_step(&self, now: Duration) -> NextStep {
         if let Some(at) = self.replace_at {
             return if now >= at { NextStep::ReplaceFile } else { NextStep::Wait(Some(at)) };
@@ -87,14 +90,15 @@
         }
     }
 
-    /// Notes that a sync of all that is written starts, and returns the generation of its file.
+    /// Notes that a sync of everything written so far has started, and returns the generation of its file.
     pub fn sync_started(&mut self) -> u64 {
         self.syncing_sequence = Some(self.written_sequence);
         self.oldest_unsynced_at = None;
         self.generation
     }
 
-    /// Notes that the sync of that generation has ended.
+    /// Notes that the sync of the file of `generation` has ended. Has no effect if that file was replaced
+    /// since.
     pub fn sync_ended(&mut self, generation: u64, result: SyncResult, now: Duration) {
         if generation != self.generation {
             return;
@@ -115,7 +119,7 @@
         self.replace_at = None;
     }
 
-    /// Notes that the file could not be replaced, and is to be replaced at `retry_at`.
+    /// Notes that the file could not be replaced. The next attempt is due at `retry_at`.
     pub fn replacement_failed(&mut self, retry_at: Duration) {
         self.replace_at = Some(retry_at);
     }
@@ -125,7 +129,8 @@
         self.durable_sequence
     }
 
-    /// Whether the file is lost and not replaced yet: nothing new can be promised.
+    /// Returns whether a sync of the file has failed and the file is not replaced yet, so that no new record
+    /// can become durable.
     pub fn has_failed(&self) -> bool {
         self.replace_at.is_some()
     }
--- a/src/daemon/durability/group_commit/tests.rs
+++ b/src/daemon/durability/group_commit/tests.rs
@@ -5,7 +5,7 @@
     Duration::from_millis(n)
 }
 
-/// Guards against an effect that is released before its record is durable, and one that waits although it is.
+/// Guards against releasing an effect before its record is durable, and against holding it back afterwards.
 #[test]
 fn record_written_during_a_sync_waits_for_the_next() {
     let (mut commit, mut effects) = (GroupCommit::new(ms(2)), DeferredEffects::default());
@@ -18,7 +18,7 @@
     let generation = commit.sync_started();
     commit.records_written(3, ms(3));
     effects.push(3, "c");
-    assert_eq!(commit.next_step(ms(9)), NextStep::Wait(None), "one at a time");
+    assert_eq!(commit.next_step(ms(9)), NextStep::Wait(None), "one sync at a time");
     assert_eq!(effects.pop_ready(commit.durable_sequence()), None);
     commit.sync_ended(generation, SyncResult::Durable, ms(9));
     assert_eq!(
@@ -35,7 +35,8 @@
     assert_eq!(commit.next_step(ms(99)), NextStep::Wait(None));
 }
 
-/// Guards against a second sync of a file whose first one failed, and a late success of a file that was replaced.
+/// Guards against syncing a file again after a failure, and against counting a late success of a replaced
+/// file.
 #[test]
 fn failed_sync_is_final_for_its_file() {
     let mut commit = GroupCommit::new(ms(0));
@@ -59,7 +60,7 @@
     commit.records_written(3, ms(1001));
     let second = commit.sync_started();
     commit.sync_ended(first, SyncResult::Durable, ms(1002));
-    assert_eq!(commit.durable_sequence(), 2, "a success of the previous file");
+    assert_eq!(commit.durable_sequence(), 2, "the sync of the previous file does not count");
     commit.sync_ended(second, SyncResult::Durable, ms(1003));
     assert_eq!(commit.durable_sequence(), 3);
 }
--- a/src/daemon/durability/mod.rs
+++ b/src/daemon/durability/mod.rs
@@ -1,18 +1,20 @@
-//! When a record is durable, and what waits until it is.
+//! Tracks which journal records are durable, and holds back effects until they are.
 //!
 //! # Problem
-//! An answer, a call or a notification must not leave the sender before the record that it rests on is durable: after a
-//! crash the record would be missing, and the promise broken or the call repeated.
+//! An answer, a call or a notification must not leave the sender before the record that it depends on is
+//! durable. After a crash, the record would be missing: an accepted message could be lost, or a call
+//! repeated.
 //!
 //! # Guarantees
-//! Under the setting `process` a record is durable once it is written: it survives the process, but not the machine. Under
-//! `machine` it is durable once it is synced. An effect is released only when all records before it are durable, and
-//! effects are released in the order in which they were deferred.
+//! With the setting `process`, a record is durable once it is written: it survives a crash of the process,
+//! but not of the machine. With `machine`, it is durable once it is synced. An effect is released only when
+//! all records before it are durable, and effects are released in the order in which they were deferred.
 //!
 //! # Mechanism
-//! [`GroupCommit`] decides when to sync, and which records are durable; [`DeferredEffects`] holds the effects. Both are
-//! state machines without I/O, which the event loop drives. [`DurableStorage`] makes replaced files durable that are not
-//! part of the journal, and [`TracedStorage`] logs what is durable, for tests that simulate a loss of power.
+//! [`GroupCommit`] decides when to sync and which records are durable; [`DeferredEffects`] holds the effects.
+//! Both are state machines without I/O, driven by the event loop. [`DurableStorage`] durably replaces files
+//! other than the journal, and [`TracedStorage`] logs which data is durable, for tests that simulate a power
+//! loss.
 mod deferred_effects;
 mod durable_storage;
 mod group_commit;
@@ -24,5 +26,5 @@
 use std::time::Duration;
 pub use traced_storage::TracedStorage;
 
-/// How long after a failed attempt to replace the journal's file the next one follows.
+/// Delay between a failed attempt to replace the journal's file and the next attempt.
 pub const REPLACEMENT_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/src/daemon/durability/traced_storage.rs
+++ b/src/daemon/durability/traced_storage.rs
@@ -1,17 +1,18 @@
-//! Logs what of a folder is durable, for tests that simulate a loss of power.
+//! Logs which files of a folder are durable, and up to which length, for tests that simulate a power loss.
 //!
-//! The test kit reads these lines, and cuts each file back to its durable length when it ends the machine. A line names the
-//! file as it is called when the sync ends: a file that is renamed during a sync is durable under its new name.
+//! The test kit reads these lines and truncates each file to its durable length when it simulates a machine
+//! crash. A line has the file's name at the end of the sync, as a file that is renamed during a sync is
+//! durable under its new name.
 use crate::daemon::ports::{AppendFile, LocalFuture, Log, Storage};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
-/// A file, under its current name.
+/// The current name and length of a file.
 struct TrackedFile {
     name: RefCell<String>,
-    /// Bytes written.
+    /// Length in bytes, including bytes not yet synced.
     length: Cell<u64>,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl TracedStorage {
-    /// Wraps a folder.
+    /// Wraps `folder`, and logs to `log`.
     pub fn new(folder: Rc<dyn Storage>, log: Rc<dyn Log>) -> Self {
         Self { folder, log, files: RefCell::default() }
     }
--- a/src/daemon/durability/traced_storage/tests.rs
+++ b/src/daemon/durability/traced_storage/tests.rs
@@ -9,7 +9,7 @@
     }
 }
 
-/// Guards against a line with a length that was not synced, or for another file.
+/// Guards against a line with a length that was not synced, or with an outdated file name.
 #[tokio::test]
 async fn synced_length_is_logged_under_the_current_name() {
     let folder = tempfile::tempdir().unwrap();
@@ -17,7 +17,7 @@
     let traced = TracedStorage::new(Rc::new(Folder(folder.path().to_owned())), log.clone());
     let mut file = traced.create("a.new").unwrap();
     file.append(b"1234").unwrap();
-    // Code that replaces a file opens it twice: both handles are of one file.
+    // Opening a file again does not reset its tracked length.
     traced.open("a.new").unwrap();
     let sync = file.sync();
     file.append(b"56").unwrap();
