--- a/src/daemon/journal/compaction.rs
+++ b/src/daemon/journal/compaction.rs
@@ -1,19 +1,20 @@
 //! Compaction: the state is written to a new file, which then replaces the old one by a rename.
 //!
-//! A process that ends in between leaves the old file in place, with all that it holds. With durability enabled the new
-//! file is synced before the rename, and the name after it.
+//! If the process ends before the rename, the old file remains with all of its records. With durability
+//! enabled, the new file is synced before the rename, and the folder after it.
 use super::record::{CompletedId, Record};
 use super::{FileHealth, Journal, NAME, NEW_NAME, UNREADABLE_NAME};
 use crate::daemon::frame::append_frame;
 use crate::daemon::ports::AppendFile;
 use std::io;
 
-/// The new file is written in pieces of about this size.
-const WRITE_BYTES: usize = 64 * 1024;
-/// Ids in one record: each has at most 1 KiB, and a record must not exceed what a reader accepts.
+/// The new file is written in chunks of about this size, in bytes.
+const WRITE_CHUNK_BYTES: usize = 64 * 1024;
+/// Maximum number of IDs in one record. An ID has at most 1 KiB, and a record must not exceed the reader's
+/// limit.
 const MAX_IDS_IN_RECORD: usize = 200;
 
-/// A file, and its length in bytes.
+/// The new file and its length in bytes.
 struct NewFile {
     file: Box<dyn AppendFile>,
     length: u64,
@@ -27,15 +28,16 @@
 }
 
 impl Journal {
-    /// Rewrites the journal. On an error the old file stays in use, and [`Journal::take_compaction_error`] has the error.
+    /// Rewrites the journal. [`Journal::take_compaction_error`] returns the error if this fails; the old file
+    /// then stays in use, unless only the sync of the rename failed.
     pub(super) fn compact(&mut self) {
         match self.write_new_file() {
             Ok(NewFile { file, length }) => {
                 (self.file, self.length) = (Some(file), length);
-                // From here on the old file has no name: whatever follows, the new one is the journal.
-                self.health = FileHealth { is_name_unsynced: self.is_durable, ..FileHealth::default() };
+                // The new file has replaced the old one, also if the sync of the rename fails.
+                self.health = FileHealth { is_rename_unsynced: self.is_durable, ..FileHealth::default() };
                 self.compact_at = self.limits.next_compaction_bytes(length);
-                match self.sync_name() {
+                match self.sync_rename() {
                     Ok(()) => self.compactions += 1,
                     Err(error) => self.compaction_error = Some(error),
                 }
@@ -54,7 +56,7 @@
         let mut buffer = Vec::new();
         for record in self.state_as_records() {
             buffer = append_frame(&record, buffer)?;
-            if buffer.len() > WRITE_BYTES {
+            if buffer.len() > WRITE_CHUNK_BYTES {
                 new.append(&buffer)?;
                 buffer.clear();
             }
@@ -63,15 +65,15 @@
         if self.is_durable {
             new.file.sync_now()?;
         }
-        if self.health.must_set_aside {
+        if self.health.must_rename_unreadable {
             self.folder.rename(NAME, UNREADABLE_NAME)?;
-            self.health.must_set_aside = false;
+            self.health.must_rename_unreadable = false;
         }
         self.folder.rename(NEW_NAME, NAME)?;
         Ok(new)
     }
 
-    /// Returns records that add up to the present state.
+    /// Returns records that reproduce the current state.
     fn state_as_records(&self) -> impl Iterator<Item = Record> {
         let state = &self.state;
         let stamp = state.stamp.iter().map(|stamp| Record::Stamped(stamp.clone()));
@@ -79,7 +81,7 @@
             first_number: bound.first_number,
             not_before: bound.not_before,
         });
-        // No other record of a rewritten file mentions the latest time.
+        // The other records of a rewritten file may all have earlier times.
         let has_times = state.stamp.is_some() || state.clock_anchor.is_some();
         let latest = has_times.then(|| Record::AcceptedNotBefore {
             first_number: state.next_number,
--- a/src/daemon/journal/completed_ids.rs
+++ b/src/daemon/journal/completed_ids.rs
@@ -1,17 +1,17 @@
-//! Ids of completed messages, remembered for as long as a client may still submit one of them again: the message must not
-//! be delivered a second time.
+//! IDs of completed messages, retained for as long as a client may submit one of them again, so that no
+//! message is delivered a second time.
 //!
-//! No I/O and no clock; times are wall clock, microseconds, as they are valid across processes. The set is bounded in
-//! number and in bytes. Beyond either bound it forgets those ids first that expire first.
+//! No I/O and no clock; times are microseconds of engine time, which are valid across processes. The set is
+//! bounded in number and in bytes. If it exceeds a bound, the IDs that expire first are dropped first.
 use super::record::CompletedId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An id is remembered for at least this long after its message was completed, in microseconds.
+/// Minimum retention of an ID after its message was completed, in microseconds.
 const MIN_RETENTION_US: u64 = 30_000_000;
-/// An id is remembered for this long past its message's deadline, in microseconds: a client submits it no later.
+/// Minimum retention of an ID after its message's deadline, in microseconds; clients submit it no later.
 const RETENTION_PAST_DEADLINE_US: u64 = 1_000_000;
-/// Space that an id takes beside its text, in a file and in memory.
+/// Space that an ID takes in addition to its text, in a file and in memory, in bytes.
 const ID_OVERHEAD_BYTES: u64 = 24;
 
 /// Bounds of the set.
@@ -21,7 +21,7 @@
     pub max_bytes: u64,
 }
 
-/// The set of remembered ids.
+/// The set of retained IDs.
 #[derive(Debug)]
 pub(super) struct CompletedIds {
     expiry_by_id: BTreeMap<Arc<str>, u64>,
@@ -36,18 +36,18 @@
         Self { expiry_by_id: BTreeMap::new(), ids_by_expiry: BTreeSet::new(), bytes: 0, limits }
     }
 
-    /// Whether the message of that id is completed, as far as the set remembers.
+    /// Returns whether the ID is in the set.
     pub fn contains(&self, id: &str) -> bool {
         self.expiry_by_id.contains_key(id)
     }
 
-    /// Adds the id of a message with that `deadline` which was completed at `completed_at`.
+    /// Adds the ID of a message that had the given `deadline` and was completed at `completed_at`.
     pub fn complete(&mut self, id: &str, completed_at: u64, deadline: u64) {
         let past_deadline = deadline.saturating_add(RETENTION_PAST_DEADLINE_US);
         self.insert(id.into(), (completed_at + MIN_RETENTION_US).max(past_deadline), completed_at);
     }
 
-    /// Remembers an id until `expires_at`, and forgets ids that have expired `now`.
+    /// Retains an ID until `expires_at`, and drops IDs that have expired by `now`.
     pub fn insert(&mut self, id: Arc<str>, expires_at: u64, now: u64) {
         if let Some(replaced) = self.expiry_by_id.insert(id.clone(), expires_at) {
             self.ids_by_expiry.remove(&(replaced, id.clone()));
@@ -70,7 +70,7 @@
         self.ids_by_expiry.first().is_some_and(|(expires_at, _)| *expires_at < now)
     }
 
-    /// Remembers every id for at least as long as if its message were completed `now`.
+    /// Retains every ID for at least as long as if its message had been completed at `now`.
     pub fn extend_all(&mut self, now: u64) {
         let expires_at = now + MIN_RETENTION_US;
         let earlier = self.ids_by_expiry.iter().take_while(|(expiry, _)| *expiry < expires_at);
@@ -83,14 +83,14 @@
         self.ids_by_expiry.is_empty()
     }
 
-    /// Returns the ids, the one that expires first before the others.
+    /// Returns the IDs in the order in which they expire.
     pub fn iter(&self) -> impl Iterator<Item = CompletedId> {
         self.ids_by_expiry
             .iter()
             .map(|(expires_at, id)| CompletedId { id: id.clone(), expires_at: *expires_at })
     }
 
-    /// Returns the bytes that the ids take at most in a file.
+    /// Returns the maximum number of bytes that the IDs take in a file.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/src/daemon/journal/error.rs
+++ b/src/daemon/journal/error.rs
@@ -1,8 +1,8 @@
-//! Errors of the journal: the operation that failed, and what the system said.
+//! Errors of journal operations.
 use std::fmt;
 use std::io;
 
-/// A journal operation failed.
+/// A failed journal operation, with the underlying I/O error.
 #[derive(Debug, thiserror::Error)]
 #[error("journal: {operation} failed error={source}")]
 pub struct JournalError {
@@ -11,17 +11,17 @@
 }
 
 impl JournalError {
-    /// Returns the error of the system.
+    /// Returns the underlying I/O error.
     pub fn into_source(self) -> io::Error {
         self.source
     }
 }
 
-/// What the journal was doing when it failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Operation {
     Read,
-    MoveForeign,
+    RenameForeign,
     Accept,
     Append,
     Sync,
@@ -39,7 +39,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Read => "read",
-            Self::MoveForeign => "rename of another sender's file",
+            Self::RenameForeign => "rename of another sender's file",
             Self::Accept => "accept",
             Self::Append => "append",
             Self::Sync => "sync",
--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -1,21 +1,23 @@
-//! The write-ahead journal in the state folder: which messages were accepted, and how far each of them got.
+//! The write-ahead journal in the state folder: the accepted messages and the progress of each.
 //!
 //! # Guarantees
-//! - A message is accepted, and an attempt is started, only if the record of it was written: a process after a restart
-//!   knows every message that a client was promised, and every attempt that may have been processed.
-//! - A record of an end (of an attempt, of a message) that cannot be written is applied in memory all the same. It becomes
-//!   part of the file at the next compaction; until then a restart would repeat what it ended. The [`reserve`] makes
-//!   that rare.
-//! - Damage never keeps a sender from starting: the records that can be read count, and [`CorruptionReport`] says what
-//!   was lost. Nor does a folder that cannot be written: nothing is accepted until it can be.
-//! - Nothing is appended behind bytes that are no complete record, or to a file that has lost its name.
-//! - The folder stays within the disk space that the journal was given.
+//! - A message is accepted, and an attempt is started, only if its record was written: a restarted process
+//!   knows every accepted message, and every attempt that may have been processed.
+//! - If the record of an end (of an attempt, of a message) cannot be written, the end is still applied in
+//!   memory, and the next compaction writes it to the file. After a restart before that compaction, the
+//!   attempt or message would be repeated. The [`reserve`] makes this rare.
+//! - Damage never prevents a start: readable records are applied, and [`CorruptionReport`] says how much was
+//!   lost. A folder that cannot be written does not prevent a start either; no message is accepted until it
+//!   can be written.
+//! - Nothing is appended after an incomplete record, or to a file that has been replaced.
+//! - The journal's files stay within the disk space assigned to the journal.
 //!
 //! # Mechanism
-//! Records ([`record`]) are appended to one file and applied to a state in memory ([`replay`]); opening the journal applies
-//! the records in the file to an empty state. When the file has grown too long, its state is written to a new file, which
-//! replaces the old one ([`compaction`]). A `write` without a sync survives the process, but not the machine; with
-//! durability enabled, records are synced in groups (see [`crate::daemon::durability`]).
+//! Records ([`record`]) are appended to one file and applied to a state in memory ([`replay`]); opening the
+//! journal applies the records in the file to an empty state. When the file has grown too long, the state is
+//! written to a new file, which replaces the old one ([`compaction`]). A `write` without a sync survives a
+//! crash of the process, but not of the machine; with durability enabled, records are synced in groups (see
+//! [`crate::daemon::durability`]).
 mod acceptance_times;
 mod compaction;
 mod completed_ids;
@@ -41,16 +43,16 @@
 use std::rc::Rc;
 use writing::{FileHealth, no_file};
 
-/// The journal's file.
+/// The name of the journal's file.
 const NAME: &str = "messages.wal";
-/// The file that replaces the journal's when it is rewritten.
+/// The name of the new file during a compaction.
 const NEW_NAME: &str = "messages.wal.new";
-/// The journal of another sender, renamed.
+/// The name to which the journal of another sender is renamed.
 const FOREIGN_NAME: &str = "messages.wal.foreign";
-/// A journal that the system does not let this process read, renamed.
+/// The name to which a journal that cannot be read is renamed.
 const UNREADABLE_NAME: &str = "messages.wal.unreadable";
 
-/// What an attempt that ended without completing its message may have done.
+/// Whether an attempt that ended without completing its message may have been processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEffect {
     /// The endpoint did not process the message.
@@ -59,58 +61,60 @@
     Uncertain,
 }
 
-/// The open journal, with the state that its records add up to.
+/// The open journal, with the state that results from its records.
 pub struct Journal {
     folder: Rc<dyn Storage>,
-    /// None if the file could not be opened; the next compaction creates one.
+    /// `None` if the file could not be opened; the next compaction creates one.
     file: Option<Box<dyn AppendFile>>,
-    /// How far the file can be relied on.
+    /// Known defects of the file.
     health: FileHealth,
-    /// Bytes in the file up to the end of the last complete record.
+    /// Length of the file up to the end of the last complete record, in bytes.
     length: u64,
     state: JournalState,
     limits: CapacityLimits,
     reserve: Reserve,
-    /// The file is rewritten when it is longer than this.
+    /// The file is rewritten when it is longer than this, in bytes.
     compact_at: u64,
-    /// How often the file was rewritten since it was opened.
+    /// Number of rewrites since the journal was opened.
     compactions: u64,
     compaction_error: Option<io::Error>,
     /// Whether a new file is synced before it replaces the old one.
     is_durable: bool,
-    /// How many records were appended since the journal was opened.
+    /// Number of records appended since the journal was opened.
     last_sequence: u64,
-    /// Holds a record on its way to the file: allocating a new buffer for each cost more than the checksum.
+    /// Encoding buffer, reused for every record.
     buffer: Vec<u8>,
 }
 
 impl Journal {
-    /// Opens the journal in `folder`, or creates one, and restores its state. The journal may take `disk_bytes`.
+    /// Opens or creates the journal in `folder` and restores its state. The journal uses at most
+    /// `disk_bytes`.
     ///
     /// # Errors
-    /// The file cannot be read, for a reason that may pass. Damage is reported, and no error; nor is a file that cannot be
-    /// written.
+    /// The file cannot be read, for a reason that may be temporary. Neither a damaged file, which the report
+    /// describes, nor a file that cannot be written is an error.
     pub fn open(folder: Rc<dyn Storage>, disk_bytes: u64) -> Result<(Self, CorruptionReport), JournalError> {
         match folder.read(NAME) {
             Ok(bytes) => Ok(Self::with_contents(folder, disk_bytes, &bytes.unwrap_or_default())),
-            Err(error) if is_lasting(&error) => Ok(Self::open_unreadable(folder, disk_bytes, &error)),
+            Err(error) if is_permanent(&error) => Ok(Self::open_unreadable(folder, disk_bytes, &error)),
             Err(error) => Err(Operation::Read.failed()(error)),
         }
     }
 
-    /// Creates an empty journal in place of one that cannot be read, which is set aside under another name.
+    /// Creates an empty journal in place of one that cannot be read, which is renamed. If renaming fails, the
+    /// journal has no file until a compaction can rename it.
     pub fn open_unreadable(
         folder: Rc<dyn Storage>,
         disk_bytes: u64,
         error: &io::Error,
     ) -> (Self, CorruptionReport) {
-        let must_set_aside = folder.rename(NAME, UNREADABLE_NAME).is_err();
-        let (mut journal, mut report) = if must_set_aside {
+        let must_rename_unreadable = folder.rename(NAME, UNREADABLE_NAME).is_err();
+        let (mut journal, mut report) = if must_rename_unreadable {
             Self::without_file(folder, disk_bytes)
         } else {
             Self::with_contents(folder, disk_bytes, &[])
         };
-        journal.health.must_set_aside = must_set_aside;
+        journal.health.must_rename_unreadable = must_rename_unreadable;
         report.read_error = Some(error.to_string());
         (journal, report)
     }
@@ -127,7 +131,7 @@
         let mut state = JournalState::new(&limits);
         let length = state.replay(bytes, &mut report);
         let file = folder.open(NAME).ok();
-        // A new file that did not replace the old one only takes up space.
+        // An interrupted compaction may have left a new file behind.
         let _ = folder.remove(NEW_NAME);
         let mut journal = Self::new(folder, file, limits, state, length);
         journal.health.is_tail_torn = report.truncated_bytes > 0;
@@ -160,19 +164,19 @@
         }
     }
 
-    /// Renames the journal of another sender; opening the journal then creates an empty one.
+    /// Renames a journal that belongs to another sender. Opening the journal then creates an empty one.
     ///
     /// # Errors
-    /// The file cannot be renamed, or the new name cannot be synced.
+    /// The file cannot be renamed, or the rename cannot be synced.
     pub fn rename_foreign(folder: &dyn Storage) -> Result<(), JournalError> {
         let renamed = folder.rename(NAME, FOREIGN_NAME).and_then(|()| folder.sync_names());
-        renamed.map_err(Operation::MoveForeign.failed())
+        renamed.map_err(Operation::RenameForeign.failed())
     }
 
-    /// Accepts a message under a new number, which is returned.
+    /// Records an accepted message and returns its number.
     ///
     /// # Errors
-    /// The disk has no space for the message: it is not accepted.
+    /// There is no space for the message, or its record cannot be written. The message is then not accepted.
     pub fn accept(&mut self, pending: PendingMessage) -> Result<u32, JournalError> {
         let state_bytes = self.state.stored_bytes() + pending.stored_bytes();
         if state_bytes > self.limits.max_state_bytes() || self.length > self.limits.max_file_bytes() {
@@ -186,7 +190,7 @@
     /// Records that an attempt is about to start.
     ///
     /// # Errors
-    /// The record cannot be written: the attempt does not count, and must not be started.
+    /// The record cannot be written. The attempt is then not counted and must not be started.
     pub fn start_attempt(&mut self, number: u32, attempt: Attempt) -> Result<(), JournalError> {
         self.append(Record::AttemptStarted { number, attempt })
     }
@@ -194,12 +198,12 @@
     /// Records that the attempt in flight ended without completing its message.
     ///
     /// # Errors
-    /// The record cannot be written; the state in memory has it all the same.
+    /// The record cannot be written. It is still applied to the state in memory.
     pub fn end_attempt(&mut self, number: u32, effect: AttemptEffect) -> Result<(), JournalError> {
         self.append(Record::AttemptEnded { number, uncertain: effect == AttemptEffect::Uncertain })
     }
 
-    /// Records that the attempt that was recorded as started was held back, and no byte of it sent.
+    /// Records that the attempt in flight was deferred before any byte of it was sent, and does not count.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -207,7 +211,7 @@
         self.append(Record::AttemptDeferred { number })
     }
 
-    /// Records that a message may have been processed, first by an attempt that has ended.
+    /// Records an ended `attempt` as the first one that may have processed the message.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -215,7 +219,7 @@
         self.append(Record::UncertainAttempt { number, attempt })
     }
 
-    /// Records a new deadline of a message, by the clock of this process (wall clock, microseconds).
+    /// Records a new deadline of a message, in microseconds of this process's engine time.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -223,7 +227,7 @@
         self.append(Record::DeadlineChanged { number, deadline })
     }
 
-    /// Records the final outcome of a message, whose notification is pending from now on.
+    /// Records the final outcome of a message. Its notification is pending from then on.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -231,8 +235,8 @@
         self.append(Record::Finished { number, outcome })
     }
 
-    /// Records that a message is completed `now` and no longer pending: delivered, cancelled, or its notification
-    /// acknowledged.
+    /// Records that a message was completed at `now`: it was delivered or cancelled, or its notification was
+    /// acknowledged. The message is then no longer pending.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -240,7 +244,7 @@
         self.append(Record::Completed { number, completed_at: now })
     }
 
-    /// Records who appends from here on, and where.
+    /// Records the sender and the boot that append the following records.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -248,43 +252,43 @@
         self.append(Record::Stamped(stamp))
     }
 
-    /// Records an anchor of the times that follow.
+    /// Records the clock anchor for the times in the following records.
     ///
     /// # Errors
-    /// As for [`Journal::end_attempt`]: a later process is only more cautious without the record.
+    /// As for [`Journal::end_attempt`]. Without the record, a later process acts more cautiously.
     pub fn anchor_clock(&mut self, anchor: ClockAnchor) -> Result<(), JournalError> {
         self.append(Record::ClockAnchored(anchor))
     }
 
-    /// Returns the anchor of the journal's times.
+    /// Returns the last recorded clock anchor.
     pub fn clock_anchor(&self) -> Option<&ClockAnchor> {
         self.state.clock_anchor.as_ref()
     }
 
-    /// Records that messages accepted from now on were not accepted before `now`.
+    /// Records that all messages accepted after this record are accepted at `now` or later.
     ///
     /// # Errors
-    /// As for [`Journal::end_attempt`]: recovery is only more cautious without the record.
+    /// As for [`Journal::end_attempt`]. Without the record, recovery acts more cautiously.
     pub fn record_acceptance_bound(&mut self, now: u64) -> Result<(), JournalError> {
         self.append(Record::AcceptedNotBefore { first_number: self.state.next_number, not_before: now })
     }
 
-    /// Returns who appended last, and where.
+    /// Returns the last recorded stamp, which names the sender and the boot that appended last.
     pub fn last_stamp(&self) -> Option<&JournalStamp> {
         self.state.stamp.as_ref()
     }
 
-    /// Returns the latest recorded time before which the message was not accepted.
+    /// Returns the latest recorded lower bound of the time at which the message was accepted.
     pub fn accepted_not_before(&self, number: u32) -> Option<u64> {
         self.state.times.not_before(number)
     }
 
-    /// Returns the latest wall time that a record mentions.
+    /// Returns the latest time in a record, in microseconds; 0 if no record has a time.
     pub fn latest_time(&self) -> u64 {
         self.state.times.latest()
     }
 
-    /// Whether the journal has never held anything.
+    /// Returns whether the journal has never held a message or a stamp.
     pub fn is_empty(&self) -> bool {
         self.state.is_empty()
     }
@@ -294,40 +298,43 @@
         self.state.pending.iter()
     }
 
-    /// Returns the pending message of that number.
+    /// Returns the pending message with this number.
     pub fn get(&self, number: u32) -> Option<&PendingMessage> {
         self.state.pending.get(number)
     }
 
-    /// Whether the message of that id is completed, as far as the journal remembers.
+    /// Returns whether the message with this ID is completed. The IDs of completed messages are retained for
+    /// a limited time.
     pub fn is_completed(&self, id: &str) -> bool {
         self.state.completed.contains(id)
     }
 
-    /// Adapts the state to another clock, by which it is `now`: ids of completed messages are remembered as if the messages
-    /// were completed now, and times by the previous clock are forgotten. Nothing is written.
+    /// Adapts the state in memory to another clock that reads `now`: the IDs of completed messages are
+    /// retained as if the messages were completed at `now`, and times by the previous clock are dropped.
+    /// Nothing is written.
     pub fn reset_clock(&mut self, now: u64) {
         self.state.completed.extend_all(now);
         self.state.times.clear_bounds();
         self.state.times.reset_latest(now);
     }
 
-    /// Syncs the file and its name, and lets each rewritten file be synced before it replaces the old one. A record
-    /// appended from now on is durable once a [`Journal::sync`] that started after it succeeds.
+    /// Syncs the file and its directory entry, and makes every later rewrite sync the new file before it
+    /// replaces the old one. A record appended from then on is durable once a [`Journal::sync`] that started
+    /// after it succeeds.
     ///
     /// # Errors
-    /// The system cannot sync.
+    /// The file or the folder cannot be synced.
     pub fn enable_durability(&mut self) -> Result<(), JournalError> {
         self.is_durable = true;
         let file = self.file.as_mut().ok_or_else(no_file);
         let synced = file.and_then(|file| file.sync_now()).and_then(|()| self.folder.sync_names());
-        self.health.is_name_unsynced |= synced.is_err();
+        self.health.is_rename_unsynced |= synced.is_err();
         synced.map_err(Operation::Sync.failed())
     }
 
-    /// Makes what was written so far survive a crash of the machine.
+    /// Syncs the records written so far, so that they survive a machine crash.
     pub fn sync(&mut self) -> LocalFuture<'static, io::Result<()>> {
-        let file = match self.sync_name() {
+        let file = match self.sync_rename() {
             Ok(()) => self.file.as_ref().ok_or_else(no_file),
             Err(error) => Err(error),
         };
@@ -337,30 +344,35 @@
         }
     }
 
-    /// Whether the file lacks records that are part of the state, or cannot be relied on: [`Journal::rewrite`] mends both.
+    /// Returns whether the file lacks records that are part of the state, or has a defect.
+    /// [`Journal::rewrite`] repairs both.
     pub fn needs_rewrite(&self) -> bool {
         self.file.is_none() || self.health != FileHealth::default()
     }
 
-    /// Whether the file lacks records that are part of the state: a process after a restart would not know of them.
+    /// Returns whether the file lacks records that are part of the state, and that a restart would therefore
+    /// lose.
     pub fn lacks_records(&self) -> bool {
         self.health.lacks_records
     }
 
-    /// Returns the sequence number of the last record: how many were appended since the journal was opened.
+    /// Returns the sequence number of the last record, which is the number of records appended since the
+    /// journal was opened.
     pub fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Returns how often the file was rewritten, which makes all records durable.
+    /// Returns the number of rewrites since the journal was opened. With durability enabled, a rewrite makes
+    /// all records durable.
     pub fn compactions(&self) -> u64 {
         self.compactions
     }
 
-    /// Rewrites the file, because the old one cannot be relied on.
+    /// Replaces the file with a new one that holds the whole state.
     ///
     /// # Errors
-    /// The new file cannot be written; the old one stays in use.
+    /// The new file cannot be written, in which case the old one stays in use, or its rename cannot be
+    /// synced.
     pub fn rewrite(&mut self) -> Result<(), JournalError> {
         self.compact();
         match self.compaction_error.take() {
@@ -369,21 +381,21 @@
         }
     }
 
-    /// Returns the error of the last compaction, if it failed, and forgets the error.
+    /// Returns and clears the error of the last failed compaction.
     pub fn take_compaction_error(&mut self) -> Option<io::Error> {
         self.compaction_error.take()
     }
 
-    /// Whether there is space beside the journal for files that are merely useful: the reserve is held, and the file would
-    /// fit beside its rewritten form.
+    /// Returns whether the folder has space for optional files: the reserve is held, and the file and its
+    /// rewritten form together stay below their limit.
     pub fn has_space_for_other_files(&self) -> bool {
         let with_rewritten_file = self.length + self.state.stored_bytes();
         self.reserve.is_held() && with_rewritten_file < self.limits.max_bytes_with_other_files()
     }
 }
 
-/// Whether an error of a read says something of the file that waiting does not change.
-fn is_lasting(error: &io::Error) -> bool {
+/// Returns whether a failed read will keep failing until someone changes the file.
+fn is_permanent(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::IsADirectory | io::ErrorKind::PermissionDenied)
 }
 
--- a/src/daemon/journal/pending.rs
+++ b/src/daemon/journal/pending.rs
@@ -1,16 +1,17 @@
-//! The pending messages: accepted, and neither completed nor, if they failed, acknowledged by the platform.
+//! Pending messages: accepted, but neither completed nor, if they failed, acknowledged by the platform.
 use super::record::{Attempt, FinalOutcome, SubmittedMessage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Space that a message takes in a compact file beside its texts and body: frame, numbers, two attempts.
+/// Maximum number of bytes that a message takes in a compacted file in addition to its texts and body: frame,
+/// numbers and two attempts.
 const MESSAGE_OVERHEAD_BYTES: u64 = 256;
 
-/// A message for which this sender still has to report completion or a final outcome.
+/// A message that is not completed, or whose final outcome the platform has not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingMessage {
     pub message: SubmittedMessage,
-    /// Wall clock, microseconds: the deadline is valid across processes.
+    /// In microseconds of engine time, which is valid across processes.
     pub deadline: u64,
     pub attempts_started: u32,
     /// The first attempt that may have been processed.
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Returns the bytes that the message takes at most in a compact file.
+    /// Returns the maximum number of bytes that the message takes in a compacted file.
     pub(super) fn stored_bytes(&self) -> u64 {
         let SubmittedMessage { id, class, tenant, key, idempotency_key, body, .. } = &self.message;
         let optional = [tenant, key, idempotency_key].map(|text| text.as_ref().map_or(0, String::len));
@@ -61,14 +62,14 @@
     }
 
     pub(super) fn defer_attempt(&mut self) {
-        // The record of the attempt's start may not have been written: then there is nothing to take back.
+        // If the record of the attempt's start was not written, there is nothing to undo.
         if self.active_attempt.take().is_some() {
             self.attempts_started = self.attempts_started.saturating_sub(1);
         }
     }
 }
 
-/// All pending messages by number, with the space that they need.
+/// All pending messages by number, and the space that they take.
 #[derive(Default)]
 pub(super) struct PendingTable {
     messages: BTreeMap<u32, PendingMessage>,
@@ -89,14 +90,14 @@
         Some(removed)
     }
 
-    /// Changes a message if it is pending; `change` must not change the message's size.
+    /// Applies `change` to a message if it is pending. `change` must not alter the size of the message.
     pub fn update(&mut self, number: u32, change: impl FnOnce(&mut PendingMessage)) {
         if let Some(pending) = self.messages.get_mut(&number) {
             change(pending);
         }
     }
 
-    /// Sets the final outcome of a message, and drops its body, which is not sent any more.
+    /// Sets the final outcome of a message and drops its body, which will not be sent again.
     pub fn finish(&mut self, number: u32, outcome: FinalOutcome) {
         if let Some(pending) = self.messages.get_mut(&number) {
             pending.final_outcome = Some(outcome);
@@ -117,7 +118,7 @@
         self.messages.first_key_value().map(|(number, _)| *number)
     }
 
-    /// Returns the bytes that all of the messages take at most in a compact file.
+    /// Returns the maximum number of bytes that the messages take in a compacted file.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/src/daemon/journal/record.rs
+++ b/src/daemon/journal/record.rs
@@ -1,8 +1,9 @@
-//! The records of the journal, and the types that stand in them.
+//! The record types of the journal.
 //!
-//! Records are stored as frames (see [`crate::daemon::frame`]) of `postcard`, which identifies variants and fields by
-//! position. Variants and fields may be renamed; new variants are added at the end only, and fields are never inserted,
-//! removed or reordered, so that files of earlier versions stay readable. `tests/record.rs` pins the bytes.
+//! Records are stored as frames (see [`crate::daemon::frame`]) in `postcard` encoding, which identifies
+//! variants and fields by position. Variants and fields may be renamed; new variants are added at the end
+//! only, and fields are never inserted, removed or reordered, so that files of earlier versions stay
+//! readable. `tests/record.rs` checks the encoded bytes.
 use super::pending::PendingMessage;
 use crate::daemon::clock::ClockAnchor;
 use bytes::Bytes;
@@ -15,14 +16,15 @@
 pub enum FinalOutcome {
     /// The message may or may not have had an effect.
     Failed,
-    /// The message had no effect: the client may safely submit it again, after that many milliseconds if a number is given.
+    /// The message had no effect, and the client may safely submit it again. Holds the delay before that in
+    /// milliseconds, if there is one.
     Returned(Option<u64>),
 }
 
 /// One attempt to deliver a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// When the call started: wall clock, microseconds since the epoch.
+    /// When the call started, in microseconds of engine time.
     pub started_at: u64,
     /// The zone of the endpoint that was called.
     pub zone: String,
@@ -40,48 +42,50 @@
     pub body: Bytes,
 }
 
-/// The id of a completed message, and until when the journal remembers it (wall clock, microseconds).
+/// The ID of a completed message, and the engine time until which the journal retains it, in microseconds.
 #[derive(Clone, Serialize, Deserialize)]
 pub(super) struct CompletedId {
     pub id: Arc<str>,
     pub expires_at: u64,
 }
 
-/// One record. `number` is the message's number in the journal; times are the engine's (see [`crate::daemon::clock`]), in
-/// microseconds.
+/// One record. `number` is the message's number in the journal; times are microseconds of engine time (see
+/// [`crate::daemon::clock`]).
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
-    /// The message was accepted. A rewritten journal has one such record for each pending message, with its state.
+    /// The message was accepted. A rewritten file has one such record for each pending message, with its
+    /// state.
     Accepted { number: u32, pending: Box<PendingMessage> },
     /// An attempt is about to start.
     AttemptStarted { number: u32, attempt: Attempt },
-    /// The attempt in flight ended without the message being completed.
+    /// The attempt in flight ended without completing the message.
     AttemptEnded { number: u32, uncertain: bool },
     /// The message reached its final outcome; its notification is still pending.
     Finished { number: u32, outcome: FinalOutcome },
-    /// The message was completed at an unknown time: written by earlier versions only.
+    /// The message was completed at an unknown time. Only earlier versions write this record.
     CompletedAtUnknownTime { number: u32 },
-    /// The message was completed at that time.
+    /// The message was completed at `completed_at`.
     Completed { number: u32, completed_at: u64 },
-    /// Ids of completed messages.
+    /// IDs of completed messages.
     CompletedIds(Vec<CompletedId>),
-    /// The process that appends from here on, and where it runs.
+    /// The sender and the boot that append the following records.
     Stamped(JournalStamp),
-    /// Messages from that number on were accepted at that time or later.
+    /// Messages with the number `first_number` or a higher one were accepted at `not_before` or later.
     AcceptedNotBefore { first_number: u32, not_before: u64 },
-    /// The message may have been processed, first by that attempt: the journal may lack the attempt's own record.
+    /// `attempt` is the first one that may have processed the message. The journal may lack the record of its
+    /// start.
     UncertainAttempt { number: u32, attempt: Attempt },
-    /// The message has a new deadline, by the clock of this process.
+    /// The message has a new deadline.
     DeadlineChanged { number: u32, deadline: u64 },
-    /// The attempt that was recorded as started was held back before any byte of it was sent, and does not count.
+    /// The attempt in flight was deferred before any byte of it was sent, and does not count.
     AttemptDeferred { number: u32 },
-    /// From here on, times are the engine's time that this anchor continues.
+    /// The clock anchor for the times in the following records.
     ClockAnchored(ClockAnchor),
 }
 
 impl Record {
-    /// Whether the record may use the space of the reserve: it ends something that an earlier record started, and would be
-    /// repeated after a restart if it were lost.
+    /// Returns whether the record may use the space of the reserve: without it, a restart would repeat an
+    /// attempt or a message that has ended.
     pub(super) fn uses_reserve(&self) -> bool {
         matches!(
             self,
@@ -93,7 +97,7 @@
         )
     }
 
-    /// Whether what the record describes must not happen unless the record is written.
+    /// Returns whether the action that the record describes must not happen unless the record is written.
     pub(super) fn must_be_written(&self) -> bool {
         matches!(self, Self::Accepted { .. } | Self::AttemptStarted { .. })
     }
--- a/src/daemon/journal/replay.rs
+++ b/src/daemon/journal/replay.rs
@@ -1,7 +1,7 @@
-//! The state that the records of a journal add up to, and its reconstruction from a file.
+//! The state that results from the records of a journal, and its reconstruction from a file.
 //!
-//! The same [`JournalState::apply`] runs when a record is appended and when it is replayed, so that a process after a
-//! restart has the state that the process before it had.
+//! The same [`JournalState::apply`] runs when a record is appended and when it is replayed, so that a
+//! restarted process has the state of the previous one.
 use super::UNREADABLE_NAME;
 use super::acceptance_times::{AcceptanceBound, AcceptanceTimes};
 use super::completed_ids::CompletedIds;
@@ -13,14 +13,14 @@
 use micadrum_recovery::JournalStamp;
 use std::fmt;
 
-/// What could not be read of the journal when it was opened.
+/// The parts of the journal that could not be read when it was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct CorruptionReport {
-    /// Bytes that were cut off at the end: a record that the end of its process left incomplete.
+    /// Bytes of an incomplete record that were cut off at the end.
     pub truncated_bytes: usize,
-    /// Bytes that were skipped before a record that could be read.
+    /// Unreadable bytes that were skipped before a readable record.
     pub skipped_bytes: usize,
-    /// Why the whole file could not be read. The file was renamed, and an empty one opened.
+    /// Why the file could not be read at all. It is renamed, and an empty journal is used instead.
     pub read_error: Option<String>,
 }
 
@@ -44,9 +44,9 @@
     pub completed: CompletedIds,
     /// The number of the next message to be accepted.
     pub next_number: u32,
-    /// The process that appended last, and where it ran.
+    /// The last recorded stamp.
     pub stamp: Option<JournalStamp>,
-    /// The anchor of the times that follow.
+    /// The last recorded clock anchor.
     pub clock_anchor: Option<ClockAnchor>,
     pub times: AcceptanceTimes,
 }
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Applies the records in `bytes`, skipping what cannot be read: a damaged record whole, if its length can be believed. Adds to `report` what was skipped, and returns the
-    /// length up to the end of the last record that could be read.
+    /// Applies the records in `bytes` and skips unreadable bytes; a damaged record with a plausible length is
+    /// skipped as a whole. Adds the skipped bytes to `report`, and returns the length up to the end of the
+    /// last readable record.
     pub fn replay(&mut self, bytes: &[u8], report: &mut CorruptionReport) -> u64 {
         let (mut position, mut end_of_last) = (0, 0);
         while position < bytes.len() {
@@ -82,7 +83,8 @@
         end_of_last as u64
     }
 
-    /// Applies one record. A record of a message that is not pending changes nothing: its accepting record may be damaged.
+    /// Applies one record. A record of a message that is not pending is ignored, as the record that accepted
+    /// the message may be damaged.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Accepted { number, pending } => {
@@ -114,7 +116,7 @@
                 }
             }
             Record::Stamped(stamp) => {
-                // Another process may have had another clock.
+                // The process before the stamp may have used another clock.
                 self.times.reset_latest(stamp.wall);
                 self.stamp = Some(stamp);
             }
@@ -136,12 +138,12 @@
         self.times.prune(self.pending.first_number().unwrap_or(self.next_number));
     }
 
-    /// Returns the bytes that the state takes at most in a compact file.
+    /// Returns the maximum number of bytes that the state takes in a compacted file.
     pub fn stored_bytes(&self) -> u64 {
         self.pending.bytes() + self.completed.bytes()
     }
 
-    /// Whether no record was ever applied.
+    /// Returns whether no message and no stamp was ever recorded.
     pub fn is_empty(&self) -> bool {
         self.stamp.is_none() && self.next_number == 0 && self.completed.is_empty()
     }
--- a/src/daemon/journal/reserve.rs
+++ b/src/daemon/journal/reserve.rs
@@ -1,32 +1,35 @@
-//! Capacity: how the journal divides the disk that it was given, and the reserve file.
+//! The limits of the journal's disk space, and the reserve file.
 //!
-//! On a full disk the record of an attempt's end could not be written, and the message would be sent again after a restart.
-//! The reserve is a file that only takes up space. It is removed when such a record finds the disk full, and created
-//! again when there is space; without it, nothing new is accepted or started.
+//! If the disk is full, the end of an attempt cannot be recorded, and the message would be sent again after a
+//! restart. The reserve is a placeholder file that only occupies space. It is removed when such a record does
+//! not fit on the disk, and created again when there is space. While it does not exist, no message is
+//! accepted and no attempt is started.
 use super::completed_ids::CompletedIdLimits;
 use crate::daemon::ports::Storage;
 
 const RESERVE_NAME: &str = "messages.reserve";
 
-/// Pending messages and completed ids may take this share of the disk. While the journal is rewritten the old and the new
-/// file exist side by side: twice this share, and what is appended in between, stay under the limit.
+/// Maximum share of the disk space for pending messages and completed IDs. The old and the new file coexist
+/// during a rewrite, so twice this share, plus the records appended in between, must fit.
 const MAX_STATE_SHARE: f64 = 0.4;
-/// The journal is rewritten when its file exceeds this share ...
+/// The file is rewritten when it exceeds this share of the disk space.
 const COMPACTION_SHARE: f64 = 0.3;
-/// ... and, if the rewritten file is nearly as long, when it has grown by this share since.
+/// The file is rewritten only if it has grown by this share of the disk space since the last rewrite.
 const COMPACTION_GROWTH_SHARE: f64 = 0.06;
-/// Share of the reserve file.
+/// Size of the reserve file as a share of the disk space.
 const RESERVE_SHARE: f64 = 0.02;
-/// Completed ids may take this share, which is a part of `MAX_STATE_SHARE` ...
+/// Maximum share of the disk space for completed IDs; part of `MAX_STATE_SHARE`.
 const MAX_COMPLETED_IDS_SHARE: f64 = 0.05;
-/// ... and are bounded in number.
+/// Maximum number of completed IDs.
 const MAX_COMPLETED_IDS: usize = 8192;
-/// A file that exceeds this share could not be rewritten: no message is accepted.
+/// No message is accepted while the file exceeds this share of the disk space, which leaves room for a
+/// rewrite.
 const MAX_FILE_SHARE: f64 = 0.55;
-/// If the file and its rewritten form together exceed this share, the folder has no space for anything but the journal.
+/// No other files are written while the file and its rewritten form together exceed this share of the disk
+/// space.
 const MAX_SHARE_WITH_OTHER_FILES: f64 = 0.8;
 
-/// The limits that follow from the size of the disk, all in bytes.
+/// The limits that follow from the journal's disk space, in bytes.
 pub(super) struct CapacityLimits {
     disk_bytes: u64,
 }
@@ -52,17 +55,17 @@
         self.share(MAX_SHARE_WITH_OTHER_FILES)
     }
 
-    /// The length at which a journal is rewritten first.
+    /// Returns the length above which the file is rewritten for the first time.
     pub fn compaction_bytes(&self) -> u64 {
         self.share(COMPACTION_SHARE)
     }
 
-    /// The length at which a file is rewritten that now, just rewritten, has `length` bytes.
+    /// Returns the length above which a file that has `length` bytes after a rewrite is rewritten again.
     pub fn next_compaction_bytes(&self, length: u64) -> u64 {
         self.compaction_bytes().max(self.retry_compaction_bytes(length))
     }
 
-    /// The length at which rewriting is tried again after it failed for a file of `length` bytes.
+    /// Returns the length above which a rewrite is tried again after it failed for a file of `length` bytes.
     pub fn retry_compaction_bytes(&self, length: u64) -> u64 {
         length + self.share(COMPACTION_GROWTH_SHARE)
     }
@@ -76,7 +79,7 @@
     }
 }
 
-/// Whether the reserve file exists.
+/// Tracks whether this process holds the reserve file.
 #[derive(Default)]
 pub(super) struct Reserve {
     is_held: bool,
@@ -87,7 +90,8 @@
         self.is_held
     }
 
-    /// Creates the reserve file unless it exists. A disk without space for the file is no error: the reserve is then not held.
+    /// Creates the reserve file unless the reserve is held. If the disk has no space for the file, the
+    /// reserve is not held.
     pub fn acquire(&mut self, folder: &dyn Storage, limits: &CapacityLimits) {
         if self.is_held {
             return;
@@ -100,10 +104,10 @@
         }
     }
 
-    /// Removes the reserve file, and says whether there was one.
+    /// Removes the reserve file, and returns whether the reserve was held.
     ///
     /// # Errors
-    /// The file cannot be removed; the reserve counts as released all the same.
+    /// The file cannot be removed. The reserve still counts as released.
     pub fn release(&mut self, folder: &dyn Storage) -> std::io::Result<bool> {
         if !std::mem::take(&mut self.is_held) {
             return Ok(false);
--- a/src/daemon/journal/tests/capacity.rs
+++ b/src/daemon/journal/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The bounds of the journal's space, on its own disk and on one that others fill.
+//! Tests of the journal's disk space limits, on a disk of its own and on a disk that other processes fill.
 use super::{DISK_BYTES, NOW, attempt, message, open};
 use crate::daemon::journal::{AttemptEffect, FinalOutcome, Journal};
 use crate::daemon::ports::{AppendFile, LocalFuture, Storage};
@@ -8,14 +8,14 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// A folder on a disk that others fill: while `max_bytes` is set, the folder holds no more.
+/// A folder on a disk that other processes fill. While `max_bytes` is set, the folder cannot grow beyond it.
 struct SharedDisk {
     folder: Folder,
     path: PathBuf,
     max_bytes: Rc<Cell<Option<u64>>>,
 }
 
-/// A file in such a folder.
+/// A file in a [`SharedDisk`].
 struct SharedDiskFile {
     file: Box<dyn AppendFile>,
     folder: PathBuf,
@@ -79,10 +79,10 @@
     }
 }
 
-/// Guards against the space of the reserve going to new messages: on a disk that stays full every end must be written,
-/// or the message is sent again after a kill (full-disk-restart 15186626001).
+/// Guards against new messages that use the space of the reserve: on a disk that stays full every end must be
+/// written, or the message is sent again after a kill (scenario full-disk-restart, seed 15186626001).
 #[test]
-fn full_disk_reserve_holds_every_end() {
+fn reserve_has_space_for_every_end_on_a_full_disk() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().to_owned();
     let max_bytes = Rc::new(Cell::new(None));
@@ -96,15 +96,12 @@
     max_bytes.set(Some(bytes_in(&path)));
     for (n, number) in numbers.iter().enumerate() {
         assert!(journal.end_attempt(*number, AttemptEffect::Uncertain).is_ok(), "{n}");
-        // Later, compaction leaves out the bodies of finished messages, and there is space for a reserve again.
+        // Later compactions omit the bodies of finished messages, which leaves space for a new reserve.
         if n < 300 {
-            assert!(
-                journal.accept(message("late", 300)).is_err(),
-                "{n}: space taken from the ends of pending messages"
-            );
+            assert!(journal.accept(message("late", 300)).is_err(), "{n}: message accepted without a reserve");
             assert!(
                 journal.start_attempt(*number, attempt(2)).is_err(),
-                "{n}: an attempt without space for its end"
+                "{n}: attempt started without a reserve"
             );
         }
         assert!(journal.finish(*number, FinalOutcome::Failed).is_ok(), "{n}");
@@ -122,8 +119,8 @@
     );
 }
 
-/// Guards against a folder that exceeds its limit, also while the old and the new file exist side by side, and against
-/// rejecting messages long before: the journal is compacted in time, and rejects when that can no longer help.
+/// Guards against a folder that exceeds its limit, in particular while the old and the new file coexist, and
+/// against rejecting messages long before the limit is reached.
 #[test]
 fn folder_stays_under_its_limit() {
     let folder = tempfile::tempdir().unwrap();
@@ -148,7 +145,7 @@
         );
     }
     assert_eq!(accepted, (DISK_BYTES * 2 / 5 / 50_300) as usize);
-    // Attempts of all pending messages make the file grow, and it is compacted under the same limit.
+    // Records of attempts also make the file grow; compaction keeps it below the same limit.
     for n in 0..20_000 {
         let (number, _) = journal.pending().nth(n % accepted).unwrap();
         journal.start_attempt(number, attempt(1)).unwrap();
--- a/src/daemon/journal/tests/compaction.rs
+++ b/src/daemon/journal/tests/compaction.rs
@@ -1,10 +1,10 @@
-//! What a rewritten journal has.
+//! Tests of what a compaction preserves.
 use super::{NOW, ids, message, open};
 use crate::daemon::journal::{Attempt, CorruptionReport};
 use micadrum_recovery::JournalStamp;
 
-/// Guards against a stamp, a time or a deadline that compaction loses, and against message numbers that start again under
-/// older times.
+/// Guards against losing a stamp, a time or a deadline in a compaction, and against applying bounds of an
+/// earlier clock to later messages.
 #[test]
 fn compaction_preserves_stamp_times_and_deadlines() {
     let folder = tempfile::tempdir().unwrap();
@@ -32,7 +32,7 @@
         (pending.deadline, pending.first_uncertain_attempt.as_ref().map(|first| first.started_at)),
         (NOW + 77, Some(NOW + 6))
     );
-    // The clock goes back: its times count from its stamp on.
+    // The clock is stepped back: only times after the new stamp count.
     journal.reset_clock(NOW - 9_000);
     journal.stamp(stamp(NOW - 9_000)).unwrap();
     assert_eq!((journal.accepted_not_before(second), journal.latest_time()), (None, NOW - 9_000));
@@ -44,7 +44,7 @@
     );
 }
 
-/// Guards against a message that is delivered again after a restart or a compaction because its id was forgotten.
+/// Guards against delivering a message again after a restart or a compaction because its ID was lost.
 #[test]
 fn completed_ids_survive_reopening_and_compaction() {
     let folder = tempfile::tempdir().unwrap();
@@ -62,5 +62,9 @@
     assert_eq!((ids(&journal), report), (vec!["c"], CorruptionReport::default()));
     assert_eq!(["a", "b", "c", "d"].map(|id| journal.is_completed(id)), [true, true, false, false]);
     journal.complete(still_pending, NOW + 31_000_000).unwrap();
-    assert_eq!(["a", "b", "c"].map(|id| journal.is_completed(id)), [false, false, true], "they have expired");
+    assert_eq!(
+        ["a", "b", "c"].map(|id| journal.is_completed(id)),
+        [false, false, true],
+        "a and b have expired"
+    );
 }
--- a/src/daemon/journal/tests/completed_ids.rs
+++ b/src/daemon/journal/tests/completed_ids.rs
@@ -1,4 +1,4 @@
-//! How long the ids of completed messages are remembered.
+//! Tests of the retention of completed IDs.
 use crate::daemon::journal::completed_ids::{CompletedIdLimits, CompletedIds};
 
 fn completed_ids(max_ids: usize) -> CompletedIds {
@@ -9,16 +9,16 @@
     completed.iter().map(|completed| completed.id.to_string()).collect()
 }
 
-/// Guards against ids that are remembered for ever, or forgotten while a client may still submit them.
+/// Guards against IDs that are retained forever, or dropped while a client may still submit them.
 #[test]
-fn ids_are_forgotten_when_they_expire_or_exceed_the_bounds() {
+fn ids_are_dropped_when_they_expire_or_exceed_the_limits() {
     let mut completed = completed_ids(3);
     completed.complete("long", 0, 100_000_000);
     completed.complete("short", 0, 1);
     completed.complete("short", 5, 1);
     assert!(completed.contains("long") && completed.contains("short"));
     completed.complete("other", 30_000_006, 0);
-    assert!(completed.contains("long") && !completed.contains("short"), "it has expired");
+    assert!(completed.contains("long") && !completed.contains("short"), "the ID has expired");
     completed.complete("a", 30_000_007, 0);
     completed.complete("b", 30_000_008, 0);
     assert_eq!(ids(&completed), ["a", "b", "long"]);
@@ -29,9 +29,9 @@
     );
 }
 
-/// Guards against ids that expire at once because the clock moved on by hours during a loss of power.
+/// Guards against IDs that expire at once because the clock advanced by hours during a power loss.
 #[test]
-fn ids_are_remembered_after_the_clock_jumped() {
+fn extended_ids_are_retained_after_a_clock_jump() {
     let mut completed = completed_ids(9);
     completed.complete("a", 0, 0);
     completed.complete("b", 0, 9_000_000_000_000);
--- a/src/daemon/journal/tests/failing_folder.rs
+++ b/src/daemon/journal/tests/failing_folder.rs
@@ -1,5 +1,5 @@
-//! Every operation of the folder fails, once and for a while, and the process is killed afterwards: what the journal promised
-//! is still there.
+//! Fault injection: folder operations fail, singly and several in a row, and the process is then killed.
+//! Everything that the journal confirmed must still be there.
 use super::{DISK_BYTES, NOW, attempt, message};
 use crate::daemon::journal::{AttemptEffect, Journal};
 use crate::daemon::ports::{AppendFile, LocalFuture, Storage};
@@ -11,7 +11,8 @@
 
 type Bytes = Rc<RefCell<Vec<u8>>>;
 
-/// A folder in memory whose operations fail by their number. A write that fails has written a part.
+/// An in-memory folder whose operations fail if their numbers are in `failing`. A failing append writes half
+/// of its bytes.
 #[derive(Clone, Default)]
 struct FailingFolder {
     files: Rc<RefCell<BTreeMap<String, Bytes>>>,
@@ -33,7 +34,7 @@
         Box::new(FailingFile { bytes, folder: self.clone() })
     }
 
-    /// Returns what a process finds after a kill: a copy in which nothing fails.
+    /// Returns the folder that a process finds after a kill: a copy whose operations do not fail.
     fn after_kill(&self) -> Self {
         let copied =
             |(name, bytes): (&String, &Bytes)| (name.clone(), Rc::new(RefCell::new(bytes.borrow().clone())));
@@ -112,18 +113,18 @@
     }
 }
 
-/// What a journal has promised.
+/// The IDs of the messages whose records a journal has confirmed.
 #[derive(Default)]
-struct Promises {
+struct ConfirmedRecords {
     accepted: BTreeSet<String>,
     attempted: BTreeSet<String>,
     completed: BTreeSet<String>,
 }
 
-impl Promises {
-    /// Accepts messages, starts and ends attempts, and rewrites the file now and then. The process may be killed after each
-    /// message.
-    fn make(&mut self, journal: &mut Journal, first: u32, folder: &FailingFolder, case: &str) {
+impl ConfirmedRecords {
+    /// Accepts messages, starts and ends attempts, and rewrites the file after every third message. Checks
+    /// after each message what a kill would leave.
+    fn process_messages(&mut self, journal: &mut Journal, first: u32, folder: &FailingFolder, case: &str) {
         for number in first..first + 6 {
             let id = format!("m{number}");
             let Ok(accepted) = journal.accept(message(&id, 40)) else { continue };
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Checks what a process after a kill finds.
+    /// Checks that a process started after a kill finds every confirmed record.
     fn check(&self, folder: &FailingFolder, case: &str) {
         let (journal, _) = Journal::open(Rc::new(folder.after_kill()), DISK_BYTES).unwrap();
         for id in &self.accepted {
@@ -156,8 +157,9 @@
     }
 }
 
-/// Plays one case: the operations with these numbers fail.
-fn play(failing: Range<u32>, is_durable: bool) -> u32 {
+/// Runs one case in which the operations in `failing` fail, and returns the number of operations of its first
+/// half.
+fn run_case(failing: Range<u32>, is_durable: bool) -> u32 {
     let case = format!("failing {failing:?}, durable {is_durable}");
     let folder = FailingFolder::default();
     let (mut journal, _) = Journal::open(Rc::new(folder.clone()), DISK_BYTES).unwrap();
@@ -166,22 +168,22 @@
     }
     let begin = folder.operations.get();
     *folder.failing.borrow_mut() = begin + failing.start..begin + failing.end;
-    let mut promises = Promises::default();
-    promises.make(&mut journal, 0, &folder, &case);
+    let mut confirmed = ConfirmedRecords::default();
+    confirmed.process_messages(&mut journal, 0, &folder, &case);
     let operations = folder.operations.get() - begin;
     folder.stop_failing();
-    promises.make(&mut journal, 6, &folder, &case);
+    confirmed.process_messages(&mut journal, 6, &folder, &case);
     operations
 }
 
-/// Guards against a promise that a failing write, sync, truncation or rename takes back.
+/// Guards against losing a confirmed record because of a failing write, sync, truncation or rename.
 #[test]
-fn what_was_promised_survives_every_failure_of_the_folder() {
+fn confirmed_records_survive_every_failure_of_the_folder() {
     for is_durable in [false, true] {
-        let operations = play(0..0, is_durable);
+        let operations = run_case(0..0, is_durable);
         for first in 0..operations {
             for length in [1, 2, 3, 5, 8, operations] {
-                play(first..first + length, is_durable);
+                run_case(first..first + length, is_durable);
             }
         }
     }
--- a/src/daemon/journal/tests/mod.rs
+++ b/src/daemon/journal/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the journal by topic, and what they share.
+//! Tests of the journal by topic, and their shared helpers.
 mod capacity;
 mod compaction;
 mod completed_ids;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 const DISK_BYTES: u64 = 3_000_000;
-/// Wall clock, microseconds.
+/// The present time, in microseconds of engine time.
 const NOW: u64 = 1_700_000_000_000_000;
 
 fn message(id: &str, body: usize) -> PendingMessage {
--- a/src/daemon/journal/tests/record.rs
+++ b/src/daemon/journal/tests/record.rs
@@ -1,4 +1,4 @@
-//! The bytes of the records, which files of earlier versions have.
+//! Tests of the encoding of the records, which files of earlier versions contain.
 use super::attempt;
 use crate::daemon::clock::ClockAnchor;
 use crate::daemon::frame::append_frame;
@@ -28,9 +28,9 @@
     CompletedId { id: id.into(), expires_at }
 }
 
-/// Guards against a record whose bytes change with its names: a file of an earlier version could not be replayed.
+/// Guards against a change of the encoding, which would make files of earlier versions unreadable.
 #[test]
-fn records_keep_their_bytes() {
+fn records_encode_to_the_same_bytes_as_in_earlier_versions() {
     let cases = [
         (
             Record::Accepted { number: 1, pending: Box::new(pending_message()) },
--- a/src/daemon/journal/tests/replay.rs
+++ b/src/daemon/journal/tests/replay.rs
@@ -1,11 +1,12 @@
-//! What a reopened journal has: progress, damage, attempts that were not written or were taken back.
+//! Tests of reopening a journal: progress of messages, damaged files, and attempts that were not recorded or
+//! were deferred.
 use super::{NOW, attempt, ids, message, open};
 use crate::daemon::frame::append_frame;
 use crate::daemon::journal::record::Record;
 use crate::daemon::journal::{AttemptEffect, CorruptionReport, NAME};
 use std::fs::File;
 
-/// Guards against a restart that forgets which attempt may have been processed first.
+/// Guards against losing the first attempt that may have been processed, on a restart.
 #[test]
 fn reopening_restores_the_progress_of_each_message() {
     let folder = tempfile::tempdir().unwrap();
@@ -61,9 +62,9 @@
     }
 }
 
-/// Guards against an attempt that counts, or is sent, although its record could not be written.
+/// Guards against counting or sending an attempt whose record could not be written.
 #[test]
-fn attempt_that_cannot_be_written_is_not_started() {
+fn attempt_whose_record_cannot_be_written_is_not_started() {
     let folder = tempfile::tempdir().unwrap();
     let (mut journal, _) = open(folder.path());
     let number = journal.accept(message("a", 10)).unwrap();
@@ -79,8 +80,8 @@
     assert_eq!(ids(&journal), ["a"]);
 }
 
-/// Guards against a deferred attempt that counts in the next process, or that takes an earlier one with it because the
-/// record of its own start is missing.
+/// Guards against counting a deferred attempt after a restart, and against removing an earlier attempt
+/// because the record of the deferred one's start is missing.
 #[test]
 fn deferred_attempt_does_not_count() {
     let folder = tempfile::tempdir().unwrap();
@@ -90,7 +91,7 @@
     journal.end_attempt(number, AttemptEffect::None).unwrap();
     journal.start_attempt(number, attempt(6)).unwrap();
     journal.defer_attempt(number).unwrap();
-    // Once more, for an attempt whose start was never written.
+    // Another deferral, of an attempt whose start was not recorded.
     journal.defer_attempt(number).unwrap();
     drop(journal);
     let (journal, _) = open(folder.path());
@@ -101,10 +102,10 @@
     );
 }
 
-/// Guards against a record that a client wrote into the body of a message: it is read as the journal's own if the frame around
-/// it is damaged and the reader searches in it for the next frame.
+/// Guards against replaying a record that a client embedded in a message body, if the frame around it is
+/// damaged and the reader searches for the next frame.
 #[test]
-fn a_record_within_the_body_of_a_damaged_one_is_not_read() {
+fn record_embedded_in_the_body_of_a_damaged_record_is_not_read() {
     let folder = tempfile::tempdir().unwrap();
     let (mut journal, _) = open(folder.path());
     let forged = Record::Accepted { number: 77, pending: Box::new(message("forged", 10)) };
@@ -116,7 +117,7 @@
     let path = folder.path().join(NAME);
     drop(journal);
     let intact = std::fs::read(&path).unwrap();
-    // The checksum, the number, the id, the bytes before the forged record, and those behind it.
+    // The checksum, the number, the ID, the bytes before the forged record, and those after it.
     for at in [4, 8, 12, 40, end - 1] {
         let mut bytes = intact.clone();
         bytes[at] ^= 0x55;
--- a/src/daemon/journal/writing.rs
+++ b/src/daemon/journal/writing.rs
@@ -1,28 +1,30 @@
-//! Writing of records: the file may fail at any write, and nothing may be appended behind what it left incomplete.
+//! Appends records to the file. Any write may fail, and nothing may be appended after an incomplete record.
 use super::error::Operation;
 use super::record::Record;
 use super::{Journal, JournalError};
 use crate::daemon::frame::append_frame;
 use std::io;
 
-/// How far the file can be relied on.
+/// Known defects of the file. The default is a file without defects.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct FileHealth {
-    /// Bytes of an incomplete record may stand behind the last complete one.
+    /// The last complete record may be followed by a part of an incomplete one.
     pub is_tail_torn: bool,
-    /// The file may lose its name with the machine: the folder could not be synced after the rename.
-    pub is_name_unsynced: bool,
-    /// Records of ends could not be written, and are part of the state in memory alone.
+    /// The folder could not be synced after the file was created or renamed, which a machine crash may undo.
+    pub is_rename_unsynced: bool,
+    /// Records of ends could not be written, and are applied only to the state in memory.
     pub lacks_records: bool,
-    /// A file that could not be read still has the journal's name, and must not be replaced.
-    pub must_set_aside: bool,
+    /// An unreadable file still has the journal's name, and must be renamed before a new file takes that
+    /// name.
+    pub must_rename_unreadable: bool,
 }
 
 impl Journal {
-    /// Writes a record and applies it. A record that cannot be written is applied all the same, except for what must not
-    /// happen without it: the next compaction, which is tried at once, writes the state.
+    /// Writes a record and applies it to the state. If the write fails, a record for which
+    /// [`Record::must_be_written`] holds is not applied, any other record is, and a compaction that writes
+    /// the whole state is tried at once.
     pub(super) fn append(&mut self, record: Record) -> Result<(), JournalError> {
-        // What may not use the space of the reserve must not be written while the reserve is released, either.
+        // A record that may not use the reserve is written only while the reserve is held.
         if !record.uses_reserve() {
             self.acquire_reserve();
         }
@@ -70,14 +72,14 @@
             Ok(()) => self.length += frame.len() as u64,
             Err(_) => {
                 self.health.is_tail_torn = true;
-                // Tried again before the next record.
+                // If this fails, the next write tries it again.
                 let _ = self.cut_torn_tail();
             }
         }
         written
     }
 
-    /// Cuts off what may stand behind the last complete record: it must not remain between complete ones.
+    /// Truncates the file to the end of the last complete record, if an incomplete one may follow.
     pub(super) fn cut_torn_tail(&mut self) -> io::Result<()> {
         if !self.health.is_tail_torn {
             return Ok(());
@@ -87,11 +89,11 @@
         Ok(())
     }
 
-    /// Makes the name of the file durable, if that failed before.
-    pub(super) fn sync_name(&mut self) -> io::Result<()> {
-        if self.health.is_name_unsynced {
+    /// Syncs the folder, if that failed after the last rename.
+    pub(super) fn sync_rename(&mut self) -> io::Result<()> {
+        if self.health.is_rename_unsynced {
             self.folder.sync_names()?;
-            self.health.is_name_unsynced = false;
+            self.health.is_rename_unsynced = false;
         }
         Ok(())
     }
@@ -101,7 +103,7 @@
     }
 }
 
-/// The error where there is no file to write to.
+/// Returns the error of an operation that needs the file while none is open.
 pub(super) fn no_file() -> io::Error {
     io::Error::new(io::ErrorKind::NotFound, "the file could not be opened")
 }
