--- a/src/daemon/connection/mod.rs
+++ b/src/daemon/connection/mod.rs
@@ -1,7 +1,7 @@
-//! A client connection: one HTTP/1 call at a time, and how much of it has passed.
+//! An HTTP/1 client connection that carries one call at a time and tracks its progress.
 //!
-//! Whether a call that broke may have run depends on whether its last byte was written; so the bytes are observed on their
-//! way to and from the socket.
+//! The peer can only have processed a failed call if the last byte of its request was written, so the
+//! connection observes the bytes that are written to and read from the socket.
 mod observed_stream;
 mod request_progress;
 mod status_line;
@@ -27,32 +27,34 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Most bytes of the head of a response, and of its body; a longer one costs its connection.
+/// Upper bound on the size of a response head, and of a response body. A larger response fails the call and
+/// closes the connection.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// How long the rest of a head may take after its status line, and the body after its head.
+/// Time limit for the rest of a response head after its status line, and for the body after the head.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call got no response.
+/// Why a call has no valid response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// There was no connection.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened.
+    #[error("connect failed: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke before the last byte of the request was written.
-    #[error("broken before the request was written: {0}")]
-    Unsent(#[source] hyper::Error),
-    /// The connection broke after that, with no response.
-    #[error("broken after the request was written: {0}")]
+    /// The connection failed before the last byte of the request was written.
+    #[error("connection failed before the request was completely written: {0}")]
+    IncompleteRequest(#[source] hyper::Error),
+    /// The connection failed after the last byte of the request was written and before a response arrived.
+    #[error("connection failed after the request was written: {0}")]
     Reset(#[source] hyper::Error),
-    /// The head of the request cannot be written: nothing was sent.
-    #[error("a head that cannot be written: {0}")]
-    Head(String),
-    /// What arrived is no response; where its status line can be read, that still tells the status.
-    #[error("an answer that cannot be read, of status {0:?}")]
+    /// The request contains an invalid header. Nothing was sent.
+    #[error("invalid request: {0}")]
+    InvalidRequest(String),
+    /// The response is invalid or incomplete. Contains its status if the status line could be parsed.
+    #[error("invalid response, status {0:?}")]
     InvalidResponse(Option<u16>),
 }
 
-/// A connection to an endpoint, to discovery or to a successor. Dropping it closes it, which also abandons the call on it.
+/// A connection to an endpoint, to the discovery agent or to a successor process. Dropping it closes the
+/// connection and abandons the call on it.
 pub struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
     exchange: SharedExchange,
@@ -66,16 +68,16 @@
 }
 
 impl Connection {
-    /// Connects within `patience`.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
-    /// There is no connection in time.
+    /// Returns an error if connecting fails or takes longer than `connect_timeout`.
     pub async fn open(
         network: &dyn Network,
         address: SocketAddr,
-        patience: Duration,
+        connect_timeout: Duration,
     ) -> Result<Self, CallError> {
-        let stream = match timeout(patience, network.connect(address)).await {
+        let stream = match timeout(connect_timeout, network.connect(address)).await {
             Ok(stream) => stream.map_err(CallError::Connect)?,
             Err(_) => return Err(CallError::Connect(io::ErrorKind::TimedOut.into())),
         };
@@ -83,47 +85,49 @@
         let io = TokioIo::new(ObservedStream::new(stream, exchange.clone()));
         let mut builder = http1::Builder::new();
         let handshake = builder.max_buf_size(MAX_RESPONSE_BYTES).handshake(io);
-        let (requests, connection) = handshake.await.map_err(CallError::Unsent)?;
-        // How the connection ends shows in the call on it, or in `is_alive`.
+        let (requests, connection) = handshake.await.map_err(CallError::IncompleteRequest)?;
+        // An error of the connection is reported by the call on it, or by `is_alive`.
         let driver = spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self { requests, exchange, driver })
     }
 
-    /// Returns whether the connection can take a call; asked before a byte of one is written.
+    /// Waits until the connection can send a request. Returns `false` if it is closed.
     pub async fn is_alive(&mut self) -> bool {
         self.requests.ready().await.is_ok()
     }
 
-    /// Sends one request; returns the response with its head, which may not lag behind its status line.
+    /// Sends a request, and returns the response once its head has arrived. The head has to be complete
+    /// within [`RESPONSE_TIMEOUT`] after its status line.
     ///
     /// # Errors
-    /// The call got no response.
+    /// Returns an error if the call has no valid response.
     pub async fn send(
         &mut self,
         request: Builder,
         body: Bytes,
         counter: Option<WrittenCounter>,
     ) -> Result<Response<Incoming>, CallError> {
-        let responding = Arc::new(Notify::new());
+        let status_line_arrived = Arc::new(Notify::new());
         *self.exchange.lock() = Exchange {
             request: RequestProgress::new(body.len()),
             status_line: StatusLine::default(),
-            responding: responding.clone(),
+            status_line_arrived: status_line_arrived.clone(),
             counter,
         };
-        let overdue = async move {
-            responding.notified().await;
+        let head_timeout = async move {
+            status_line_arrived.notified().await;
             sleep(RESPONSE_TIMEOUT).await;
         };
-        let request = request.body(Full::new(body)).map_err(|error| CallError::Head(error.to_string()))?;
+        let request =
+            request.body(Full::new(body)).map_err(|error| CallError::InvalidRequest(error.to_string()))?;
         let response = tokio::select! {
             response = self.requests.send_request(request) => response,
-            () = overdue => return Err(CallError::InvalidResponse(self.status())),
+            () = head_timeout => return Err(CallError::InvalidResponse(self.status())),
         };
         response.map_err(|error| {
             let exchange = self.exchange.lock();
             match exchange.status_line.result() {
-                _ if !exchange.request.is_complete() => CallError::Unsent(error),
+                _ if !exchange.request.is_complete() => CallError::IncompleteRequest(error),
                 Some(status) => CallError::InvalidResponse(status),
                 None => CallError::Reset(error),
             }
@@ -140,18 +144,19 @@
         self.exchange.lock().request.has_started()
     }
 
-    /// Returns whether the connection can carry nothing any more.
+    /// Returns whether the connection is closed and cannot carry another call.
     pub fn is_closed(&self) -> bool {
         self.requests.is_closed()
     }
 
-    /// The status in the status line of what has arrived, if that can be read.
+    /// Returns the status of the current response, or `None` if its status line has not arrived or is
+    /// invalid.
     fn status(&self) -> Option<u16> {
         self.exchange.lock().status_line.result().flatten()
     }
 }
 
-/// Creates the head of a request.
+/// Returns a builder for a request to `host`, with its `Host` header.
 pub fn request(method: Method, path: &str, host: SocketAddr) -> Builder {
     Request::builder().method(method).uri(path).header(HOST, host.to_string())
 }
--- a/src/daemon/connection/observed_stream.rs
+++ b/src/daemon/connection/observed_stream.rs
@@ -1,4 +1,4 @@
-//! A stream that observes the request and the response that pass on it.
+//! A stream that tracks the progress of the request written to it and of the response read from it.
 use super::request_progress::RequestProgress;
 use super::status_line::StatusLine;
 use crate::daemon::ports::Stream;
@@ -12,42 +12,42 @@
 
 /// Counts the messages of a request once its last byte is written.
 pub struct WrittenCounter {
-    /// The count of all requests.
+    /// The number of messages in all completely written requests.
     pub total: Arc<AtomicU64>,
-    /// The messages of this one.
+    /// The number of messages in this request.
     pub messages: u64,
 }
 
-/// The request and the response on a connection, as far as they have passed.
+/// The progress of the current request and its response.
 #[derive(Default)]
 pub struct Exchange {
     pub request: RequestProgress,
     pub status_line: StatusLine,
-    /// Notified once the status line of a response has arrived.
-    pub responding: Arc<Notify>,
-    /// Used up once the last byte of the request is written.
+    /// Notified when the status line of the response has arrived.
+    pub status_line_arrived: Arc<Notify>,
+    /// Taken when the last byte of the request has been written.
     pub counter: Option<WrittenCounter>,
 }
 
-/// The exchange on a connection, shared with the stream that observes it.
+/// An exchange that is shared between a connection and its stream.
 #[derive(Clone, Default)]
 pub struct SharedExchange(Arc<Mutex<Exchange>>);
 
 impl SharedExchange {
-    /// Locks the exchange.
+    /// Locks the exchange, also if another holder of the lock has panicked.
     pub fn lock(&self) -> MutexGuard<'_, Exchange> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The observing stream. It takes no vectored writes, which keeps the count simple.
+/// A stream that updates an [`Exchange`]. It does not support vectored writes, which keeps counting simple.
 pub struct ObservedStream {
     stream: Box<dyn Stream>,
     exchange: SharedExchange,
 }
 
 impl ObservedStream {
-    /// Observes `stream` for `exchange`.
+    /// Wraps `stream`, and updates `exchange` on each read and write.
     pub fn new(stream: Box<dyn Stream>, exchange: SharedExchange) -> Self {
         Self { stream, exchange }
     }
@@ -65,7 +65,7 @@
         if !exchange.status_line.has_arrived() {
             exchange.status_line.receive(&buf.filled()[before..]);
             if exchange.status_line.has_arrived() {
-                exchange.responding.notify_one();
+                exchange.status_line_arrived.notify_one();
             }
         }
         Poll::Ready(Ok(()))
@@ -75,8 +75,8 @@
 impl AsyncWrite for ObservedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         if !self.exchange.lock().request.has_started() {
-            // Nothing may have arrived before a request starts: such bytes belong to no response to it, and where the
-            // end of the stream has arrived, nobody would read the request.
+            // Bytes that arrived before the request was sent cannot be its response, and after the end of the
+            // stream the peer does not read the request.
             self.stream.is_fresh()?;
         }
         let count = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
--- a/src/daemon/connection/request_progress.rs
+++ b/src/daemon/connection/request_progress.rs
@@ -1,32 +1,32 @@
-//! How much of a request has been written, counted on the way to the socket: the one way to know whether a call that broke
-//! may have run.
+//! Tracks how much of a request has been written to the socket, which decides whether the peer may have
+//! processed a failed call.
 
 /// The blank line that ends a head.
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
-/// How much of the request on a connection has been written.
+/// How much of a request has been written.
 #[derive(Default)]
 pub struct RequestProgress {
     has_started: bool,
-    /// How many bytes of [`HEAD_END`] have matched.
+    /// The number of bytes of [`HEAD_END`] that the end of the written bytes matches.
     matched: usize,
     body_bytes_left: usize,
 }
 
 impl RequestProgress {
-    /// Creates the progress of a request with a body of that length, of which nothing is written.
+    /// Creates the progress of an unsent request with a body of `body_bytes` bytes.
     pub fn new(body_bytes: usize) -> Self {
         Self { body_bytes_left: body_bytes, ..Self::default() }
     }
 
-    /// Counts bytes that were written.
+    /// Adds bytes that were written.
     pub fn count(&mut self, mut bytes: &[u8]) {
         self.has_started = true;
         while self.matched < HEAD_END.len()
             && let Some((first, rest)) = bytes.split_first()
         {
             if self.matched == 0 && *first != b'\r' {
-                // Nothing of the blank line begins before the next return.
+                // The blank line cannot begin before the next carriage return.
                 let next = rest.iter().position(|byte| *byte == b'\r');
                 bytes = next.map_or(&[], |at| &rest[at..]);
                 continue;
--- a/src/daemon/connection/tests.rs
+++ b/src/daemon/connection/tests.rs
@@ -5,7 +5,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::LocalSet;
 
-fn local(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
@@ -14,11 +14,11 @@
     request(Method::POST, "/hook", to)
 }
 
-/// Guards against taking a call for one that may have run though its last byte was never written: the
-/// peer takes some of a body that no buffer on the way holds whole, and breaks off.
+/// Guards against treating a call as possibly processed although its last byte was never written: the peer
+/// reads part of a body that is larger than all socket buffers, and closes the connection.
 #[test]
-fn a_break_before_the_last_byte_is_known() {
-    local(async {
+fn reports_an_incomplete_request_when_the_peer_closes_before_its_last_byte() {
+    run_local(async {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -31,15 +31,15 @@
         let mut connection = Connection::open(&Tcp, address, Duration::from_secs(20)).await.unwrap();
         let body = Bytes::from(vec![b'x'; 64 << 20]);
         let (answer, ()) = tokio::join!(connection.send(post(address), body, None), peer);
-        assert!(matches!(answer, Err(CallError::Unsent(_))), "{answer:?}");
+        assert!(matches!(answer, Err(CallError::IncompleteRequest(_))), "{answer:?}");
     });
 }
 
-/// Guards against the opposite: read whole and then broken off, it may have run, also where the
-/// connection had carried a call before.
+/// Guards against treating a call as not processed although the peer read the complete request before it
+/// closed the connection, also on a connection that has carried a call before.
 #[test]
-fn a_break_after_the_last_byte_is_known() {
-    local(async {
+fn reports_a_reset_when_the_peer_closes_after_the_last_byte() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let peer = async {
@@ -64,37 +64,37 @@
     });
 }
 
-/// Guards against taking for an answer what came before its request: the runtime has not seen it yet when
-/// the request is about to go out, and nothing may be written to that connection any more.
+/// Guards against accepting bytes that arrived before a request as its response. The runtime has not read
+/// them yet when the request is sent, and nothing may be written to the connection.
 #[test]
-fn what_came_before_a_request_does_not_answer_it() {
-    local(async {
+fn sends_no_request_after_an_unsolicited_response() {
+    run_local(async {
         use std::io::{Read, Write};
-        const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+        const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (again, asked) = std::sync::mpsc::channel();
-        let (written, is_written) = std::sync::mpsc::channel();
+        let (send_unsolicited, unsolicited_requested) = std::sync::mpsc::channel();
+        let (written, unsolicited_written) = std::sync::mpsc::channel();
         let peer = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
             let mut got = vec![0; 1024];
             let read = stream.read(&mut got).unwrap();
             assert!(read > 0);
-            stream.write_all(ANSWER).unwrap();
-            asked.recv().unwrap();
-            stream.write_all(ANSWER).unwrap();
+            stream.write_all(RESPONSE).unwrap();
+            unsolicited_requested.recv().unwrap();
+            stream.write_all(RESPONSE).unwrap();
             written.send(()).unwrap();
-            assert_eq!(stream.read(&mut got).unwrap_or(0), 0, "something was written");
+            assert_eq!(stream.read(&mut got).unwrap_or(0), 0, "the client sent another request");
         });
         let mut connection = Connection::open(&Tcp, address, Duration::from_secs(20)).await.unwrap();
         let first = connection.send(post(address), Bytes::new(), None).await;
         assert!(first.unwrap().into_body().collect().await.is_ok());
-        // Blocking keeps the runtime from looking at its sockets meanwhile.
-        again.send(()).unwrap();
-        is_written.recv().unwrap();
+        // Blocking the thread keeps the runtime from polling its sockets.
+        send_unsolicited.send(()).unwrap();
+        unsolicited_written.recv().unwrap();
         let second = connection.send(post(address), Bytes::new(), None).await;
         assert!(
-            matches!(second, Err(CallError::Unsent(_))) && !connection.has_request_started(),
+            matches!(second, Err(CallError::IncompleteRequest(_))) && !connection.has_request_started(),
             "{second:?}"
         );
         drop(connection);
--- a/src/daemon/connection_pool.rs
+++ b/src/daemon/connection_pool.rs
@@ -1,4 +1,5 @@
-//! Idle connections kept for the next call. Free of I/O and clocks but for what connections do when dropped.
+//! A pool of idle connections. It reads no clock, and performs no I/O except that dropping a connection
+//! closes it.
 use super::connection::Connection;
 use crate::EndpointId;
 use std::collections::{BTreeMap, VecDeque};
@@ -6,9 +7,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What can be pooled.
+/// A connection that can be kept in a [`ConnectionPool`].
 pub trait Poolable {
-    /// Returns whether the other side has closed the connection, as far as is known.
+    /// Returns whether the connection is known to be closed.
     fn is_closed(&self) -> bool;
 }
 
@@ -18,49 +19,52 @@
     }
 }
 
-/// An endpoint at one of its addresses.
+/// The endpoint and the address that a connection was opened for.
 type Target = (EndpointId, SocketAddr);
 
-/// When a connection became idle, and whose it is.
+/// The start of a connection's idle time, and its target.
 struct IdleSince {
     since: Instant,
     target: Target,
 }
 
-/// Idle connections by endpoint and address, the one used last taken first.
+/// Idle connections by endpoint and address. The most recently used connection is reused first.
 ///
-/// An endpoint that moves leaves its old connections behind, and one that takes over the address of another inherits none.
-/// All are kept equally long, so they expire in the order in which they came: nothing looks at all of them.
+/// An endpoint whose address has changed does not reuse its old connections, nor does an endpoint reuse those
+/// of another that had the same address before. All connections have the same idle timeout, so they expire in
+/// the order in which they were added, and no operation scans the whole pool.
 pub struct ConnectionPool<C> {
-    /// The connections of each target by number, oldest first.
+    /// The sequence numbers and connections of each target, oldest first.
     idle: BTreeMap<Target, VecDeque<(u64, C)>>,
     by_age: BTreeMap<u64, IdleSince>,
-    next: u64,
-    keep_for: Duration,
-    max_idle: usize,
+    next_number: u64,
+    idle_timeout: Duration,
+    max_connections: usize,
 }
 
 impl<C: Poolable> ConnectionPool<C> {
-    /// Creates a pool for endpoints that close a connection after `idle_time`; connections are dropped well before. At most
-    /// `max_idle` are kept over all endpoints; past that the oldest is dropped.
-    pub fn new(idle_time: Duration, max_idle: usize) -> Self {
+    /// Creates a pool of at most `max_connections` connections to all endpoints together. Endpoints close
+    /// idle connections after `server_idle_timeout`; see [`Self::set_idle_timeout`].
+    pub fn new(server_idle_timeout: Duration, max_connections: usize) -> Self {
         let mut pool = Self {
             idle: BTreeMap::new(),
             by_age: BTreeMap::new(),
-            next: 0,
-            keep_for: Duration::ZERO,
-            max_idle,
+            next_number: 0,
+            idle_timeout: Duration::ZERO,
+            max_connections,
         };
-        pool.set_idle_timeout(idle_time);
+        pool.set_idle_timeout(server_idle_timeout);
         pool
     }
 
-    /// Sets after which time endpoints close an idle connection.
-    pub fn set_idle_timeout(&mut self, idle_time: Duration) {
-        self.keep_for = idle_time * 4 / 5;
+    /// Sets the time after which endpoints close an idle connection. The pool drops connections after 80 % of
+    /// it.
+    pub fn set_idle_timeout(&mut self, server_idle_timeout: Duration) {
+        self.idle_timeout = server_idle_timeout * 4 / 5;
     }
 
-    /// Takes the idle connection to the endpoint at its address that was used last, if it is neither too old nor closed.
+    /// Removes and returns the most recently used connection to the endpoint at the address, or `None` if all
+    /// have expired or are closed.
     pub fn take(&mut self, endpoint: EndpointId, address: SocketAddr, now: Instant) -> Option<C> {
         self.drop_expired(now);
         let idle = self.idle.get_mut(&(endpoint, address))?;
@@ -78,19 +82,19 @@
         taken
     }
 
-    /// Keeps a connection for the next call.
+    /// Adds an idle connection. If the pool is full, drops its oldest connection.
     pub fn put(&mut self, endpoint: EndpointId, address: SocketAddr, connection: C, now: Instant) {
         self.drop_expired(now);
-        if self.max_idle == 0 {
+        if self.max_connections == 0 {
             return;
         }
-        if self.by_age.len() >= self.max_idle {
+        if self.by_age.len() >= self.max_connections {
             self.drop_oldest();
         }
         let target = (endpoint, address);
-        self.idle.entry(target).or_default().push_back((self.next, connection));
-        self.by_age.insert(self.next, IdleSince { since: now, target });
-        self.next += 1;
+        self.idle.entry(target).or_default().push_back((self.next_number, connection));
+        self.by_age.insert(self.next_number, IdleSince { since: now, target });
+        self.next_number += 1;
     }
 
     /// Closes all idle connections to an endpoint.
@@ -108,10 +112,10 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have reached the idle timeout.
     fn drop_expired(&mut self, now: Instant) {
         while let Some((_, oldest)) = self.by_age.first_key_value()
-            && now.saturating_duration_since(oldest.since) >= self.keep_for
+            && now.saturating_duration_since(oldest.since) >= self.idle_timeout
         {
             self.drop_oldest();
         }
--- a/src/daemon/connection_pool/tests.rs
+++ b/src/daemon/connection_pool/tests.rs
@@ -13,19 +13,20 @@
     }
 }
 
-/// Guards against a connection that is handed out twice, too old, closed, or to another endpoint or address, and
-/// against more of them than may be kept: against a list that is searched from end to end.
+/// Compares random operations with those on a plain list. Guards against a connection that is returned twice,
+/// after it expired or closed, or for another endpoint or address, and against exceeding the capacity.
 #[test]
-fn a_pool_acts_as_a_searched_list_does() {
-    let keep = Duration::from_millis(80);
+fn returns_the_same_connections_as_a_linear_search() {
+    let idle_timeout = Duration::from_millis(80);
     for seed in 0..100 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut draw = move |n: u32| random.next_u32() % n;
-        let (mut pool, mut now, mut taken) = (ConnectionPool::new(keep * 5 / 4, 12), Instant::now(), 0);
+        let (mut pool, mut now, mut taken) =
+            (ConnectionPool::new(idle_timeout * 5 / 4, 12), Instant::now(), 0);
         let mut model: Vec<(Target, Fake, Instant)> = Vec::new();
         for number in 0..600 {
             now += Duration::from_millis(u64::from(draw(10)));
-            model.retain(|(.., since)| now - *since < keep);
+            model.retain(|(.., since)| now - *since < idle_timeout);
             let address = SocketAddr::from(([127, 0, 0, 1 + draw(2) as u8], 80));
             let endpoint = EndpointId(draw(4));
             match draw(10) {
@@ -55,6 +56,6 @@
             }
             assert!(pool.by_age.len() <= 12 && pool.idle.values().map(VecDeque::len).sum::<usize>() <= 12);
         }
-        assert!(taken > 20, "seed {seed}: something was taken");
+        assert!(taken > 20, "seed {seed}: only {taken} connections were taken");
     }
 }
--- a/src/daemon/outbound_call/mod.rs
+++ b/src/daemon/outbound_call/mod.rs
@@ -162,9 +162,9 @@
         };
         match response {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(CallError::Connect(_) | CallError::Unsent(_) | CallError::Head(_))) => {
-                Err(Outcome::ConnectFailed)
-            }
+            Ok(Err(
+                CallError::Connect(_) | CallError::IncompleteRequest(_) | CallError::InvalidRequest(_),
+            )) => Err(Outcome::ConnectFailed),
             Ok(Err(CallError::Reset(_))) => Err(Outcome::Reset),
             Ok(Err(CallError::InvalidResponse(status))) => Err(self.invalid_response(status)),
             // The caller drops the connection: what was never written completely then never runs.
