--- a/src/daemon/ingress/connection_limits.rs
+++ b/src/daemon/ingress/connection_limits.rs
@@ -1,8 +1,8 @@
-//! How many connections are open, and which one is closed for a newcomer.
+//! Limits the number of open connections, and selects the connection to close when the limit is reached.
 //!
-//! A connection is idle while no request on it waits for a response. When all permits are taken, the connection that has
-//! been idle longest is asked to close. One that has not had a response yet comes last, and only some time after it was
-//! opened: its first request may be on the way.
+//! A connection is idle while no request on it waits for a response. When all permits are taken, the
+//! connection that has been idle longest is asked to close. A connection that has not carried a response yet
+//! is closed last, and only after a minimum time, because its first request may be in transit.
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,32 +10,32 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, SemaphorePermit};
 use tokio::time::{Instant, timeout};
 
-/// How often a connection is looked for that may give way to one that waits.
+/// How often [`ConnectionLimits::admit`] looks for an idle connection to close while it waits for a permit.
 const ADMISSION_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The permits for connections and for request bodies that are being read.
+/// Limits on the number of open connections and on the total size of the request bodies that are being read.
 pub struct ConnectionLimits {
     permits: Arc<Semaphore>,
     body_bytes: Semaphore,
     idle: Mutex<IdleConnections>,
     max_connections: usize,
-    /// A connection that has not had a response gives way no sooner.
-    min_fresh_age: Duration,
+    /// How long a connection without a response is kept open before it may be closed for another one.
+    min_unserved_age: Duration,
 }
 
-/// The place of an idle connection in the order in which they close: those that have had a response come first, and of
-/// these the one that has been idle longest.
+/// The sort key of an idle connection in the order of closing: connections that have carried a response come
+/// first, and among equals the one that has been idle longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct IdlePlace {
-    is_fresh: bool,
+struct CloseOrder {
+    is_unserved: bool,
     number: u64,
 }
 
-/// Idle connections in the order in which they close, with what asks each to close.
+/// The idle connections in the order of closing.
 #[derive(Default)]
 struct IdleConnections {
     next_number: u64,
-    close: BTreeMap<IdlePlace, IdleConnection>,
+    by_close_order: BTreeMap<CloseOrder, IdleConnection>,
 }
 
 struct IdleConnection {
@@ -43,7 +43,7 @@
     close_signal: Arc<CloseSignal>,
 }
 
-/// Asks a connection to close.
+/// Tells the task that serves a connection to close it.
 #[derive(Default)]
 pub struct CloseSignal {
     is_requested: AtomicBool,
@@ -61,33 +61,34 @@
         self.requested.notified().await;
     }
 
-    /// Whether the connection was asked to close.
+    /// Returns whether the connection was asked to close.
     pub fn is_requested(&self) -> bool {
         self.is_requested.load(Ordering::Relaxed)
     }
 }
 
 impl ConnectionLimits {
-    /// Allows `max_connections` at once, and request bodies of `max_body_bytes` in all of them together. A connection that
-    /// has not had a response gives way to another one once it is `min_fresh_age` old.
-    pub fn new(max_connections: usize, max_body_bytes: usize, min_fresh_age: Duration) -> Arc<Self> {
+    /// Allows `max_connections` open connections, and `max_body_bytes` in all request bodies that are being
+    /// read. A connection that has not carried a response may be closed for another one after
+    /// `min_unserved_age`.
+    pub fn new(max_connections: usize, max_body_bytes: usize, min_unserved_age: Duration) -> Arc<Self> {
         Arc::new(Self {
             permits: Arc::new(Semaphore::new(max_connections)),
             body_bytes: Semaphore::new(max_body_bytes),
             idle: Mutex::default(),
             max_connections,
-            min_fresh_age,
+            min_unserved_age,
         })
     }
 
-    /// Waits for a permit for a new connection; when all are taken, the connection that has been idle longest closes.
-    /// Returns none once connections are refused for good.
+    /// Waits for a permit for a new connection. If all are taken, asks the first idle connection in the order
+    /// of closing to close. Returns `None` if the semaphore is closed.
     pub async fn admit(self: &Arc<Self>) -> Option<Arc<ConnectionPermit>> {
         loop {
             if self.permits.available_permits() == 0 {
                 self.close_idle();
             }
-            // With none idle, responses are due within milliseconds.
+            // If no connection is idle, one becomes idle within milliseconds, after its response.
             let acquired = timeout(ADMISSION_RETRY_INTERVAL, self.permits.clone().acquire_owned()).await;
             if let Ok(acquired) = acquired {
                 return Some(Arc::new(ConnectionPermit::new(self.clone(), acquired.ok()?)));
@@ -95,21 +96,22 @@
         }
     }
 
-    /// Waits until every connection has ended.
+    /// Waits until all permits have been returned, that is, until every connection has closed.
     pub async fn all_closed(&self) {
         let _ = self.permits.acquire_many(self.max_connections as u32).await;
     }
 
-    /// Asks one idle connection to close: one that has had a response if there is any.
+    /// Asks the first idle connection in the order of closing to close, if there is one that may be closed.
     pub fn close_idle(&self) {
         let mut idle = self.idle();
-        let Some(first) = idle.close.first_entry() else { return };
-        if !first.key().is_fresh || first.get().since.elapsed() >= self.min_fresh_age {
+        let Some(first) = idle.by_close_order.first_entry() else { return };
+        if !first.key().is_unserved || first.get().since.elapsed() >= self.min_unserved_age {
             first.remove().close_signal.request();
         }
     }
 
-    /// Takes a permit for `bytes` more of request bodies; none while too much of them is being read.
+    /// Reserves `bytes` for a request body until the permit is dropped. Returns `None` if the limit would be
+    /// exceeded.
     pub fn reserve_body(&self, bytes: usize) -> Option<SemaphorePermit<'_>> {
         self.body_bytes.try_acquire_many(bytes as u32).ok()
     }
@@ -121,16 +123,16 @@
 
 /// The permit of one open connection.
 pub struct ConnectionPermit {
-    /// The limits that the permit is of.
+    /// The limits that issued the permit.
     pub limits: Arc<ConnectionLimits>,
-    /// Says when the connection has to close for a newcomer.
+    /// Signals that the connection has to close to make room for another one.
     pub close_signal: Arc<CloseSignal>,
-    /// Its place among the idle connections, while it is idle.
-    idle_place: Mutex<Option<IdlePlace>>,
-    /// Whether the response to the last request has been made, and not been written yet.
-    has_response: AtomicBool,
-    /// Whether a request was read whose response has not been written.
-    owes_response: AtomicBool,
+    /// The key in the order of closing, or `None` while the connection is busy.
+    close_order: Mutex<Option<CloseOrder>>,
+    /// Whether the response to the last request has been created and not yet been flushed.
+    has_unflushed_response: AtomicBool,
+    /// Whether a request was read whose response has not been flushed.
+    has_unanswered_request: AtomicBool,
     _permit: OwnedSemaphorePermit,
 }
 
@@ -139,61 +141,61 @@
         let permit = Self {
             limits,
             close_signal: Arc::default(),
-            idle_place: Mutex::default(),
-            has_response: AtomicBool::default(),
-            owes_response: AtomicBool::default(),
+            close_order: Mutex::default(),
+            has_unflushed_response: AtomicBool::default(),
+            has_unanswered_request: AtomicBool::default(),
             _permit: permit,
         };
         permit.enter_idle(true);
         permit
     }
 
-    /// Records that a request was read.
+    /// Records that a request was read completely.
     pub fn set_request_read(&self) {
-        self.owes_response.store(true, Ordering::Relaxed);
+        self.has_unanswered_request.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a request was read whose response has not been written.
-    pub fn owes_response(&self) -> bool {
-        self.owes_response.load(Ordering::Relaxed)
+    /// Returns whether a request was read whose response has not been flushed.
+    pub fn has_unanswered_request(&self) -> bool {
+        self.has_unanswered_request.load(Ordering::Relaxed)
     }
 
-    /// Records that the response to the last request is about to be written.
+    /// Records that the response to the last request was created and will be written next.
     pub fn set_responded(&self) {
-        self.has_response.store(true, Ordering::Relaxed);
+        self.has_unflushed_response.store(true, Ordering::Relaxed);
     }
 
-    /// Records that all that was to be written has been written: after a response, no request waits for another one.
+    /// Records that all output was flushed. If it included a response, the connection becomes idle.
     pub fn set_flushed(&self) {
-        if self.has_response.swap(false, Ordering::Relaxed) {
-            self.owes_response.store(false, Ordering::Relaxed);
+        if self.has_unflushed_response.swap(false, Ordering::Relaxed) {
+            self.has_unanswered_request.store(false, Ordering::Relaxed);
             self.enter_idle(false);
         }
     }
 
-    fn enter_idle(&self, is_fresh: bool) {
+    fn enter_idle(&self, is_unserved: bool) {
         let mut idle = self.limits.idle();
-        let place = IdlePlace { is_fresh, number: idle.next_number };
+        let order = CloseOrder { is_unserved, number: idle.next_number };
         idle.next_number += 1;
         let connection = IdleConnection { since: Instant::now(), close_signal: self.close_signal.clone() };
-        idle.close.insert(place, connection);
-        *self.idle_place() = Some(place);
+        idle.by_close_order.insert(order, connection);
+        *self.close_order() = Some(order);
     }
 
-    /// Records that a request has begun to arrive, and needs a response.
+    /// Records that a request has begun to arrive: the connection is busy until its response was flushed.
     pub fn set_busy(&self) {
-        if let Some(place) = self.idle_place().take() {
-            self.limits.idle().close.remove(&place);
+        if let Some(order) = self.close_order().take() {
+            self.limits.idle().by_close_order.remove(&order);
         }
     }
 
-    /// Whether a request on the connection has begun to arrive, and has not had its response.
+    /// Returns whether a request has begun to arrive and its response was not flushed yet.
     pub fn is_busy(&self) -> bool {
-        self.idle_place().is_none()
+        self.close_order().is_none()
     }
 
-    fn idle_place(&self) -> MutexGuard<'_, Option<IdlePlace>> {
-        self.idle_place.lock().unwrap_or_else(PoisonError::into_inner)
+    fn close_order(&self) -> MutexGuard<'_, Option<CloseOrder>> {
+        self.close_order.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/daemon/ingress/connection_limits/tests.rs
+++ b/src/daemon/ingress/connection_limits/tests.rs
@@ -1,36 +1,36 @@
-//! Tests of which connection gives way.
+//! Tests of the order in which idle connections are closed.
 use super::*;
 
-const MIN_FRESH_AGE: Duration = Duration::from_millis(500);
+const MIN_UNSERVED_AGE: Duration = Duration::from_millis(500);
 
 async fn is_asked_to_close(permit: &ConnectionPermit) -> bool {
     tokio::time::timeout(Duration::ZERO, permit.close_signal.requested()).await.is_ok()
 }
 
-/// Guards against closing a connection whose client has not had a response yet, while there is another one: its first
-/// request may be on the way.
+/// Guards against closing a connection without a response, whose first request may be in transit, while
+/// another idle connection could be closed.
 #[tokio::test(start_paused = true)]
-async fn a_connection_without_a_response_gives_way_last() {
-    let limits = ConnectionLimits::new(3, 1024, MIN_FRESH_AGE);
-    let fresh = limits.admit().await.unwrap();
+async fn closes_a_connection_without_a_response_last() {
+    let limits = ConnectionLimits::new(3, 1024, MIN_UNSERVED_AGE);
+    let unserved = limits.admit().await.unwrap();
     let served = limits.admit().await.unwrap();
     served.set_busy();
     served.set_responded();
     served.set_flushed();
     limits.close_idle();
     assert!(is_asked_to_close(&served).await);
-    assert!(!is_asked_to_close(&fresh).await);
+    assert!(!is_asked_to_close(&unserved).await);
     limits.close_idle();
-    assert!(!is_asked_to_close(&fresh).await, "its first request may be on the way");
-    tokio::time::advance(MIN_FRESH_AGE).await;
+    assert!(!is_asked_to_close(&unserved).await, "closed before the minimum age");
+    tokio::time::advance(MIN_UNSERVED_AGE).await;
     limits.close_idle();
-    assert!(is_asked_to_close(&fresh).await);
+    assert!(is_asked_to_close(&unserved).await);
 }
 
-/// Guards against a connection that is closed while its request is in work.
+/// Guards against closing a connection while its request is being processed.
 #[tokio::test]
-async fn a_busy_connection_never_gives_way() {
-    let limits = ConnectionLimits::new(2, 1024, MIN_FRESH_AGE);
+async fn never_closes_a_busy_connection() {
+    let limits = ConnectionLimits::new(2, 1024, MIN_UNSERVED_AGE);
     let busy = limits.admit().await.unwrap();
     busy.set_busy();
     limits.close_idle();
--- a/src/daemon/ingress/forwarding.rs
+++ b/src/daemon/ingress/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests that reach this process after its successor took over: they are forwarded to it.
+//! Forwards requests that reach this process after its successor has taken over.
 use super::text_response;
 use crate::daemon::connection::{Connection, MAX_RESPONSE_BYTES, request};
 use crate::daemon::ports::Network;
@@ -12,10 +12,10 @@
 
 use http_body_util::Full;
 
-/// How long a forwarded request may wait for a connection, and for its response.
+/// Time limit for connecting to the successor, and for its response.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A request to forward.
+/// The parts of a client's request that are sent to the successor.
 pub struct ForwardedRequest<'a> {
     pub method: Method,
     pub path: &'a str,
@@ -23,21 +23,22 @@
     pub body: Bytes,
 }
 
-/// Forwards a request to the process that listens at `address` by now; returns its response.
+/// Forwards a request to the process that now listens at `address`, and returns its response. If there is
+/// none, returns status 503 if the request was not written completely, and 502 otherwise.
 pub async fn forward(
     network: &dyn Network,
     address: SocketAddr,
     forwarded: ForwardedRequest<'_>,
 ) -> Response<Full<Bytes>> {
-    // Nobody has accepted the message.
+    // No process has accepted the message.
     let rejected = || text_response(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n");
     let Ok(mut connection) = Connection::open(network, address, FORWARD_TIMEOUT).await else {
         return rejected();
     };
-    let is_kept = |name: &HeaderName| ![HOST, CONNECTION, CONTENT_LENGTH].contains(name);
-    let own_head = request(forwarded.method, forwarded.path, address).header(CONNECTION, "close");
-    let kept = forwarded.headers.iter().filter(|(name, _)| is_kept(name));
-    let head = kept.fold(own_head, |head, (name, value)| head.header(name, value));
+    let is_forwarded = |name: &HeaderName| ![HOST, CONNECTION, CONTENT_LENGTH].contains(name);
+    let initial_head = request(forwarded.method, forwarded.path, address).header(CONNECTION, "close");
+    let forwarded_headers = forwarded.headers.iter().filter(|(name, _)| is_forwarded(name));
+    let head = forwarded_headers.fold(initial_head, |head, (name, value)| head.header(name, value));
     let response = timeout(FORWARD_TIMEOUT, async {
         let response = connection.send(head, forwarded.body, None).await.ok()?;
         let status = response.status();
@@ -47,7 +48,7 @@
     match response.await {
         Ok(Some(response)) => response,
         _ if !connection.is_request_written() => rejected(),
-        // The successor may have accepted the message: no promise.
+        // The successor may have accepted the message, so it must not be reported as rejected.
         _ => text_response(StatusCode::BAD_GATEWAY, "the next process did not answer\n"),
     }
 }
--- a/src/daemon/ingress/lingering_close.rs
+++ b/src/daemon/ingress/lingering_close.rs
@@ -1,4 +1,4 @@
-//! A stream that closes without losing its last response.
+//! A stream that closes without losing the last response.
 use crate::daemon::ports::Stream;
 use std::io;
 use std::pin::Pin;
@@ -7,25 +7,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Sleep, sleep};
 
-/// How long a connection is read on after its last response, so that a client that is still sending receives it.
-const LINGER: Duration = Duration::from_secs(1);
-/// Bytes that are read and dropped at once meanwhile.
-const DISCARD_BYTES: usize = 16 * 1024;
+/// How long input is read after the last response, so that a client that is still sending receives the
+/// response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Size of the buffer for discarded input.
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The stream of a client. CloseSignal it shuts down the sending side first and reads on for a while: closed at once with
-/// bytes unread, the system would reset the connection and might drop the last response with it.
+/// A client's stream that shuts down its sending side first and then discards input until the client closes
+/// the connection or a timeout expires. If a socket with unread input is closed, the kernel resets the
+/// connection, and the client may lose the last response.
 pub struct LingeringClose {
     stream: Box<dyn Stream>,
-    until: Option<Pin<Box<Sleep>>>,
+    linger_until: Option<Pin<Box<Sleep>>>,
 }
 
 impl LingeringClose {
     /// Wraps the stream of a client that has just connected.
     pub fn new(stream: Box<dyn Stream>) -> Self {
-        Self { stream, until: None }
+        Self { stream, linger_until: None }
     }
 
-    /// Whether something has arrived that was not read yet.
+    /// Returns whether unread input, the end of the stream or an error has arrived.
     pub fn has_unread(&self) -> bool {
         self.stream.is_fresh().is_err()
     }
@@ -52,12 +54,12 @@
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.until.is_none() {
+        if this.linger_until.is_none() {
             ready!(Pin::new(&mut this.stream).poll_shutdown(cx))?;
         }
-        let until = this.until.get_or_insert_with(|| Box::pin(sleep(LINGER)));
-        let mut discarded = [0; DISCARD_BYTES];
-        while until.as_mut().poll(cx).is_pending() {
+        let linger_until = this.linger_until.get_or_insert_with(|| Box::pin(sleep(LINGER_TIMEOUT)));
+        let mut discarded = [0; DISCARD_BUFFER_BYTES];
+        while linger_until.as_mut().poll(cx).is_pending() {
             let mut buf = ReadBuf::new(&mut discarded);
             ready!(Pin::new(&mut this.stream).poll_read(cx, &mut buf))?;
             if buf.filled().is_empty() {
--- a/src/daemon/ingress/mod.rs
+++ b/src/daemon/ingress/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP server for clients: messages are submitted here, and accepted once the journal holds them.
+//! The HTTP server to which clients submit messages. A message is accepted once it is stored in the journal.
 //!
-//! Every request that was read gets a response: from the event loop, or from the successor that the request is forwarded
-//! to during a handover.
+//! Every request that was read completely gets a response: from the event loop, or from the successor process
+//! to which the request is forwarded during a handover.
 mod connection_limits;
 mod forwarding;
 mod lingering_close;
@@ -38,30 +38,34 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Most bytes of a request head: fields are limited to 1 KiB each, and there are few.
+/// Upper bound on the size of a request head. Stored header values are limited to 1 KiB each, and there are
+/// few.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a request head may take; a connection without a request ends with it. Clients keep connections between
-/// requests, so this may not be shorter than 2 s.
+/// Time limit for receiving a request head. It also closes connections on which no request arrives, and must
+/// not be below 2 s, as clients keep connections open between requests.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2100);
-/// How long a request body may take. Clients wait 400 ms for their response, so a slower one has gone.
+/// Time limit for receiving a request body. Clients wait 400 ms for the response, so a slower client has
+/// given up.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection on which nothing was ever sent gives way no sooner: clients send as soon as they are connected, and wait
-/// 400 ms for their response.
-const MIN_FRESH_AGE: Duration = Duration::from_millis(500);
-/// How long accepting rests after an error that says something of the whole system, such as no descriptors left.
+/// How long a connection without a response is kept open before it may be closed for another one. Clients
+/// send a request as soon as they are connected, and wait 400 ms for the response.
+const MIN_UNSERVED_AGE: Duration = Duration::from_millis(500);
+/// Delay before accepting again after an error that affects all connections, such as running out of
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a response to a client may need.
+/// The state that all client connections share.
 struct IngressContext {
     events: UnboundedSender<LoopEvent>,
     state: WatchCell<ListenerState>,
     network: Rc<dyn Network>,
-    /// The address that clients connect to, also when another process listens there.
+    /// The address that clients connect to. After a handover, the successor listens there.
     address: SocketAddr,
     violations: Violations,
 }
 
-/// Serves clients until the listener is closed or handed over, and every request that was read has its response.
+/// Serves clients until the listener is closed or handed over and every request that was read has been
+/// answered.
 pub fn serve(
     listener: Rc<dyn Listener>,
     address: SocketAddr,
@@ -82,14 +86,16 @@
     log: Rc<dyn Log>,
 ) {
     let state = &context.state;
-    let limits = ConnectionLimits::new(budget.client_connections, budget.request_body_bytes, MIN_FRESH_AGE);
+    let limits =
+        ConnectionLimits::new(budget.client_connections, budget.request_body_bytes, MIN_UNSERVED_AGE);
     let (started_at, mut log_limit) = (Instant::now(), ErrorLogLimit::default());
-    let is_over = |state| matches!(state, ListenerState::Closed | ListenerState::HandedOver);
+    let has_stopped = |state| matches!(state, ListenerState::Closed | ListenerState::HandedOver);
     loop {
         let accepted = tokio::select! {
             biased;
-            () = state.wait_for(is_over) => break,
-            // New connections wait for the successor, or for this process to go on.
+            () = state.wait_for(has_stopped) => break,
+            // New connections stay in the accept queue for the successor, or for this process if the handover
+            // fails.
             () = state.wait_for(|state| state == ListenerState::HandingOver) => {
                 state.wait_for(|state| state != ListenerState::HandingOver).await;
                 continue;
@@ -113,11 +119,12 @@
     limits.all_closed().await;
 }
 
-/// Does what has to happen before the next connection can be accepted.
+/// Waits as long as the failure requires before the next accept, and closes an idle connection if descriptors
+/// ran out.
 async fn recover_from(failure: AcceptFailure, limits: &ConnectionLimits) {
     match failure {
         AcceptFailure::Connection => return yield_now().await,
-        // Open connections go on, and an idle one makes room.
+        // Closing an idle connection frees a descriptor. Busy connections are not closed.
         AcceptFailure::Descriptors => limits.close_idle(),
         AcceptFailure::System => {}
     }
@@ -139,15 +146,16 @@
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES)
-        // A client may end its sending with its request; it still waits for the response.
+        // A client may close its sending side after the request and still wait for the response.
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // A client that breaks its connection off receives nothing more: there is nobody to tell of the error.
+    // An error is ignored: the connection has failed, and the client can receive no response.
     tokio::select! {
         biased;
         _ = connection.as_mut() => return,
-        // The stream ends before the next request; one that has begun to arrive still gets its response.
+        // `RequestActivity` ends the stream before the next request. A request that has begun to arrive is
+        // still answered.
         () = permit.close_signal.requested() => {}
         () = context.state.wait_for(|state| state == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
     }
@@ -166,7 +174,7 @@
         (_, "/-/ready" | "/api") => text_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
         _ => text_response(StatusCode::NOT_FOUND, "not found\n"),
     };
-    // A client that sent what cannot be used is out of step, or about to send it again: it connects anew.
+    // After an invalid request, the end of the request may be misread, so the connection is not reused.
     if context.state.get() != ListenerState::Accepting || response.status().is_client_error() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -202,7 +210,7 @@
     }
 }
 
-/// Creates a response of plain text.
+/// Returns a response with the given status and body.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
@@ -216,8 +224,8 @@
 ) -> Response<Full<Bytes>> {
     let received_at = Instant::now();
     let (head, body) = request.into_parts();
-    // Beside a length, a transfer coding may hide another request in the body, and hyper does not show the length then.
-    // Clients send the length, so a coding is rejected whatever stands beside it.
+    // A Transfer-Encoding together with a Content-Length permits request smuggling, and hyper then hides the
+    // Content-Length. Clients send a Content-Length, so every Transfer-Encoding is rejected.
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return text_response(StatusCode::LENGTH_REQUIRED, "a Content-Length is needed, and no coding\n");
     }
@@ -230,17 +238,17 @@
         Ok(submission) => submission,
         Err(error) => return text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
-    // The last byte of the request was read: from here on its client is owed a response.
+    // The request was read completely: from here on, a missing response is a violation.
     permit.set_request_read();
     let (reply, response) = oneshot::channel();
     let deadline = received_at + submission.remaining;
     let _ = context.events.send(LoopEvent::Submit { message: submission.message, deadline, reply });
     match response.await {
-        // An event loop that handed over has accepted nothing.
+        // The event loop was handed over and has not accepted the message.
         Err(_) if context.is_handing_over() => {
             context.forward_to_successor(Method::POST, "/api", &head.headers, body).await
         }
-        // Nor has one that has ended.
+        // An event loop that has ended has not accepted the message either.
         response => submit_response(response.unwrap_or(SubmitResponse::Rejected)),
     }
 }
--- a/src/daemon/ingress/request_activity.rs
+++ b/src/daemon/ingress/request_activity.rs
@@ -1,4 +1,5 @@
-//! A client's stream that marks its connection busy from the first byte of a request to the last one of the response.
+//! A client's stream that marks its connection busy from the first byte of a request until its response is
+//! flushed.
 use super::ConnectionPermit;
 use super::lingering_close::LingeringClose;
 use crate::daemon::runtime_checks::Violations;
@@ -8,35 +9,37 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The stream of a client. A connection of which a byte was read must not be closed for another one: the request would go
-/// without a response.
+/// A client's stream that records request activity in the connection's permit. It reports the end of the
+/// stream to close the connection for another one, but never after a byte of a request was read, because that
+/// request needs a response.
 pub struct RequestActivity {
     stream: LingeringClose,
     permit: Arc<ConnectionPermit>,
-    /// The connection gives way to another one: nothing more is read.
-    has_ended: bool,
-    /// The client has ended its sending or broken the connection off: nobody waits for a response.
-    has_client_left: bool,
+    /// The connection is being closed for another one, and nothing more is read.
+    has_stopped_reading: bool,
+    /// The client has closed its sending side, or the connection has failed.
+    has_client_closed: bool,
     violations: Violations,
 }
 
 impl RequestActivity {
     /// Wraps the stream of the connection that has `permit`.
     pub fn new(stream: LingeringClose, permit: Arc<ConnectionPermit>, violations: Violations) -> Self {
-        Self { stream, permit, has_ended: false, has_client_left: false, violations }
+        Self { stream, permit, has_stopped_reading: false, has_client_closed: false, violations }
     }
 
-    /// Notes the end of what the client sends, or an error.
-    fn note_client<T>(&mut self, outcome: io::Result<T>) -> io::Result<T> {
-        self.has_client_left |= outcome.is_err();
+    /// Records an error of the connection.
+    fn record_error<T>(&mut self, outcome: io::Result<T>) -> io::Result<T> {
+        self.has_client_closed |= outcome.is_err();
         outcome
     }
 
-    /// Whether the connection ends here: it was asked to, and no part of a request has arrived. The system is asked last.
-    fn is_ending(&mut self) -> bool {
-        let is_asked = self.permit.close_signal.is_requested() && !self.permit.is_busy();
-        self.has_ended = self.has_ended || (is_asked && !self.stream.has_unread());
-        self.has_ended
+    /// Stops reading if the connection was asked to close and no part of a request has arrived. Returns
+    /// whether reading has stopped. Checks for unread input last, as that is a system call.
+    fn stop_if_requested(&mut self) -> bool {
+        let may_stop = self.permit.close_signal.is_requested() && !self.permit.is_busy();
+        self.has_stopped_reading = self.has_stopped_reading || (may_stop && !self.stream.has_unread());
+        self.has_stopped_reading
     }
 }
 
@@ -46,16 +49,16 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.is_ending() {
+        if self.stop_if_requested() {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
         let read = ready!(Pin::new(&mut self.stream).poll_read(cx, buf));
-        self.note_client(read)?;
+        self.record_error(read)?;
         if buf.filled().len() > before {
             self.permit.set_busy();
         } else {
-            self.has_client_left = true;
+            self.has_client_closed = true;
         }
         Poll::Ready(Ok(()))
     }
@@ -64,7 +67,7 @@
 impl AsyncWrite for RequestActivity {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
-        Poll::Ready(self.note_client(written))
+        Poll::Ready(self.record_error(written))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -74,8 +77,9 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Nothing was read since the last response: what arrives from here on stays unread, and its client sends it again.
-        if self.has_ended {
+        // Nothing was read after the last response. A request that arrives from now on stays unread, and the
+        // client sends it again.
+        if self.has_stopped_reading {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
@@ -84,7 +88,7 @@
 
 impl Drop for RequestActivity {
     fn drop(&mut self) {
-        if self.permit.owes_response() && !self.has_client_left {
+        if self.permit.has_unanswered_request() && !self.has_client_closed {
             self.violations.record_unanswered_request();
         }
     }
--- a/src/daemon/ingress/submission.rs
+++ b/src/daemon/ingress/submission.rs
@@ -1,4 +1,4 @@
-//! A message as a client submits it: headers and body of one request.
+//! Reads a submitted message from the headers and the body of a request.
 use super::connection_limits::ConnectionLimits;
 use super::text_response;
 use crate::daemon::journal::SubmittedMessage;
@@ -9,32 +9,32 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// Most bytes of a request body.
+/// Upper bound on the size of a request body.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes of a header field that is kept with a message.
+/// Upper bound on the size of a header value that is stored with a message.
 const MAX_FIELD_BYTES: usize = 1024;
-/// No deadline is further away, in seconds; what clients ask for beyond it is cut.
+/// Upper bound on a message's time to live, in seconds. Longer ones are reduced to it.
 const MAX_REMAINING_SECONDS: f64 = 86_400.0;
 
-/// What is wrong with the headers of a submitted message. The texts are shown to clients.
+/// Why the headers of a submitted message are invalid. The texts are sent to clients.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// A header that is no text.
+    /// A header value contains characters other than visible ASCII and spaces.
     #[error("{0} is not text")]
     NotText(&'static str),
-    /// A header that is longer than [`MAX_FIELD_BYTES`].
+    /// A header value is longer than [`MAX_FIELD_BYTES`].
     #[error("{0} is too long")]
     TooLong(&'static str),
-    /// A required header that is missing or empty.
+    /// A required header is missing or empty.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A time to live that is no number.
+    /// The time to live is not a number.
     #[error("X-Remaining is not a number")]
     RemainingNotNumber,
-    /// A time to live that is over, or has no end.
+    /// The time to live is not positive or not finite.
     #[error("X-Remaining is not a time left")]
     RemainingOutOfRange,
-    /// An envelope without a destination.
+    /// The envelope contains no valid destination number.
     #[error("X-Envelope holds no dest")]
     NoDestination,
 }
@@ -49,7 +49,7 @@
     /// Reads a message from a request.
     ///
     /// # Errors
-    /// The first header that is missing or cannot be understood.
+    /// Returns an error if a header is missing or invalid.
     pub fn read(headers: &HeaderMap, body: Bytes) -> Result<Self, SubmissionError> {
         let remaining = remaining(headers)?;
         let destination = destination(headers)?;
@@ -89,7 +89,7 @@
     Ok(Duration::from_secs_f64(seconds.min(MAX_REMAINING_SECONDS)))
 }
 
-/// The number of the destination in the envelope, if there is one.
+/// Returns the destination number in the envelope, or `None` if there is no valid one.
 fn destination(headers: &HeaderMap) -> Result<Option<u64>, SubmissionError> {
     let envelope = required(headers, "X-Envelope")?;
     let mut fields = envelope.split([',', ';', ' ']);
@@ -97,12 +97,15 @@
     Ok(number.and_then(|number| number.parse().ok()))
 }
 
-/// Reads a complete request body. Its bytes count towards what all clients together may send at once.
+/// Reads a complete request body. While it is read, its bytes count towards the limit for all connections
+/// together.
 ///
-/// The body is copied out of the connection's buffers, which a message would otherwise keep for as long as it is held.
+/// The body is copied, because a slice would keep the connection's whole read buffer allocated as long as the
+/// message.
 ///
 /// # Errors
-/// The response to a body that is too large, cannot be read, or comes beside too many others.
+/// Returns the response for a body that is too large or unreadable, or that exceeds the limit for all
+/// connections.
 pub async fn read_body(
     mut body: Incoming,
     limits: &ConnectionLimits,
