--- a/src/daemon/membership/event_log.rs
+++ b/src/daemon/membership/event_log.rs
@@ -9,7 +9,7 @@
 pub struct EventLog {
     log: Rc<dyn Log>,
     writes_traces: bool,
-    /// The last write of the incarnation record failed, and the failure was logged.
+    /// Whether the last write of the incarnation record failed. Its failure was logged.
     write_failed: bool,
 }
 
@@ -30,7 +30,7 @@
             && !self.write_failed
         {
             self.log.line(&format!(
-                "membership: incarnation not persisted, nothing is sent under it error=\"{error}\""
+                "membership: incarnation not persisted, sending is suspended error=\"{error}\""
             ));
         }
         self.write_failed = result.is_err();
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the log line of an event, without its component.
+/// Returns the log line of an event, without the component prefix.
 fn describe(event: &Event) -> String {
     match event {
         Event::StatusChanged { name, previous, current, incarnation } => format!(
@@ -61,19 +61,19 @@
              incarnation={incarnation} known={known}"
         ),
         Event::RosterMismatch { name, differs: true } => format!(
-            "roster differs, the operator files of a fleet have to list the same members member={name}"
+            "roster differs, the operator files of all senders must list the same members member={name}"
         ),
         Event::RosterMismatch { name, differs: false } => format!("roster matches again member={name}"),
         Event::LocalStatusChanged(LocalStatus::Superseded) => {
-            "superseded by a later process under this sender's name, nothing is sent any more".to_owned()
+            "superseded by a later process with this sender's name, sending stopped".to_owned()
         }
         Event::LocalStatusChanged(LocalStatus::Exhausted) => {
-            "no higher incarnation number is left, nothing is sent".to_owned()
+            "incarnation numbers exhausted, sending stopped".to_owned()
         }
         Event::LocalStatusChanged(status) => format!("local status changed status={status:?}"),
         Event::Stalled { late_ms } => format!("process stalled late_ms={late_ms}"),
         Event::IsolationChanged(true) => {
-            "isolated, no member answers and the statuses of others are not meaningful".to_owned()
+            "isolated, no member answers, statuses of other members are unreliable".to_owned()
         }
         Event::IsolationChanged(false) => "no longer isolated, a member answers again".to_owned(),
     }
--- a/src/daemon/membership/incarnation_store.rs
+++ b/src/daemon/membership/incarnation_store.rs
@@ -7,11 +7,12 @@
 
 const FILE: &str = "lives";
 const TEMPORARY_FILE: &str = "lives.new";
-/// Upper bounds on the size of a record: its fixed part, and the part for each member.
+/// Upper bound on the size of a record without its entries for members.
 const FIXED_BYTES: u64 = 128;
+/// Upper bound on the size of an entry for one member.
 const BYTES_PER_MEMBER: u64 = 64;
 
-/// Returns the disk space in bytes that the record may take, together with the one that replaces it.
+/// Returns the upper bound on the disk space, in bytes, of the record and its temporary replacement.
 pub fn disk_bytes(members: usize) -> u64 {
     2 * (FIXED_BYTES + BYTES_PER_MEMBER * members as u64)
 }
@@ -27,7 +28,7 @@
     Invalid(#[from] IncarnationRecordError),
 }
 
-/// The store of the incarnation record.
+/// Reads and writes the incarnation record in the state folder.
 pub struct IncarnationStore(Rc<dyn Storage>);
 
 impl IncarnationStore {
@@ -50,7 +51,7 @@
     /// Replaces the record atomically.
     ///
     /// # Errors
-    /// Returns the storage error; the previous record stays.
+    /// Returns the storage error. The previous record is then unchanged.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
         put(&*self.0, FILE, TEMPORARY_FILE, bytes)
     }
--- a/src/daemon/membership/link_stream.rs
+++ b/src/daemon/membership/link_stream.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// A write that takes longer ends the link: a side that does not read must not occupy a place for long.
+/// Time limit for a write, so that a member that does not read cannot keep a link open.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
@@ -15,7 +15,7 @@
     /// The stream failed.
     #[error("{0}")]
     Stream(#[from] std::io::Error),
-    /// The link state machine ended the link.
+    /// The link state machine reported an error.
     #[error("{0}")]
     Link(#[from] LinkError),
     /// The answer did not arrive in time.
@@ -27,7 +27,7 @@
     /// The other side sent something that cannot be decoded.
     #[error("what it sent cannot be read")]
     Malformed,
-    /// The payload is too long for a link.
+    /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
     #[error("too much waits to be sent")]
     PayloadTooLong,
 }
@@ -36,7 +36,7 @@
 pub struct LinkStream {
     link: Link,
     stream: Box<dyn Stream>,
-    /// The origin of the link's clock.
+    /// The instant at which the link's clock is zero.
     origin: Instant,
 }
 
--- a/src/daemon/membership/links.rs
+++ b/src/daemon/membership/links.rs
@@ -1,5 +1,5 @@
-//! Links to other members, and the two queries that are sent over them: a member's membership view, for operators who
-//! want to see who sees whom, and its peer report, for a restarted sender.
+//! Links to other members, and the two queries that are sent over them: one for a member's membership view,
+//! which operators compare between members, and one for its peer report, which a restarted sender uses.
 use super::link_stream::{LinkFailure, LinkStream};
 use super::{Request, ViewSource};
 use crate::daemon::ports::{Listener, LocalFuture, Log, Network, Stream};
@@ -26,9 +26,9 @@
 pub const MAX_ACCEPTED_LINKS: usize = 16;
 /// Upper bound on links that one query of all members opens at once.
 const MAX_DIALED_LINKS: usize = 16;
-/// A member that has not answered a query within this time is reported as silent.
+/// Time limit for a member's answer to a query.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How soon a failed listen or accept is retried.
+/// Delay before a failed listen or accept is retried.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Answers are sent in chunks of this length.
 const ANSWER_CHUNK_BYTES: usize = MAX_PAYLOAD_BYTES / 4;
@@ -87,12 +87,13 @@
         })
     }
 
-    /// Replaces the roster. Open links keep the one that they started with.
+    /// Replaces the roster. Open links keep the roster that they were created with.
     pub fn set_roster(&self, roster: Roster) {
         *self.roster.borrow_mut() = roster;
     }
 
-    /// Returns what a new link authenticates itself with, or `None` before this sender has an incarnation.
+    /// Returns the identity under which a new link authenticates, or `None` before this sender has an
+    /// incarnation.
     fn link_identity(&self) -> Option<LinkIdentity> {
         let incarnation = self.views.current()?.incarnation;
         let mut nonce = [0; 16];
@@ -105,7 +106,7 @@
         LinkStream::new(link, stream, self.views.origin)
     }
 
-    /// Accepts links for as long as the future is polled, from `listener`, or at `address` if there is none yet.
+    /// Accepts links until the future is dropped. Listens at `address` if `listener` is `None`.
     pub async fn serve(
         self: Rc<Self>,
         address: SocketAddr,
@@ -124,7 +125,7 @@
                 Ok(stream) => {
                     let this = self.clone();
                     links.spawn_local(async move {
-                        // The other side may be an impostor, so its failures are nobody's concern.
+                        // Failures are ignored, as the other side may not even be a member.
                         let _ = this.answer_queries(stream).await;
                         drop(permit);
                     });
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Listens at an address, as soon as the previous process has released it.
+    /// Listens at an address, and retries until the previous process has released it.
     async fn listen(&self, address: SocketAddr, log: &dyn Log) -> Box<dyn Listener> {
         let mut is_logged = false;
         loop {
@@ -233,7 +234,7 @@
         answers
     }
 
-    /// Answers a request for the views of all members, in a task of its own.
+    /// Spawns a task that queries the views of all members and sends them to `reply`.
     pub fn spawn_view_query(self: &Rc<Self>, reply: oneshot::Sender<BTreeMap<String, PeerAnswer>>) {
         let this = self.clone();
         spawn_local(async move {
@@ -241,7 +242,7 @@
         });
     }
 
-    /// Answers a request for a member's peer report, in a task of its own.
+    /// Spawns a task that queries a member's peer report and sends it to `reply`.
     pub fn spawn_report_query(self: &Rc<Self>, name: String, reply: oneshot::Sender<Option<PeerReport>>) {
         let this = self.clone();
         spawn_local(async move {
@@ -255,7 +256,7 @@
 pub struct ViewQuery(pub(super) UnboundedSender<Request>);
 
 impl ViewQuery {
-    /// Returns the views of all members, or `None` while this sender does not communicate with them.
+    /// Returns the views of all members, or `None` before the membership socket is bound.
     pub async fn all(&self) -> Option<BTreeMap<String, PeerAnswer>> {
         let (reply, answer) = oneshot::channel();
         let _ = self.0.send(Request::QueryAllViews(reply));
@@ -268,7 +269,8 @@
 pub struct ReportQuery(pub(super) UnboundedSender<Request>);
 
 impl ReportQuery {
-    /// Returns a member's peer report, or `None` if it does not answer or this sender does not communicate yet.
+    /// Returns a member's peer report, or `None` if the member does not answer or the membership socket is
+    /// not bound yet.
     pub async fn report_of(&self, name: &str) -> Option<PeerReport> {
         let (reply, answer) = oneshot::channel();
         let _ = self.0.send(Request::QueryReport(name.to_owned(), reply));
--- a/src/daemon/membership/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The membership of this sender on real sockets: a driver that feeds datagrams and time to
-//! [`Membership`](micadrum_membership::Membership) and performs its outputs. The driver decides nothing.
+//! Connects the [`Membership`](micadrum_membership::Membership) state machine to sockets, timers, storage and
+//! the log. All decisions are made by the state machine.
 mod event_log;
 mod incarnation_store;
 mod link_stream;
@@ -31,30 +31,30 @@
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How soon binding an address that another process holds is retried.
+/// Delay before a failed bind is retried, mostly because the previous process still holds the address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Upper bound on ephemeral ports tried until one is free for datagrams and for links.
+/// Upper bound on the number of ephemeral ports tried to find one that is free for both datagrams and links.
 const MAX_PORT_ATTEMPTS: usize = 32;
-/// How soon receiving is retried after an error.
+/// Delay before receiving is retried after an error.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// File descriptors that the membership sockets and links may take.
+/// Upper bound on the file descriptors of the membership sockets and links.
 pub const MAX_DESCRIPTORS: usize = 2 + 2 * links::MAX_ACCEPTED_LINKS;
 
 /// Why membership cannot be enabled.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// The list of members cannot be used.
+    /// The list of members is invalid.
     #[error(transparent)]
     Roster(#[from] RosterError),
-    /// The file with the secret key was not read.
-    #[error("the secret {0} was not read")]
+    /// No secret key was read from the file that the operator's configuration names.
+    #[error("no secret key was read from the file {0:?}")]
     SecretMissing(String),
     /// The secret key does not belong to this member.
-    #[error("the secret is not that of {0:?}: its key in the list is another")]
+    #[error("the secret key does not match the public key of member {0:?} in the list of members")]
     SecretMismatch(String),
 }
 
-/// The settings and the roster, as the operator's configuration has them.
+/// The membership settings and the roster from the operator's configuration.
 pub struct MembershipConfig {
     settings: Settings,
     roster: Roster,
@@ -64,7 +64,7 @@
     /// Reads the members from the operator's configuration, or returns `None` if membership is disabled.
     ///
     /// # Errors
-    /// Returns an error if the list of members cannot be used.
+    /// Returns an error if the list of members is invalid.
     pub fn from_config(operator: &OperatorConfig) -> Result<Option<Self>, MembershipError> {
         let Some(peers) = &operator.peers else { return Ok(None) };
         let settings = Settings {
@@ -90,7 +90,7 @@
 #[derive(Clone)]
 pub struct ViewSource {
     membership: Rc<RefCell<Option<Membership>>>,
-    /// The origin of the membership clock.
+    /// The instant at which the membership clock is zero.
     origin: Instant,
 }
 
@@ -104,7 +104,7 @@
 /// The sockets of a member.
 struct BoundSockets {
     datagrams: Box<dyn Datagrams>,
-    /// The listener for links, if it had to be bound together with the datagram socket.
+    /// The listener for links if the port is ephemeral, as it has to be free for both; otherwise `None`.
     links: Option<Box<dyn Listener>>,
 }
 
@@ -160,10 +160,11 @@
 
 /// Starts the membership task, if the operator's configuration lists members.
 ///
-/// A damaged incarnation record, or an address that another process holds, do not prevent the start.
+/// Neither an invalid incarnation record nor an address that another process holds prevents the start.
 ///
 /// # Errors
-/// Returns an error if the list of members or the secret key cannot be used.
+/// Returns an error if the list of members is invalid, or if the secret key is missing or does not match the
+/// list.
 pub fn start(
     config: &Config,
     ports: &Ports,
@@ -204,7 +205,7 @@
     reconfigurations
 }
 
-/// Whether the membership task goes on.
+/// Whether the membership task continues.
 #[derive(PartialEq, Eq)]
 enum Flow {
     Continue,
@@ -224,7 +225,7 @@
     async fn run(mut self, address: SocketAddr, mut members: MembershipConfig, secret: Secret) {
         let Some(sockets) = self.bind(address, &mut members).await else { return };
         let socket = sockets.datagrams;
-        // The record is read only now: a previous process may have written it until it released the address.
+        // The record is read after binding, as a previous process may write it until it releases the address.
         let record = self.read_record(&members.roster);
         let MembershipConfig { settings, roster } = members;
         let link_service = self.create_link_service(secret.clone(), roster.clone());
@@ -257,13 +258,13 @@
     }
 
     async fn process_inputs(&mut self, socket: &dyn Datagrams, link_service: &Rc<LinkService>) {
-        // One byte more than the longest datagram, so that a longer one is recognised.
+        // One byte longer than the longest valid datagram, so that an oversized datagram is detected.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.perform_outputs(socket);
             let due = self.with_membership(|membership, _| membership.due());
             let due = due.map(|due| self.views.origin + due);
-            // Requests and timers come first: no flood of datagrams may delay them.
+            // Requests and timers have priority, so that a flood of datagrams cannot delay them.
             tokio::select! {
                 biased;
                 request = self.requests.recv() => {
@@ -306,7 +307,8 @@
         Flow::Continue
     }
 
-    /// Binds the address as soon as the previous process has released it, or returns `None` if this sender ends before.
+    /// Binds the address, and retries until the previous process has released it. Returns `None` if the task
+    /// has to stop first.
     async fn bind(&mut self, address: SocketAddr, members: &mut MembershipConfig) -> Option<BoundSockets> {
         let mut is_logged = false;
         let mut attempts = 0;
@@ -315,7 +317,7 @@
                 Ok(datagrams) => {
                     let bound = datagrams.local_addr().unwrap_or(address);
                     let is_ephemeral = address.port() == 0;
-                    // An ephemeral port has to be free for links too.
+                    // An ephemeral port has to be free for links as well.
                     let links = if is_ephemeral { self.ports.network.listen(bound).await.ok() } else { None };
                     attempts += 1;
                     if is_ephemeral && links.is_none() && attempts < MAX_PORT_ATTEMPTS {
@@ -335,13 +337,13 @@
         }
     }
 
-    /// Waits until binding is retried, and handles a request that arrives meanwhile.
+    /// Waits until binding is to be retried, or handles a request that arrives before.
     async fn wait_to_bind(&mut self, members: &mut MembershipConfig) -> Flow {
         tokio::select! {
             biased;
             request = self.requests.recv() => match request {
                 Some(Request::Reconfigure(next)) => *members = next,
-                // The dropped reply tells the caller that there is no view yet.
+                // Dropping the reply channel tells the caller that there is no view yet.
                 Some(Request::QueryAllViews(_) | Request::QueryReport(..)) => {}
                 Some(Request::Leave) | None => return Flow::Stop,
             },
@@ -359,7 +361,7 @@
     fn perform_outputs(&mut self, socket: &dyn Datagrams) {
         while let Some(output) = self.with_membership(|membership, _| membership.poll_output()) {
             match output {
-                // A datagram that cannot be sent counts as lost on the link; the protocol recovers from that.
+                // A datagram that cannot be sent is treated as lost; the protocol tolerates loss.
                 Output::Send(to, bytes) => drop(socket.send(to, &bytes)),
                 Output::WriteRecord(bytes) => {
                     let result = self.incarnation_store.write(&bytes);
