--- a/src/daemon/notifications/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -1,7 +1,7 @@
-//! Notifications to the platform: the final outcomes of messages that were accepted and not delivered.
+//! Notifies the platform of the final outcomes of messages that were accepted and not delivered.
 //!
-//! Notifications are sent in batches, each until the platform has answered it with 204, also at another address.
-//! [`queue`] decides what is sent when; this module makes the calls.
+//! Notifications are sent in batches. A batch is resent until the platform acknowledges it with status 204,
+//! also if the platform's address changes. [`queue`] selects the batch to send; this module makes the calls.
 mod queue;
 
 use super::connection::{CallError, Connection, request};
@@ -20,23 +20,23 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// The platform answers at once: after this time it is called again on a new connection.
+/// Time limit for a call, after which it is retried on a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a failed call.
+/// Delay before the next call after a failed one.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The final outcome of one message.
 pub struct Notification {
-    /// The message's number in the journal.
+    /// The number that identifies the message in the journal.
     pub number: u32,
     /// The message's id.
     pub id: String,
     pub outcome: FinalOutcome,
 }
 
-/// A notification as the platform reads it.
+/// A notification in the JSON format of the platform.
 #[derive(Serialize)]
-struct Line<'a> {
+struct NotificationLine<'a> {
     id: &'a str,
     state: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -45,27 +45,29 @@
 
 #[derive(Debug, thiserror::Error)]
 enum NotificationError {
-    #[error("no answer")]
-    Silent,
+    #[error("no response within {CALL_TIMEOUT:?}")]
+    TimedOut,
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("status {0}")]
+    #[error("status {0}, expected 204")]
     Status(StatusCode),
-    #[error("the platform has moved")]
-    Moved,
+    #[error("the platform's address has changed")]
+    AddressChanged,
 }
 
-/// Sends the notifications that come from `incoming`, and reports the acknowledged ones to the event loop. Returns once the
-/// event loop has ended, or `incoming` is closed and nothing is pending.
+/// Sends the notifications received from `incoming` to the platform, and reports acknowledged ones to the
+/// event loop. Returns when the event loop has ended, or when `incoming` is closed and no notification is
+/// pending.
 pub async fn run(
-    platforms: WatchCell<SocketAddr>,
+    platform_address: WatchCell<SocketAddr>,
     mut incoming: UnboundedReceiver<Notification>,
     event_loop: UnboundedSender<LoopEvent>,
     ports: Ports,
 ) {
-    let connected_platform = platforms.get();
+    let connected_address = platform_address.get();
     let queue = NotificationQueue::default();
-    let mut notifier = Notifier { platforms, connected_platform, connection: None, queue, event_loop, ports };
+    let mut notifier =
+        Notifier { platform_address, connected_address, connection: None, queue, event_loop, ports };
     loop {
         notifier.take_incoming(&mut incoming);
         let next = match notifier.queue.pop_ready(Instant::now()) {
@@ -78,12 +80,12 @@
     }
 }
 
-/// The state of the task.
+/// The state of the task that sends notifications.
 struct Notifier {
-    /// The platform's present address.
-    platforms: WatchCell<SocketAddr>,
-    /// The address that `connection` leads to.
-    connected_platform: SocketAddr,
+    /// The current address of the platform.
+    platform_address: WatchCell<SocketAddr>,
+    /// The address that `connection` was opened for.
+    connected_address: SocketAddr,
     connection: Option<Connection>,
     queue: NotificationQueue,
     event_loop: UnboundedSender<LoopEvent>,
@@ -91,7 +93,7 @@
 }
 
 impl Notifier {
-    /// Adds what has come in to the next call, as far as that has capacity.
+    /// Moves received notifications to the queue, as many as it has capacity for.
     fn take_incoming(&mut self, incoming: &mut UnboundedReceiver<Notification>) {
         let mut notifications = Vec::new();
         while notifications.len() < self.queue.capacity()
@@ -102,14 +104,15 @@
         self.queue.push(notifications);
     }
 
-    /// Waits until a notification comes in, or one is to be sent again.
+    /// Waits until a notification is received or a retry is due. Breaks if `incoming` is closed and no retry
+    /// is pending.
     async fn wait(&mut self, incoming: &mut UnboundedReceiver<Notification>) -> ControlFlow<()> {
         let retry_at = self.queue.next_retry();
         let mut notifications = Vec::new();
         tokio::select! {
             biased;
             () = sleep_until(retry_at.unwrap_or_else(Instant::now)), if retry_at.is_some() => {}
-            // A closed channel ends the task only once nothing is left to be sent again.
+            // If the channel is closed, the task ends only after the last retry.
             received = incoming.recv_many(&mut notifications, MAX_BATCH_NOTIFICATIONS) => match retry_at {
                 None if received == 0 => return ControlFlow::Break(()),
                 Some(retry_at) if received == 0 => sleep_until(retry_at).await,
@@ -119,7 +122,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Sends one batch, and reports it or returns it to the queue.
+    /// Sends a batch, and then reports it as acknowledged or returns it to the queue.
     async fn send(&mut self, batch: Batch) -> ControlFlow<()> {
         match self.call(&batch.notifications).await {
             Ok(()) => {
@@ -131,7 +134,7 @@
             Err(NotificationError::Status(StatusCode::BAD_REQUEST)) => {
                 if let Some(id) = self.queue.reject(batch, Instant::now()) {
                     let log = &self.ports.log;
-                    log.line(&format!("notifications: rejected, retried alone id={id:?} status=400"));
+                    log.line(&format!("notifications: rejected, retrying individually id={id:?} status=400"));
                 }
                 sleep(RETRY_DELAY).await;
             }
@@ -139,7 +142,7 @@
                 let count = batch.notifications.len();
                 self.ports
                     .log
-                    .line(&format!("notifications: call failed, retried count={count} error={error}"));
+                    .line(&format!("notifications: call failed, retrying count={count} error=\"{error}\""));
                 self.queue.requeue(batch);
                 self.connection = None;
                 sleep(RETRY_DELAY).await;
@@ -149,21 +152,23 @@
     }
 
     async fn call(&mut self, notifications: &[Notification]) -> Result<(), NotificationError> {
-        let platform = self.platforms.get();
-        if std::mem::replace(&mut self.connected_platform, platform) != platform {
+        let platform = self.platform_address.get();
+        if std::mem::replace(&mut self.connected_address, platform) != platform {
             self.connection = None;
         }
         let network = &*self.ports.network;
         let call = timeout(CALL_TIMEOUT, post(network, platform, notifications, &mut self.connection));
         tokio::select! {
             biased;
-            () = self.platforms.wait_for(|address| address != platform) => Err(NotificationError::Moved),
-            result = call => result.unwrap_or(Err(NotificationError::Silent)),
+            () = self.platform_address.wait_for(|address| address != platform) => {
+                Err(NotificationError::AddressChanged)
+            }
+            result = call => result.unwrap_or(Err(NotificationError::TimedOut)),
         }
     }
 }
 
-/// Returns the body of a call: a JSON object a line.
+/// Returns the body of a call, with one JSON object per line.
 fn body(notifications: &[Notification]) -> Bytes {
     let mut text = Vec::new();
     for notification in notifications {
@@ -171,29 +176,31 @@
             FinalOutcome::Failed => ("failed", None),
             FinalOutcome::Returned(after_ms) => ("returned", after_ms),
         };
-        // Strings and numbers always have a JSON form, and writing to a Vec cannot fail.
-        let _ = serde_json::to_writer(&mut text, &Line { id: &notification.id, state, after_ms });
+        // Encoding strings and integers as JSON cannot fail, nor can writing to a `Vec`.
+        let _ = serde_json::to_writer(&mut text, &NotificationLine { id: &notification.id, state, after_ms });
         text.push(b'\n');
     }
     text.into()
 }
 
-/// Makes one call on the cached connection or a new one. The connection is cached again if the answer was complete.
+/// Makes a call on the cached connection or a new one. Caches the connection again if the response was
+/// complete.
 async fn post(
     network: &dyn Network,
     platform: SocketAddr,
     notifications: &[Notification],
     cached: &mut Option<Connection>,
 ) -> Result<(), NotificationError> {
-    // Notifications are idempotent: one that met a stale connection is sent again.
+    // The cached connection may be stale. The call then fails and is retried, as notifications are
+    // idempotent.
     let mut connection = match cached.take() {
         Some(connection) => connection,
         None => Connection::open(network, platform, CALL_TIMEOUT).await?,
     };
     let head = request(Method::POST, "/v1/notices", platform);
-    let answer = connection.send(head, body(notifications), None).await?;
-    let status = answer.status();
-    if answer.into_body().collect().await.is_ok() {
+    let response = connection.send(head, body(notifications), None).await?;
+    let status = response.status();
+    if response.into_body().collect().await.is_ok() {
         *cached = Some(connection);
     }
     if status == StatusCode::NO_CONTENT { Ok(()) } else { Err(NotificationError::Status(status)) }
--- a/src/daemon/notifications/queue.rs
+++ b/src/daemon/notifications/queue.rs
@@ -1,57 +1,59 @@
-//! Which notifications are sent next, and together. No I/O and no clock.
+//! Groups notifications into batches, and selects the batch to send next. Performs no I/O and reads no clock.
 //!
-//! A notification that the platform rejects as unreadable delays no others: a rejected batch is divided until the notification
-//! that is the cause is alone. That one stays pending, and is sent again by itself, with growing pauses.
+//! A notification that the platform rejects as malformed does not delay others: a rejected batch is split in
+//! half until the malformed notification is alone. It stays pending and is retried individually with
+//! exponential backoff.
 use super::Notification;
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Notifications in one call, which keeps the call's body under 64 KiB.
+/// Upper bound on the notifications in one call, which keeps its body under 64 KiB.
 pub const MAX_BATCH_NOTIFICATIONS: usize = 256;
-/// Pause before a notification is sent again that was rejected alone; doubled each time ...
+/// Delay before the first retry of a notification that was rejected individually. Doubles with each retry.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// ... up to this.
+/// Upper bound on the delay before such a retry.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// A notification that was rejected alone.
+/// A notification that was rejected individually.
 struct RejectedNotification {
     notification: Notification,
     backoff: Duration,
     retry_at: Instant,
 }
 
-/// The content of one call.
+/// The notifications of one call.
 #[derive(Default)]
 pub struct Batch {
     pub notifications: Vec<Notification>,
-    /// The pause before this call, if the batch is a notification that was rejected alone.
+    /// The delay before this call if it retries a notification that was rejected individually; otherwise
+    /// `None`.
     backoff: Option<Duration>,
 }
 
 /// The pending notifications.
 #[derive(Default)]
 pub struct NotificationQueue {
-    /// New notifications, parts of a rejected batch, and batches that are sent again as they were.
+    /// New notifications, halves of rejected batches, and batches to be resent unchanged.
     batches: VecDeque<Batch>,
-    /// The next one last.
+    /// Sorted by retry time, the earliest last.
     rejected: Vec<RejectedNotification>,
 }
 
 impl NotificationQueue {
-    /// Returns how many more notifications may be added to the next call.
+    /// Returns how many notifications may be added: none while a batch waits to be sent.
     pub fn capacity(&self) -> usize {
         if self.batches.is_empty() { MAX_BATCH_NOTIFICATIONS } else { 0 }
     }
 
-    /// Adds new notifications, no more than there is capacity for.
+    /// Adds new notifications as one batch, which must not exceed [`Self::capacity`].
     pub fn push(&mut self, notifications: Vec<Notification>) {
         if !notifications.is_empty() {
             self.batches.push_back(Batch { notifications, backoff: None });
         }
     }
 
-    /// Removes the batch that is to be sent `now`, if there is one.
+    /// Removes and returns the next batch, or `None` if nothing is to be sent at `now`.
     pub fn pop_ready(&mut self, now: Instant) -> Option<Batch> {
         self.batches.pop_front().or_else(|| {
             self.rejected.last().filter(|rejected| rejected.retry_at <= now)?;
@@ -60,18 +62,20 @@
         })
     }
 
-    /// Returns when a rejected notification is to be sent again.
+    /// Returns the time of the next retry of a rejected notification, or `None` if no notification was
+    /// rejected.
     pub fn next_retry(&self) -> Option<Instant> {
         self.rejected.last().map(|rejected| rejected.retry_at)
     }
 
-    /// Returns a batch to the queue whose call failed, or was answered in a way that says nothing about its content.
+    /// Puts back a batch whose call failed for a reason other than its content. It is sent next, unchanged.
     pub fn requeue(&mut self, batch: Batch) {
         self.batches.push_front(batch);
     }
 
-    /// Returns a batch to the queue that was rejected for its content. Returns the message's id if the batch is a single
-    /// notification that is alone for the first time.
+    /// Puts back a batch that was rejected for its content: splits it, or schedules the retry of a single
+    /// notification. Returns the message's id when a notification is rejected individually for the first
+    /// time.
     pub fn reject(&mut self, batch: Batch, now: Instant) -> Option<String> {
         let Batch { mut notifications, backoff } = batch;
         if notifications.len() > 1 {
--- a/src/daemon/notifications/queue/tests.rs
+++ b/src/daemon/notifications/queue/tests.rs
@@ -7,8 +7,8 @@
     numbers.map(notification).collect()
 }
 
-/// Guards against notifications that are sent again for ever behind one that the platform cannot read, against one that
-/// counts as acknowledged although it was not, and against calls without a pause for it.
+/// Guards against notifications that are retried forever because of a malformed one in their batch, against
+/// treating a rejected notification as acknowledged, and against retrying it without a delay.
 #[test]
 fn rejected_notification_delays_no_others() {
     let now = Instant::now();
@@ -25,32 +25,32 @@
             }
         }
         let good: Vec<u32> = (0..100).filter(|n| !bad.contains(n)).collect();
-        assert_eq!(sent, good, "in the order in which they came");
+        assert_eq!(sent, good, "accepted notifications keep their order");
         assert_eq!(isolated, bad.iter().map(|n| format!("m{n}")).collect::<Vec<_>>());
         assert!(calls <= 1 + 16 * bad.len(), "{calls} calls for {bad:?}");
         assert_eq!(queue.capacity(), MAX_BATCH_NOTIFICATIONS, "new notifications can be added");
-        // A rejected notification is sent by itself, after growing pauses, and is reported no more.
-        let (mut at, mut pauses) = (now, Vec::new());
+        // A rejected notification is retried individually with growing delays, and is reported only once.
+        let (mut at, mut delays) = (now, Vec::new());
         while !bad.is_empty() && at < now + Duration::from_secs(60) {
-            let due = queue.next_retry().expect("it is still pending");
-            pauses.push(due - at);
+            let due = queue.next_retry().expect("the rejected notification is pending");
+            delays.push(due - at);
             at = due;
-            let batch = queue.pop_ready(at).expect("it is due");
+            let batch = queue.pop_ready(at).expect("the retry is due");
             assert_eq!(batch.notifications.len(), 1);
             assert_eq!(queue.reject(batch, at), None);
         }
-        assert!(pauses.len() <= 14 * bad.len(), "{pauses:?}");
+        assert!(delays.len() <= 14 * bad.len(), "{delays:?}");
     }
 }
 
-/// Guards against a notification that is lost, or overtaken, when a call is not answered.
+/// Guards against losing or reordering notifications when a call is not answered.
 #[test]
 fn unanswered_batch_is_sent_again_unchanged() {
     let mut queue = NotificationQueue::default();
     queue.push(notifications(0..3));
     let batch = queue.pop_ready(Instant::now()).unwrap();
     queue.requeue(batch);
-    assert_eq!(queue.capacity(), 0, "nothing overtakes the batch");
+    assert_eq!(queue.capacity(), 0, "no notification is added before the batch is resent");
     let again = queue.pop_ready(Instant::now()).unwrap();
     assert_eq!(
         again.notifications.iter().map(|notification| notification.number).collect::<Vec<_>>(),
