--- a/src/daemon/outbound_call/batch.rs
+++ b/src/daemon/outbound_call/batch.rs
@@ -1,4 +1,4 @@
-//! The body of a call with several messages, and of the response to it.
+//! Encodes the body of a call with several messages, and decodes the body of its response.
 use super::BatchedMessage;
 use crate::{Outcome, TimeDelta};
 use base64::Engine;
@@ -39,11 +39,11 @@
 /// Encodes the messages of a call as JSON.
 pub fn encode(messages: &[BatchedMessage]) -> Vec<u8> {
     let items: Vec<_> = messages.iter().map(BatchItem::new).collect();
-    // Strings always have a JSON form.
+    // Encoding strings as JSON cannot fail.
     serde_json::to_vec(&items).unwrap_or_default()
 }
 
-/// How each message of a batch fared, by its ID.
+/// The result of each message of a batch, by message ID.
 #[derive(Default)]
 pub struct BatchResults(BTreeMap<String, BatchState>);
 
@@ -51,20 +51,21 @@
     /// Decodes the response to a batch.
     ///
     /// # Errors
-    /// The response is not of that form.
+    /// Returns an error if the body is not a valid response to a batch.
     pub fn decode(body: &[u8]) -> Result<Self, serde_json::Error> {
         let results: Vec<BatchResult> = serde_json::from_slice(body)?;
         Ok(Self(results.into_iter().map(|result| (result.id, result.state)).collect()))
     }
 
-    /// Returns the outcome of a message, and whether it ends the message; `retry_after` is that of the response.
+    /// Returns the outcome of a message, and whether it completes the message. `retry_after` comes from the
+    /// response head.
     pub fn outcome(&self, id: &str, retry_after: Option<TimeDelta>) -> (Outcome, bool) {
         match self.0.get(id) {
             Some(BatchState::Ok) => (Outcome::Success, true),
             Some(BatchState::Later) => (Outcome::Rejected { retry_after }, false),
             Some(BatchState::Gone) => (Outcome::NotSent, true),
             Some(BatchState::Exhausted) => (Outcome::NotSent, false),
-            // A message that the response does not name may have run.
+            // The endpoint may have processed a message that the response does not list.
             Some(BatchState::Error) | None => (Outcome::Failure, false),
         }
     }
--- a/src/daemon/outbound_call/mod.rs
+++ b/src/daemon/outbound_call/mod.rs
@@ -1,4 +1,4 @@
-//! One call to an endpoint: what is sent, and what the response means as an [`Outcome`] for each message.
+//! A call to an endpoint: sends the request, and maps the response to an [`Outcome`] for each message.
 mod batch;
 mod response;
 
@@ -24,12 +24,12 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How often the runtime is given a turn to read what has arrived at the very end of a timeout.
-const FINAL_YIELDS: usize = 3;
-/// How long connecting rests after an error of this machine.
-const LOCAL_FAILURE_DELAY: Duration = Duration::from_millis(20);
+/// How often a call yields to other tasks after its timeout, so that they read data that has already arrived.
+const TIMEOUT_YIELDS: usize = 3;
+/// Delay before connecting is retried after an error of the local machine.
+const LOCAL_FAILURE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// One message of a call.
+/// A message of a call, alone or in a batch.
 #[derive(Clone)]
 pub struct BatchedMessage {
     pub number: u32,
@@ -38,50 +38,50 @@
     pub body: Bytes,
 }
 
-/// A call to an endpoint, with one message or several.
+/// A call to an endpoint with one or more messages.
 pub struct Call {
     pub number: u64,
     pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub messages: Vec<BatchedMessage>,
-    /// When the call is given up.
+    /// When the call times out.
     pub expires: Instant,
     pub connect_timeout: Duration,
 }
 
-/// What a call needs besides itself.
+/// The state that all calls share.
 #[derive(Clone)]
 pub struct CallContext {
-    /// The machine.
+    /// The interfaces to the network, the log and the rest of the machine.
     pub ports: Ports,
-    /// Which fields load reports have.
+    /// The fields that load reports contain.
     pub report_fields: ReportFields,
-    /// Messages that were written completely to endpoints.
+    /// The number of messages in requests that were written completely.
     pub written_messages: Arc<AtomicU64>,
-    /// Permits for connections whose outcome is known and whose response is not yet read to its end.
+    /// Permits to read the rest of a response after the outcome of its call is known.
     pub unread_responses: Arc<Semaphore>,
-    /// The event loop.
+    /// The channel to the event loop.
     pub events: UnboundedSender<LoopEvent>,
 }
 
-/// A response whose head has arrived, and the connection that it comes on.
+/// A response whose head has arrived, and its connection.
 struct OpenResponse {
     connection: Connection,
     response: Response<Incoming>,
 }
 
 impl Call {
-    /// Makes the call, on an `idle` connection or a new one. The event loop is told how it ended as soon as that is known;
-    /// the connection is returned if it can carry another call.
+    /// Makes the call on the `idle` connection or on a new one. Sends the outcomes to the event loop as soon
+    /// as they are known, and returns the connection if it can be reused.
     pub async fn run(self, idle: Option<Connection>, context: &CallContext) -> Option<Connection> {
         let open = match self.open(idle, context).await {
             Ok(Some(open)) => open,
             Ok(None) => {
-                self.complete(context, self.all(Outcome::Deferred, false), None, None);
+                self.complete(context, self.same_outcome_for_all(Outcome::Deferred, false), None, None);
                 return None;
             }
             Err(outcome) => {
-                let outcomes = self.all(outcome, outcome == Outcome::Success);
+                let outcomes = self.same_outcome_for_all(outcome, outcome == Outcome::Success);
                 self.complete(context, outcomes, None, None);
                 return None;
             }
@@ -96,13 +96,14 @@
         let retry_after = response::retry_after(&head.headers);
         let report = context.report_fields.read(&head.headers);
         if head.status == StatusCode::OK && self.messages.len() == 1 {
-            // Delivered, whatever the body holds: it is read only for the sake of the next call.
-            self.complete(context, self.all(Outcome::Success, true), retry_after, report);
+            // The message is delivered whatever the body is. The body is only read so that the connection can
+            // be reused.
+            self.complete(context, self.same_outcome_for_all(Outcome::Success, true), retry_after, report);
             let _permit = context.unread_responses.try_acquire().ok()?;
             return response::complete_body(body).await.is_some().then_some(connection);
         }
-        // Only a complete response is believed: the operation of one that turns out broken may have run, whatever its
-        // head says. The response to a batch is its body, and until then the outcomes are open.
+        // Any other response counts only if it is complete: if it is not, the endpoint may have processed the
+        // messages, whatever the head says. The outcomes of a batch are in the body.
         let received_at = Instant::now();
         let body = timeout_at(self.expires, response::complete_body(body)).await.ok().flatten();
         let outcomes = match &body {
@@ -111,15 +112,16 @@
             }
             Some(_) => {
                 let (outcome, completes) = response::outcome(head.status, &head.headers, retry_after);
-                self.all(outcome, completes)
+                self.same_outcome_for_all(outcome, completes)
             }
-            None => self.all(Outcome::Failure, false),
+            None => self.same_outcome_for_all(Outcome::Failure, false),
         };
         self.complete_at(received_at, context, outcomes, retry_after, report);
         body.is_some().then_some(connection)
     }
 
-    /// Sends the request and waits for the head of its response; none if the messages may not be sent any more.
+    /// Sends the request, and waits for the head of the response. Returns `None` if the event loop no longer
+    /// permits sending the messages.
     async fn open(
         &self,
         idle: Option<Connection>,
@@ -129,7 +131,8 @@
             && connection.is_alive().await
         {
             match self.send(&mut connection, context).await {
-                // It went stale: with no byte of the request written, a new connection carries the first copy.
+                // The idle connection was stale. No byte of the request was written, so sending it on a new
+                // connection does not repeat it.
                 Err(Outcome::ConnectFailed) if !connection.has_request_started() => {}
                 response => return response.map(|response| Some(OpenResponse { connection, response })),
             }
@@ -151,8 +154,8 @@
             let mut sending = pin!(connection.send(request, body, Some(counter)));
             match timeout_at(self.expires, &mut sending).await {
                 Ok(response) => Ok(response),
-                // What arrived in the very turn in which the time is up has been read by nobody yet, as the connection is
-                // driven by a task of its own; and it may hold a Retry-After.
+                // Another task drives the connection, and may not have read a response yet that arrived
+                // before the timeout. Such a response is used, as it may contain a Retry-After.
                 Err(elapsed) => tokio::select! {
                     biased;
                     response = sending => Ok(response),
@@ -167,14 +170,14 @@
             )) => Err(Outcome::ConnectFailed),
             Ok(Err(CallError::Reset(_))) => Err(Outcome::Reset),
             Ok(Err(CallError::InvalidResponse(status))) => Err(self.invalid_response(status)),
-            // The caller drops the connection: what was never written completely then never runs.
+            // The caller drops the connection, so the endpoint never processes the incomplete request.
             Err(_) if !connection.is_request_written() => Err(Outcome::ConnectFailed),
             Err(_) => Err(Outcome::TimedOut),
         }
     }
 
-    /// The outcome of a response of which only the status line can be read: 200 to a single message is true, and with
-    /// anything else the operation may have run.
+    /// Returns the outcome of an invalid response, of which at most the status line could be read. With
+    /// status 200, a single message was delivered. Otherwise the endpoint may have processed the messages.
     fn invalid_response(&self, status: Option<u16>) -> Outcome {
         match (status, self.messages.len()) {
             (Some(200), 1) => Outcome::Success,
@@ -182,40 +185,42 @@
         }
     }
 
-    /// Opens a connection. An error of this machine says nothing of the endpoint: connecting is tried again as long as it may
-    /// take, and the attempt then counts as none.
+    /// Opens a connection. Connecting is retried until the connect timeout after an error of the local
+    /// machine, which says nothing about the endpoint. If only such errors occur, the attempt is deferred and
+    /// does not count.
     async fn open_connection(&self, context: &CallContext) -> Result<Connection, Outcome> {
-        let left = self.expires.saturating_duration_since(Instant::now());
-        let deadline = Instant::now() + left.min(self.connect_timeout);
+        let time_left = self.expires.saturating_duration_since(Instant::now());
+        let deadline = Instant::now() + time_left.min(self.connect_timeout);
         loop {
-            let patience = deadline.saturating_duration_since(Instant::now());
-            match Connection::open(&*context.ports.network, self.address, patience).await {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match Connection::open(&*context.ports.network, self.address, remaining).await {
                 Err(CallError::Connect(error)) if is_local(&error) => {
-                    if Instant::now() + LOCAL_FAILURE_DELAY >= deadline {
+                    if Instant::now() + LOCAL_FAILURE_RETRY_DELAY >= deadline {
                         return Err(Outcome::Deferred);
                     }
-                    sleep(LOCAL_FAILURE_DELAY).await;
+                    sleep(LOCAL_FAILURE_RETRY_DELAY).await;
                 }
                 opened => return opened.map_err(|_| Outcome::ConnectFailed),
             }
         }
     }
 
-    /// Opens a connection for the call; none if its messages may not be sent any more once there is one.
+    /// Opens a connection for the call. Returns `None` if the event loop no longer permits sending the
+    /// messages once the connection is open.
     async fn connect(&self, context: &CallContext) -> Result<Option<Connection>, Outcome> {
         let connection = self.open_connection(context).await?;
         let (is_allowed, allowed) = oneshot::channel();
         let messages = self.messages.iter().map(|message| message.number).collect();
         let connected = LoopEvent::Connected { endpoint: self.endpoint, messages, is_allowed };
         let _ = context.events.send(connected);
-        // An event loop that has ended has no more calls to make.
+        // After the event loop has ended, no message is sent.
         Ok(allowed.await.unwrap_or(false).then_some(connection))
     }
 
     fn request(&self) -> (Builder, Bytes) {
-        let left = self.expires.saturating_duration_since(Instant::now()).as_secs_f64();
+        let time_left = self.expires.saturating_duration_since(Instant::now()).as_secs_f64();
         let path = if self.messages.len() > 1 { "/hook/batch" } else { "/hook" };
-        let head = request(Method::POST, path, self.address).header("X-Remaining", format!("{left:.3}"));
+        let head = request(Method::POST, path, self.address).header("X-Remaining", format!("{time_left:.3}"));
         let [message] = &self.messages[..] else {
             return (head.header(CONTENT_TYPE, "application/json"), batch::encode(&self.messages).into());
         };
@@ -227,7 +232,7 @@
         (head, message.body.clone())
     }
 
-    fn all(&self, outcome: Outcome, completes: bool) -> Vec<AttemptOutcome> {
+    fn same_outcome_for_all(&self, outcome: Outcome, completes: bool) -> Vec<AttemptOutcome> {
         let ended = |message: &BatchedMessage| AttemptOutcome { message: message.number, outcome, completes };
         self.messages.iter().map(ended).collect()
     }
@@ -239,7 +244,7 @@
         log: &dyn Log,
     ) -> Vec<AttemptOutcome> {
         let results = BatchResults::decode(body).unwrap_or_else(|error| {
-            log.line(&format!("calls: response to a batch cannot be read error={error}"));
+            log.line(&format!("calls: invalid response to a batch error=\"{error}\""));
             BatchResults::default()
         });
         let ended = |message: &BatchedMessage| {
@@ -279,9 +284,9 @@
     }
 }
 
-/// Lets all other tasks do what they can do by now: read, and pass on what was read.
+/// Lets other tasks read data that has arrived, and pass it on.
 async fn yield_to_others() {
-    for _ in 0..FINAL_YIELDS {
+    for _ in 0..TIMEOUT_YIELDS {
         yield_now().await;
     }
 }
--- a/src/daemon/outbound_call/response.rs
+++ b/src/daemon/outbound_call/response.rs
@@ -1,4 +1,4 @@
-//! What the head of a response says: outcome, Retry-After and load report.
+//! Reads a response: the outcome, the Retry-After and the load report in its head, and its body.
 use crate::daemon::connection::{MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT};
 use crate::{LoadReport, Outcome, TimeDelta};
 use bytes::Bytes;
@@ -8,16 +8,17 @@
 use hyper::{HeaderMap, StatusCode};
 use tokio::time::timeout;
 
-/// No Retry-After is longer, in seconds.
+/// Upper bound on a Retry-After, in seconds. Longer ones are reduced to it.
 const MAX_RETRY_AFTER_SECONDS: f64 = 3600.0;
-/// No reported limit is higher, in calls a second.
+/// Upper bound on a reported limit, in calls per second. A report with a higher one is ignored.
 const MAX_LIMIT_PER_SECOND: f64 = 1e6;
-/// The header that holds the load report.
+/// The header that contains the load report.
 const LOAD_REPORT_HEADER: &str = "X-Pressure";
-/// The header of a response to a message for which the endpoint has no slot: the message was not sent on.
+/// The header that marks a response as sent without forwarding the message, because the endpoint had no slot
+/// for it.
 const NO_SLOT_HEADER: &str = "X-No-Slot";
 
-/// Reads a complete body; none if it does not end in time and in size.
+/// Reads a complete body. Returns `None` if it is too large, fails or takes longer than [`RESPONSE_TIMEOUT`].
 pub async fn complete_body(body: Incoming) -> Option<Bytes> {
     if body.size_hint().lower() > MAX_RESPONSE_BYTES as u64 {
         return None;
@@ -26,7 +27,8 @@
     Some(read.ok()?.ok()?.to_bytes())
 }
 
-/// Returns the outcome that a status stands for, and whether it ends the message.
+/// Returns the outcome of each message of a call from the response head, and whether it completes the
+/// message.
 pub fn outcome(status: StatusCode, headers: &HeaderMap, retry_after: Option<TimeDelta>) -> (Outcome, bool) {
     match status {
         StatusCode::OK => (Outcome::Success, true),
@@ -35,28 +37,29 @@
         StatusCode::SERVICE_UNAVAILABLE => (Outcome::Rejected { retry_after }, false),
         StatusCode::GATEWAY_TIMEOUT => (Outcome::NotSent, false),
         StatusCode::GONE => (Outcome::NotSent, true),
-        // Nothing else is agreed on: the operation may have run.
+        // The protocol defines no other status, so the endpoint may have processed the message.
         _ => (Outcome::Failure, false),
     }
 }
 
-/// Returns the Retry-After: seconds, with decimals.
+/// Returns the Retry-After, which may be a fraction of a second, or `None` if it is missing or not positive.
 pub fn retry_after(headers: &HeaderMap) -> Option<TimeDelta> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds > 0.0).then(|| TimeDelta((seconds.min(MAX_RETRY_AFTER_SECONDS) * 1e6).ceil() as u64))
 }
 
-/// Which fields a load report has.
+/// The fields that load reports contain.
 #[derive(Clone, Copy)]
 pub struct ReportFields {
-    /// Whether the report has the remaining share of the limit.
+    /// Whether a report contains the remaining share of the limit.
     pub remaining_share: bool,
-    /// Whether the report has the limit.
+    /// Whether a report contains the limit.
     pub limit: bool,
 }
 
 impl ReportFields {
-    /// Reads the load report of a response. A report with a field that is out of range is none: nothing of it is believed.
+    /// Returns the load report of a response, or `None` if it is missing, lacks a field or has a field that
+    /// is out of range.
     pub fn read(self, headers: &HeaderMap) -> Option<LoadReport> {
         let text = headers.get(LOAD_REPORT_HEADER)?.to_str().ok()?;
         let field = |name: &str, max: f64| -> Option<f64> {
