--- a/src/daemon/recovery/mod.rs
+++ b/src/daemon/recovery/mod.rs
@@ -1,5 +1,5 @@
-//! Recovery after a restart: the driver of [`micadrum_recovery`]. It reads the journal, queries other members, and reports
-//! the progress to the log and the admin endpoint.
+//! Recovery after a restart: the driver of [`micadrum_recovery`]. Reads the journal, queries other members,
+//! and reports progress to the log and the admin endpoint.
 mod peer_queries;
 mod status;
 
@@ -20,15 +20,16 @@
 use status::{QueriedTrust, RecoveryParameters};
 use tokio::time::Instant;
 
-/// The shortest time between two time marks in the journal, in microseconds.
-const MIN_MARK_INTERVAL_US: u64 = 1_000_000;
+/// Minimum interval between time records in the journal, in microseconds.
+const MIN_TIME_RECORD_INTERVAL_US: u64 = 1_000_000;
 
-/// What the event loop starts from beside the journal.
+/// The results of recovery that the event loop needs in addition to the journal.
 #[derive(Default)]
 pub struct RecoveryOutcome {
-    /// What other senders report of endpoints.
+    /// The restrictions on endpoints that other senders reported.
     pub restrictions: EndpointRestrictions,
-    /// The stamp that is written into the journal once its contents are taken over.
+    /// The stamp to write to the journal once the event loop has restored its messages, or `None` without
+    /// recovery.
     pub stamp: Option<JournalStamp>,
 }
 
@@ -40,17 +41,17 @@
     pub outcome: RecoveryOutcome,
 }
 
-/// What recovery needs of the process.
+/// The configuration and the resources of the process that recovery uses.
 pub struct RecoveryContext<'a> {
     pub settings: &'a Recovery,
     pub config: &'a Config,
     pub ports: &'a Ports,
-    /// Disk space that the journal may take, in bytes.
+    /// Upper bound on the disk space of the journal, in bytes.
     pub disk_bytes: u64,
     pub peers: Option<&'a membership::Handle>,
 }
 
-/// Reads the journal, assesses it, and queries other members where that is of use.
+/// Reads and assesses the journal, and queries other members if the assessment requires it.
 ///
 /// # Errors
 /// Returns an error if the journal cannot be opened.
@@ -61,7 +62,7 @@
     let origin = Instant::now();
     let AssessedJournal { journal, clock, corruption, mut trust } = assess_journal(context).await?;
     let settings = phase_settings(context.settings);
-    // From here on, other members that query this sender learn that it recovers.
+    // From here on, the reports that other members query from this sender show that it is recovering.
     status.start(RecoveryParameters {
         trust: trust.clone(),
         settings,
@@ -102,7 +103,8 @@
     let (mut journal, corruption) = open_journal(context.ports, context.disk_bytes).await;
     let mut clock = Clock::resume(&journal, Predecessor::Ended, context.ports);
     if clock.continuity() == ClockContinuity::Unknown {
-        // The recovery itself decides what the times in the journal are worth, by the machine's clock and by peers.
+        // `Trust` decides whether the times in the journal are reliable, based on the machine's clock and on
+        // peers.
         clock = clock.restarted_at_wall_time(context.ports);
     }
     let trust = Trust::assess(&RecoveryInputs {
@@ -135,15 +137,15 @@
     }
 }
 
-/// Queries other members until `deadline`, and takes what they know into account. Returns `None` if no member is queried
-/// for a report.
+/// Queries other members until `deadline`, and updates `trust` from the results. Returns `None` if no peer
+/// reports are queried.
 async fn query_members(
     context: &RecoveryContext<'_>,
     trust: &mut Trust,
     deadline: Instant,
 ) -> Option<QueryResult> {
     let (peers, members) = (context.peers?, context.config.operator.peers.as_ref()?);
-    // Even after a mere crash of the process, the sender learns whether its folder is the latest one.
+    // Runs even if only the process crashed, to detect a state folder that was restored from an older copy.
     if let Some(known) = wait_for_known_incarnation(peers, deadline).await {
         trust.apply_known_incarnation(known);
     }
@@ -165,30 +167,31 @@
         ports.log.line(&format!("recovery: {finding}"));
     }
     if let Some(QuerySummary { answered, at_full_service, unanswered, .. }) = peer_query {
-        let alone = if *answered == 0 { ", serving without them" } else { "" };
+        let note = if *answered == 0 { ", none answered, continuing without them" } else { "" };
         let restricted = restrictions.endpoints.len();
         ports.log.line(&format!(
-            "recovery: peers queried{alone} answered={answered} at_full_service={at_full_service} \
+            "recovery: peers queried{note} answered={answered} at_full_service={at_full_service} \
              unanswered={unanswered} restricted_endpoints={restricted}"
         ));
     }
 }
 
-/// Writes the time into the journal now and then, so that a later process knows a time before which the following messages
-/// were not accepted.
+/// Writes time records to the journal at intervals. A later process takes them as the earliest possible time
+/// at which the messages after a record were accepted.
 #[derive(Default)]
 pub struct TimeMarker {
     last_us: Option<u64>,
 }
 
 impl TimeMarker {
-    /// Marks the wall time `now_us`, in microseconds, before a message is accepted.
+    /// Records the wall time `now_us`, in microseconds, unless the last record is recent. Called before a
+    /// message is accepted.
     pub fn record_if_due(&mut self, journal: &mut Journal, now_us: u64) {
-        if self.last_us.is_some_and(|last| now_us.abs_diff(last) < MIN_MARK_INTERVAL_US) {
+        if self.last_us.is_some_and(|last| now_us.abs_diff(last) < MIN_TIME_RECORD_INTERVAL_US) {
             return;
         }
         self.last_us = Some(now_us);
-        // Without the mark a later process is merely more cautious.
+        // If the record is missing, a later process assumes an earlier time, which is safe.
         let _ = journal.record_time(now_us);
     }
 }
--- a/src/daemon/recovery/peer_queries.rs
+++ b/src/daemon/recovery/peer_queries.rs
@@ -1,4 +1,4 @@
-//! Queries other members, over links, for what they know.
+//! Queries other members for their peer reports, over links.
 use crate::daemon::membership::{Handle, ReportQuery};
 use crate::daemon::ports::Ports;
 use micadrum_config::Peers;
@@ -16,7 +16,7 @@
 
 /// How often this sender's own membership status is checked.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The random stream that orders the candidates; streams 0 and 1 belong to membership.
+/// The random stream that determines the order of candidates. Streams 0 and 1 belong to membership.
 const CANDIDATE_RNG_STREAM: u64 = 2;
 
 /// A summary of the query, for `/status/recovery`.
@@ -24,7 +24,7 @@
 pub struct QuerySummary {
     /// Peers that answered.
     pub answered: usize,
-    /// Peers among them at full service.
+    /// Peers that answered and are at full service.
     #[serde(rename = "steady")]
     pub at_full_service: usize,
     /// Peers that were queried and did not answer.
@@ -33,12 +33,12 @@
     /// The duration of the query, in microseconds.
     #[serde(rename = "took")]
     pub took_us: u64,
-    /// The query ended because its time was over.
+    /// Whether the query ended by its timeout.
     #[serde(rename = "late")]
     pub timed_out: bool,
 }
 
-/// The reports of the peers that answered.
+/// The result of a query of peers.
 pub struct QueryResult {
     pub reports: Vec<AgedReport>,
     pub summary: QuerySummary,
@@ -58,14 +58,15 @@
     }
 }
 
-/// Waits until a majority of members has confirmed this sender's incarnation. Returns the number of the incarnation that
-/// others knew, if the state folder did not have it.
+/// Waits until a majority of members has confirmed this sender's incarnation, until `deadline` at the latest.
+/// If the state folder was lost or outdated, returns the number of this sender's incarnation that other
+/// members knew.
 pub async fn wait_for_known_incarnation(peers: &Handle, deadline: Instant) -> Option<u64> {
     let views = peers.views();
     loop {
         if let Some(view) = views.current() {
             if view.lost_state {
-                // This sender has moved past the incarnation that others knew.
+                // This sender's incarnation is one above the incarnation that others knew.
                 return Some(view.incarnation.number.saturating_sub(1));
             }
             let is_pending = matches!(
@@ -116,7 +117,7 @@
     QueryResult { reports: query.reports(elapsed()), summary, wall_us }
 }
 
-/// The answer of a peer; without a report if it failed to answer.
+/// The answer of a peer. `report` is `None` if the peer did not answer.
 struct Answer {
     name: String,
     report: Option<PeerReport>,
@@ -127,7 +128,7 @@
     let _ = answers.send(Answer { name, report });
 }
 
-/// Returns all other members in random order.
+/// Returns all other members, in random order.
 fn shuffled_candidates(members: &Peers, ports: &Ports) -> Vec<Candidate> {
     let mut rng = ChaCha8Rng::from_seed(ports.entropy);
     rng.set_stream(CANDIDATE_RNG_STREAM);
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -1,4 +1,4 @@
-//! The recovery of this process, shared between the event loop, the admin endpoint and the links.
+//! The recovery status of this process, shared between the event loop, the admin endpoint and the links.
 use super::peer_queries::QuerySummary;
 use crate::daemon::ports::Log;
 use micadrum_recovery::journal_trust::Clock;
@@ -23,9 +23,9 @@
     pub for_us: u64,
     /// What the phase waits for.
     pub waits_for: &'static str,
-    /// How far journal and clock are trusted.
+    /// How far the journal and the clock are trusted.
     pub trust: Trust,
-    /// The query of peers; `None` if no peer was queried.
+    /// A summary of the query of peers, or `None` if no peer was queried.
     #[serde(rename = "asked")]
     pub peer_query: Option<QuerySummary>,
     /// The phases that have ended.
@@ -33,7 +33,7 @@
     pub ended_phases: Vec<PhaseRecord>,
 }
 
-/// What the recovery of a process starts from.
+/// The parameters of [`RecoveryStatus::start`].
 pub struct RecoveryParameters {
     pub trust: Trust,
     pub settings: Settings,
@@ -43,7 +43,7 @@
     pub writes_traces: bool,
 }
 
-/// What is known once peers were queried.
+/// The trust in journal and clock after the query of peers, and a summary of the query.
 pub struct QueriedTrust {
     pub trust: Trust,
     pub peer_query: Option<QuerySummary>,
@@ -61,8 +61,8 @@
     writes_traces: bool,
 }
 
-/// A shared handle to the recovery of this process. The handle is empty until the journal is read, and always if recovery
-/// is disabled; the process is then at full service.
+/// A shared handle to the recovery status of this process. It is empty until the journal is read, or
+/// permanently if recovery is disabled. While it is empty, the process counts as being at full service.
 #[derive(Clone, Default)]
 pub struct RecoveryStatus(Rc<RefCell<Option<State>>>);
 
@@ -84,7 +84,8 @@
         });
     }
 
-    /// Ends the query of peers: goes on with the next phase, or at full service if no phases are needed.
+    /// Ends the query of peers, and enters the next phase, or full service if the other phases are not
+    /// needed.
     pub fn finish_query(&self, queried: QueriedTrust) {
         self.with_state(|state, now| {
             let QueriedTrust { trust, peer_query } = queried;
@@ -101,7 +102,7 @@
         });
     }
 
-    /// Returns the recovery status, or `None` if recovery is disabled.
+    /// Returns the recovery status, or `None` if recovery is disabled or the journal is not read yet.
     pub fn report(&self) -> Option<Report> {
         let state = self.0.borrow();
         let State { trust, phases, peer_query, origin, .. } = state.as_ref()?;
@@ -132,29 +133,29 @@
         })
     }
 
-    /// Whether new messages are admitted.
+    /// Returns whether new messages are admitted.
     pub fn admits_messages(&self) -> bool {
         self.0.borrow().as_ref().is_none_or(|state| state.phases.is_open())
     }
 
-    /// Whether pending messages of before the start may be sent.
+    /// Returns whether pending messages that were accepted before the restart may be sent.
     pub fn sends_backlog(&self) -> bool {
         self.0.borrow().as_ref().is_none_or(|state| state.phases.sends_backlog())
     }
 
-    /// Whether this process is at full service.
+    /// Returns whether this process is at full service.
     pub fn is_at_full_service(&self) -> bool {
         self.0.borrow().as_ref().is_none_or(|state| state.phases.phase() == RecoveryPhase::FullService)
     }
 
-    /// Returns when the current phase times out.
+    /// Returns when the current phase times out, or `None` if it does not.
     pub fn due(&self) -> Option<Instant> {
         let state = self.0.borrow();
         let state = state.as_ref()?;
         state.phases.due().map(|due| state.origin + due)
     }
 
-    /// Handles an input, and returns whether the phase has changed.
+    /// Handles an input. Returns whether the phase has changed.
     pub fn handle(&self, input: Input) -> bool {
         self.with_state(|state, now| {
             let already_ended = state.phases.ended().len();
@@ -168,25 +169,27 @@
     /// Admits a new message.
     ///
     /// # Errors
-    /// Returns how long the client has to wait.
+    /// Returns how long the client has to wait before it tries again.
     pub fn admit(&self) -> Result<(), Duration> {
         self.with_state(|state, now| state.phases.admit(now)).unwrap_or(Ok(()))
     }
 
-    /// Decides what happens to a message in the journal.
+    /// Decides what happens to a message that was read from the journal; see [`assess_message`].
     pub fn assess_message(&self, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
         let state = self.0.borrow();
         state.as_ref().map_or(Verdict::Unchanged, |state| assess_message(&state.trust, redelivery, message))
     }
 
-    /// Returns how much longer new messages of a class are rejected; see [`rejected_for`].
+    /// Returns how much longer new messages of a class are rejected, or `None` if they are accepted; see
+    /// [`rejected_for`].
     pub fn rejection_time_left(&self, redelivery: Redelivery) -> Option<Duration> {
         let state = self.0.borrow();
         let state = state.as_ref()?;
         rejected_for(&state.trust, redelivery, state.deduplication_hold, state.origin.elapsed())
     }
 
-    /// Returns the time left to a message of before the start, in microseconds; see [`time_left`].
+    /// Returns the time left to a message that was accepted before the restart, in microseconds; see
+    /// [`time_left`].
     pub fn time_left(&self, times: MessageTimes) -> u64 {
         match &*self.0.borrow() {
             Some(state) => time_left(&state.trust, times),
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Whether durations since before the start are meaningful.
+    /// Returns whether durations between times before the restart and now are reliable.
     pub fn trusts_clock(&self) -> bool {
         self.0.borrow().as_ref().is_none_or(|state| state.trust.clock == Clock::Trusted)
     }
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Logs the phases that have ended beyond the first `already_ended`, and notes the begin of full service.
+    /// Logs the phases that have ended after the first `already_ended`, and records when full service began.
     fn log_ended_phases(&mut self, already_ended: usize) {
         for ended in &self.phases.ended()[already_ended..] {
             let PhaseRecord { phase, took_us, end } = *ended;
