--- a/src/daemon/ingress/connection_limits.rs
+++ b/src/daemon/ingress/connection_limits.rs
@@ -182,14 +182,14 @@
         *self.close_order() = Some(order);
     }
 
-    /// Records that a request has begun to arrive: the connection is busy until its response was flushed.
+    /// Records that a request has begun to arrive: the connection is busy until its response is flushed.
     pub fn set_busy(&self) {
         if let Some(order) = self.close_order().take() {
             self.limits.idle().by_close_order.remove(&order);
         }
     }
 
-    /// Returns whether a request has begun to arrive and its response was not flushed yet.
+    /// Returns whether a request has begun to arrive and its response has not been flushed yet.
     pub fn is_busy(&self) -> bool {
         self.close_order().is_none()
     }
