--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         self.check_writable()?;
         let mut disk = self.disk.borrow_mut();
         match disk.sync_behavior {
--- a/src/daemon/durability/durable_storage.rs
+++ b/src/daemon/durability/durable_storage.rs
@@ -25,11 +25,11 @@
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         self.0.open(from)?.sync_now()?;
         self.0.rename(from, to)?;
-        self.0.sync_names()
+        self.0.sync_directory()
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.0.sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.0.sync_directory()
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
--- a/src/daemon/durability/traced_storage.rs
+++ b/src/daemon/durability/traced_storage.rs
@@ -78,8 +78,8 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.folder.sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.folder.sync_directory()
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -165,7 +165,7 @@
     /// # Errors
     /// The file cannot be renamed, or the new name cannot be synced.
     pub fn rename_foreign(folder: &dyn Storage) -> Result<(), JournalError> {
-        let renamed = folder.rename(NAME, FOREIGN_NAME).and_then(|()| folder.sync_names());
+        let renamed = folder.rename(NAME, FOREIGN_NAME).and_then(|()| folder.sync_directory());
         renamed.map_err(Operation::MoveForeign.failed())
     }
 
@@ -320,7 +320,7 @@
     pub fn enable_durability(&mut self) -> Result<(), JournalError> {
         self.is_durable = true;
         let file = self.file.as_mut().ok_or_else(no_file);
-        let synced = file.and_then(|file| file.sync_now()).and_then(|()| self.folder.sync_names());
+        let synced = file.and_then(|file| file.sync_now()).and_then(|()| self.folder.sync_directory());
         self.health.is_name_unsynced |= synced.is_err();
         synced.map_err(Operation::Sync.failed())
     }
--- a/src/daemon/journal/tests/capacity.rs
+++ b/src/daemon/journal/tests/capacity.rs
@@ -54,7 +54,7 @@
 }
 
 impl Storage for SharedDisk {
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         Ok(())
     }
 
--- a/src/daemon/journal/tests/failing_folder.rs
+++ b/src/daemon/journal/tests/failing_folder.rs
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         self.operation()
     }
 
--- a/src/daemon/journal/writing.rs
+++ b/src/daemon/journal/writing.rs
@@ -90,7 +90,7 @@
     /// Makes the name of the file durable, if that failed before.
     pub(super) fn sync_name(&mut self) -> io::Result<()> {
         if self.health.is_name_unsynced {
-            self.folder.sync_names()?;
+            self.folder.sync_directory()?;
             self.health.is_name_unsynced = false;
         }
         Ok(())
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// The error of the system.
-    fn sync_names(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
 
     /// Removes a file, if there is one.
     ///
--- a/src/daemon/system.rs
+++ b/src/daemon/system.rs
@@ -169,7 +169,7 @@
         std::fs::rename(self.0.join(from), self.0.join(to))
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.0)?.sync_all()
     }
 
