--- a/crates/micadrum-testkit/src/sim/datagrams.rs
+++ b/crates/micadrum-testkit/src/sim/datagrams.rs
@@ -2,7 +2,7 @@
 use super::process::Process;
 use crate::link_faults::LinkFaults;
 use crate::test_network::Host;
-use micadrum::daemon::ports::{Datagrams, LocalFuture};
+use micadrum::daemon::ports::{DatagramSocket, LocalFuture};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -62,7 +62,7 @@
         host: Host,
         address: SocketAddr,
         process: Rc<Process>,
-    ) -> io::Result<Box<dyn Datagrams>> {
+    ) -> io::Result<Box<dyn DatagramSocket>> {
         let Host::Sender(sender) = host else { return Err(io::ErrorKind::Unsupported.into()) };
         let mut sockets = self.sockets.borrow_mut();
         if sockets.contains_key(&address) {
@@ -105,7 +105,7 @@
     }
 }
 
-impl Datagrams for Socket {
+impl DatagramSocket for Socket {
     fn send(&self, to: SocketAddr, bytes: &[u8]) -> io::Result<()> {
         if let Some(network) = self.network.upgrade().filter(|_| !self.process.is_dead()) {
             network.send(self.sender, to, bytes);
--- a/crates/micadrum-testkit/src/sim/process_network.rs
+++ b/crates/micadrum-testkit/src/sim/process_network.rs
@@ -3,7 +3,7 @@
 use super::network::SimNetwork;
 use super::process::Process;
 use crate::test_network::Host;
-use micadrum::daemon::ports::{Datagrams, Listener, LocalFuture, Network, Stream};
+use micadrum::daemon::ports::{DatagramSocket, Listener, LocalFuture, Network, Stream};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
         })
     }
 
-    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Datagrams>>> {
+    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn DatagramSocket>>> {
         Box::pin(async move { self.datagrams.bind(self.host, at, self.process.clone()) })
     }
 }
--- a/src/daemon/membership/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -6,7 +6,7 @@
 mod links;
 
 use super::config::Config;
-use super::ports::{Datagrams, Listener, Ports};
+use super::ports::{DatagramSocket, Listener, Ports};
 use event_log::EventLog;
 use incarnation_store::IncarnationStore;
 pub use incarnation_store::disk_bytes;
@@ -103,7 +103,7 @@
 
 /// The sockets of a member.
 struct BoundSockets {
-    datagrams: Box<dyn Datagrams>,
+    datagrams: Box<dyn DatagramSocket>,
     /// The listener for links, if it had to be bound together with the datagram socket.
     links: Option<Box<dyn Listener>>,
 }
@@ -256,7 +256,7 @@
         LinkService::new(network, secret, roster, entropy, self.views.clone(), self.report_source.clone())
     }
 
-    async fn process_inputs(&mut self, socket: &dyn Datagrams, link_service: &Rc<LinkService>) {
+    async fn process_inputs(&mut self, socket: &dyn DatagramSocket, link_service: &Rc<LinkService>) {
         // One byte more than the longest datagram, so that a longer one is recognised.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -356,7 +356,7 @@
         membership.as_mut().map_or_else(T::default, |membership| act(membership, now))
     }
 
-    fn perform_outputs(&mut self, socket: &dyn Datagrams) {
+    fn perform_outputs(&mut self, socket: &dyn DatagramSocket) {
         while let Some(output) = self.with_membership(|membership, _| membership.poll_output()) {
             match output {
                 // A datagram that cannot be sent counts as lost on the link; the protocol recovers from that.
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -56,7 +56,7 @@
 }
 
 /// A datagram socket. A datagram that cannot be sent now is lost, as on any link.
-pub trait Datagrams {
+pub trait DatagramSocket {
     /// Sends a datagram.
     ///
     /// # Errors
@@ -85,7 +85,7 @@
     fn listen(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Listener>>>;
 
     /// Binds a datagram socket; port 0 asks for a free one.
-    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Datagrams>>>;
+    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn DatagramSocket>>>;
 
     /// Takes over a listening socket of another process.
     ///
--- a/src/daemon/system.rs
+++ b/src/daemon/system.rs
@@ -1,5 +1,7 @@
 //! The ports as this machine's own system offers them.
-use super::ports::{AppendFile, Datagrams, Listener, LocalFuture, Log, Network, Storage, Stream, WallClock};
+use super::ports::{
+    AppendFile, DatagramSocket, Listener, LocalFuture, Log, Network, Storage, Stream, WallClock,
+};
 use super::ready_stream::ReadyStream;
 use rustix::time::{ClockId, clock_gettime};
 use socket2::SockRef;
@@ -54,8 +56,8 @@
         Box::pin(async move { Ok(Box::new(TcpListener::bind(at).await?) as Box<dyn Listener>) })
     }
 
-    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Datagrams>>> {
-        Box::pin(async move { Ok(Box::new(UdpSocket::bind(at).await?) as Box<dyn Datagrams>) })
+    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn DatagramSocket>>> {
+        Box::pin(async move { Ok(Box::new(UdpSocket::bind(at).await?) as Box<dyn DatagramSocket>) })
     }
 
     fn adopt(&self, listener: OwnedFd) -> io::Result<Box<dyn Listener>> {
@@ -94,7 +96,7 @@
     }
 }
 
-impl Datagrams for UdpSocket {
+impl DatagramSocket for UdpSocket {
     fn send(&self, to: SocketAddr, bytes: &[u8]) -> io::Result<()> {
         self.try_send_to(bytes, to).map(drop)
     }
