--- a/crates/micadrum-testkit/src/sim/network/stream.rs
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -203,7 +203,7 @@
 }
 
 impl Stream for SimStream {
-    fn is_fresh(&self) -> io::Result<()> {
+    fn check_no_unread_input(&self) -> io::Result<()> {
         let now = Instant::now();
         match self.incoming().borrow().queue.front() {
             Some(next) if next.due_at <= now => Err(io::ErrorKind::ConnectionAborted.into()),
--- a/src/daemon/connection/observed_stream.rs
+++ b/src/daemon/connection/observed_stream.rs
@@ -77,7 +77,7 @@
         if !self.exchange.lock().request.has_started() {
             // Nothing may have arrived before a request starts: such bytes belong to no response to it, and where the
             // end of the stream has arrived, nobody would read the request.
-            self.stream.is_fresh()?;
+            self.stream.check_no_unread_input()?;
         }
         let count = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
         let mut exchange = self.exchange.lock();
--- a/src/daemon/ingress/lingering_close.rs
+++ b/src/daemon/ingress/lingering_close.rs
@@ -27,7 +27,7 @@
 
     /// Whether something has arrived that was not read yet.
     pub fn has_unread(&self) -> bool {
-        self.stream.is_fresh().is_err()
+        self.stream.check_no_unread_input().is_err()
     }
 }
 
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// `ConnectionAborted` if something has arrived, or what is wrong with the connection.
-    fn is_fresh(&self) -> io::Result<()>;
+    fn check_no_unread_input(&self) -> io::Result<()>;
 }
 
 /// A listening socket.
--- a/src/daemon/system.rs
+++ b/src/daemon/system.rs
@@ -111,7 +111,7 @@
 }
 
 impl Stream for TcpConnection {
-    fn is_fresh(&self) -> io::Result<()> {
+    fn check_no_unread_input(&self) -> io::Result<()> {
         match SockRef::from(&self.0.0).peek(&mut [MaybeUninit::uninit()]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(error) => Err(error),
