--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -6,7 +6,7 @@
 use super::connection::{CallError, Connection, request};
 use super::endpoint_list::EndpointList;
 use super::events::LoopEvent;
-use super::poll_schedule::{Poll, PollSchedule, PollScope, PollingTerms};
+use super::poll_schedule::{Poll, PollConfig, PollSchedule, PollScope};
 use super::ports::{Network, Ports};
 use super::watch_cell::WatchCell;
 use bytes::Bytes;
@@ -36,7 +36,7 @@
     /// The agent's present address.
     pub address: WatchCell<SocketAddr>,
     /// The present terms on which it is asked.
-    pub terms: WatchCell<PollingTerms>,
+    pub terms: WatchCell<PollConfig>,
     /// The revision from which it is first asked for changes; none asks for the complete list, which is long, and requested
     /// by all senders that start together.
     pub resume_revision: Option<u64>,
@@ -78,7 +78,7 @@
         max_list_bytes,
     };
     loop {
-        watch.schedule.set_terms(terms.get());
+        watch.schedule.set_config(terms.get());
         let agent = watch.agent;
         let answer = tokio::select! {
             biased;
--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -204,7 +204,7 @@
         event_loop: &EventLoop,
         notifications: UnboundedReceiver<Notification>,
     ) -> JoinSet<()> {
-        let terms = event_loop.polling_terms();
+        let terms = event_loop.poll_config();
         let schedule = PollSchedule::new(terms.get(), self.seed);
         let agent = Agent {
             address: self.discovery.clone(),
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -1,12 +1,12 @@
 //! Requests of operators: changed configurations, metrics.
 use super::EventLoop;
-use super::configuration::{PreparedReload, ReloadError, idle_timeout, polling_terms, report_fields};
+use super::configuration::{PreparedReload, ReloadError, idle_timeout, poll_config, report_fields};
 use crate::daemon::config::{Config, ConfigReadError};
 use crate::daemon::endpoint_list::Phase;
 use crate::daemon::events::AdminRequest;
 use crate::daemon::membership::MembershipConfig;
 use crate::daemon::metrics::Metrics;
-use crate::daemon::poll_schedule::PollingTerms;
+use crate::daemon::poll_schedule::PollConfig;
 use crate::daemon::watch_cell::WatchCell;
 use crate::{EndpointId, Event};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// Where the discovery agent listens, which takes notifications, too.
     pub(super) discovery: WatchCell<SocketAddr>,
     /// The terms on which the endpoint list is polled.
-    pub(super) polling_terms: WatchCell<PollingTerms>,
+    pub(super) poll_config: WatchCell<PollConfig>,
     /// Takes the members of the fleet, where membership is on.
     pub(super) members: Option<UnboundedSender<MembershipConfig>>,
 }
@@ -109,7 +109,7 @@
         self.calls.context.report_fields = report_fields(&config.settings);
         if has_changed {
             let settings = self.configuration.settings.clone();
-            self.published.polling_terms.set(polling_terms(&settings));
+            self.published.poll_config.set(poll_config(&settings));
             self.queue.push(self.clock.now(), Event::Settings(Box::new(settings)));
         }
     }
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -7,7 +7,7 @@
 use crate::daemon::maintenance::replace;
 use crate::daemon::membership::{self, MembershipConfig, MembershipError};
 use crate::daemon::outbound_call::ReportFields;
-use crate::daemon::poll_schedule::PollingTerms;
+use crate::daemon::poll_schedule::PollConfig;
 use crate::daemon::ports::{Log, Storage};
 use crate::profile::{Names, Profile, ProfileError};
 use crate::{Settings, SettingsError};
@@ -220,9 +220,9 @@
 }
 
 /// Returns the terms on which the endpoint list is polled.
-pub(super) fn polling_terms(settings: &Settings) -> PollingTerms {
+pub(super) fn poll_config(settings: &Settings) -> PollConfig {
     let Settings { fleet_size, discovery, rules, .. } = settings;
-    PollingTerms {
+    PollConfig {
         fleet_size: *fleet_size,
         discovery: *discovery,
         drain_grace: Duration::from_micros(rules.drain_grace.0),
--- a/src/daemon/event_loop/construction.rs
+++ b/src/daemon/event_loop/construction.rs
@@ -2,7 +2,7 @@
 use super::admin::{MetricsRecorder, PublishedConfiguration};
 use super::calls::CallTable;
 use super::checkpointing::{CheckpointAge, Checkpointing};
-use super::configuration::{ActiveConfiguration, EventLoopError, idle_timeout, polling_terms, report_fields};
+use super::configuration::{ActiveConfiguration, EventLoopError, idle_timeout, poll_config, report_fields};
 use super::durable_effects::DurableEffects;
 use super::endpoint_table::EndpointTable;
 use super::journal_repair::JournalRepair;
@@ -95,7 +95,7 @@
         }
         let EventLoopChannels { events, notifications, listener, discovery, members } = channels;
         let settings = configuration.settings.clone();
-        let polling_terms = WatchCell::new(polling_terms(&settings));
+        let poll_config = WatchCell::new(poll_config(&settings));
         let profile = &configuration.config.settings;
         let context = CallContext {
             ports: ports.clone(),
@@ -107,7 +107,7 @@
         let pool = ConnectionPool::new(idle_timeout(profile), budget.idle_connections);
         let mut event_loop = Self {
             engine: DeliveryEngine::new(settings, seed)?,
-            published: PublishedConfiguration { discovery, polling_terms, members },
+            published: PublishedConfiguration { discovery, poll_config, members },
             queue: StepQueue::new(Instant::now()),
             endpoints: EndpointTable::new(maintenance),
             calls: CallTable::new(pool, context),
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -30,7 +30,7 @@
 use super::membership::MembershipConfig;
 use super::metrics::Metrics;
 use super::notifications::Notification;
-use super::poll_schedule::PollingTerms;
+use super::poll_schedule::PollConfig;
 use super::ports::Ports;
 use super::recovery::{RecoveryOutcome, RecoveryStatus};
 use super::runtime_checks::Violations;
@@ -124,8 +124,8 @@
 
 impl EventLoop {
     /// Returns the terms on which the endpoint list is polled, to be followed as they change.
-    pub fn polling_terms(&self) -> WatchCell<PollingTerms> {
-        self.published.polling_terms.clone()
+    pub fn poll_config(&self) -> WatchCell<PollConfig> {
+        self.published.poll_config.clone()
     }
 
     /// Runs until a graceful shutdown is over (`None`), or a successor takes over.
--- a/src/daemon/poll_schedule.rs
+++ b/src/daemon/poll_schedule.rs
@@ -62,7 +62,7 @@
 
 /// The settings that decide how the list is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PollingTerms {
+pub struct PollConfig {
     /// Senders that poll the same service.
     pub fleet_size: usize,
     /// How the list is distributed.
@@ -113,7 +113,7 @@
 }
 
 impl PollIntervals {
-    fn new(terms: PollingTerms) -> Self {
+    fn new(terms: PollConfig) -> Self {
         match terms.discovery {
             DiscoveryMode::Watch => Self {
                 mode: terms.discovery,
@@ -150,13 +150,13 @@
 
 impl PollSchedule {
     /// Creates the schedule of a sender that has made no call yet.
-    pub fn new(terms: PollingTerms, seed: u64) -> Self {
+    pub fn new(terms: PollConfig, seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
         Self { intervals: PollIntervals::new(terms), consecutive_failures: 1, random }
     }
 
     /// Sets the terms from the next call on.
-    pub fn set_terms(&mut self, terms: PollingTerms) {
+    pub fn set_config(&mut self, terms: PollConfig) {
         self.intervals = PollIntervals::new(terms);
     }
 
--- a/src/daemon/poll_schedule/tests.rs
+++ b/src/daemon/poll_schedule/tests.rs
@@ -3,8 +3,8 @@
 const GRACE: Duration = Duration::from_secs(1);
 const STALENESS_LIMIT: Duration = Duration::from_secs(10);
 
-fn terms(fleet_size: usize, discovery: DiscoveryMode) -> PollingTerms {
-    PollingTerms { fleet_size, discovery, drain_grace: GRACE, staleness_limit: STALENESS_LIMIT }
+fn terms(fleet_size: usize, discovery: DiscoveryMode) -> PollConfig {
+    PollConfig { fleet_size, discovery, drain_grace: GRACE, staleness_limit: STALENESS_LIMIT }
 }
 
 /// What the discovery service does with a call that it cannot answer in time.
@@ -110,7 +110,7 @@
         (0..200).flat_map(|seed| [(seed, DiscoveryMode::Watch), (seed, DiscoveryMode::Poll)])
     {
         for drain_grace in [Duration::from_millis(250), GRACE] {
-            let mut schedule = PollSchedule::new(PollingTerms { drain_grace, ..terms(300, discovery) }, seed);
+            let mut schedule = PollSchedule::new(PollConfig { drain_grace, ..terms(300, discovery) }, seed);
             schedule.record_success();
             let watch = schedule.next_poll(PollScope::Changes);
             let notified_after = Duration::from_secs(6).max(watch.hold + Duration::from_secs(2));
@@ -143,10 +143,10 @@
 /// Guards against using the terms of the start after a reload.
 #[test]
 fn changed_terms_apply_from_the_next_call() {
-    let short = PollingTerms { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) };
+    let short = PollConfig { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) };
     let mut schedule = PollSchedule::new(terms(3, DiscoveryMode::Watch), 1);
     let before = schedule.next_poll(PollScope::Changes);
-    schedule.set_terms(short);
+    schedule.set_config(short);
     assert_eq!(
         schedule.next_poll(PollScope::Changes),
         PollSchedule::new(short, 1).next_poll(PollScope::Changes)
@@ -158,7 +158,7 @@
 #[test]
 fn slow_agent_is_given_more_time() {
     let mut schedule = PollSchedule::new(
-        PollingTerms { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) },
+        PollConfig { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) },
         1,
     );
     let first = schedule.next_poll(PollScope::Changes);
@@ -180,7 +180,7 @@
     for seed in 0..200 {
         for senders in [0, 1, 3, 300, usize::MAX] {
             for staleness_limit in [STALENESS_LIMIT, Duration::from_secs(2), Duration::ZERO] {
-                let terms = PollingTerms { staleness_limit, ..terms(senders, DiscoveryMode::Poll) };
+                let terms = PollConfig { staleness_limit, ..terms(senders, DiscoveryMode::Poll) };
                 let bound = if staleness_limit.is_zero() { STALENESS_LIMIT } else { staleness_limit };
                 let mut schedule = PollSchedule::new(terms, seed);
                 assert!(schedule.initial_delay() <= bound, "{senders} senders, seed {seed}");
