--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -4,7 +4,7 @@
 use crate::daemon::config_schema::ConfigSchema;
 use crate::daemon::endpoint_list::ListedEndpoint;
 use crate::daemon::journal::{Journal, JournalError, SubmittedMessage};
-use crate::daemon::maintenance::replace;
+use crate::daemon::maintenance::replace_json_file;
 use crate::daemon::membership::{self, MembershipConfig, MembershipError};
 use crate::daemon::outbound_call::ReportFields;
 use crate::daemon::poll_schedule::PollConfig;
@@ -249,5 +249,5 @@
 }
 
 fn write_classes(storage: &dyn Storage, classes: &ClassRegistry) -> io::Result<()> {
-    replace(storage, CLASSES_FILE, NEW_CLASSES_FILE, &classes.named())
+    replace_json_file(storage, CLASSES_FILE, NEW_CLASSES_FILE, &classes.named())
 }
--- a/src/daemon/maintenance.rs
+++ b/src/daemon/maintenance.rs
@@ -91,7 +91,7 @@
     }
 
     fn write(&self) -> Result<(), MaintenanceError> {
-        replace(&*self.folder, FILE, NEW_FILE, &self.endpoints).map_err(MaintenanceError::Write)
+        replace_json_file(&*self.folder, FILE, NEW_FILE, &self.endpoints).map_err(MaintenanceError::Write)
     }
 }
 
@@ -106,15 +106,20 @@
 ///
 /// # Errors
 /// The system's error; the file is then as before.
-pub fn replace(folder: &dyn Storage, name: &str, new: &str, value: &impl serde::Serialize) -> io::Result<()> {
-    put(folder, name, new, &serde_json::to_vec(value).map_err(io::Error::other)?)
+pub fn replace_json_file(
+    folder: &dyn Storage,
+    name: &str,
+    new: &str,
+    value: &impl serde::Serialize,
+) -> io::Result<()> {
+    replace_file(folder, name, new, &serde_json::to_vec(value).map_err(io::Error::other)?)
 }
 
 /// Replaces the bytes of a file in one step; `new` is its name until it is complete.
 ///
 /// # Errors
 /// The system's error; the file is then as before.
-pub fn put(folder: &dyn Storage, name: &str, new: &str, bytes: &[u8]) -> io::Result<()> {
+pub fn replace_file(folder: &dyn Storage, name: &str, new: &str, bytes: &[u8]) -> io::Result<()> {
     let written = folder.create(new).and_then(|mut file| file.append(bytes));
     written.and_then(|()| folder.rename(new, name)).inspect_err(|_| drop(folder.remove(new)))
 }
--- a/src/daemon/membership/incarnation_store.rs
+++ b/src/daemon/membership/incarnation_store.rs
@@ -1,5 +1,5 @@
 //! The persisted incarnation record: the file `lives` in the state folder.
-use crate::daemon::maintenance::put;
+use crate::daemon::maintenance::replace_file;
 use crate::daemon::ports::Storage;
 use micadrum_membership::{IncarnationRecord, IncarnationRecordError, MemberId};
 use std::io;
@@ -52,6 +52,6 @@
     /// # Errors
     /// Returns the storage error; the previous record stays.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        put(&*self.0, FILE, TEMPORARY_FILE, bytes)
+        replace_file(&*self.0, FILE, TEMPORARY_FILE, bytes)
     }
 }
