--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether both were read from the same text, and belong to the same operator's file.
-    pub(super) fn reads_as(&self, other: &Self) -> bool {
+    pub(super) fn has_same_source(&self, other: &Self) -> bool {
         (&self.text, &self.operator, self.secret) == (&other.text, &other.operator, other.secret)
     }
 
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -205,7 +205,7 @@
             LoopEvent::EndpointList(list) => self.apply_endpoint_list(list),
             LoopEvent::NotificationsAcknowledged(messages) => self.acknowledge(messages),
             LoopEvent::Shutdown(requested_at) => self.begin_shutdown(requested_at),
-            LoopEvent::ReloadIfChanged(Ok(config)) if config.reads_as(&self.configuration.config) => {}
+            LoopEvent::ReloadIfChanged(Ok(config)) if config.has_same_source(&self.configuration.config) => {}
             LoopEvent::Reload(config) | LoopEvent::ReloadIfChanged(config) => self.reload(config),
             LoopEvent::Successor(successor) => self.request_handover(successor),
             LoopEvent::JournalSynced { file, result } => self.journal_synced(file, result),
