--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -216,7 +216,7 @@
 impl Traces {
     /// Parses names separated by commas; unknown names are ignored.
     #[must_use]
-    pub fn named(names: &str) -> Self {
+    pub fn parse(names: &str) -> Self {
         let named = |name: &str| names.split(',').any(|named| named.trim() == name);
         Self {
             calls: named("calls"),
--- a/src/main.rs
+++ b/src/main.rs
@@ -157,7 +157,7 @@
                 let _ = request_reload.send(());
             }),
         }),
-        traces: Traces::named(&std::env::var("MICADRUM_TRACE").unwrap_or_default()),
+        traces: Traces::parse(&std::env::var("MICADRUM_TRACE").unwrap_or_default()),
         boot: read_boot(&config.operator),
         entropy: draw_entropy(&config.operator)?,
     };
