--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -197,7 +197,7 @@
     pub folder: PathBuf,
     /// Has the configuration read again, which [`super::Signal::ReloadIfChanged`] then brings: a SIGHUP that went to the
     /// predecessor is meant for this process.
-    pub reread: Rc<dyn Fn()>,
+    pub request_reload: Rc<dyn Fn()>,
 }
 
 /// Which lines for programs are written to the log.
--- a/src/daemon/takeover.rs
+++ b/src/daemon/takeover.rs
@@ -58,7 +58,7 @@
         let (Some(link), Some(settings)) = (self.link.take(), &environment.ports.handover) else { return };
         environment.ports.log.line("handover: took over from the predecessor");
         let follows = link.predecessor.confirm().await;
-        spawn_local(follows.follow_reloads(settings.reread.clone()));
+        spawn_local(follows.follow_reloads(settings.request_reload.clone()));
         if let Some(lock_file) = link.lock_file {
             spawn_local(hold_lock_after_predecessor(lock_file));
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -153,7 +153,7 @@
         log: Rc::new(StandardError),
         handover: Some(HandoverConfig {
             folder: state_folder,
-            reread: Rc::new(move || {
+            request_reload: Rc::new(move || {
                 let _ = request_reload.send(());
             }),
         }),
