--- a/src/daemon/class_registry.rs
+++ b/src/daemon/class_registry.rs
@@ -63,7 +63,7 @@
     /// A name is used twice, or there are too many classes.
     pub fn new(configured: Vec<NamedClass>, retired: Vec<NamedClass>) -> Result<Self, ClassRegistryError> {
         let mut registry = Self { classes: retired, current: HashMap::new(), recovered: BTreeMap::new() };
-        registry.change(configured)?;
+        registry.replace_configured(configured)?;
         Ok(registry)
     }
 
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// A name is used twice, or there are too many classes; nothing has changed then.
-    pub fn change(&mut self, configured: Vec<NamedClass>) -> Result<(), ClassRegistryError> {
+    pub fn replace_configured(&mut self, configured: Vec<NamedClass>) -> Result<(), ClassRegistryError> {
         let count_before = self.classes.len();
         let mut current = HashMap::new();
         for class in configured {
--- a/src/daemon/class_registry/tests.rs
+++ b/src/daemon/class_registry/tests.rs
@@ -26,19 +26,21 @@
     let (safe, strict) = (class("a", Idempotency::Idempotent), class("a", Idempotency::NonIdempotent));
     let b = class("b", Idempotency::Idempotent);
     let mut classes = ClassRegistry::new(vec![safe.clone(), b.clone()], Vec::new()).unwrap();
-    classes.change(vec![strict.clone()]).unwrap();
+    classes.replace_configured(vec![strict.clone()]).unwrap();
     assert_eq!((classes.current("a"), classes.current("b")), (Some(ClassId(2)), None));
     assert!(classes.register_recovered(recovered("b", false)));
     assert_eq!(classes.recovered(&recovered("b", false)), Some(ClassId(1)));
     assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()]);
-    classes.change(vec![b.clone(), safe.clone()]).unwrap();
+    classes.replace_configured(vec![b.clone(), safe.clone()]).unwrap();
     assert!(classes.register_recovered(recovered("a", true)));
     assert_eq!(
         (classes.current("a"), classes.recovered(&recovered("a", true))),
         (Some(ClassId(0)), Some(ClassId(2)))
     );
     assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()], "all meanings are kept");
-    assert!(classes.change(vec![b.clone(), class("c", Idempotency::Idempotent), b.clone()]).is_err());
+    assert!(
+        classes.replace_configured(vec![b.clone(), class("c", Idempotency::Idempotent), b.clone()]).is_err()
+    );
     assert_eq!(
         (classes.all().len(), classes.current("a")),
         (3, Some(ClassId(0))),
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -153,7 +153,7 @@
         }
         let configured = profile.classes().map_err(EventLoopError::Profile)?;
         let mut classes = self.classes.clone();
-        classes.change(configured).map_err(EventLoopError::Classes)?;
+        classes.replace_configured(configured).map_err(EventLoopError::Classes)?;
         let settings = engine_settings(profile, &names, &classes)?;
         settings.check().map_err(EventLoopError::Settings)?;
         if classes.named() != self.classes.named() {
