--- a/src/daemon/connection/observed_stream.rs
+++ b/src/daemon/connection/observed_stream.rs
@@ -77,7 +77,7 @@
         if !self.exchange.lock().request.has_started() {
             // Bytes that arrived before the request was sent cannot be its response, and after the end of the
             // stream the peer does not read the request.
-            self.stream.is_fresh()?;
+            self.stream.check_no_unread_input()?;
         }
         let count = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
         let mut exchange = self.exchange.lock();
--- a/src/daemon/event_loop/admin.rs
+++ b/src/daemon/event_loop/admin.rs
@@ -1,12 +1,12 @@
 //! Configuration reloads, metrics, and requests through the admin endpoint.
 use super::EventLoop;
-use super::configuration::{PreparedReload, ReloadError, idle_timeout, polling_terms, report_fields};
+use super::configuration::{PreparedReload, ReloadError, idle_timeout, poll_config, report_fields};
 use crate::daemon::config::{Config, ConfigReadError};
 use crate::daemon::endpoint_list::Phase;
 use crate::daemon::events::AdminRequest;
 use crate::daemon::membership::MembershipConfig;
 use crate::daemon::metrics::Metrics;
-use crate::daemon::poll_schedule::PollingTerms;
+use crate::daemon::poll_schedule::PollConfig;
 use crate::daemon::watch_cell::WatchCell;
 use crate::{EndpointId, Event};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// The address of the discovery agent, which also receives the notifications.
     pub(super) discovery: WatchCell<SocketAddr>,
     /// The settings for polling the endpoint list.
-    pub(super) polling_terms: WatchCell<PollingTerms>,
+    pub(super) poll_config: WatchCell<PollConfig>,
     /// Sends changed members of the fleet to the membership task; `None` if membership is disabled.
     pub(super) members: Option<UnboundedSender<MembershipConfig>>,
 }
@@ -110,7 +110,7 @@
         self.calls.context.report_fields = report_fields(&config.settings);
         if has_changed {
             let settings = self.configuration.settings.clone();
-            self.published.polling_terms.set(polling_terms(&settings));
+            self.published.poll_config.set(poll_config(&settings));
             self.queue.push(self.clock.now(), Event::Settings(Box::new(settings)));
         }
     }
--- a/src/daemon/event_loop/configuration.rs
+++ b/src/daemon/event_loop/configuration.rs
@@ -4,10 +4,10 @@
 use crate::daemon::config_schema::ConfigSchema;
 use crate::daemon::endpoint_list::ListedEndpoint;
 use crate::daemon::journal::{Journal, JournalError, SubmittedMessage};
-use crate::daemon::maintenance::replace;
+use crate::daemon::maintenance::replace_json_file;
 use crate::daemon::membership::{self, MembershipConfig, MembershipError};
 use crate::daemon::outbound_call::ReportFields;
-use crate::daemon::poll_schedule::PollingTerms;
+use crate::daemon::poll_schedule::PollConfig;
 use crate::daemon::ports::{Log, Storage};
 use crate::profile::{Names, Profile, ProfileError};
 use crate::{Settings, SettingsError};
@@ -155,7 +155,7 @@
         }
         let configured = profile.classes().map_err(EventLoopError::Profile)?;
         let mut classes = self.classes.clone();
-        classes.change(configured).map_err(EventLoopError::Classes)?;
+        classes.replace_configured(configured).map_err(EventLoopError::Classes)?;
         let settings = engine_settings(profile, &names, &classes)?;
         settings.check().map_err(EventLoopError::Settings)?;
         if classes.named() != self.classes.named() {
@@ -222,9 +222,9 @@
 }
 
 /// Returns the settings for polling the endpoint list.
-pub(super) fn polling_terms(settings: &Settings) -> PollingTerms {
+pub(super) fn poll_config(settings: &Settings) -> PollConfig {
     let Settings { fleet_size, discovery, rules, .. } = settings;
-    PollingTerms {
+    PollConfig {
         fleet_size: *fleet_size,
         discovery: *discovery,
         drain_grace: Duration::from_micros(rules.drain_grace.0),
@@ -251,5 +251,5 @@
 }
 
 fn write_classes(storage: &dyn Storage, classes: &ClassRegistry) -> io::Result<()> {
-    replace(storage, CLASSES_FILE, NEW_CLASSES_FILE, &classes.named())
+    replace_json_file(storage, CLASSES_FILE, NEW_CLASSES_FILE, &classes.named())
 }
--- a/src/daemon/event_loop/mod.rs
+++ b/src/daemon/event_loop/mod.rs
@@ -31,7 +31,7 @@
 use super::membership::MembershipConfig;
 use super::metrics::Metrics;
 use super::notifications::Notification;
-use super::poll_schedule::PollingTerms;
+use super::poll_schedule::PollConfig;
 use super::ports::Ports;
 use super::recovery::{RecoveryOutcome, RecoveryStatus};
 use super::runtime_checks::Violations;
@@ -125,8 +125,8 @@
 
 impl EventLoop {
     /// Returns a cell with the settings for polling the endpoint list. Reloads update the cell.
-    pub fn polling_terms(&self) -> WatchCell<PollingTerms> {
-        self.published.polling_terms.clone()
+    pub fn poll_config(&self) -> WatchCell<PollConfig> {
+        self.published.poll_config.clone()
     }
 
     /// Runs the loop. Returns `None` after a graceful shutdown, or the state to hand over if a successor
@@ -206,7 +206,7 @@
             LoopEvent::EndpointList(list) => self.apply_endpoint_list(list),
             LoopEvent::NotificationsAcknowledged(messages) => self.acknowledge(messages),
             LoopEvent::Shutdown(requested_at) => self.begin_shutdown(requested_at),
-            LoopEvent::ReloadIfChanged(Ok(config)) if config.reads_as(&self.configuration.config) => {}
+            LoopEvent::ReloadIfChanged(Ok(config)) if config.has_same_source(&self.configuration.config) => {}
             LoopEvent::Reload(config) | LoopEvent::ReloadIfChanged(config) => self.reload(config),
             LoopEvent::Successor(successor) => self.request_handover(successor),
             LoopEvent::JournalSynced { file, result } => self.complete_sync(file, result),
--- a/src/daemon/ingress/lingering_close.rs
+++ b/src/daemon/ingress/lingering_close.rs
@@ -29,7 +29,7 @@
 
     /// Returns whether unread input, the end of the stream or an error has arrived.
     pub fn has_unread(&self) -> bool {
-        self.stream.is_fresh().is_err()
+        self.stream.check_no_unread_input().is_err()
     }
 }
 
--- a/src/daemon/journal/writing.rs
+++ b/src/daemon/journal/writing.rs
@@ -92,7 +92,7 @@
     /// Syncs the folder, if that failed after the last rename.
     pub(super) fn sync_rename(&mut self) -> io::Result<()> {
         if self.health.is_rename_unsynced {
-            self.folder.sync_names()?;
+            self.folder.sync_directory()?;
             self.health.is_rename_unsynced = false;
         }
         Ok(())
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// `ConnectionAborted` if something has arrived, or what is wrong with the connection.
-    fn is_fresh(&self) -> io::Result<()>;
+    fn check_no_unread_input(&self) -> io::Result<()>;
 }
 
 /// A listening socket.
@@ -56,7 +56,7 @@
 }
 
 /// A datagram socket. A datagram that cannot be sent now is lost, as on any link.
-pub trait Datagrams {
+pub trait DatagramSocket {
     /// Sends a datagram.
     ///
     /// # Errors
@@ -85,7 +85,7 @@
     fn listen(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Listener>>>;
 
     /// Binds a datagram socket; port 0 asks for a free one.
-    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Datagrams>>>;
+    fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn DatagramSocket>>>;
 
     /// Takes over a listening socket of another process.
     ///
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// The error of the system.
-    fn sync_names(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
 
     /// Removes a file, if there is one.
     ///
@@ -197,7 +197,7 @@
     pub folder: PathBuf,
     /// Has the configuration read again, which [`super::Signal::ReloadIfChanged`] then brings: a SIGHUP that went to the
     /// predecessor is meant for this process.
-    pub reread: Rc<dyn Fn()>,
+    pub request_reload: Rc<dyn Fn()>,
 }
 
 /// Which lines for programs are written to the log.
@@ -216,7 +216,7 @@
 impl Traces {
     /// Parses names separated by commas; unknown names are ignored.
     #[must_use]
-    pub fn named(names: &str) -> Self {
+    pub fn parse(names: &str) -> Self {
         let named = |name: &str| names.split(',').any(|named| named.trim() == name);
         Self {
             calls: named("calls"),
--- a/src/main.rs
+++ b/src/main.rs
@@ -153,11 +153,11 @@
         log: Rc::new(StandardError),
         handover: Some(HandoverConfig {
             folder: state_folder,
-            reread: Rc::new(move || {
+            request_reload: Rc::new(move || {
                 let _ = request_reload.send(());
             }),
         }),
-        traces: Traces::named(&std::env::var("MICADRUM_TRACE").unwrap_or_default()),
+        traces: Traces::parse(&std::env::var("MICADRUM_TRACE").unwrap_or_default()),
         boot: read_boot(&config.operator),
         entropy: draw_entropy(&config.operator)?,
     };
