--- a/crates/micadrum-membership/src/link/mod.rs
+++ b/crates/micadrum-membership/src/link/mod.rs
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// Returns an error if the link has to be closed.
-    pub fn received(&mut self, bytes: &[u8], now: Duration) -> Result<(), LinkError> {
+    pub fn handle_received(&mut self, bytes: &[u8], now: Duration) -> Result<(), LinkError> {
         self.activity.last_received = now;
         self.receive_buffer.extend_from_slice(bytes);
         let buffer = std::mem::take(&mut self.receive_buffer);
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     /// Returns [`LinkError::TimedOut`] if the link has to be closed.
-    pub fn timer(&mut self, now: Duration) -> Result<(), LinkError> {
+    pub fn handle_timeout(&mut self, now: Duration) -> Result<(), LinkError> {
         if now >= self.timeout() {
             return Err(LinkError::TimedOut);
         }
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    /// Returns when [`Link::timer`] has to be called at the latest.
+    /// Returns when [`Link::handle_timeout`] has to be called at the latest.
     #[must_use]
     pub fn due(&self) -> Duration {
         if self.is_open() {
@@ -238,7 +238,7 @@
     }
 
     /// Reports that the layer above has consumed payload bytes, for which the other side is granted credit.
-    pub fn consumed(&mut self, bytes: usize) {
+    pub fn release_credit(&mut self, bytes: usize) {
         self.flow.consumed += bytes;
         if self.flow.consumed >= CREDIT_THRESHOLD_BYTES && self.is_open() {
             let credit = std::mem::take(&mut self.flow.consumed);
--- a/crates/micadrum-membership/tests/fleet/links.rs
+++ b/crates/micadrum-membership/tests/fleet/links.rs
@@ -45,10 +45,10 @@
             return Ok(());
         }
         for piece in there.chunks(size) {
-            ends.acceptor.received(piece, ms(1))?;
+            ends.acceptor.handle_received(piece, ms(1))?;
         }
         for piece in back.chunks(size) {
-            ends.dialer.received(piece, ms(1))?;
+            ends.dialer.handle_received(piece, ms(1))?;
         }
     }
 }
@@ -79,15 +79,15 @@
     let mut first = ends();
     first.dialer.send(b"payload".to_vec()).unwrap();
     let hello = drain(&mut first.dialer);
-    first.acceptor.received(&hello, ms(1)).unwrap();
+    first.acceptor.handle_received(&hello, ms(1)).unwrap();
     let answer = drain(&mut first.acceptor);
-    first.dialer.received(&answer, ms(1)).unwrap();
+    first.dialer.handle_received(&answer, ms(1)).unwrap();
     let frames = drain(&mut first.dialer);
     let whole = [hello, frames].concat();
     let open = LinkEvent::Open { peer: MemberId::of("n0"), incarnation: INCARNATION };
     let read = |bytes: &[u8]| {
         let mut acceptor = ends().acceptor;
-        let ended = acceptor.received(bytes, ms(1));
+        let ended = acceptor.handle_received(bytes, ms(1));
         (ended, events(&mut acceptor))
     };
     assert_eq!(read(&whole), (Ok(()), vec![open, LinkEvent::Payload(b"payload".to_vec())]));
@@ -104,7 +104,7 @@
     // A replay of the whole stream fails, as the acceptor has drawn another nonce.
     let fleet = SimulatedFleet::new(3, 1);
     let mut other = Link::accept(identity(&fleet, 1, 1, 3), Duration::ZERO);
-    assert_eq!(other.received(&whole, ms(1)), Err(LinkError::InvalidFrame));
+    assert_eq!(other.handle_received(&whole, ms(1)), Err(LinkError::InvalidFrame));
     assert!(!events(&mut other).contains(&LinkEvent::Payload(b"payload".to_vec())));
 }
 
@@ -114,34 +114,38 @@
     let fleet = SimulatedFleet::new(3, 1);
     let mut impostor = Link::dial(identity(&fleet, 2, 0, 1), MemberId::of("n1"), Duration::ZERO);
     let mut ends = ends();
-    assert_eq!(ends.acceptor.received(&drain(&mut impostor), ms(1)), Err(LinkError::Unauthenticated));
+    assert_eq!(ends.acceptor.handle_received(&drain(&mut impostor), ms(1)), Err(LinkError::Unauthenticated));
     // n2 answers where n1 was dialed.
     let mut other = Link::accept(identity(&fleet, 2, 2, 2), Duration::ZERO);
-    assert_eq!(other.received(&drain(&mut ends.dialer), ms(1)), Err(LinkError::Unauthenticated));
+    assert_eq!(other.handle_received(&drain(&mut ends.dialer), ms(1)), Err(LinkError::Unauthenticated));
     let (mut mirror, hello) = (self::ends(), drain(&mut self::ends().dialer));
-    assert_eq!(mirror.dialer.received(&hello, ms(1)), Err(LinkError::Unauthenticated), "a reflected hello");
+    assert_eq!(
+        mirror.dialer.handle_received(&hello, ms(1)),
+        Err(LinkError::Unauthenticated),
+        "a reflected hello"
+    );
 }
 
 /// Guards against waiting for a half-open peer, and against ending an idle link whose sides are both alive.
 #[test]
 fn a_silent_side_times_out_and_an_idle_one_does_not() {
     let mut ends = ends();
-    assert_eq!(ends.acceptor.timer(ms(1999)), Ok(()));
-    assert_eq!(ends.acceptor.timer(ms(2000)), Err(LinkError::TimedOut), "nobody authenticated");
+    assert_eq!(ends.acceptor.handle_timeout(ms(1999)), Ok(()));
+    assert_eq!(ends.acceptor.handle_timeout(ms(2000)), Err(LinkError::TimedOut), "nobody authenticated");
     let mut ends = self::ends();
     exchange(&mut ends, 100).unwrap();
     for second in 1..60 {
-        ends.dialer.timer(ms(second * 1000 + 1)).unwrap();
-        ends.acceptor.timer(ms(second * 1000 + 1)).unwrap();
+        ends.dialer.handle_timeout(ms(second * 1000 + 1)).unwrap();
+        ends.acceptor.handle_timeout(ms(second * 1000 + 1)).unwrap();
         let (there, back) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
         assert!(!there.is_empty() && !back.is_empty(), "both send keep-alives");
-        ends.acceptor.received(&there, ms(second * 1000 + 1)).unwrap();
-        ends.dialer.received(&back, ms(second * 1000 + 1)).unwrap();
+        ends.acceptor.handle_received(&there, ms(second * 1000 + 1)).unwrap();
+        ends.dialer.handle_received(&back, ms(second * 1000 + 1)).unwrap();
     }
     let last = ms(59_001);
     assert!(ends.dialer.due() <= last + ms(1000));
-    assert_eq!(ends.dialer.timer(last + ms(3499)), Ok(()));
-    assert_eq!(ends.dialer.timer(last + ms(3500)), Err(LinkError::TimedOut));
+    assert_eq!(ends.dialer.handle_timeout(last + ms(3499)), Ok(()));
+    assert_eq!(ends.dialer.handle_timeout(last + ms(3500)), Err(LinkError::TimedOut));
 }
 
 /// Guards against a slow reader that costs unbounded memory on either side.
@@ -160,7 +164,7 @@
         waiting * 10_000 <= 256 * 1024 && sent * 10_000 <= 512 * 1024 && sent > waiting,
         "{waiting} of {sent}"
     );
-    ends.acceptor.consumed(waiting * 10_000);
+    ends.acceptor.release_credit(waiting * 10_000);
     exchange(&mut ends, 100_000).unwrap();
     assert_eq!(waiting + events(&mut ends.acceptor).len(), sent);
     assert_eq!(ends.dialer.send(vec![0; MAX_PAYLOAD_BYTES + 1]), Err(QueueFull));
--- a/src/daemon/membership/link_stream.rs
+++ b/src/daemon/membership/link_stream.rs
@@ -62,7 +62,7 @@
         loop {
             match self.link.poll_event() {
                 Some(LinkEvent::Payload(payload)) => {
-                    self.link.consumed(payload.len());
+                    self.link.release_credit(payload.len());
                     self.flush().await?;
                     return Ok(payload);
                 }
@@ -89,9 +89,9 @@
             biased;
             read = self.stream.read(&mut buffer) => match read? {
                 0 => return Err(LinkFailure::Closed),
-                length => self.link.received(&buffer[..length], self.origin.elapsed())?,
+                length => self.link.handle_received(&buffer[..length], self.origin.elapsed())?,
             },
-            () = sleep_until(due) => self.link.timer(self.origin.elapsed())?,
+            () = sleep_until(due) => self.link.handle_timeout(self.origin.elapsed())?,
         }
         self.flush().await
     }
