--- a/crates/micadrum-membership/src/sealing.rs
+++ b/crates/micadrum-membership/src/sealing.rs
@@ -40,7 +40,7 @@
 
     /// Returns the public key.
     #[must_use]
-    pub fn public(&self) -> [u8; 32] {
+    pub fn public_key(&self) -> [u8; 32] {
         PublicKey::from(&self.key).to_bytes()
     }
 
--- a/crates/micadrum-membership/tests/fleet/simulated_fleet.rs
+++ b/crates/micadrum-membership/tests/fleet/simulated_fleet.rs
@@ -67,7 +67,7 @@
         name: format!("n{n}"),
         address: SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7000)),
         zone: ["a", "b"][n % 2].to_owned(),
-        key: secret(n).public(),
+        key: secret(n).public_key(),
     }
 }
 
--- a/crates/micadrum-testkit/src/link_faults/operator_file.rs
+++ b/crates/micadrum-testkit/src/link_faults/operator_file.rs
@@ -101,7 +101,7 @@
         ("name", named.name.clone()),
         ("address", named.address.to_string()),
         ("building", named.zone.clone()),
-        ("key", hex(&Secret::new(named.secret).public())),
+        ("key", hex(&Secret::new(named.secret).public_key())),
     ];
     Value::Table(fields.into_iter().map(|(field, text)| (field.to_owned(), Value::from(text))).collect())
 }
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -117,6 +117,6 @@
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let mut output = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(file)?;
     writeln!(output, "{}", hex(&secret))?;
-    println!("{}", hex(&Secret::new(secret).public()));
+    println!("{}", hex(&Secret::new(secret).public_key()));
     Ok(())
 }
--- a/src/daemon/membership/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -174,7 +174,7 @@
     let secret = config.secret.map(Secret::new);
     let secret = secret.ok_or_else(|| MembershipError::SecretMissing(peers.secret_file.clone()))?;
     let own = &peers.members[&peers.own_name];
-    if secret.public() != own.key {
+    if secret.public_key() != own.key {
         return Err(MembershipError::SecretMismatch(peers.own_name.clone()));
     }
     let views = ViewSource { membership: Rc::default(), origin: Instant::now() };
--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -16,7 +16,7 @@
         "[peers]\nsecret = \"n1.secret\"\n\
          [[peers.member]]\nname = \"n1\"\naddress = \"127.0.0.1:0\"\nbuilding = \"a\"\nkey = \"{own_key}\"\n\
          [[peers.member]]\nname = \"n2\"\naddress = \"{other}\"\nbuilding = \"b\"\nkey = \"{}\"\n",
-        hex(&Secret::new([2; 32]).public())
+        hex(&Secret::new([2; 32]).public_key())
     )
 }
 
@@ -67,7 +67,7 @@
     node.kill();
     let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     std::fs::write(node.lasting("n1.secret"), hex(&[1; 32])).unwrap();
-    let file = operator(&hex(&Secret::new([1; 32]).public()), &other.local_addr().unwrap().to_string());
+    let file = operator(&hex(&Secret::new([1; 32]).public_key()), &other.local_addr().unwrap().to_string());
     node.turn_on(&file);
     node.begin().await;
     let mut buffer = [0; 2048];
@@ -92,7 +92,7 @@
     // A list with one more member is taken at SIGHUP; one that is wrong is not, and nothing changes.
     let third = format!(
         "{file}[[peers.member]]\nname = \"n3\"\naddress = \"127.0.0.1:9\"\nbuilding = \"b\"\nkey = \"{}\"\n",
-        hex(&Secret::new([3; 32]).public())
+        hex(&Secret::new([3; 32]).public_key())
     );
     node.turn_on(&third);
     node.reload_changed(|_| {});
@@ -118,7 +118,7 @@
     let secret = std::fs::read_to_string(path("n1.secret")).unwrap();
     assert_ne!(secret.trim(), public);
     let bytes = micadrum_config::peers::parse_key(secret.trim()).unwrap();
-    assert_eq!(hex(&Secret::new(bytes).public()), public);
+    assert_eq!(hex(&Secret::new(bytes).public_key()), public);
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(path("n1.secret")).unwrap().permissions().mode() & 0o777, 0o600);
     assert_eq!(micadrum(&["key", &path("n1.secret")]).status.code(), Some(2), "a secret is not written over");
@@ -151,7 +151,7 @@
     // A port of its own, that both processes ask for.
     let at = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     std::fs::write(node.lasting("n1.secret"), hex(&[1; 32])).unwrap();
-    let file = operator(&hex(&Secret::new([1; 32]).public()), &other.local_addr().unwrap().to_string());
+    let file = operator(&hex(&Secret::new([1; 32]).public_key()), &other.local_addr().unwrap().to_string());
     node.turn_on(&file.replace("127.0.0.1:0", &at.to_string()));
     node.begin().await;
     let life = |view: &serde_json::Value| view["life"]["number"].as_u64();
