--- a/crates/micadrum-recovery/src/journal_trust/mod.rs
+++ b/crates/micadrum-recovery/src/journal_trust/mod.rs
@@ -5,7 +5,7 @@
 mod stamp;
 
 pub use finding::{Clock, JournalTrust, Machine, RecoveryFinding};
-pub use stamp::{Boot, JournalStamp, RecoveryInputs};
+pub use stamp::{BootId, JournalStamp, RecoveryInputs};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/micadrum-recovery/src/journal_trust/stamp.rs
+++ b/crates/micadrum-recovery/src/journal_trust/stamp.rs
@@ -5,9 +5,9 @@
 
 /// One run of a machine, from power-on to power-off: the kernel's boot id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Boot(pub [u8; 16]);
+pub struct BootId(pub [u8; 16]);
 
-impl Boot {
+impl BootId {
     /// Parses a boot id as the kernel writes it: 32 hexadecimal digits with or without dashes.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
@@ -29,7 +29,7 @@
     /// The sender's name.
     pub sender: String,
     /// The machine's run; `None` where unknown.
-    pub boot: Option<Boot>,
+    pub boot: Option<BootId>,
     /// The wall clock, in microseconds.
     pub wall: u64,
     /// The records of the journal survive a crash of the machine.
@@ -42,7 +42,7 @@
     /// This sender's name.
     pub own_name: &'a str,
     /// The machine's current run.
-    pub boot: Option<Boot>,
+    pub boot: Option<BootId>,
     /// The current wall clock, in microseconds.
     pub wall: u64,
     /// The operators guarantee that the clock was set before this process started.
--- a/crates/micadrum-recovery/src/journal_trust/tests.rs
+++ b/crates/micadrum-recovery/src/journal_trust/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const BEFORE: Boot = Boot([1; 16]);
+const BEFORE: BootId = BootId([1; 16]);
 const NOW: u64 = 1_700_000_000_000_000;
 
 fn stamp(survives_machine_crash: bool) -> JournalStamp {
@@ -12,7 +12,7 @@
     }
 }
 
-fn inputs(stamp: Option<&JournalStamp>, boot: Option<Boot>) -> RecoveryInputs<'_> {
+fn inputs(stamp: Option<&JournalStamp>, boot: Option<BootId>) -> RecoveryInputs<'_> {
     RecoveryInputs {
         own_name: "n1",
         boot,
@@ -32,8 +32,8 @@
     let cases = [
         (false, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
         (true, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
-        (false, Some(Boot([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, Clock::Unverified),
-        (true, Some(Boot([2; 16])), Machine::Rebooted, JournalTrust::Complete, Clock::Unverified),
+        (false, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, Clock::Unverified),
+        (true, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Complete, Clock::Unverified),
         (false, None, Machine::Unknown, JournalTrust::Incomplete, Clock::Unverified),
         (true, None, Machine::Unknown, JournalTrust::Complete, Clock::Unverified),
     ];
@@ -107,13 +107,13 @@
     };
     assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, Clock::Behind(3_595_000_000));
     assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, Clock::Trusted, "set right by a step");
-    let mut unchecked = at(NOW, Boot([2; 16]), false);
+    let mut unchecked = at(NOW, BootId([2; 16]), false);
     unchecked.apply_clock_offsets(&[0, 10, -10]);
     assert_eq!(
         (unchecked.clock, unchecked.clock_offset_us, unchecked.journal_time(NOW)),
         (Clock::Unverified, Some(0), Some(NOW))
     );
-    let mut vouched = at(NOW, Boot([2; 16]), true);
+    let mut vouched = at(NOW, BootId([2; 16]), true);
     vouched.apply_clock_offsets(&[]);
     vouched.apply_clock_offsets(&[3_600_000_000, 0, 100]);
     assert_eq!(vouched.clock, Clock::Trusted, "one of three lies");
@@ -130,11 +130,11 @@
 #[test]
 fn a_boot_id_is_parsed_as_the_kernel_writes_it() {
     let text = "2f6e3c1a-0b4d-4e8f-9a7c-1234567890ab\n";
-    assert_eq!(Boot::parse(text).map(|boot| boot.0[..3].to_owned()), Some(vec![0x2f, 0x6e, 0x3c]));
-    assert_eq!(Boot::parse(&text.replace('-', "")), Boot::parse(text));
+    assert_eq!(BootId::parse(text).map(|boot| boot.0[..3].to_owned()), Some(vec![0x2f, 0x6e, 0x3c]));
+    assert_eq!(BootId::parse(&text.replace('-', "")), BootId::parse(text));
     for wrong in
         ["", "2f6e3c1a", "zf6e3c1a-0b4d-4e8f-9a7c-1234567890ab", "\u{e9}\u{e9}6e3c1a0b4d4e8f9a7c1234567890"]
     {
-        assert_eq!(Boot::parse(wrong), None, "{wrong}");
+        assert_eq!(BootId::parse(wrong), None, "{wrong}");
     }
 }
--- a/crates/micadrum-recovery/src/lib.rs
+++ b/crates/micadrum-recovery/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod phases;
 
 pub use admission::Admission;
-pub use journal_trust::{Boot, JournalStamp, Trust};
+pub use journal_trust::{BootId, JournalStamp, Trust};
 pub use peer_query::PeerQuery;
 pub use peer_report::{EndpointRestrictions, PeerReport};
 pub use phases::{Phases, RecoveryPhase};
--- a/crates/micadrum-testkit/src/sim/fleet.rs
+++ b/crates/micadrum-testkit/src/sim/fleet.rs
@@ -13,7 +13,7 @@
 use micadrum::daemon::ports::{LocalFuture, Log, Ports, Traces, WallClock};
 use micadrum::daemon::{self, Signal};
 use micadrum_config::OperatorConfig;
-use micadrum_recovery::Boot;
+use micadrum_recovery::BootId;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
                 log: Rc::new(SimLog { sender, origin: self.origin, show: self.show_logs, sink: log }),
                 handover: None,
                 traces: Traces { calls: self.show_logs, peers: true, recovery: true, storage: false },
-                boot: Some(Boot([node.boot.get(); 16])),
+                boot: Some(BootId([node.boot.get(); 16])),
                 entropy,
             };
             let (signals, from_world) = unbounded_channel();
--- a/src/daemon/clock/continuity.rs
+++ b/src/daemon/clock/continuity.rs
@@ -1,5 +1,5 @@
 //! How the engine's time goes on from one process to the next. No I/O and no clock: the readings are arguments.
-use micadrum_recovery::Boot;
+use micadrum_recovery::BootId;
 use serde::{Deserialize, Serialize};
 
 /// An earlier process whose time cannot be continued is assumed to have ended no longer ago than this, in microseconds.
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockAnchor {
     /// The boot of the machine that the monotonic clock counts from.
-    pub boot: Boot,
+    pub boot: BootId,
     /// The monotonic clock, in microseconds.
     pub monotonic_us: u64,
     /// The engine's time, in microseconds.
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// The boot of the machine; none where the system does not name it.
-    pub boot: Option<Boot>,
+    pub boot: Option<BootId>,
     /// The monotonic clock, in microseconds.
     pub monotonic_us: u64,
     /// The wall clock, in microseconds since the Unix epoch.
--- a/src/daemon/clock/continuity/tests.rs
+++ b/src/daemon/clock/continuity/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of how the engine's time goes on.
 use super::*;
 
-const BOOT: Boot = Boot([1; 16]);
+const BOOT: BootId = BootId([1; 16]);
 const ANCHOR: ClockAnchor = ClockAnchor { boot: BOOT, monotonic_us: 5_000_000, engine_us: 1_000_000_000_000 };
 const HOUR_US: u64 = 3_600_000_000;
 
@@ -29,7 +29,7 @@
 #[test]
 fn an_anchor_that_does_not_fit_is_not_continued() {
     let wall_us = ANCHOR.engine_us + 4_000_000;
-    let other_boot = ClockReading { boot: Some(Boot([2; 16])), ..reading(wall_us) };
+    let other_boot = ClockReading { boot: Some(BootId([2; 16])), ..reading(wall_us) };
     let no_boot = ClockReading { boot: None, ..reading(wall_us) };
     let began_again = ClockReading { monotonic_us: 1, ..reading(wall_us) };
     let too_early = ClockReading { monotonic_us: ANCHOR.monotonic_us + 1_000_000, ..reading(wall_us) };
--- a/src/daemon/journal/tests/record.rs
+++ b/src/daemon/journal/tests/record.rs
@@ -4,7 +4,7 @@
 use crate::daemon::frame::append_frame;
 use crate::daemon::journal::record::{CompletedId, Record};
 use crate::daemon::journal::{FinalOutcome, PendingMessage, SubmittedMessage};
-use micadrum_recovery::{Boot, JournalStamp};
+use micadrum_recovery::{BootId, JournalStamp};
 
 fn pending_message() -> PendingMessage {
     let message = SubmittedMessage {
@@ -59,7 +59,7 @@
         (Record::DeadlineChanged { number: 12, deadline: 1_200 }, "040000008fded61a0a0cb009"),
         (Record::AttemptDeferred { number: 13 }, "02000000dea54f610b0d"),
         (
-            Record::ClockAnchored(ClockAnchor { boot: Boot([3; 16]), monotonic_us: 5, engine_us: 1_000 }),
+            Record::ClockAnchored(ClockAnchor { boot: BootId([3; 16]), monotonic_us: 5, engine_us: 1_000 }),
             "140000000d26e6db0c0303030303030303030303030303030305e807",
         ),
     ];
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -2,7 +2,7 @@
 //!
 //! The daemon uses none of them directly, so that a simulation can replace all four. Monotonic time is that of the tokio
 //! clock, which a simulation pauses; random numbers come from the seed in the configuration.
-use micadrum_recovery::Boot;
+use micadrum_recovery::BootId;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -185,7 +185,7 @@
     /// Which traces are written to the log.
     pub traces: Traces,
     /// The boot of the machine; none where the system does not name it, or nobody asks.
-    pub boot: Option<Boot>,
+    pub boot: Option<BootId>,
     /// Random bytes of this process alone: no two processes have the same, also under one configuration.
     pub entropy: [u8; 32],
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 use micadrum::daemon::{self, Signal};
 use micadrum_config::peers::parse_key;
 use micadrum_config::{DEFAULT_BOOT_ID_FILE, OperatorConfig};
-use micadrum_recovery::Boot;
+use micadrum_recovery::BootId;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -92,10 +92,10 @@
 }
 
 /// Reads the kernel's boot id, if it is available.
-fn read_boot(operator: &OperatorConfig) -> Option<Boot> {
+fn read_boot(operator: &OperatorConfig) -> Option<BootId> {
     let configured = operator.recovery.as_ref().map(|recovery| recovery.boot_id_file.as_str());
     let text = std::fs::read_to_string(configured.unwrap_or(DEFAULT_BOOT_ID_FILE)).ok()?;
-    Boot::parse(&text)
+    BootId::parse(&text)
 }
 
 /// Returns random bytes, or zeros where no enabled feature needs them.
