--- a/crates/micadrum-recovery/src/journal_trust/finding.rs
+++ b/crates/micadrum-recovery/src/journal_trust/finding.rs
@@ -35,7 +35,7 @@
 
 /// Whether durations between wall times of before the start and of now are meaningful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Clock {
+pub enum ClockTrust {
     /// Such durations are meaningful.
     #[serde(rename = "believed")]
     Trusted,
@@ -84,7 +84,7 @@
     },
     /// The clock is not trusted.
     #[serde(rename = "clock")]
-    ClockUntrusted(Clock),
+    ClockUntrusted(ClockTrust),
 }
 
 impl fmt::Display for RecoveryFinding {
@@ -123,17 +123,17 @@
     }
 }
 
-fn fmt_clock(clock: Clock, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn fmt_clock(clock: ClockTrust, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     match clock {
-        Clock::Trusted => f.write_str("the clock is believed"),
-        Clock::Unverified => f.write_str(
+        ClockTrust::Trusted => f.write_str("the clock is believed"),
+        ClockTrust::Unverified => f.write_str(
             "the machine began anew and nobody vouches for its clock: waits count from now, and what may have run \
              is not sent again within a window",
         ),
-        Clock::Behind(by) => {
+        ClockTrust::Behind(by) => {
             write!(f, "the clock stands {} s before what was written", by.div_ceil(MICROS_PER_SECOND))
         }
-        Clock::Skewed(by) => {
+        ClockTrust::Skewed(by) => {
             write!(f, "the clock stands {} s off that of the other senders", by.div_ceil(MICROS_PER_SECOND))
         }
     }
--- a/crates/micadrum-recovery/src/journal_trust/mod.rs
+++ b/crates/micadrum-recovery/src/journal_trust/mod.rs
@@ -4,7 +4,7 @@
 mod finding;
 mod stamp;
 
-pub use finding::{Clock, JournalTrust, Machine, RecoveryFinding};
+pub use finding::{ClockTrust, JournalTrust, Machine, RecoveryFinding};
 pub use stamp::{BootId, JournalStamp, RecoveryInputs};
 
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
     /// How far the journal is trusted: its pending messages, their attempts, and the ids of completed ones.
     pub journal: JournalTrust,
     /// Whether durations since before the start are meaningful.
-    pub clock: Clock,
+    pub clock: ClockTrust,
     /// How far the clock is ahead of that of senders at full service, in microseconds, where it is not trusted and others
     /// reported theirs. The offset may shorten the time left to a message, but never lengthens it.
     #[serde(rename = "offset")]
@@ -43,7 +43,7 @@
             findings.push(RecoveryFinding::TornRecord(inputs.torn_bytes));
         }
         let clock = assess_clock(inputs, machine, journal);
-        if clock != Clock::Trusted {
+        if clock != ClockTrust::Trusted {
             findings.push(RecoveryFinding::ClockUntrusted(clock));
         }
         Self { machine, journal, clock, clock_offset_us: None, findings }
@@ -62,13 +62,13 @@
         sorted.sort_unstable();
         let Some(median) = sorted.get(sorted.len() / 2) else { return };
         let skew_us = median.unsigned_abs();
-        let can_be_skewed = matches!(self.clock, Clock::Trusted | Clock::Unverified);
+        let can_be_skewed = matches!(self.clock, ClockTrust::Trusted | ClockTrust::Unverified);
         if skew_us > MAX_CLOCK_SKEW_US && can_be_skewed {
             self.findings.retain(|finding| !matches!(finding, RecoveryFinding::ClockUntrusted(_)));
-            self.clock = Clock::Skewed(skew_us);
+            self.clock = ClockTrust::Skewed(skew_us);
             self.findings.push(RecoveryFinding::ClockUntrusted(self.clock));
         }
-        if self.clock != Clock::Trusted {
+        if self.clock != ClockTrust::Trusted {
             self.clock_offset_us = Some(*median);
         }
     }
@@ -76,14 +76,14 @@
     /// Whether the time left to a message of before the start is known.
     #[must_use]
     pub fn knows_time(&self) -> bool {
-        self.clock == Clock::Trusted || self.clock_offset_us.is_some()
+        self.clock == ClockTrust::Trusted || self.clock_offset_us.is_some()
     }
 
     /// Returns the current time by the clock under which the journal was written, where known. Times are in microseconds.
     #[must_use]
     pub fn journal_time(&self, wall: u64) -> Option<u64> {
         match (self.clock, self.clock_offset_us) {
-            (Clock::Trusted, _) => Some(wall),
+            (ClockTrust::Trusted, _) => Some(wall),
             (_, Some(offset)) => Some(wall.saturating_add_signed(offset.wrapping_neg())),
             (_, None) => None,
         }
@@ -154,18 +154,18 @@
     }
 }
 
-fn assess_clock(inputs: &RecoveryInputs<'_>, machine: Machine, journal: JournalTrust) -> Clock {
+fn assess_clock(inputs: &RecoveryInputs<'_>, machine: Machine, journal: JournalTrust) -> ClockTrust {
     let last_written = inputs.latest_wall.max(inputs.stamp.map_or(0, |stamp| stamp.wall));
     let behind_us = last_written.saturating_sub(inputs.wall);
     if inputs.is_empty || journal == JournalTrust::Foreign {
         // No times of before the start are used.
-        Clock::Trusted
+        ClockTrust::Trusted
     } else if behind_us > MAX_CLOCK_STEP_US {
-        Clock::Behind(behind_us)
+        ClockTrust::Behind(behind_us)
     } else if machine == Machine::SameBoot || inputs.trusts_clock {
-        Clock::Trusted
+        ClockTrust::Trusted
     } else {
-        Clock::Unverified
+        ClockTrust::Unverified
     }
 }
 
--- a/crates/micadrum-recovery/src/journal_trust/tests.rs
+++ b/crates/micadrum-recovery/src/journal_trust/tests.rs
@@ -30,12 +30,12 @@
 #[test]
 fn a_journal_is_trusted_as_far_as_its_records_survived() {
     let cases = [
-        (false, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
-        (true, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
-        (false, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, Clock::Unverified),
-        (true, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Complete, Clock::Unverified),
-        (false, None, Machine::Unknown, JournalTrust::Incomplete, Clock::Unverified),
-        (true, None, Machine::Unknown, JournalTrust::Complete, Clock::Unverified),
+        (false, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
+        (true, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
+        (false, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, ClockTrust::Unverified),
+        (true, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Complete, ClockTrust::Unverified),
+        (false, None, Machine::Unknown, JournalTrust::Incomplete, ClockTrust::Unverified),
+        (true, None, Machine::Unknown, JournalTrust::Complete, ClockTrust::Unverified),
     ];
     for (survives, boot, machine, journal, clock) in cases {
         let stamp = stamp(survives);
@@ -46,7 +46,7 @@
             "{survives} {boot:?}"
         );
         let vouched = RecoveryInputs { trusts_clock: true, ..inputs(Some(&stamp), boot) };
-        assert_eq!(Trust::assess(&vouched).clock, Clock::Trusted);
+        assert_eq!(Trust::assess(&vouched).clock, ClockTrust::Trusted);
     }
     let stamped = stamp(true);
     assert_eq!(Trust::assess(&inputs(Some(&stamped), None)).findings[0], RecoveryFinding::BootIdMissing);
@@ -105,20 +105,20 @@
     let at = |wall, boot, vouched| {
         Trust::assess(&RecoveryInputs { wall, trusts_clock: vouched, ..inputs(Some(&stamp), Some(boot)) })
     };
-    assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, Clock::Behind(3_595_000_000));
-    assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, Clock::Trusted, "set right by a step");
+    assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, ClockTrust::Behind(3_595_000_000));
+    assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, ClockTrust::Trusted, "set right by a step");
     let mut unchecked = at(NOW, BootId([2; 16]), false);
     unchecked.apply_clock_offsets(&[0, 10, -10]);
     assert_eq!(
         (unchecked.clock, unchecked.clock_offset_us, unchecked.journal_time(NOW)),
-        (Clock::Unverified, Some(0), Some(NOW))
+        (ClockTrust::Unverified, Some(0), Some(NOW))
     );
     let mut vouched = at(NOW, BootId([2; 16]), true);
     vouched.apply_clock_offsets(&[]);
     vouched.apply_clock_offsets(&[3_600_000_000, 0, 100]);
-    assert_eq!(vouched.clock, Clock::Trusted, "one of three lies");
+    assert_eq!(vouched.clock, ClockTrust::Trusted, "one of three lies");
     vouched.apply_clock_offsets(&[3_600_000_000, 3_600_000_001, 100]);
-    assert_eq!(vouched.clock, Clock::Skewed(3_600_000_000));
+    assert_eq!(vouched.clock, ClockTrust::Skewed(3_600_000_000));
     assert_eq!(vouched.journal_time(NOW), Some(NOW - 3_600_000_000));
     assert_eq!(
         vouched.findings.iter().filter(|f| matches!(f, RecoveryFinding::ClockUntrusted(_))).count(),
--- a/crates/micadrum-recovery/src/message_recovery.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -13,7 +13,7 @@
 //! "Fails" is the final outcome that promises nothing; "returned" is the one after which a client may safely submit again.
 //! Where the time is unknown, both happen immediately: nobody knows how long the machine was down, and an outcome after a
 //! message's deadline is useless. A completed message keeps its outcome: only its notification is pending.
-use crate::journal_trust::{Clock, JournalTrust, Trust};
+use crate::journal_trust::{ClockTrust, JournalTrust, Trust};
 use std::time::Duration;
 
 /// The effect of delivering a message twice: the decision core's idempotency, without the scope of deduplication.
@@ -73,7 +73,7 @@
             _ => Verdict::Return,
         };
     }
-    let is_window_unknown = trust.clock != Clock::Trusted && was_attempted;
+    let is_window_unknown = trust.clock != ClockTrust::Trusted && was_attempted;
     match redelivery {
         Redelivery::HarmlessWithinWindow if is_window_unknown => Verdict::Fail,
         _ => Verdict::Unchanged,
@@ -88,7 +88,7 @@
         Redelivery::Harmless => uncertain,
         // An attempt before the first known one may be among the missing records, so only the acceptance bounds it.
         Redelivery::HarmlessWithinWindow
-            if trust.clock == Clock::Trusted && message.not_accepted_before.is_some() =>
+            if trust.clock == ClockTrust::Trusted && message.not_accepted_before.is_some() =>
         {
             uncertain
         }
@@ -130,7 +130,7 @@
 pub fn time_left(trust: &Trust, times: MessageTimes) -> u64 {
     let MessageTimes { deadline, latest_wall, wall, time_to_live } = times;
     let now = trust.journal_time(wall).unwrap_or(u64::MAX);
-    if trust.clock == Clock::Trusted {
+    if trust.clock == ClockTrust::Trusted {
         return deadline.saturating_sub(now);
     }
     deadline.saturating_sub(now.max(latest_wall)).min(time_to_live)
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::journal_trust::Machine;
 
-fn trust(journal: JournalTrust, clock: Clock) -> Trust {
+fn trust(journal: JournalTrust, clock: ClockTrust) -> Trust {
     Trust { machine: Machine::Rebooted, journal, clock, clock_offset_us: Some(0), findings: Vec::new() }
 }
 
@@ -12,7 +12,7 @@
 /// Guards against less caution where less is known: what is sent again then is also sent again where more is known.
 #[test]
 fn less_knowledge_never_leads_to_more_sends() {
-    let clocks = [Clock::Trusted, Clock::Unverified, Clock::Behind(9), Clock::Skewed(9)];
+    let clocks = [ClockTrust::Trusted, ClockTrust::Unverified, ClockTrust::Behind(9), ClockTrust::Skewed(9)];
     let caution = |verdict| match verdict {
         Verdict::Unchanged => 0,
         Verdict::Uncertain(_) => 1,
@@ -35,7 +35,7 @@
                     );
                 }
                 for journal in [JournalTrust::Complete, JournalTrust::Incomplete] {
-                    let [best, here] = [Clock::Trusted, clock]
+                    let [best, here] = [ClockTrust::Trusted, clock]
                         .map(|clock| caution(assess_message(&trust(journal, clock), redelivery, left)));
                     assert!(best <= here, "{journal:?} {redelivery:?} {left:?} {clock:?}");
                 }
@@ -54,7 +54,7 @@
             LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before },
         )
     };
-    use Clock::{Trusted, Unverified};
+    use ClockTrust::{Trusted, Unverified};
     use JournalTrust::{Complete, Foreign, Incomplete};
     use Redelivery::{Harmful, Harmless, HarmlessWithinWindow};
     use Verdict::{Discard, Fail, Uncertain, Unchanged};
@@ -97,8 +97,8 @@
 #[test]
 fn resubmissions_are_rejected_during_the_hold() {
     let secs = Duration::from_secs;
-    let complete = trust(JournalTrust::Complete, Clock::Trusted);
-    let incomplete = trust(JournalTrust::Incomplete, Clock::Trusted);
+    let complete = trust(JournalTrust::Complete, ClockTrust::Trusted);
+    let incomplete = trust(JournalTrust::Incomplete, ClockTrust::Trusted);
     for redelivery in [Redelivery::HarmlessWithinWindow, Redelivery::Harmful] {
         assert_eq!(rejected_for(&incomplete, redelivery, secs(12), secs(5)), Some(secs(7)));
         assert_eq!(rejected_for(&incomplete, redelivery, secs(12), secs(12)), None);
@@ -111,17 +111,19 @@
 /// Guards against a message that is sent past its deadline because the clock was set back or has jumped.
 #[test]
 fn no_message_gains_time() {
-    let believed = trust(JournalTrust::Complete, Clock::Trusted);
+    let believed = trust(JournalTrust::Complete, ClockTrust::Trusted);
     assert_eq!(time_left(&believed, times(100, 0, 40, 30)), 60, "as ever");
     assert_eq!(time_left(&believed, times(100, 0, 140, 30)), 0);
-    let told =
-        |offset| Trust { clock_offset_us: Some(offset), ..trust(JournalTrust::Complete, Clock::Unverified) };
+    let told = |offset| Trust {
+        clock_offset_us: Some(offset),
+        ..trust(JournalTrust::Complete, ClockTrust::Unverified)
+    };
     // Its clock stands 1000 ahead, or behind; it is 60 by the others.
     assert_eq!(time_left(&told(1_000), times(100, 50, 1_060, 500)), 40);
     assert_eq!(time_left(&told(-40), times(100, 50, 20, 500)), 40);
     // A liar makes it no more than there was when the journal ended.
     assert_eq!(time_left(&told(1_000_000), times(100, 50, 60, 500)), 50);
     assert_eq!(time_left(&told(1_000_000), times(1_000_000, 50, 60, 500)), 500);
-    let dark = Trust { clock_offset_us: None, ..trust(JournalTrust::Complete, Clock::Unverified) };
+    let dark = Trust { clock_offset_us: None, ..trust(JournalTrust::Complete, ClockTrust::Unverified) };
     assert_eq!(time_left(&dark, times(100, 50, 60, 500)), 0);
 }
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::daemon;
-use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine, RecoveryFinding};
+use micadrum_recovery::journal_trust::{ClockTrust, JournalTrust, Machine, RecoveryFinding};
 use micadrum_recovery::phases::{PhaseEnd, RecoveryPhase};
 use micadrum_testkit::history::{History, Return};
 use micadrum_testkit::invariants::Invariant;
@@ -114,8 +114,9 @@
         let report = common::play(Plan::new(day(20, MACHINE, &faults), seed));
         assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
         assert_eq!(returned(&report.history).len(), 5);
-        let off =
-            returned(&report.history).iter().all(|of| of.trust.as_ref().unwrap().clock != Clock::Trusted);
+        let off = returned(&report.history)
+            .iter()
+            .all(|of| of.trust.as_ref().unwrap().clock != ClockTrust::Trusted);
         assert!(off, "seed {seed}\n{}", report.history.text());
     }
 }
@@ -200,7 +201,7 @@
                 trust.clock_offset_us.is_some(),
                 "seed {seed}: the other building tells the time: {trust:?}"
             );
-            let (Clock::Skewed(by) | Clock::Behind(by)) = trust.clock else { continue };
+            let (ClockTrust::Skewed(by) | ClockTrust::Behind(by)) = trust.clock else { continue };
             let told = trust.clock_offset_us.unwrap().unsigned_abs();
             assert!(told > 5 * SECOND && by > SECOND, "seed {seed}: {trust:?}");
             off += 1;
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,6 +1,6 @@
 //! The recovery status of a running sender, as text for the terminal.
 use micadrum_recovery::Trust;
-use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine};
+use micadrum_recovery::journal_trust::{ClockTrust, JournalTrust, Machine};
 use micadrum_recovery::phases::{PhaseEnd, PhaseRecord, RecoveryPhase};
 use serde::Deserialize;
 use std::fmt::Write as _;
@@ -64,10 +64,10 @@
         JournalTrust::Foreign => "another sender's, set aside",
     };
     let clock = match trust.clock {
-        Clock::Trusted => "believed".to_owned(),
-        Clock::Unverified => "not vouched for".to_owned(),
-        Clock::Behind(by) => format!("{} s before what was written", by.div_ceil(MICROS_PER_SECOND)),
-        Clock::Skewed(by) => format!("{} s off that of the others", by.div_ceil(MICROS_PER_SECOND)),
+        ClockTrust::Trusted => "believed".to_owned(),
+        ClockTrust::Unverified => "not vouched for".to_owned(),
+        ClockTrust::Behind(by) => format!("{} s before what was written", by.div_ceil(MICROS_PER_SECOND)),
+        ClockTrust::Skewed(by) => format!("{} s off that of the others", by.div_ceil(MICROS_PER_SECOND)),
     };
     format!("machine  {machine}\njournal  {journal}\nclock    {clock}\n")
 }
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -1,7 +1,7 @@
 //! The recovery of this process, shared between the event loop, the admin endpoint and the links.
 use super::peer_queries::QuerySummary;
 use crate::daemon::ports::Log;
-use micadrum_recovery::journal_trust::Clock;
+use micadrum_recovery::journal_trust::ClockTrust;
 use micadrum_recovery::message_recovery::{
     LeftoverMessage, MessageTimes, Redelivery, Verdict, assess_message, rejected_for, time_left,
 };
@@ -196,7 +196,7 @@
 
     /// Whether durations since before the start are meaningful.
     pub fn trusts_clock(&self) -> bool {
-        self.0.borrow().as_ref().is_none_or(|state| state.trust.clock == Clock::Trusted)
+        self.0.borrow().as_ref().is_none_or(|state| state.trust.clock == ClockTrust::Trusted)
     }
 }
 
