--- a/crates/micadrum-recovery/src/journal_trust/finding.rs
+++ b/crates/micadrum-recovery/src/journal_trust/finding.rs
@@ -7,7 +7,7 @@
 
 /// Whether the machine was restarted since the journal was last written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Machine {
+pub enum BootComparison {
     /// The machine was not restarted: all that was written is there.
     #[serde(rename = "same")]
     SameBoot,
--- a/crates/micadrum-recovery/src/journal_trust/mod.rs
+++ b/crates/micadrum-recovery/src/journal_trust/mod.rs
@@ -4,7 +4,7 @@
 mod finding;
 mod stamp;
 
-pub use finding::{ClockTrust, JournalTrust, Machine, RecoveryFinding};
+pub use finding::{BootComparison, ClockTrust, JournalTrust, RecoveryFinding};
 pub use stamp::{BootId, JournalStamp, RecoveryInputs};
 
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trust {
     /// Whether the machine was restarted.
-    pub machine: Machine,
+    pub machine: BootComparison,
     /// How far the journal is trusted: its pending messages, their attempts, and the ids of completed ones.
     pub journal: JournalTrust,
     /// Whether durations since before the start are meaningful.
@@ -111,21 +111,21 @@
     /// Whether the machine lost power, or may have: destinations and other senders may have too.
     #[must_use]
     pub fn follows_machine_restart(&self) -> bool {
-        self.machine != Machine::SameBoot && !self.findings.contains(&RecoveryFinding::Empty)
+        self.machine != BootComparison::SameBoot && !self.findings.contains(&RecoveryFinding::Empty)
     }
 }
 
-fn compare_boots(inputs: &RecoveryInputs<'_>) -> Machine {
+fn compare_boots(inputs: &RecoveryInputs<'_>) -> BootComparison {
     match (inputs.stamp.and_then(|stamp| stamp.boot), inputs.boot) {
-        (Some(before), Some(now)) if before == now => Machine::SameBoot,
-        (Some(_), Some(_)) => Machine::Rebooted,
-        _ => Machine::Unknown,
+        (Some(before), Some(now)) if before == now => BootComparison::SameBoot,
+        (Some(_), Some(_)) => BootComparison::Rebooted,
+        _ => BootComparison::Unknown,
     }
 }
 
 fn assess_journal(
     inputs: &RecoveryInputs<'_>,
-    machine: Machine,
+    machine: BootComparison,
     findings: &mut Vec<RecoveryFinding>,
 ) -> JournalTrust {
     if let Some(foreign) = inputs.stamp.filter(|stamp| stamp.sender != inputs.own_name) {
@@ -138,23 +138,23 @@
     }
     let journal_survived = inputs.stamp.is_some_and(|stamp| stamp.survives_machine_crash);
     match machine {
-        Machine::Rebooted => findings.push(RecoveryFinding::Rebooted { journal_survived }),
-        Machine::Unknown if inputs.stamp.is_none() => findings.push(RecoveryFinding::StampMissing),
-        Machine::Unknown => findings.push(RecoveryFinding::BootIdMissing),
-        Machine::SameBoot => {}
+        BootComparison::Rebooted => findings.push(RecoveryFinding::Rebooted { journal_survived }),
+        BootComparison::Unknown if inputs.stamp.is_none() => findings.push(RecoveryFinding::StampMissing),
+        BootComparison::Unknown => findings.push(RecoveryFinding::BootIdMissing),
+        BootComparison::SameBoot => {}
     }
     if inputs.corrupt_bytes > 0 {
         findings.push(RecoveryFinding::CorruptRecords(inputs.corrupt_bytes));
         return JournalTrust::Incomplete;
     }
-    if machine == Machine::SameBoot || journal_survived {
+    if machine == BootComparison::SameBoot || journal_survived {
         JournalTrust::Complete
     } else {
         JournalTrust::Incomplete
     }
 }
 
-fn assess_clock(inputs: &RecoveryInputs<'_>, machine: Machine, journal: JournalTrust) -> ClockTrust {
+fn assess_clock(inputs: &RecoveryInputs<'_>, machine: BootComparison, journal: JournalTrust) -> ClockTrust {
     let last_written = inputs.latest_wall.max(inputs.stamp.map_or(0, |stamp| stamp.wall));
     let behind_us = last_written.saturating_sub(inputs.wall);
     if inputs.is_empty || journal == JournalTrust::Foreign {
@@ -162,7 +162,7 @@
         ClockTrust::Trusted
     } else if behind_us > MAX_CLOCK_STEP_US {
         ClockTrust::Behind(behind_us)
-    } else if machine == Machine::SameBoot || inputs.trusts_clock {
+    } else if machine == BootComparison::SameBoot || inputs.trusts_clock {
         ClockTrust::Trusted
     } else {
         ClockTrust::Unverified
--- a/crates/micadrum-recovery/src/journal_trust/tests.rs
+++ b/crates/micadrum-recovery/src/journal_trust/tests.rs
@@ -30,12 +30,24 @@
 #[test]
 fn a_journal_is_trusted_as_far_as_its_records_survived() {
     let cases = [
-        (false, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
-        (true, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
-        (false, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, ClockTrust::Unverified),
-        (true, Some(BootId([2; 16])), Machine::Rebooted, JournalTrust::Complete, ClockTrust::Unverified),
-        (false, None, Machine::Unknown, JournalTrust::Incomplete, ClockTrust::Unverified),
-        (true, None, Machine::Unknown, JournalTrust::Complete, ClockTrust::Unverified),
+        (false, Some(BEFORE), BootComparison::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
+        (true, Some(BEFORE), BootComparison::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
+        (
+            false,
+            Some(BootId([2; 16])),
+            BootComparison::Rebooted,
+            JournalTrust::Incomplete,
+            ClockTrust::Unverified,
+        ),
+        (
+            true,
+            Some(BootId([2; 16])),
+            BootComparison::Rebooted,
+            JournalTrust::Complete,
+            ClockTrust::Unverified,
+        ),
+        (false, None, BootComparison::Unknown, JournalTrust::Incomplete, ClockTrust::Unverified),
+        (true, None, BootComparison::Unknown, JournalTrust::Complete, ClockTrust::Unverified),
     ];
     for (survives, boot, machine, journal, clock) in cases {
         let stamp = stamp(survives);
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -1,8 +1,14 @@
 use super::*;
-use crate::journal_trust::Machine;
+use crate::journal_trust::BootComparison;
 
 fn trust(journal: JournalTrust, clock: ClockTrust) -> Trust {
-    Trust { machine: Machine::Rebooted, journal, clock, clock_offset_us: Some(0), findings: Vec::new() }
+    Trust {
+        machine: BootComparison::Rebooted,
+        journal,
+        clock,
+        clock_offset_us: Some(0),
+        findings: Vec::new(),
+    }
 }
 
 fn times(deadline: u64, latest_wall: u64, wall: u64, time_to_live: u64) -> MessageTimes {
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::daemon;
-use micadrum_recovery::journal_trust::{ClockTrust, JournalTrust, Machine, RecoveryFinding};
+use micadrum_recovery::journal_trust::{BootComparison, ClockTrust, JournalTrust, RecoveryFinding};
 use micadrum_recovery::phases::{PhaseEnd, RecoveryPhase};
 use micadrum_testkit::history::{History, Return};
 use micadrum_testkit::invariants::Invariant;
@@ -70,7 +70,7 @@
         let trust = of.trust.as_ref().unwrap();
         assert_eq!(
             (trust.machine, trust.journal),
-            (Machine::Rebooted, JournalTrust::Complete),
+            (BootComparison::Rebooted, JournalTrust::Complete),
             "{}",
             report.history.text()
         );
@@ -227,7 +227,7 @@
         forgot += usize::from(
             trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::OutdatedFolder { .. })),
         );
-        away += usize::from(trust.machine == Machine::Rebooted);
+        away += usize::from(trust.machine == BootComparison::Rebooted);
     }
     // Of the four that are struck later one may be gone for good.
     assert!(forgot >= 3 && away >= 4, "{forgot} {away}\n{}", report.history.text());
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,6 +1,6 @@
 //! The recovery status of a running sender, as text for the terminal.
 use micadrum_recovery::Trust;
-use micadrum_recovery::journal_trust::{ClockTrust, JournalTrust, Machine};
+use micadrum_recovery::journal_trust::{BootComparison, ClockTrust, JournalTrust};
 use micadrum_recovery::phases::{PhaseEnd, PhaseRecord, RecoveryPhase};
 use serde::Deserialize;
 use std::fmt::Write as _;
@@ -54,9 +54,9 @@
 
 fn format_trust(trust: &Trust) -> String {
     let machine = match trust.machine {
-        Machine::SameBoot => "as it was",
-        Machine::Rebooted => "began anew",
-        Machine::Unknown => "not known",
+        BootComparison::SameBoot => "as it was",
+        BootComparison::Rebooted => "began anew",
+        BootComparison::Unknown => "not known",
     };
     let journal = match trust.journal {
         JournalTrust::Complete => "binds",
