--- a/crates/micadrum-recovery/src/message_recovery.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -29,7 +29,7 @@
 
 /// What the journal has of a message. Times are wall times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeftoverMessage {
+pub struct JournaledMessage {
     /// The message is completed, and only its notification is pending.
     pub is_completed: bool,
     /// When the first attempt began that may have been delivered.
@@ -40,7 +40,7 @@
 
 /// What happens to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RecoveryAction {
     /// The message is kept as the journal has it.
     Unchanged,
     /// The message may have been delivered, first at this wall time in microseconds.
@@ -55,36 +55,44 @@
 
 /// Decides what happens to a message.
 #[must_use]
-pub fn assess_message(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+pub fn assess_message(trust: &Trust, redelivery: Redelivery, message: JournaledMessage) -> RecoveryAction {
     match trust.journal {
-        JournalTrust::Foreign => Verdict::Discard,
-        _ if message.is_completed => Verdict::Unchanged,
+        JournalTrust::Foreign => RecoveryAction::Discard,
+        _ if message.is_completed => RecoveryAction::Unchanged,
         JournalTrust::Complete => assess_in_complete_journal(trust, redelivery, message),
         JournalTrust::Incomplete => assess_in_incomplete_journal(trust, redelivery, message),
     }
 }
 
-fn assess_in_complete_journal(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+fn assess_in_complete_journal(
+    trust: &Trust,
+    redelivery: Redelivery,
+    message: JournaledMessage,
+) -> RecoveryAction {
     let was_attempted = message.first_attempt_at.is_some();
     if !trust.knows_time() {
         return match redelivery {
-            Redelivery::Harmless => Verdict::Return,
-            _ if was_attempted => Verdict::Fail,
-            _ => Verdict::Return,
+            Redelivery::Harmless => RecoveryAction::Return,
+            _ if was_attempted => RecoveryAction::Fail,
+            _ => RecoveryAction::Return,
         };
     }
     let is_window_unknown = trust.clock != ClockTrust::Trusted && was_attempted;
     match redelivery {
-        Redelivery::HarmlessWithinWindow if is_window_unknown => Verdict::Fail,
-        _ => Verdict::Unchanged,
+        Redelivery::HarmlessWithinWindow if is_window_unknown => RecoveryAction::Fail,
+        _ => RecoveryAction::Unchanged,
     }
 }
 
-fn assess_in_incomplete_journal(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+fn assess_in_incomplete_journal(
+    trust: &Trust,
+    redelivery: Redelivery,
+    message: JournaledMessage,
+) -> RecoveryAction {
     let earliest = message.first_attempt_at.into_iter().chain(message.not_accepted_before).min();
-    let uncertain = Verdict::Uncertain(earliest.unwrap_or(0));
+    let uncertain = RecoveryAction::Uncertain(earliest.unwrap_or(0));
     match redelivery {
-        Redelivery::Harmless if !trust.knows_time() => Verdict::Return,
+        Redelivery::Harmless if !trust.knows_time() => RecoveryAction::Return,
         Redelivery::Harmless => uncertain,
         // An attempt before the first known one may be among the missing records, so only the acceptance bounds it.
         Redelivery::HarmlessWithinWindow
@@ -92,7 +100,7 @@
         {
             uncertain
         }
-        Redelivery::HarmlessWithinWindow | Redelivery::Harmful => Verdict::Fail,
+        Redelivery::HarmlessWithinWindow | Redelivery::Harmful => RecoveryAction::Fail,
     }
 }
 
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -20,17 +20,17 @@
 fn less_knowledge_never_leads_to_more_sends() {
     let clocks = [ClockTrust::Trusted, ClockTrust::Unverified, ClockTrust::Behind(9), ClockTrust::Skewed(9)];
     let caution = |verdict| match verdict {
-        Verdict::Unchanged => 0,
-        Verdict::Uncertain(_) => 1,
-        Verdict::Return => 2,
-        Verdict::Fail => 3,
-        Verdict::Discard => 4,
+        RecoveryAction::Unchanged => 0,
+        RecoveryAction::Uncertain(_) => 1,
+        RecoveryAction::Return => 2,
+        RecoveryAction::Fail => 3,
+        RecoveryAction::Discard => 4,
     };
     for redelivery in [Redelivery::Harmless, Redelivery::HarmlessWithinWindow, Redelivery::Harmful] {
         for (first_attempt_at, not_accepted_before) in
             [(None, None), (Some(7), None), (None, Some(5)), (Some(7), Some(5))]
         {
-            let left = LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before };
+            let left = JournaledMessage { is_completed: false, first_attempt_at, not_accepted_before };
             for clock in clocks {
                 for clock_offset_us in [Some(0), None] {
                     let trust = |journal| Trust { clock_offset_us, ..trust(journal, clock) };
@@ -57,13 +57,13 @@
         assess_message(
             &trust(journal, clock),
             redelivery,
-            LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before },
+            JournaledMessage { is_completed: false, first_attempt_at, not_accepted_before },
         )
     };
     use ClockTrust::{Trusted, Unverified};
     use JournalTrust::{Complete, Foreign, Incomplete};
+    use RecoveryAction::{Discard, Fail, Uncertain, Unchanged};
     use Redelivery::{Harmful, Harmless, HarmlessWithinWindow};
-    use Verdict::{Discard, Fail, Uncertain, Unchanged};
     assert_eq!(of(Complete, Trusted, HarmlessWithinWindow, Some(7), None), Unchanged);
     assert_eq!(of(Complete, Unverified, HarmlessWithinWindow, Some(7), None), Fail);
     assert_eq!(of(Complete, Unverified, HarmlessWithinWindow, None, Some(5)), Unchanged);
@@ -83,10 +83,10 @@
         assess_message(
             &trust,
             redelivery,
-            LeftoverMessage { is_completed: false, first_attempt_at, not_accepted_before: Some(5) },
+            JournaledMessage { is_completed: false, first_attempt_at, not_accepted_before: Some(5) },
         )
     };
-    use Verdict::Return;
+    use RecoveryAction::Return;
     assert_eq!((dark(Complete, Harmless, Some(7)), dark(Incomplete, Harmless, Some(7))), (Return, Return));
     assert_eq!((dark(Complete, HarmlessWithinWindow, None), dark(Complete, Harmful, None)), (Return, Return));
     assert_eq!(
@@ -94,7 +94,7 @@
         (Fail, Fail)
     );
     assert_eq!((dark(Incomplete, HarmlessWithinWindow, None), dark(Incomplete, Harmful, None)), (Fail, Fail));
-    let over = LeftoverMessage { is_completed: true, first_attempt_at: None, not_accepted_before: None };
+    let over = JournaledMessage { is_completed: true, first_attempt_at: None, not_accepted_before: None };
     assert_eq!(assess_message(&trust(Incomplete, Unverified), Harmful, over), Unchanged);
 }
 
--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -8,7 +8,7 @@
 use crate::daemon::recovery::{RecoveryStatus, TimeMarker};
 use crate::{ClassId, Event, Idempotency, Message, RecoveredMessage, TimeDelta, Timestamp, ZoneId};
 use micadrum_recovery::JournalStamp;
-use micadrum_recovery::message_recovery::{LeftoverMessage, MessageTimes, Redelivery, Verdict};
+use micadrum_recovery::message_recovery::{JournaledMessage, MessageTimes, RecoveryAction, Redelivery};
 use micadrum_recovery::phases::Input;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -131,20 +131,20 @@
     ) -> Option<FinalOutcome> {
         let first_attempt =
             pending.first_uncertain_attempt.as_ref().or(pending.active_attempt.as_ref()).cloned();
-        let leftover = LeftoverMessage {
+        let journaled = JournaledMessage {
             is_completed: pending.final_outcome.is_some(),
             first_attempt_at: first_attempt.as_ref().map(|attempt| attempt.started_at),
             not_accepted_before: self.messages.journal.accepted_not_before(number),
         };
-        match self.recovery.status.assess_message(self.repeats(class), leftover) {
-            Verdict::Unchanged => {}
-            Verdict::Uncertain(at) => {
+        match self.recovery.status.assess_message(self.repeats(class), journaled) {
+            RecoveryAction::Unchanged => {}
+            RecoveryAction::Uncertain(at) => {
                 let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
                 self.record_uncertain_attempt(number, Attempt { started_at: at, zone }, pending);
             }
-            Verdict::Return => return Some(FinalOutcome::Returned(None)),
+            RecoveryAction::Return => return Some(FinalOutcome::Returned(None)),
             // The journal of another sender is set aside before it is read here.
-            Verdict::Fail | Verdict::Discard => return Some(FinalOutcome::Failed),
+            RecoveryAction::Fail | RecoveryAction::Discard => return Some(FinalOutcome::Failed),
         }
         self.reset_deadline(number, class, pending);
         if self.doubts_journal_times() {
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -3,7 +3,7 @@
 use crate::daemon::ports::Log;
 use micadrum_recovery::journal_trust::ClockTrust;
 use micadrum_recovery::message_recovery::{
-    LeftoverMessage, MessageTimes, Redelivery, Verdict, assess_message, rejected_for, time_left,
+    JournaledMessage, MessageTimes, RecoveryAction, Redelivery, assess_message, rejected_for, time_left,
 };
 use micadrum_recovery::phases::{Input, PhaseEnd, PhaseRecord, RecoveryPhase, Settings};
 use micadrum_recovery::{Phases, Record, Trust};
@@ -174,9 +174,11 @@
     }
 
     /// Decides what happens to a message in the journal.
-    pub fn assess_message(&self, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+    pub fn assess_message(&self, redelivery: Redelivery, message: JournaledMessage) -> RecoveryAction {
         let state = self.0.borrow();
-        state.as_ref().map_or(Verdict::Unchanged, |state| assess_message(&state.trust, redelivery, message))
+        state
+            .as_ref()
+            .map_or(RecoveryAction::Unchanged, |state| assess_message(&state.trust, redelivery, message))
     }
 
     /// Returns how much longer new messages of a class are rejected; see [`rejected_for`].
