--- a/crates/micadrum-recovery/src/message_recovery.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -110,7 +110,7 @@
 /// `hold` is how long after the start the operators want such messages to be rejected; `elapsed` is the time since the
 /// start.
 #[must_use]
-pub fn rejected_for(
+pub fn rejection_time_left(
     trust: &Trust,
     redelivery: Redelivery,
     hold: Duration,
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -106,12 +106,12 @@
     let complete = trust(JournalTrust::Complete, ClockTrust::Trusted);
     let incomplete = trust(JournalTrust::Incomplete, ClockTrust::Trusted);
     for redelivery in [Redelivery::HarmlessWithinWindow, Redelivery::Harmful] {
-        assert_eq!(rejected_for(&incomplete, redelivery, secs(12), secs(5)), Some(secs(7)));
-        assert_eq!(rejected_for(&incomplete, redelivery, secs(12), secs(12)), None);
-        assert_eq!(rejected_for(&complete, redelivery, secs(12), secs(5)), None);
-        assert_eq!(rejected_for(&incomplete, redelivery, secs(0), secs(0)), None);
+        assert_eq!(rejection_time_left(&incomplete, redelivery, secs(12), secs(5)), Some(secs(7)));
+        assert_eq!(rejection_time_left(&incomplete, redelivery, secs(12), secs(12)), None);
+        assert_eq!(rejection_time_left(&complete, redelivery, secs(12), secs(5)), None);
+        assert_eq!(rejection_time_left(&incomplete, redelivery, secs(0), secs(0)), None);
     }
-    assert_eq!(rejected_for(&incomplete, Redelivery::Harmless, secs(12), secs(5)), None);
+    assert_eq!(rejection_time_left(&incomplete, Redelivery::Harmless, secs(12), secs(5)), None);
 }
 
 /// Guards against a message that is sent past its deadline because the clock was set back or has jumped.
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -3,7 +3,8 @@
 use crate::daemon::ports::Log;
 use micadrum_recovery::journal_trust::ClockTrust;
 use micadrum_recovery::message_recovery::{
-    JournaledMessage, MessageTimes, RecoveryAction, Redelivery, assess_message, rejected_for, time_left,
+    JournaledMessage, MessageTimes, RecoveryAction, Redelivery, assess_message, rejection_time_left,
+    time_left,
 };
 use micadrum_recovery::phases::{Input, PhaseEnd, PhaseRecord, RecoveryPhase, Settings};
 use micadrum_recovery::{Phases, Record, Trust};
@@ -181,11 +182,11 @@
             .map_or(RecoveryAction::Unchanged, |state| assess_message(&state.trust, redelivery, message))
     }
 
-    /// Returns how much longer new messages of a class are rejected; see [`rejected_for`].
+    /// Returns how much longer new messages of a class are rejected; see [`rejection_time_left`].
     pub fn rejection_time_left(&self, redelivery: Redelivery) -> Option<Duration> {
         let state = self.0.borrow();
         let state = state.as_ref()?;
-        rejected_for(&state.trust, redelivery, state.deduplication_hold, state.origin.elapsed())
+        rejection_time_left(&state.trust, redelivery, state.deduplication_hold, state.origin.elapsed())
     }
 
     /// Returns the time left to a message of before the start, in microseconds; see [`time_left`].
