--- a/crates/micadrum-recovery/src/phases.rs
+++ b/crates/micadrum-recovery/src/phases.rs
@@ -221,7 +221,7 @@
 
     /// Whether new messages are admitted.
     #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub fn admits_new_messages(&self) -> bool {
         self.phase >= RecoveryPhase::AdmittingGradually
     }
 
--- a/crates/micadrum-recovery/src/phases/tests.rs
+++ b/crates/micadrum-recovery/src/phases/tests.rs
@@ -28,12 +28,14 @@
         phases.handle(Input::EndpointListReceived, ms(200))
             && phases.phase() == RecoveryPhase::DrainingBacklog
     );
-    assert!(phases.sends_backlog() && !phases.is_open() && phases.admit(ms(200)) == Err(ms(3000)));
+    assert!(
+        phases.sends_backlog() && !phases.admits_new_messages() && phases.admit(ms(200)) == Err(ms(3000))
+    );
     assert!(!phases.handle(Input::Backlog(3), ms(300)));
     assert!(
         phases.handle(Input::Backlog(0), ms(400))
             && phases.phase() == RecoveryPhase::AdmittingGradually
-            && phases.is_open()
+            && phases.admits_new_messages()
     );
     assert!(phases.admit(ms(400)).is_ok() && phases.admit(ms(400)).is_err());
     assert!(!phases.handle(Input::Timer, ms(5399)) && phases.handle(Input::Timer, ms(5400)));
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -135,7 +135,7 @@
 
     /// Whether new messages are admitted.
     pub fn admits_messages(&self) -> bool {
-        self.0.borrow().as_ref().is_none_or(|state| state.phases.is_open())
+        self.0.borrow().as_ref().is_none_or(|state| state.phases.admits_new_messages())
     }
 
     /// Whether pending messages of before the start may be sent.
