--- a/crates/micadrum-recovery/src/journal_trust/mod.rs
+++ b/crates/micadrum-recovery/src/journal_trust/mod.rs
@@ -4,8 +4,8 @@
 mod finding;
 mod stamp;
 
-pub use finding::{Clock, JournalTrust, Machine, RecoveryFinding};
-pub use stamp::{Boot, JournalStamp, RecoveryInputs};
+pub use finding::{BootComparison, ClockTrust, JournalTrust, RecoveryFinding};
+pub use stamp::{BootId, JournalStamp, RecoveryInputs};
 
 use serde::{Deserialize, Serialize};
 
@@ -18,11 +18,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trust {
     /// Whether the machine was restarted.
-    pub machine: Machine,
+    pub machine: BootComparison,
     /// How far the journal is trusted: its pending messages, their attempts, and the ids of completed ones.
     pub journal: JournalTrust,
     /// Whether durations since before the start are meaningful.
-    pub clock: Clock,
+    pub clock: ClockTrust,
     /// How far the clock is ahead of that of senders at full service, in microseconds, where it is not trusted and others
     /// reported theirs. The offset may shorten the time left to a message, but never lengthens it.
     #[serde(rename = "offset")]
@@ -43,7 +43,7 @@
             findings.push(RecoveryFinding::TornRecord(inputs.torn_bytes));
         }
         let clock = assess_clock(inputs, machine, journal);
-        if clock != Clock::Trusted {
+        if clock != ClockTrust::Trusted {
             findings.push(RecoveryFinding::ClockUntrusted(clock));
         }
         Self { machine, journal, clock, clock_offset_us: None, findings }
@@ -62,13 +62,13 @@
         sorted.sort_unstable();
         let Some(median) = sorted.get(sorted.len() / 2) else { return };
         let skew_us = median.unsigned_abs();
-        let can_be_skewed = matches!(self.clock, Clock::Trusted | Clock::Unverified);
+        let can_be_skewed = matches!(self.clock, ClockTrust::Trusted | ClockTrust::Unverified);
         if skew_us > MAX_CLOCK_SKEW_US && can_be_skewed {
             self.findings.retain(|finding| !matches!(finding, RecoveryFinding::ClockUntrusted(_)));
-            self.clock = Clock::Skewed(skew_us);
+            self.clock = ClockTrust::Skewed(skew_us);
             self.findings.push(RecoveryFinding::ClockUntrusted(self.clock));
         }
-        if self.clock != Clock::Trusted {
+        if self.clock != ClockTrust::Trusted {
             self.clock_offset_us = Some(*median);
         }
     }
@@ -76,14 +76,14 @@
     /// Whether the time left to a message of before the start is known.
     #[must_use]
     pub fn knows_time(&self) -> bool {
-        self.clock == Clock::Trusted || self.clock_offset_us.is_some()
+        self.clock == ClockTrust::Trusted || self.clock_offset_us.is_some()
     }
 
     /// Returns the current time by the clock under which the journal was written, where known. Times are in microseconds.
     #[must_use]
     pub fn journal_time(&self, wall: u64) -> Option<u64> {
         match (self.clock, self.clock_offset_us) {
-            (Clock::Trusted, _) => Some(wall),
+            (ClockTrust::Trusted, _) => Some(wall),
             (_, Some(offset)) => Some(wall.saturating_add_signed(offset.wrapping_neg())),
             (_, None) => None,
         }
@@ -111,21 +111,21 @@
     /// Whether the machine lost power, or may have: destinations and other senders may have too.
     #[must_use]
     pub fn follows_machine_restart(&self) -> bool {
-        self.machine != Machine::SameBoot && !self.findings.contains(&RecoveryFinding::Empty)
+        self.machine != BootComparison::SameBoot && !self.findings.contains(&RecoveryFinding::Empty)
     }
 }
 
-fn compare_boots(inputs: &RecoveryInputs<'_>) -> Machine {
+fn compare_boots(inputs: &RecoveryInputs<'_>) -> BootComparison {
     match (inputs.stamp.and_then(|stamp| stamp.boot), inputs.boot) {
-        (Some(before), Some(now)) if before == now => Machine::SameBoot,
-        (Some(_), Some(_)) => Machine::Rebooted,
-        _ => Machine::Unknown,
+        (Some(before), Some(now)) if before == now => BootComparison::SameBoot,
+        (Some(_), Some(_)) => BootComparison::Rebooted,
+        _ => BootComparison::Unknown,
     }
 }
 
 fn assess_journal(
     inputs: &RecoveryInputs<'_>,
-    machine: Machine,
+    machine: BootComparison,
     findings: &mut Vec<RecoveryFinding>,
 ) -> JournalTrust {
     if let Some(foreign) = inputs.stamp.filter(|stamp| stamp.sender != inputs.own_name) {
@@ -138,34 +138,34 @@
     }
     let journal_survived = inputs.stamp.is_some_and(|stamp| stamp.survives_machine_crash);
     match machine {
-        Machine::Rebooted => findings.push(RecoveryFinding::Rebooted { journal_survived }),
-        Machine::Unknown if inputs.stamp.is_none() => findings.push(RecoveryFinding::StampMissing),
-        Machine::Unknown => findings.push(RecoveryFinding::BootIdMissing),
-        Machine::SameBoot => {}
+        BootComparison::Rebooted => findings.push(RecoveryFinding::Rebooted { journal_survived }),
+        BootComparison::Unknown if inputs.stamp.is_none() => findings.push(RecoveryFinding::StampMissing),
+        BootComparison::Unknown => findings.push(RecoveryFinding::BootIdMissing),
+        BootComparison::SameBoot => {}
     }
     if inputs.corrupt_bytes > 0 {
         findings.push(RecoveryFinding::CorruptRecords(inputs.corrupt_bytes));
         return JournalTrust::Incomplete;
     }
-    if machine == Machine::SameBoot || journal_survived {
+    if machine == BootComparison::SameBoot || journal_survived {
         JournalTrust::Complete
     } else {
         JournalTrust::Incomplete
     }
 }
 
-fn assess_clock(inputs: &RecoveryInputs<'_>, machine: Machine, journal: JournalTrust) -> Clock {
+fn assess_clock(inputs: &RecoveryInputs<'_>, machine: BootComparison, journal: JournalTrust) -> ClockTrust {
     let last_written = inputs.latest_wall.max(inputs.stamp.map_or(0, |stamp| stamp.wall));
     let behind_us = last_written.saturating_sub(inputs.wall);
     if inputs.is_empty || journal == JournalTrust::Foreign {
         // No times of before the start are used.
-        Clock::Trusted
+        ClockTrust::Trusted
     } else if behind_us > MAX_CLOCK_STEP_US {
-        Clock::Behind(behind_us)
-    } else if machine == Machine::SameBoot || inputs.trusts_clock {
-        Clock::Trusted
+        ClockTrust::Behind(behind_us)
+    } else if machine == BootComparison::SameBoot || inputs.trusts_clock {
+        ClockTrust::Trusted
     } else {
-        Clock::Unverified
+        ClockTrust::Unverified
     }
 }
 
--- a/crates/micadrum-recovery/src/journal_trust/tests.rs
+++ b/crates/micadrum-recovery/src/journal_trust/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const BEFORE: Boot = Boot([1; 16]);
+const BEFORE: BootId = BootId([1; 16]);
 const NOW: u64 = 1_700_000_000_000_000;
 
 fn stamp(survives_machine_crash: bool) -> JournalStamp {
@@ -12,7 +12,7 @@
     }
 }
 
-fn inputs(stamp: Option<&JournalStamp>, boot: Option<Boot>) -> RecoveryInputs<'_> {
+fn inputs(stamp: Option<&JournalStamp>, boot: Option<BootId>) -> RecoveryInputs<'_> {
     RecoveryInputs {
         own_name: "n1",
         boot,
@@ -30,12 +30,24 @@
 #[test]
 fn a_journal_is_trusted_as_far_as_its_records_survived() {
     let cases = [
-        (false, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
-        (true, Some(BEFORE), Machine::SameBoot, JournalTrust::Complete, Clock::Trusted),
-        (false, Some(Boot([2; 16])), Machine::Rebooted, JournalTrust::Incomplete, Clock::Unverified),
-        (true, Some(Boot([2; 16])), Machine::Rebooted, JournalTrust::Complete, Clock::Unverified),
-        (false, None, Machine::Unknown, JournalTrust::Incomplete, Clock::Unverified),
-        (true, None, Machine::Unknown, JournalTrust::Complete, Clock::Unverified),
+        (false, Some(BEFORE), BootComparison::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
+        (true, Some(BEFORE), BootComparison::SameBoot, JournalTrust::Complete, ClockTrust::Trusted),
+        (
+            false,
+            Some(BootId([2; 16])),
+            BootComparison::Rebooted,
+            JournalTrust::Incomplete,
+            ClockTrust::Unverified,
+        ),
+        (
+            true,
+            Some(BootId([2; 16])),
+            BootComparison::Rebooted,
+            JournalTrust::Complete,
+            ClockTrust::Unverified,
+        ),
+        (false, None, BootComparison::Unknown, JournalTrust::Incomplete, ClockTrust::Unverified),
+        (true, None, BootComparison::Unknown, JournalTrust::Complete, ClockTrust::Unverified),
     ];
     for (survives, boot, machine, journal, clock) in cases {
         let stamp = stamp(survives);
@@ -46,7 +58,7 @@
             "{survives} {boot:?}"
         );
         let vouched = RecoveryInputs { trusts_clock: true, ..inputs(Some(&stamp), boot) };
-        assert_eq!(Trust::assess(&vouched).clock, Clock::Trusted);
+        assert_eq!(Trust::assess(&vouched).clock, ClockTrust::Trusted);
     }
     let stamped = stamp(true);
     assert_eq!(Trust::assess(&inputs(Some(&stamped), None)).findings[0], RecoveryFinding::BootIdMissing);
@@ -105,20 +117,20 @@
     let at = |wall, boot, vouched| {
         Trust::assess(&RecoveryInputs { wall, trusts_clock: vouched, ..inputs(Some(&stamp), Some(boot)) })
     };
-    assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, Clock::Behind(3_595_000_000));
-    assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, Clock::Trusted, "set right by a step");
-    let mut unchecked = at(NOW, Boot([2; 16]), false);
+    assert_eq!(at(NOW - 3_600_000_000, BEFORE, true).clock, ClockTrust::Behind(3_595_000_000));
+    assert_eq!(at(NOW - 5_500_000, BEFORE, false).clock, ClockTrust::Trusted, "set right by a step");
+    let mut unchecked = at(NOW, BootId([2; 16]), false);
     unchecked.apply_clock_offsets(&[0, 10, -10]);
     assert_eq!(
         (unchecked.clock, unchecked.clock_offset_us, unchecked.journal_time(NOW)),
-        (Clock::Unverified, Some(0), Some(NOW))
+        (ClockTrust::Unverified, Some(0), Some(NOW))
     );
-    let mut vouched = at(NOW, Boot([2; 16]), true);
+    let mut vouched = at(NOW, BootId([2; 16]), true);
     vouched.apply_clock_offsets(&[]);
     vouched.apply_clock_offsets(&[3_600_000_000, 0, 100]);
-    assert_eq!(vouched.clock, Clock::Trusted, "one of three lies");
+    assert_eq!(vouched.clock, ClockTrust::Trusted, "one of three lies");
     vouched.apply_clock_offsets(&[3_600_000_000, 3_600_000_001, 100]);
-    assert_eq!(vouched.clock, Clock::Skewed(3_600_000_000));
+    assert_eq!(vouched.clock, ClockTrust::Skewed(3_600_000_000));
     assert_eq!(vouched.journal_time(NOW), Some(NOW - 3_600_000_000));
     assert_eq!(
         vouched.findings.iter().filter(|f| matches!(f, RecoveryFinding::ClockUntrusted(_))).count(),
@@ -130,11 +142,11 @@
 #[test]
 fn a_boot_id_is_parsed_as_the_kernel_writes_it() {
     let text = "2f6e3c1a-0b4d-4e8f-9a7c-1234567890ab\n";
-    assert_eq!(Boot::parse(text).map(|boot| boot.0[..3].to_owned()), Some(vec![0x2f, 0x6e, 0x3c]));
-    assert_eq!(Boot::parse(&text.replace('-', "")), Boot::parse(text));
+    assert_eq!(BootId::parse(text).map(|boot| boot.0[..3].to_owned()), Some(vec![0x2f, 0x6e, 0x3c]));
+    assert_eq!(BootId::parse(&text.replace('-', "")), BootId::parse(text));
     for wrong in
         ["", "2f6e3c1a", "zf6e3c1a-0b4d-4e8f-9a7c-1234567890ab", "\u{e9}\u{e9}6e3c1a0b4d4e8f9a7c1234567890"]
     {
-        assert_eq!(Boot::parse(wrong), None, "{wrong}");
+        assert_eq!(BootId::parse(wrong), None, "{wrong}");
     }
 }
--- a/crates/micadrum-recovery/src/message_recovery.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -13,7 +13,7 @@
 //! "Fails" is the final outcome that promises nothing; "returned" is the one after which a client may safely submit again.
 //! Where the time is unknown, both happen immediately: nobody knows how long the machine was down, and an outcome after a
 //! message's deadline is useless. A completed message keeps its outcome: only its notification is pending.
-use crate::journal_trust::{Clock, JournalTrust, Trust};
+use crate::journal_trust::{ClockTrust, JournalTrust, Trust};
 use std::time::Duration;
 
 /// The effect of delivering a message twice: the decision core's idempotency, without the scope of deduplication.
@@ -29,7 +29,7 @@
 
 /// What the journal has of a message. Times are wall times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeftoverMessage {
+pub struct JournaledMessage {
     /// The message is completed, and only its notification is pending.
     pub is_completed: bool,
     /// When the first attempt began that may have been delivered.
@@ -40,7 +40,7 @@
 
 /// What happens to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RecoveryAction {
     /// The message is kept as the journal has it.
     Unchanged,
     /// The message may have been delivered, first at this wall time in microseconds.
@@ -55,44 +55,52 @@
 
 /// Decides what happens to a message.
 #[must_use]
-pub fn assess_message(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+pub fn assess_message(trust: &Trust, redelivery: Redelivery, message: JournaledMessage) -> RecoveryAction {
     match trust.journal {
-        JournalTrust::Foreign => Verdict::Discard,
-        _ if message.is_completed => Verdict::Unchanged,
+        JournalTrust::Foreign => RecoveryAction::Discard,
+        _ if message.is_completed => RecoveryAction::Unchanged,
         JournalTrust::Complete => assess_in_complete_journal(trust, redelivery, message),
         JournalTrust::Incomplete => assess_in_incomplete_journal(trust, redelivery, message),
     }
 }
 
-fn assess_in_complete_journal(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+fn assess_in_complete_journal(
+    trust: &Trust,
+    redelivery: Redelivery,
+    message: JournaledMessage,
+) -> RecoveryAction {
     let was_attempted = message.first_attempt_at.is_some();
     if !trust.knows_time() {
         return match redelivery {
-            Redelivery::Harmless => Verdict::Return,
-            _ if was_attempted => Verdict::Fail,
-            _ => Verdict::Return,
+            Redelivery::Harmless => RecoveryAction::Return,
+            _ if was_attempted => RecoveryAction::Fail,
+            _ => RecoveryAction::Return,
         };
     }
-    let is_window_unknown = trust.clock != Clock::Trusted && was_attempted;
+    let is_window_unknown = trust.clock != ClockTrust::Trusted && was_attempted;
     match redelivery {
-        Redelivery::HarmlessWithinWindow if is_window_unknown => Verdict::Fail,
-        _ => Verdict::Unchanged,
+        Redelivery::HarmlessWithinWindow if is_window_unknown => RecoveryAction::Fail,
+        _ => RecoveryAction::Unchanged,
     }
 }
 
-fn assess_in_incomplete_journal(trust: &Trust, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+fn assess_in_incomplete_journal(
+    trust: &Trust,
+    redelivery: Redelivery,
+    message: JournaledMessage,
+) -> RecoveryAction {
     let earliest = message.first_attempt_at.into_iter().chain(message.not_accepted_before).min();
-    let uncertain = Verdict::Uncertain(earliest.unwrap_or(0));
+    let uncertain = RecoveryAction::Uncertain(earliest.unwrap_or(0));
     match redelivery {
-        Redelivery::Harmless if !trust.knows_time() => Verdict::Return,
+        Redelivery::Harmless if !trust.knows_time() => RecoveryAction::Return,
         Redelivery::Harmless => uncertain,
         // An attempt before the first known one may be among the missing records, so only the acceptance bounds it.
         Redelivery::HarmlessWithinWindow
-            if trust.clock == Clock::Trusted && message.not_accepted_before.is_some() =>
+            if trust.clock == ClockTrust::Trusted && message.not_accepted_before.is_some() =>
         {
             uncertain
         }
-        Redelivery::HarmlessWithinWindow | Redelivery::Harmful => Verdict::Fail,
+        Redelivery::HarmlessWithinWindow | Redelivery::Harmful => RecoveryAction::Fail,
     }
 }
 
@@ -102,7 +110,7 @@
 /// `hold` is how long after the start the operators want such messages to be rejected; `elapsed` is the time since the
 /// start.
 #[must_use]
-pub fn rejected_for(
+pub fn rejection_time_left(
     trust: &Trust,
     redelivery: Redelivery,
     hold: Duration,
@@ -130,7 +138,7 @@
 pub fn time_left(trust: &Trust, times: MessageTimes) -> u64 {
     let MessageTimes { deadline, latest_wall, wall, time_to_live } = times;
     let now = trust.journal_time(wall).unwrap_or(u64::MAX);
-    if trust.clock == Clock::Trusted {
+    if trust.clock == ClockTrust::Trusted {
         return deadline.saturating_sub(now);
     }
     deadline.saturating_sub(now.max(latest_wall)).min(time_to_live)
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::daemon;
-use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine, RecoveryFinding};
+use micadrum_recovery::journal_trust::{BootComparison, ClockTrust, JournalTrust, RecoveryFinding};
 use micadrum_recovery::phases::{PhaseEnd, RecoveryPhase};
 use micadrum_testkit::history::{History, Return};
 use micadrum_testkit::invariants::Invariant;
@@ -70,7 +70,7 @@
         let trust = of.trust.as_ref().unwrap();
         assert_eq!(
             (trust.machine, trust.journal),
-            (Machine::Rebooted, JournalTrust::Complete),
+            (BootComparison::Rebooted, JournalTrust::Complete),
             "{}",
             report.history.text()
         );
@@ -114,8 +114,9 @@
         let report = common::play(Plan::new(day(20, MACHINE, &faults), seed));
         assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
         assert_eq!(returned(&report.history).len(), 5);
-        let off =
-            returned(&report.history).iter().all(|of| of.trust.as_ref().unwrap().clock != Clock::Trusted);
+        let off = returned(&report.history)
+            .iter()
+            .all(|of| of.trust.as_ref().unwrap().clock != ClockTrust::Trusted);
         assert!(off, "seed {seed}\n{}", report.history.text());
     }
 }
@@ -200,7 +201,7 @@
                 trust.clock_offset_us.is_some(),
                 "seed {seed}: the other building tells the time: {trust:?}"
             );
-            let (Clock::Skewed(by) | Clock::Behind(by)) = trust.clock else { continue };
+            let (ClockTrust::Skewed(by) | ClockTrust::Behind(by)) = trust.clock else { continue };
             let told = trust.clock_offset_us.unwrap().unsigned_abs();
             assert!(told > 5 * SECOND && by > SECOND, "seed {seed}: {trust:?}");
             off += 1;
@@ -226,7 +227,7 @@
         forgot += usize::from(
             trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::OutdatedFolder { .. })),
         );
-        away += usize::from(trust.machine == Machine::Rebooted);
+        away += usize::from(trust.machine == BootComparison::Rebooted);
     }
     // Of the four that are struck later one may be gone for good.
     assert!(forgot >= 3 && away >= 4, "{forgot} {away}\n{}", report.history.text());
--- a/src/command/recovery.rs
+++ b/src/command/recovery.rs
@@ -1,6 +1,6 @@
 //! Formats the recovery status of a running sender for the terminal.
 use micadrum_recovery::Trust;
-use micadrum_recovery::journal_trust::{Clock, JournalTrust, Machine};
+use micadrum_recovery::journal_trust::{BootComparison, ClockTrust, JournalTrust};
 use micadrum_recovery::phases::{PhaseEnd, PhaseRecord, RecoveryPhase};
 use serde::Deserialize;
 use std::fmt::Write as _;
@@ -54,9 +54,9 @@
 
 fn format_trust(trust: &Trust) -> String {
     let machine = match trust.machine {
-        Machine::SameBoot => "same boot",
-        Machine::Rebooted => "rebooted",
-        Machine::Unknown => "unknown",
+        BootComparison::SameBoot => "same boot",
+        BootComparison::Rebooted => "rebooted",
+        BootComparison::Unknown => "unknown",
     };
     let journal = match trust.journal {
         JournalTrust::Complete => "complete",
@@ -66,10 +66,12 @@
         JournalTrust::Foreign => "written by another sender, set aside",
     };
     let clock = match trust.clock {
-        Clock::Trusted => "trusted".to_owned(),
-        Clock::Unverified => "not verified".to_owned(),
-        Clock::Behind(by) => format!("{} s behind the journal", by.div_ceil(MICROS_PER_SECOND)),
-        Clock::Skewed(by) => format!("{} s off the clocks of other senders", by.div_ceil(MICROS_PER_SECOND)),
+        ClockTrust::Trusted => "trusted".to_owned(),
+        ClockTrust::Unverified => "not verified".to_owned(),
+        ClockTrust::Behind(by) => format!("{} s behind the journal", by.div_ceil(MICROS_PER_SECOND)),
+        ClockTrust::Skewed(by) => {
+            format!("{} s off the clocks of other senders", by.div_ceil(MICROS_PER_SECOND))
+        }
     };
     format!("machine  {machine}\njournal  {journal}\nclock    {clock}\n")
 }
--- a/src/daemon/clock/continuity.rs
+++ b/src/daemon/clock/continuity.rs
@@ -1,5 +1,5 @@
 //! Continues engine time from one process to the next. No I/O and no clock: the readings are arguments.
-use micadrum_recovery::Boot;
+use micadrum_recovery::BootId;
 use serde::{Deserialize, Serialize};
 
 /// The longest downtime, in microseconds, that is assumed after a process whose time cannot be continued.
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockAnchor {
     /// The boot of the machine from which the monotonic clock counts.
-    pub boot: Boot,
+    pub boot: BootId,
     /// The monotonic clock, in microseconds.
     pub monotonic_us: u64,
     /// Engine time, in microseconds.
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// The current boot of the machine; `None` if the system does not identify it.
-    pub boot: Option<Boot>,
+    pub boot: Option<BootId>,
     /// The monotonic clock, in microseconds.
     pub monotonic_us: u64,
     /// The wall clock, in microseconds since the Unix epoch.
--- a/src/daemon/clock/continuity/tests.rs
+++ b/src/daemon/clock/continuity/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of engine time across processes.
 use super::*;
 
-const BOOT: Boot = Boot([1; 16]);
+const BOOT: BootId = BootId([1; 16]);
 const ANCHOR: ClockAnchor = ClockAnchor { boot: BOOT, monotonic_us: 5_000_000, engine_us: 1_000_000_000_000 };
 const HOUR_US: u64 = 3_600_000_000;
 
@@ -30,7 +30,7 @@
 #[test]
 fn invalid_anchor_makes_the_downtime_unknown() {
     let wall_us = ANCHOR.engine_us + 4_000_000;
-    let other_boot = ClockReading { boot: Some(Boot([2; 16])), ..reading(wall_us) };
+    let other_boot = ClockReading { boot: Some(BootId([2; 16])), ..reading(wall_us) };
     let no_boot = ClockReading { boot: None, ..reading(wall_us) };
     let monotonic_reset = ClockReading { monotonic_us: 1, ..reading(wall_us) };
     let before_last_record =
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -1,9 +1,10 @@
 //! The recovery status of this process, shared between the event loop, the admin endpoint and the links.
 use super::peer_queries::QuerySummary;
 use crate::daemon::ports::Log;
-use micadrum_recovery::journal_trust::Clock;
+use micadrum_recovery::journal_trust::ClockTrust;
 use micadrum_recovery::message_recovery::{
-    LeftoverMessage, MessageTimes, Redelivery, Verdict, assess_message, rejected_for, time_left,
+    JournaledMessage, MessageTimes, RecoveryAction, Redelivery, assess_message, rejection_time_left,
+    time_left,
 };
 use micadrum_recovery::phases::{Input, PhaseEnd, PhaseRecord, RecoveryPhase, Settings};
 use micadrum_recovery::{Phases, Record, Trust};
@@ -135,7 +136,7 @@
 
     /// Returns whether new messages are admitted.
     pub fn admits_messages(&self) -> bool {
-        self.0.borrow().as_ref().is_none_or(|state| state.phases.is_open())
+        self.0.borrow().as_ref().is_none_or(|state| state.phases.admits_new_messages())
     }
 
     /// Returns whether pending messages that were accepted before the restart may be sent.
@@ -175,17 +176,19 @@
     }
 
     /// Decides what happens to a message that was read from the journal; see [`assess_message`].
-    pub fn assess_message(&self, redelivery: Redelivery, message: LeftoverMessage) -> Verdict {
+    pub fn assess_message(&self, redelivery: Redelivery, message: JournaledMessage) -> RecoveryAction {
         let state = self.0.borrow();
-        state.as_ref().map_or(Verdict::Unchanged, |state| assess_message(&state.trust, redelivery, message))
+        state
+            .as_ref()
+            .map_or(RecoveryAction::Unchanged, |state| assess_message(&state.trust, redelivery, message))
     }
 
     /// Returns how much longer new messages of a class are rejected, or `None` if they are accepted; see
-    /// [`rejected_for`].
+    /// [`rejection_time_left`].
     pub fn rejection_time_left(&self, redelivery: Redelivery) -> Option<Duration> {
         let state = self.0.borrow();
         let state = state.as_ref()?;
-        rejected_for(&state.trust, redelivery, state.deduplication_hold, state.origin.elapsed())
+        rejection_time_left(&state.trust, redelivery, state.deduplication_hold, state.origin.elapsed())
     }
 
     /// Returns the time left to a message that was accepted before the restart, in microseconds; see
@@ -199,7 +202,7 @@
 
     /// Returns whether durations between times before the restart and now are reliable.
     pub fn trusts_clock(&self) -> bool {
-        self.0.borrow().as_ref().is_none_or(|state| state.trust.clock == Clock::Trusted)
+        self.0.borrow().as_ref().is_none_or(|state| state.trust.clock == ClockTrust::Trusted)
     }
 }
 
