--- a/src/daemon/event_loop/recovery.rs
+++ b/src/daemon/event_loop/recovery.rs
@@ -139,7 +139,7 @@
             first_attempt_at: first_attempt.as_ref().map(|attempt| attempt.started_at),
             not_accepted_before: self.messages.journal.accepted_not_before(number),
         };
-        match self.recovery.status.assess_message(self.redelivery(class), leftover) {
+        match self.recovery.status.assess_message(self.redelivery(class), journaled) {
             RecoveryAction::Unchanged => {}
             RecoveryAction::Uncertain(at) => {
                 let zone = first_attempt.map(|attempt| attempt.zone).unwrap_or_default();
