--- a/crates/micadrum-membership/src/detector/dissemination.rs
+++ b/crates/micadrum-membership/src/detector/dissemination.rs
@@ -1,4 +1,4 @@
-//! Gossip: which status changes are disseminated, and what received updates lead to.
+//! Gossip: the dissemination of status changes, and the handling of received updates.
 use super::{Event, Membership};
 use crate::gossip::{GossipStatus, GossipUpdate, MAX_UPDATES_PER_DATAGRAM};
 use crate::member::MemberId;
@@ -6,22 +6,23 @@
 use crate::status::Status;
 use std::time::Duration;
 
-/// Updates that a ping or an ack carries along.
+/// Upper bound on updates in a regular ping or ack.
 const MAX_PIGGYBACKED_UPDATES: usize = 6;
 /// How long an update waits for further ones before it is pushed.
 const PUSH_DELAY: Duration = Duration::from_millis(10);
-/// The shortest time between two pushes: while many members fail at once, most updates go out together.
+/// The minimum time between two pushes, so that updates about many simultaneous failures are batched.
 const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(200);
 /// A member that was heard or probed within this time is not probed because of a gossip update.
-const RECENT: Duration = Duration::from_millis(300);
-/// In fleets up to this size updates are pushed to every member; in larger ones to a multiple of the fleet's logarithm.
+const RECENT_CONTACT: Duration = Duration::from_millis(300);
+/// Up to this number of other members, updates are pushed to all of them.
 const MAX_MEMBERS_FOR_FULL_PUSH: usize = 64;
+/// The number of members to which an update is pushed in larger fleets, per doubling of the fleet size.
 const PUSH_FANOUT_PER_DOUBLING: usize = 4;
-/// Transmissions of an update beyond the push, per doubling of the fleet.
+/// The number of times that an update is sent in addition to the push, per doubling of the fleet size.
 const EXTRA_SENDS_PER_DOUBLING: usize = 2;
 
 impl Membership {
-    /// Sets what is believed of a member, and disseminates changes that other members should verify with a probe.
+    /// Sets the status of a member, and disseminates changes that other members should verify with a probe.
     pub(super) fn set_status(&mut self, id: MemberId, current: Status, now: Duration) {
         let member = self.members.get_mut(&id).filter(|member| member.status != current);
         let Some(member) = member else { return };
@@ -56,7 +57,7 @@
         self.gossip.queue.next_batch(MAX_PIGGYBACKED_UPDATES)
     }
 
-    /// Sends queued updates to live members, in pings of their own.
+    /// Sends queued updates to live members, in dedicated pings.
     pub(super) fn push_gossip(&mut self, now: Duration) {
         let targets = self.random_members(self.push_fanout(), |_, member| member.status == Status::Live);
         let is_small_fleet = self.members.len() <= MAX_MEMBERS_FOR_FULL_PUSH;
@@ -79,12 +80,13 @@
         }
     }
 
-    /// Returns how often the number of other members can be halved: its binary logarithm, rounded up.
+    /// Returns the length of the number of other members in bits, as an approximation of its binary
+    /// logarithm.
     fn fleet_doublings(&self) -> usize {
         (usize::BITS - self.members.len().leading_zeros()) as usize
     }
 
-    /// Handles received updates. An update about a third member leads to a probe at most.
+    /// Handles received updates. An update about a third member can only trigger a probe of it.
     pub(super) fn receive_gossip(&mut self, updates: &[GossipUpdate], now: Duration) {
         for update in updates.iter().take(MAX_UPDATES_PER_DATAGRAM) {
             if update.about == self.roster.own() {
@@ -105,7 +107,7 @@
     fn is_worth_probing(&self, update: GossipUpdate, now: Duration) -> bool {
         let Some(member) = self.members.get(&update.about) else { return false };
         let known_number = self.record.number_of(update.about);
-        let is_recent = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < RECENT);
+        let is_recent = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < RECENT_CONTACT);
         let contradicts_belief = match update.status {
             GossipStatus::Unresponsive => {
                 update.incarnation >= known_number
@@ -118,7 +120,7 @@
     }
 }
 
-/// Returns what is disseminated about a status change, if anything.
+/// Returns the status to disseminate after a change, or `None` if the change is not disseminated.
 fn gossip_about_change(previous: Status, current: Status) -> Option<GossipStatus> {
     match (previous, current) {
         (_, Status::Suspect | Status::Dead) => Some(GossipStatus::Unresponsive),
--- a/crates/micadrum-membership/src/detector/interface.rs
+++ b/crates/micadrum-membership/src/detector/interface.rs
@@ -1,4 +1,4 @@
-//! What the driver and the state machine tell each other.
+//! The interface between the driver and the state machine: settings, inputs, outputs and events.
 use crate::member::Roster;
 use crate::send_budget::SendBudget;
 use crate::status::{LocalStatus, Status};
@@ -9,9 +9,9 @@
 /// The settings from the operator's configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The time from one probe to the next.
+    /// The time between two regular probes.
     pub probe_interval: Duration,
-    /// How long a suspect has to stay silent before it is declared dead.
+    /// The minimum time for which a suspect is silent before it is declared dead.
     pub suspicion_timeout: Duration,
     /// The upper bound on the traffic sent.
     pub send_budget: SendBudget,
@@ -22,7 +22,7 @@
 pub enum Input<'a> {
     /// A datagram was received.
     Datagram(&'a [u8]),
-    /// The time returned by [`Membership::due`](super::Membership::due) has come.
+    /// The time returned by [`Membership::due`](super::Membership::due) has been reached.
     Timer,
     /// The record of the last [`Output::WriteRecord`] is persisted.
     RecordWritten,
@@ -30,7 +30,7 @@
     RecordWriteFailed,
     /// The operator's configuration has changed.
     Reconfigured(Settings, Roster),
-    /// This sender shuts down gracefully.
+    /// This sender is shutting down gracefully.
     Leave,
 }
 
@@ -39,9 +39,10 @@
 pub enum Output {
     /// Sends a datagram to an address.
     Send(SocketAddr, Vec<u8>),
-    /// Replaces the persisted incarnation record, and reports [`Input::RecordWritten`] or [`Input::RecordWriteFailed`].
+    /// Replaces the persisted incarnation record, and reports [`Input::RecordWritten`] or
+    /// [`Input::RecordWriteFailed`].
     WriteRecord(Vec<u8>),
-    /// Informs the layers above and the log.
+    /// Reports a change of the membership state to the layers above and to the log.
     Event(Event),
 }
 
@@ -72,7 +73,7 @@
         /// The number of the new incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The member has lost the state of earlier incarnations.
+        /// Whether the member has lost the state of earlier incarnations.
         #[serde(rename = "forgot")]
         lost_state: bool,
     },
@@ -85,25 +86,26 @@
         #[serde(rename = "other")]
         differs: bool,
     },
-    /// Other members know a higher incarnation of this sender: its state folder was lost, or restored from an older copy.
-    /// The sender has taken a higher incarnation.
+    /// Other members know a higher incarnation of this sender: its state folder was lost, or restored from an
+    /// older copy. The sender continues under an incarnation above that one.
     #[serde(rename = "forgotten")]
     StateLossDetected {
-        /// The number of the incarnation taken.
+        /// The number of the incarnation that the sender has taken.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The number of the incarnation that others knew.
+        /// The number of the incarnation that other members know.
         known: u64,
     },
     /// The state of this sender's own membership has changed.
     #[serde(rename = "stands")]
     LocalStatusChanged(LocalStatus),
-    /// The process was stopped; probes in progress are restarted.
+    /// The process was suspended; all probes in progress are restarted.
     Stalled {
-        /// How late the process returned, in milliseconds.
+        /// The delay of the driver's call after the time returned by
+        /// [`Membership::due`](super::Membership::due), in milliseconds.
         late_ms: u64,
     },
-    /// No member answers any more (true), or one does again (false).
+    /// All other members have stopped answering (`true`), or one answers again (`false`).
     #[serde(rename = "cut-off")]
     IsolationChanged(bool),
 }
--- a/crates/micadrum-membership/src/detector/local_member.rs
+++ b/crates/micadrum-membership/src/detector/local_member.rs
@@ -9,14 +9,14 @@
 pub(super) struct LocalMember {
     pub incarnation: Incarnation,
     pub proof: IncarnationProof,
-    /// The state of earlier incarnations was lost.
+    /// Whether the state of earlier incarnations was lost.
     pub lost_state: bool,
     pub status: LocalStatus,
-    /// How often this process has moved to a higher incarnation.
+    /// How often this process has moved to a higher incarnation since its start.
     pub renewals: u32,
-    /// When another process was first found to use this incarnation number.
+    /// When another process was first found to use this incarnation number, or `None` if none is known to.
     pub disputed_since: Option<Duration>,
-    /// The members that know this incarnation as the highest one.
+    /// The members that have reported this incarnation as the highest one that they know.
     pub confirmed_by: BTreeSet<MemberId>,
     /// The sequence number of the last datagram sent under this incarnation.
     pub last_sequence: u64,
--- a/crates/micadrum-membership/src/detector/mod.rs
+++ b/crates/micadrum-membership/src/detector/mod.rs
@@ -1,13 +1,13 @@
-//! The failure detector: a state machine that probes other members, answers their probes, and maintains what is believed
-//! of each.
+//! The failure detector: a state machine that probes other members, answers their probes, and tracks the
+//! status of each.
 //!
 //! | module | task |
 //! | --- | --- |
 //! | `interface` | inputs, outputs and events |
 //! | `local_member`, `schedule` | parts of the state |
-//! | `probing` | probe rounds, indirect probes, suspicion, death |
-//! | `receiving` | incoming datagrams: authentication, freshness, acks |
-//! | `dissemination` | gossip: status changes, pushed updates, received updates |
+//! | `probing` | probe rounds, indirect probes, declaring members suspect or dead |
+//! | `receiving` | incoming datagrams: authentication, freshness, handling of pings and acks |
+//! | `dissemination` | gossip: status changes, sent and received updates |
 //! | `sending` | outgoing datagrams: sealing, send budget |
 //! | `refutation` | this sender's own incarnation: persistence, confirmation, disputes |
 //! | `reconfiguration` | roster changes, stalls of the process |
@@ -49,7 +49,7 @@
     record_schedule: RecordSchedule,
     local: LocalMember,
     members: BTreeMap<MemberId, RemoteMember>,
-    /// Round-trip times of the links to each zone, for members whose own link is not measured yet.
+    /// Round-trip time estimates per zone, used for members without a sample of their own.
     zone_round_trips: BTreeMap<String, RoundTrip>,
     probes: ProbeSchedule,
     gossip: GossipSchedule,
@@ -58,7 +58,7 @@
     send_tokens: TokenBucket,
     counts: Counts,
     last_nonce: u32,
-    /// When this process began to communicate.
+    /// When this process started to send and accept datagrams.
     started_at: Duration,
     outputs: VecDeque<Output>,
 }
@@ -66,7 +66,8 @@
 impl Membership {
     /// Starts the membership of a sender with the record of its earlier incarnations, or an empty one.
     ///
-    /// The first output asks the driver to persist the new incarnation; nothing is sent before that is done.
+    /// The first output asks the driver to persist the new incarnation; nothing is sent before it is
+    /// persisted.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -110,7 +111,7 @@
         membership
     }
 
-    /// Handles an input. `now` never goes back.
+    /// Handles an input. `now` must not be lower than in earlier calls.
     pub fn handle(&mut self, input: Input<'_>, now: Duration) {
         let due = self.due();
         if self.is_communicating() && self.local_health.record_wakeup(due, now) {
@@ -137,12 +138,12 @@
         self.send_urgent_probes(now);
     }
 
-    /// Returns the next effect for the driver to perform.
+    /// Returns the next effect for the driver to perform, or `None` if there is none.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// Returns when the driver has to report [`Input::Timer`] at the latest.
+    /// Returns when the driver has to report [`Input::Timer`] at the latest, or `None` if no timer is set.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
         let round_end = self.probes.timers.first().map(|(at, _)| *at);
@@ -180,7 +181,7 @@
     }
 }
 
-/// Draws the run of a process. 0 is reserved for a run that is not known.
+/// Draws a random run for this process. The value 0 is reserved for an unknown run.
 fn draw_run(rng: &mut ChaCha8Rng) -> u64 {
     loop {
         let run = rng.next_u64();
--- a/crates/micadrum-membership/src/detector/probing.rs
+++ b/crates/micadrum-membership/src/detector/probing.rs
@@ -1,4 +1,5 @@
-//! Probing (SWIM, section 3.1): a direct ping first, then repeated and indirect pings, then suspicion and death.
+//! Probing (SWIM, section 3.1): a direct ping first, then repeated and indirect pings, then suspicion and
+//! death.
 use super::{Event, Membership};
 use crate::datagram::Body;
 use crate::gossip::GossipUpdate;
@@ -8,33 +9,34 @@
 use crate::status::Status;
 use std::time::Duration;
 
-/// Members through which an indirect ping is sent.
+/// Upper bound on members through which an indirect ping is sent in each round.
 const INDIRECT_PROBE_MEMBERS: usize = 3;
-/// The shortest round of pings to a suspect.
-const MIN_ROUND: Duration = Duration::from_millis(150);
-/// The shortest round of pings while no member answers at all.
-const MIN_ROUND_WHILE_ISOLATED: Duration = Duration::from_millis(500);
-/// Rounds without an ack before a suspect can be declared dead.
+/// The minimum duration of an indirect round.
+const MIN_ROUND_DURATION: Duration = Duration::from_millis(150);
+/// The minimum duration of an indirect round while no member answers.
+const MIN_ROUND_DURATION_WHILE_ISOLATED: Duration = Duration::from_millis(500);
+/// The number of indirect rounds without an ack before a suspect can be declared dead.
 const MIN_FAILED_ROUNDS_BEFORE_DEATH: u32 = 5;
 /// The suspicion timeout is at least this multiple of the probe timeout.
 const MIN_SUSPICION_PROBE_TIMEOUTS: u32 = 3;
-/// Each unreachable member is tried once in this time, as far as [`MAX_RECONNECTS_PER_PROBE`] permits.
+/// Each unreachable member is pinged once within this time, as far as [`MAX_RECONNECTS_PER_PROBE`] permits.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(800);
-/// Unreachable members tried along with one regular probe.
+/// Upper bound on unreachable members pinged along with one regular probe.
 const MAX_RECONNECTS_PER_PROBE: usize = 8;
-/// Every n-th attempt to reach an unreachable member is indirect.
+/// Every n-th ping to an unreachable member is indirect.
 const INDIRECT_RECONNECT_PERIOD: u32 = 4;
 /// How soon urgent probes that exceeded the send budget are retried.
 const URGENT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A member is isolated after hearing nothing for this multiple of the suspicion timeout, and at least the minimum.
+/// This sender is isolated after hearing nothing for this multiple of the suspicion timeout.
 const ISOLATION_SUSPICION_TIMEOUTS: u32 = 2;
+/// The minimum time without hearing anything before this sender is isolated.
 const MIN_ISOLATION_SILENCE: Duration = Duration::from_secs(2);
 
-/// What the end of a probe round without an ack leads to.
+/// The outcome of a probe round without an ack.
 enum RoundOutcome {
-    /// The probe goes on with another round.
+    /// The probe continues with another round.
     Continue(PendingProbe),
-    /// The member is not probed any more.
+    /// The probe has ended.
     Stop,
 }
 
@@ -59,7 +61,7 @@
             self.probes.next_probe_at = now + self.settings.probe_interval;
             self.detect_isolation(now);
             self.probe_next_member(now);
-            self.try_unreachable_members(now);
+            self.ping_unreachable_members(now);
         }
     }
 
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Probes the next member of the current round, which is drawn anew once exhausted.
+    /// Probes the next member of the current round. Once all are probed, a new round starts in a new random
+    /// order.
     fn probe_next_member(&mut self, now: Duration) {
         for _ in 0..2 {
             while let Some(id) = self.probes.round.pop() {
@@ -90,8 +93,9 @@
         }
     }
 
-    /// Tries members that are dead or have left: they may have returned without any datagram getting through.
-    fn try_unreachable_members(&mut self, now: Duration) {
+    /// Pings members that are dead or have left: they may have restarted without any of their datagrams
+    /// arriving.
+    fn ping_unreachable_members(&mut self, now: Duration) {
         let share = self.settings.probe_interval.as_secs_f64() / RECONNECT_INTERVAL.as_secs_f64();
         let due = (self.probes.unreachable.len() as f64 * share).ceil() as usize;
         for _ in 0..due.min(MAX_RECONNECTS_PER_PROBE) {
@@ -151,7 +155,7 @@
         true
     }
 
-    /// Returns how long an ack of a member is waited for, before scaling by local health.
+    /// Returns the time to wait for an ack of a member, before scaling by local health.
     pub(super) fn probe_timeout(&self, member: &RemoteMember) -> Duration {
         member.probe_timeout(self.zone_round_trips.get(&member.member.zone).copied())
     }
@@ -166,7 +170,7 @@
         let probe_timeout = self.local_health.scale_timeout(probe_timeout);
         let Some(mut probe) = member.probe else { return };
         if probe.stage == ProbeStage::Indirect {
-            match self.judge_failed_round(id, probe, suspicion_timeout, now) {
+            match self.evaluate_failed_round(id, probe, suspicion_timeout, now) {
                 RoundOutcome::Continue(next) => probe = next,
                 RoundOutcome::Stop => return,
             }
@@ -174,8 +178,8 @@
         self.start_indirect_round(id, probe, probe_timeout, now);
     }
 
-    /// Decides after a failed indirect round whether the member is a suspect or dead.
-    fn judge_failed_round(
+    /// Marks a member as suspect after a failed indirect round, or as dead after enough rounds and time.
+    fn evaluate_failed_round(
         &mut self,
         id: MemberId,
         mut probe: PendingProbe,
@@ -183,7 +187,7 @@
         now: Duration,
     ) -> RoundOutcome {
         probe.failed_rounds += 1;
-        // Silence only counts against a member while others answer: otherwise this sender may be cut off itself.
+        // A missing ack only counts while other members answer: otherwise this sender may be cut off itself.
         let others_answer =
             self.connectivity.last_answered_probe.is_some_and(|sent_at| sent_at >= probe.started_at);
         if !others_answer {
@@ -205,7 +209,7 @@
         RoundOutcome::Continue(probe)
     }
 
-    /// Repeats the ping, and sends it through other members too.
+    /// Repeats the direct ping, and also pings the member through other members.
     fn start_indirect_round(
         &mut self,
         id: MemberId,
@@ -217,11 +221,13 @@
         let sent = self.ping(id, SendPriority::High, now);
         self.ping_indirectly(id, INDIRECT_PROBE_MEMBERS, now);
         if !sent {
-            // A round without a direct ping is no evidence of silence.
+            // Offsets the increment at the end of this round: without a direct ping, it does not count as
+            // failed.
             probe.failed_rounds = probe.failed_rounds.saturating_sub(1);
         }
-        let min_round = if self.connectivity.isolated { MIN_ROUND_WHILE_ISOLATED } else { MIN_ROUND };
-        probe.expires_at = now + (probe_timeout * 3 / 2).max(min_round);
+        let min_round_duration =
+            if self.connectivity.isolated { MIN_ROUND_DURATION_WHILE_ISOLATED } else { MIN_ROUND_DURATION };
+        probe.expires_at = now + (probe_timeout * 3 / 2).max(min_round_duration);
         if let Some(member) = self.members.get_mut(&id) {
             member.probe = Some(probe);
             self.probes.timers.insert((probe.expires_at, id));
@@ -259,8 +265,8 @@
         sent
     }
 
-    /// Sends a ping through up to `max_relays` live members: one in the target's own zone if there is one, the others
-    /// chosen at random.
+    /// Sends a ping through up to `max_relays` live members: one in the target's own zone if there is one,
+    /// the others chosen at random.
     fn ping_indirectly(&mut self, id: MemberId, max_relays: usize, now: Duration) {
         let Some(zone) = self.members.get(&id).map(|member| member.member.zone.clone()) else { return };
         let is_live = |member: &RemoteMember| member.status == Status::Live;
--- a/crates/micadrum-membership/src/detector/receiving.rs
+++ b/crates/micadrum-membership/src/detector/receiving.rs
@@ -1,4 +1,4 @@
-//! Incoming datagrams: authentication, freshness, and what pings and acks lead to.
+//! Incoming datagrams: authentication, freshness, and the handling of pings and acks.
 use super::{Event, Membership};
 use crate::datagram::{self, Body, DatagramError, Header};
 use crate::gossip::GossipUpdate;
@@ -10,14 +10,14 @@
 use crate::status::{Reach, Status};
 use std::time::Duration;
 
-/// How long after its start or a stall a process does not trust its own time measurements.
+/// How long after its start or a stall a process discards round-trip time samples.
 const MEASUREMENT_WARM_UP: Duration = Duration::from_secs(1);
-/// How long after a change the incarnation record is written.
+/// The delay between a change of the incarnation record and its write.
 const RECORD_WRITE_DELAY: Duration = Duration::from_millis(200);
-/// Upper bound on the length of a datagram relayed for another member: a ping or an ack.
+/// Upper bound on the length of a datagram relayed for another member, which is a ping or an ack.
 const MAX_RELAYED_BYTES: usize = 400;
 
-/// Why a datagram is dropped.
+/// Why a received datagram is dropped.
 enum Rejection {
     Foreign,
     Forged,
@@ -36,15 +36,16 @@
 /// Whether a datagram proves that its sender is alive now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// The datagram is addressed to this run and arrived for the first time under its sender's current incarnation.
+    /// The datagram is addressed to this run and arrived for the first time under its sender's current
+    /// incarnation.
     Fresh,
-    /// The datagram is authentic, but may have been recorded earlier.
+    /// The datagram is authentic, but may be a replay.
     Unproven,
     /// The datagram has been received before.
     Replayed,
 }
 
-/// An authentic datagram and how it arrived.
+/// The header of an authentic datagram, and how the datagram arrived.
 struct Received {
     header: Header,
     /// The member that relayed the datagram, unless it arrived directly.
@@ -86,7 +87,7 @@
         let is_fresh = freshness == Freshness::Fresh;
         if is_fresh {
             let reach = if relayed_by.is_some() { Reach::Relayed } else { Reach::Direct };
-            self.record_sign_of_life(header.from, now, reach);
+            self.mark_alive(header.from, now, reach);
         } else {
             self.counts.stale += 1;
         }
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Verifies that a datagram was sealed by the member that its header names, for this member, within its rate limit.
+    /// Verifies that a datagram was sealed by the member that its header names, for this member, within its
+    /// rate limit.
     fn authenticate(&mut self, bytes: &[u8], now: Duration) -> Result<(Header, Body), Rejection> {
         let header = datagram::parse_header(bytes)?;
         let own = self.roster.own();
@@ -109,12 +111,13 @@
         Ok((header, body))
     }
 
-    /// Determines whether an authentic datagram proves that its sender is alive now, and marks it as received.
+    /// Determines whether an authentic datagram proves that its sender is alive now, and marks it as
+    /// received.
     fn check_freshness(&mut self, header: &Header) -> Freshness {
         let is_current = self.record.incarnation_of(header.from) == Some(header.incarnation);
         let Some(member) = self.members.get_mut(&header.from) else { return Freshness::Replayed };
         if is_current && member.active_incarnation != Some(header.incarnation) {
-            // The incarnation was recorded by an earlier process of this sender.
+            // The incarnation was on record before this process started.
             member.begin_incarnation(header);
         }
         if !is_current || header.to_run != self.local.incarnation.run {
@@ -137,8 +140,8 @@
                 let relayed_by = received.relayed_by;
                 self.answer_ping(&PingToAnswer { from, from_run, nonce, relayed_by, is_fresh }, now);
             }
-            // An ack to this run counts whatever incarnation the answering member has: what it knows of this sender, it
-            // knows now.
+            // An ack to this run is handled even under an outdated incarnation of the answering member: what
+            // it reports about this sender is current.
             Body::Ack { nonce, known, updates, .. }
                 if received.header.to_run == self.local.incarnation.run =>
             {
@@ -166,13 +169,14 @@
         }
     }
 
-    /// Finds the probe that an ack answers, and measures the link with it.
+    /// Finds the ping that an ack answers, and updates the round-trip time estimates.
     fn match_ack_to_probe(&mut self, from: MemberId, nonce: u32, now: Duration) {
         let Some(member) = self.members.get_mut(&from) else { return };
         let Some(probe) = member.take_sent_probe(nonce) else { return };
         if probe.path == ProbePath::Direct {
             member.last_direct_ack = Some(now);
-            // A process that has just started or resumed is slow itself, which must not count as slowness of the link.
+            // A process that has just started or resumed is slow itself, so its samples would overstate the
+            // round-trip time.
             let last_disturbance =
                 self.started_at.max(self.local_health.last_stall_end().unwrap_or_default());
             if now >= last_disturbance + MEASUREMENT_WARM_UP {
@@ -194,7 +198,8 @@
         }
     }
 
-    /// Records an incarnation that a member announced. One higher than all known cannot be replayed.
+    /// Records an incarnation that a member announced. A replay cannot lower the recorded incarnation, so the
+    /// datagram need not be fresh.
     fn record_incarnation(&mut self, header: &Header, proof: IncarnationProof, now: Duration) {
         let Header { from, incarnation, lost_state, .. } = *header;
         let announced = KnownIncarnation { incarnation, proof };
@@ -209,11 +214,11 @@
         let name = member.member.name.clone();
         let incarnation = incarnation.number;
         self.emit(Event::NewIncarnation { name, incarnation, lost_state });
-        // Only an answer to this run proves that the member is alive now.
+        // The announcement may be a replay: only an answer to this run proves that the member is alive.
         self.request_urgent_probe(from);
     }
 
-    /// Compares a member's roster with this sender's.
+    /// Compares a member's roster with this sender's, and emits an event if the result has changed.
     fn compare_rosters(&mut self, from: MemberId, roster_digest: u64) {
         let differs = roster_digest != self.roster.digest();
         let member = self.members.get_mut(&from).filter(|member| member.roster_differs != differs);
@@ -223,10 +228,10 @@
         self.emit(Event::RosterMismatch { name, differs });
     }
 
-    fn record_sign_of_life(&mut self, id: MemberId, now: Duration, reach: Reach) {
+    fn mark_alive(&mut self, id: MemberId, now: Duration, reach: Reach) {
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.left_incarnation.is_some() && member.left_incarnation == member.active_incarnation {
-            // Sent before the member left, and delayed on the way.
+            // The datagram was sent before the member left, and was delayed in the network.
             return;
         }
         member.record_heard(now, reach);
--- a/crates/micadrum-membership/src/detector/reconfiguration.rs
+++ b/crates/micadrum-membership/src/detector/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes from outside: another roster, and stalls of the process.
+//! Roster changes, and recovery from stalls of the process.
 use super::{Event, Membership};
 use crate::member::MemberId;
 use crate::remote_member::{PendingProbe, RemoteMember};
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 impl Membership {
-    /// Adds, removes and updates members after the roster. A member whose key changed is a different one.
+    /// Adds, removes and updates members to match the roster. A member whose key has changed is replaced by a
+    /// new one.
     pub(super) fn apply_roster(&mut self, now: Duration) {
         let roster = &self.roster;
         let gossip = &mut self.gossip.queue;
@@ -22,7 +23,7 @@
             let known = self.members.entry(id).or_insert_with(|| RemoteMember::new(member.clone(), now));
             known.member = member.clone();
         }
-        self.forget_former_members();
+        self.remove_former_members();
         if self.is_communicating() {
             for id in self.shuffled_members(|member| member.status == Status::Unknown) {
                 self.request_urgent_probe(id);
@@ -31,7 +32,8 @@
         }
     }
 
-    fn forget_former_members(&mut self) {
+    /// Removes all remaining state of members that are no longer on the roster.
+    fn remove_former_members(&mut self) {
         let current: BTreeSet<MemberId> = self.members.keys().copied().collect();
         self.probes.retain_members(&current);
         self.local.confirmed_by.retain(|id| current.contains(id));
@@ -39,8 +41,8 @@
         self.zone_round_trips.retain(|zone, _| members.values().any(|known| known.member.zone == *zone));
     }
 
-    /// Restarts all probes in progress after the process was stopped: acks may have arrived meanwhile, so their absence
-    /// counts against no member.
+    /// Restarts all probes in progress after a stall. Their acks may still be in the socket buffer, so
+    /// missing acks are not counted as failures.
     pub(super) fn restart_probes_after_stall(&mut self, due: Duration, now: Duration) {
         let late_ms = now.saturating_sub(due).as_millis() as u64;
         self.emit(Event::Stalled { late_ms });
--- a/crates/micadrum-membership/src/detector/refutation.rs
+++ b/crates/micadrum-membership/src/detector/refutation.rs
@@ -1,5 +1,5 @@
-//! This sender's own incarnation: its persistence, its confirmation by other members, and the refutation of a higher
-//! incarnation that others know because the state folder was lost or restored from an older copy.
+//! This sender's own incarnation: its persistence, its confirmation by other members, and the move to a
+//! higher one if others know of a later one, as the state folder was lost or restored from an older copy.
 use super::{Event, Membership, Output};
 use crate::datagram::Body;
 use crate::incarnation::{Incarnation, KnownIncarnation};
@@ -10,9 +10,10 @@
 
 /// How soon a failed write of the incarnation record is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often one process moves to a higher incarnation.
+/// Upper bound on the number of times that one process moves to a higher incarnation.
 const MAX_RENEWALS: u32 = 3;
-/// Two live processes that took one incarnation number settle the dispute between themselves within this time.
+/// How long a process waits for another one with the same incarnation number to take a higher number, before
+/// it takes one itself.
 const DISPUTE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Membership {
@@ -37,7 +38,8 @@
 
     pub(super) fn handle_record_write_failed(&mut self, now: Duration) {
         self.record_schedule.is_writing = false;
-        // Until its incarnation is persisted, a sender stays silent; what it knows of others can wait.
+        // The delay is harmless: a sender sends nothing until its incarnation is persisted, and the record
+        // about others is not urgent.
         self.record_schedule.write_at = Some(now + WRITE_RETRY_DELAY);
     }
 
@@ -49,14 +51,14 @@
         self.started_at = now;
         self.probes.next_probe_at = now;
         self.set_local_status(LocalStatus::ConfirmingIncarnation);
-        // All members learn of the incarnation at once, as far as the send budget permits.
+        // Announces the incarnation to all members at once, as far as the send budget permits.
         for id in self.shuffled_members(|_| true) {
             self.request_urgent_probe(id);
         }
         self.check_confirmed();
     }
 
-    /// Handles the highest incarnation that the member `by` knows of this sender.
+    /// Handles the report of the member `by` about the highest incarnation that it knows of this sender.
     pub(super) fn handle_own_incarnation_known(
         &mut self,
         by: MemberId,
@@ -85,16 +87,17 @@
         }
     }
 
-    /// Whether this process has to move past another process that took the same incarnation number.
+    /// Returns whether this process has to take a higher number than another process that took the same
+    /// number.
     ///
-    /// Where both processes live, the unconfirmed one moves past the other, which learns of that and falls silent. Where
-    /// that does not happen in time, the other process has ended: this one moves past it, as members that recorded the
-    /// other one first would never accept this one otherwise.
+    /// If both processes are running, the unconfirmed one takes a higher number, and the other learns of it
+    /// and stops sending. If that does not happen in time, the other process has ended. This one then takes a
+    /// higher number, as members that recorded the other one first would otherwise never accept it.
     fn is_dispute_overdue(&mut self, theirs: Incarnation, now: Duration) -> bool {
         let since = *self.local.disputed_since.get_or_insert(now);
-        let yields = self.local.status != LocalStatus::ConfirmingIncarnation
+        let waits_for_other = self.local.status != LocalStatus::ConfirmingIncarnation
             || self.local.renewals > 0 && self.local.incarnation.run > theirs.run;
-        let is_waiting = yields && now.saturating_sub(since) < DISPUTE_TIMEOUT;
+        let is_waiting = waits_for_other && now.saturating_sub(since) < DISPUTE_TIMEOUT;
         if is_waiting || self.local.renewals == MAX_RENEWALS {
             return false;
         }
@@ -102,7 +105,7 @@
         true
     }
 
-    /// Moves past the incarnation number `known` that other members know.
+    /// Takes the incarnation number after `known`, the one that other members know.
     fn renew_incarnation(&mut self, known: u64) {
         let Some(number) = known.checked_add(1) else {
             self.local.renewals += 1;
@@ -117,7 +120,8 @@
         self.write_record();
     }
 
-    /// Marks the incarnation as confirmed once a majority of members, including this one, knows it as the highest.
+    /// Marks the incarnation as confirmed once a majority of members, including this one, knows it as the
+    /// highest.
     pub(super) fn check_confirmed(&mut self) {
         let has_majority = (self.local.confirmed_by.len() + 1) * 2 > self.roster.size();
         if self.local.status == LocalStatus::ConfirmingIncarnation && has_majority {
--- a/crates/micadrum-membership/src/detector/schedule.rs
+++ b/crates/micadrum-membership/src/detector/schedule.rs
@@ -1,16 +1,16 @@
-//! When which member is probed, and when gossip and the incarnation record are due.
+//! The schedules of probes, gossip pushes and writes of the incarnation record.
 use crate::gossip::GossipQueue;
 use crate::member::MemberId;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The probes that lie ahead.
+/// The probes in progress and the probes to be started.
 pub(super) struct ProbeSchedule {
-    /// The ends of probe rounds in progress.
+    /// The ends of the probe rounds in progress, with the members probed.
     pub timers: BTreeSet<(Duration, MemberId)>,
     /// The members still to be probed in this round, in random order.
     pub round: Vec<MemberId>,
-    /// Dead and departed members, in the order in which they are tried.
+    /// Dead and departed members, in the order in which they are pinged.
     pub unreachable: VecDeque<MemberId>,
     /// Members to be probed as soon as the send budget permits.
     pub urgent: VecDeque<MemberId>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Drops all members that are no longer on the roster.
+    /// Removes all members that are not in `members`.
     pub fn retain_members(&mut self, members: &BTreeSet<MemberId>) {
         self.timers.retain(|(_, id)| members.contains(id));
         self.round.retain(|id| members.contains(id));
@@ -64,17 +64,17 @@
 pub(super) struct RecordSchedule {
     /// When the record is next written.
     pub write_at: Option<Duration>,
-    /// The driver is writing the record.
+    /// Whether the driver is writing the record.
     pub is_writing: bool,
 }
 
-/// Whether any other member answers.
+/// The state from which isolation from all other members is detected.
 #[derive(Default)]
 pub(super) struct Connectivity {
     /// When the most recent of all answered probes was sent.
     pub last_answered_probe: Option<Duration>,
-    /// When any member last gave a sign of life.
+    /// When any member was last heard.
     pub last_heard: Option<Duration>,
-    /// No member answers.
+    /// Whether no member answers.
     pub isolated: bool,
 }
--- a/crates/micadrum-membership/src/detector/sending.rs
+++ b/crates/micadrum-membership/src/detector/sending.rs
@@ -11,9 +11,9 @@
 impl Membership {
     /// Answers a ping on the path on which it arrived.
     ///
-    /// A ping whose freshness is unproven is answered too, as the ack tells a sender that has lost its state about its
-    /// higher incarnation. The ack goes to the address on the roster and to the run that sent the ping, so replaying an
-    /// old ping gains nothing.
+    /// A ping whose freshness is unproven is answered too, as the ack informs a sender that has lost its
+    /// state of its higher incarnation. The ack goes to the address on the roster and to the run that sent
+    /// the ping, so an attacker gains nothing by replaying a ping.
     pub(super) fn answer_ping(&mut self, ping: &PingToAnswer, now: Duration) {
         let known = self.record.known.get(&ping.from).copied();
         let carries_gossip = ping.is_fresh && ping.relayed_by.is_none();
@@ -27,12 +27,13 @@
         }
     }
 
-    /// Returns the run of a member's highest known incarnation, or 0.
+    /// Returns the run of a member's highest known incarnation, or 0 if none is known.
     pub(super) fn known_run(&self, id: MemberId) -> u64 {
         self.record.incarnation_of(id).map_or(0, |incarnation| incarnation.run)
     }
 
-    /// Seals a datagram to the run `to_run` of a member.
+    /// Seals a datagram to the run `to_run` of a member, or returns `None` if there are no session keys for
+    /// it.
     pub(super) fn seal(&mut self, to: MemberId, to_run: u64, body: &Body) -> Option<Vec<u8>> {
         let from = self.roster.own();
         let keys = self.members.get_mut(&to)?.session_keys(&self.secret, from)?;
