--- a/crates/micadrum-membership/src/link/frame.rs
+++ b/crates/micadrum-membership/src/link/frame.rs
@@ -3,8 +3,8 @@
 //! ```text
 //! length(4) kind(1) payload tag(16)      length covers kind, payload and tag
 //! ```
-//! The tag also covers the number of frames sent before in this direction, so a frame cannot be replayed, dropped or
-//! reordered.
+//! The tag also covers the number of frames sent before in this direction, so a frame cannot be replayed,
+//! dropped or reordered.
 use super::{LinkError, MAX_PAYLOAD_BYTES, Nonce};
 use crate::sealing::{SessionKeys, keyed_tag, tags_match};
 
@@ -19,9 +19,9 @@
 pub(super) enum Frame {
     /// A payload of the layer above.
     Data(Vec<u8>),
-    /// Permission to send this many more payload bytes.
+    /// Permission to send this number of further payload bytes.
     Credit(usize),
-    /// A sign of life.
+    /// Shows that the sending side is alive.
     KeepAlive,
 }
 
@@ -32,7 +32,8 @@
 }
 
 impl FrameKeys {
-    /// Derives the keys of one link from the session keys and both nonces, so that no frame fits another link.
+    /// Derives the keys of one link from the session keys and both nonces, so that a frame is valid on one
+    /// link only.
     pub fn derive(session_keys: &SessionKeys, dialer: &Nonce, acceptor: &Nonce) -> Self {
         let derive = |session_key: &[u8; 32]| {
             let material = [session_key.as_slice(), dialer, acceptor].concat();
@@ -62,7 +63,7 @@
     bytes
 }
 
-/// Returns the first frame in a buffer, without its length, or `None` if the frame is incomplete.
+/// Returns the first frame in a buffer, without its length prefix, or `None` if the frame is incomplete.
 ///
 /// # Errors
 /// Returns [`LinkError::InvalidFrame`] if the length is out of bounds.
--- a/crates/micadrum-membership/src/link/hello.rs
+++ b/crates/micadrum-membership/src/link/hello.rs
@@ -10,7 +10,7 @@
 
 /// Length of an encoded hello.
 pub(super) const HELLO_BYTES: usize = 84;
-/// Protocol marker and version.
+/// The protocol marker and the version.
 const MARKER: &[u8; 3] = b"ml\x01";
 const ROLE_OFFSET: usize = 3;
 const FROM_OFFSET: usize = 4;
@@ -43,7 +43,7 @@
     pub from: MemberId,
     pub incarnation: Incarnation,
     pub nonce: Nonce,
-    /// The receiving side's nonce, repeated; zero in the dialer's hello.
+    /// The nonce of the side that receives this hello; all zeros in the dialer's hello.
     pub echo: Nonce,
     pub session_keys: SessionKeys,
 }
@@ -67,7 +67,8 @@
 /// Decodes and authenticates a hello of [`HELLO_BYTES`] bytes.
 ///
 /// # Errors
-/// Returns [`LinkError::Unauthenticated`] if the other side is not a member, has another role, or fails authentication.
+/// Returns [`LinkError::Unauthenticated`] if the other side is not a member, has another role, or fails
+/// authentication.
 pub(super) fn decode(identity: &LinkIdentity, expected: Role, hello: &[u8]) -> Result<Hello, LinkError> {
     let integer = |offset| u64::from_le_bytes(bytes_at(hello, offset));
     let from = MemberId(bytes_at(hello, FROM_OFFSET));
--- a/crates/micadrum-membership/src/link/mod.rs
+++ b/crates/micadrum-membership/src/link/mod.rs
@@ -1,8 +1,8 @@
 //! Links: authenticated framed streams between two members, free of I/O and clocks.
 //!
-//! A link delivers payloads whole, authentic and in order, or ends with an error. What a broken link has not delivered,
-//! the layer above sends again over the next one. Flow control is by credit: a side sends at most [`WINDOW_BYTES`] of
-//! payload before the other side has consumed some.
+//! A link delivers payloads whole, authentic and in order, or ends with an error. Payloads that a broken link
+//! has not delivered are resent by the layer above over a new link. Flow control is by credit: a side sends
+//! at most [`WINDOW_BYTES`] of payload before the other side has consumed some.
 //!
 //! Both sides start with a [`hello`], the dialer first; [`frame`]s follow.
 mod frame;
@@ -24,36 +24,37 @@
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 /// Upper bound on the length of one payload.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
-/// How often an idle link sends a keep-alive.
+/// The interval between two keep-alives.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// A link on which nothing is received for this long has failed, although its stream is open.
+/// A link fails if nothing is received for this long, even if its stream is open.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// The time within which both sides have to authenticate each other.
+/// The time within which each side has to receive the hello of the other.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A random value that makes the keys of each link unique.
 type Nonce = [u8; 16];
 
-/// Why a link ended.
+/// The error with which a link ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// The other side is not a member, or cannot prove which one it is.
-    #[error("whoever is there cannot show which member it is")]
+    /// The other side is not a member, failed to authenticate, or is not the member that was dialed.
+    #[error("the other side failed to authenticate as the expected member")]
     Unauthenticated,
     /// A frame was modified, forged, or received out of order.
-    #[error("a frame is damaged, forged or out of its turn")]
+    #[error("received an invalid frame: modified, forged or out of order")]
     InvalidFrame,
     /// The other side exceeded its credit.
-    #[error("the other sends more than it may")]
+    #[error("the other side sent more than its credit permits")]
     CreditExceeded,
-    /// Nothing was received for too long.
-    #[error("the other says nothing")]
+    /// The handshake was not completed in time, or nothing was received for too long.
+    #[error("timed out while waiting for the other side")]
     TimedOut,
 }
 
-/// A payload was not accepted: the send queue is full, or the payload is too long.
+/// The error returned when a payload is rejected: the send queue is full, or the payload is longer than
+/// [`MAX_PAYLOAD_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("too much waits to be sent")]
+#[error("the send queue is full, or the payload is longer than {MAX_PAYLOAD_BYTES} bytes")]
 pub struct QueueFull;
 
 /// An event on a link.
@@ -70,7 +71,7 @@
     Payload(Vec<u8>),
 }
 
-/// What one side of a link authenticates itself with.
+/// The credentials with which one side of a link authenticates itself.
 pub struct LinkIdentity {
     /// This member's secret key.
     pub secret: Secret,
@@ -78,12 +79,12 @@
     pub roster: Roster,
     /// This member's incarnation.
     pub incarnation: Incarnation,
-    /// 16 random bytes, drawn anew for each link.
+    /// 16 random bytes, different for each link.
     pub nonce: [u8; 16],
 }
 
 enum Stage {
-    /// The other side's hello has not been received.
+    /// The other side's hello has not been received yet.
     Handshake,
     Open(FrameKeys),
 }
@@ -99,14 +100,14 @@
 struct FlowControl {
     send_credit: usize,
     receive_credit: usize,
-    /// Bytes consumed by the layer above for which no credit was granted yet.
+    /// Bytes consumed by the layer above for which no credit has been granted yet.
     consumed: usize,
 }
 
 /// One side of a link.
 pub struct Link {
     identity: LinkIdentity,
-    /// The member that this side dialed, if it did.
+    /// The member that this side has dialed, or `None` on the accepting side.
     dialed: Option<MemberId>,
     stage: Stage,
     activity: Activity,
@@ -156,7 +157,8 @@
     /// Handles bytes received from the stream.
     ///
     /// # Errors
-    /// Returns an error if the link has to be closed.
+    /// Returns an error if the other side fails to authenticate, sends an invalid frame or exceeds its
+    /// credit. The link then has to be closed.
     pub fn handle_received(&mut self, bytes: &[u8], now: Duration) -> Result<(), LinkError> {
         self.activity.last_received = now;
         self.receive_buffer.extend_from_slice(bytes);
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Handles the passing of time.
+    /// Fails if the link has timed out, and sends a keep-alive if one is due.
     ///
     /// # Errors
     /// Returns [`LinkError::TimedOut`] if the link has to be closed.
@@ -224,8 +226,8 @@
     /// Sends a payload, immediately or once the other side grants credit.
     ///
     /// # Errors
-    /// Returns [`QueueFull`] if the payload is longer than [`MAX_PAYLOAD_BYTES`] or the queue is full; the layer above
-    /// tries again after something was sent.
+    /// Returns [`QueueFull`] if the payload is longer than [`MAX_PAYLOAD_BYTES`], or if the queue is full. A
+    /// full queue accepts payloads again once queued ones are sent.
     pub fn send(&mut self, payload: Vec<u8>) -> Result<(), QueueFull> {
         let length = payload.len();
         if length > MAX_PAYLOAD_BYTES || self.queued_bytes + length > MAX_QUEUED_BYTES {
@@ -237,7 +239,8 @@
         Ok(())
     }
 
-    /// Reports that the layer above has consumed payload bytes, for which the other side is granted credit.
+    /// Reports that the layer above has consumed `bytes` bytes of payload. The credit for them is granted to
+    /// the other side once it adds up to a quarter of the window.
     pub fn release_credit(&mut self, bytes: usize) {
         self.flow.consumed += bytes;
         if self.flow.consumed >= CREDIT_THRESHOLD_BYTES && self.is_open() {
@@ -247,12 +250,12 @@
         }
     }
 
-    /// Returns the next bytes to write to the stream.
+    /// Returns the next bytes to write to the stream, or `None` if there are none.
     pub fn poll_transmit(&mut self) -> Option<Vec<u8>> {
         self.transmits.pop_front()
     }
 
-    /// Returns the next event.
+    /// Returns the next event, or `None` if there is none.
     pub fn poll_event(&mut self) -> Option<LinkEvent> {
         self.events.pop_front()
     }
@@ -274,7 +277,8 @@
         let Hello { from, incarnation, nonce, echo, session_keys } = hello;
         let own_nonce = self.identity.nonce;
         match self.dialed {
-            // The echo proves that the acceptor is there now; its first frame proves the same of the dialer.
+            // The echo proves that the acceptor's hello is not a replay; the dialer proves the same with its
+            // first frame.
             Some(dialed) if dialed != from || echo != own_nonce => return Err(LinkError::Unauthenticated),
             Some(_) => {}
             None => self.send_hello(from, &nonce),
