--- a/crates/micadrum-membership/src/datagram.rs
+++ b/crates/micadrum-membership/src/datagram.rs
@@ -8,10 +8,10 @@
 //! 12  8  to            id of the receiving member
 //! 20  8  number        the sending member's incarnation number, little-endian as all integers below
 //! 28  8  run           the sending member's run
-//! 36  8  to_run        the receiving member's run, as known to the sending one; 0 or an old one where unknown
+//! 36  8  to_run        the receiving member's run as last known to the sending one; 0 if unknown
 //! 44  8  sequence      counts the datagrams of this incarnation, from 1
 //! 52 16  tag           keyed BLAKE3 hash of all other bytes, under the session key of this direction
-//! 68     body          postcard
+//! 68     body          encoded with postcard
 //! ```
 use crate::gossip::GossipUpdate;
 use crate::incarnation::{Incarnation, IncarnationProof, KnownIncarnation};
@@ -19,13 +19,13 @@
 use crate::sealing::{keyed_tag, tags_match};
 use serde::{Deserialize, Serialize};
 
-/// Upper bound on the length of a datagram, small enough to pass every link unfragmented.
+/// Upper bound on the length of a datagram in bytes, small enough to avoid IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 const MARKER: &[u8; 2] = b"mp";
 const VERSION: u8 = 2;
 const LOST_STATE_FLAG: u8 = 1;
 const TAG: std::ops::Range<usize> = 52..68;
-/// Room reserved for a typical datagram.
+/// Initial capacity of the encoding buffer, sufficient for most datagrams.
 const INITIAL_CAPACITY_BYTES: usize = 256;
 
 /// The datagram header.
@@ -50,11 +50,11 @@
     Relay { to: MemberId, sealed: Vec<u8> },
     /// A sealed datagram forwarded for a third member.
     Relayed { sealed: Vec<u8> },
-    /// The sending member leaves the fleet.
+    /// An announcement that the sending member leaves the fleet.
     Leave,
 }
 
-/// Why a datagram is ignored.
+/// The error returned when a datagram cannot be parsed or authenticated. The datagram is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DatagramError {
     /// The datagram belongs to another protocol or version.
@@ -71,7 +71,7 @@
     word
 }
 
-/// Parses the header. Its claims are not authenticated before [`open`] succeeds.
+/// Parses the header. Its fields are not authenticated until [`open`] succeeds.
 pub(crate) fn parse_header(bytes: &[u8]) -> Result<Header, DatagramError> {
     let has_valid_length = (TAG.end..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
     if !has_valid_length || &bytes[..2] != MARKER || bytes[2] != VERSION || bytes[3] & !LOST_STATE_FLAG != 0 {
@@ -95,7 +95,7 @@
     keyed_tag(key, &authenticated)
 }
 
-/// Verifies the authentication tag of a datagram whose header was parsed, and decodes its body.
+/// Verifies the authentication tag of a datagram whose header has been parsed, and decodes its body.
 pub(crate) fn open(bytes: &[u8], key: &[u8; 32]) -> Result<Body, DatagramError> {
     let mut received_tag = [0; 16];
     received_tag.copy_from_slice(&bytes[TAG]);
--- a/crates/micadrum-membership/src/datagram/tests.rs
+++ b/crates/micadrum-membership/src/datagram/tests.rs
@@ -14,8 +14,8 @@
     (Header { lost_state: true, from: id(1), to: id(2), incarnation, to_run: 3, sequence: 4 }, body)
 }
 
-/// Guards against accepting a truncated or modified datagram, at every length and bit, and against one that exceeds the
-/// length limit.
+/// Guards against accepting a datagram that is truncated at any length or modified in any bit, and against a
+/// full datagram that exceeds the length limit.
 #[test]
 fn a_truncated_or_modified_datagram_is_rejected() {
     let (header, body) = sample();
--- a/crates/micadrum-membership/src/gossip.rs
+++ b/crates/micadrum-membership/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip about third members. An update is never evidence: it names a member that the receiver should probe itself.
+//! Gossip about third members. An update is not evidence of a member's status: the receiver probes the member
+//! itself.
 use crate::member::MemberId;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -7,7 +8,7 @@
 /// Upper bound on updates in one datagram.
 pub(crate) const MAX_UPDATES_PER_DATAGRAM: usize = 24;
 
-/// What an update claims about a member. Encoded by position.
+/// The claimed status of a member. Encoded by position: variants are never reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum GossipStatus {
     /// The member does not answer.
@@ -16,7 +17,7 @@
     Recovered,
 }
 
-/// One claim about one member. Encoded by position.
+/// A claim about one member. Encoded by position: fields are never reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GossipUpdate {
     pub about: MemberId,
@@ -24,18 +25,18 @@
     pub status: GossipStatus,
 }
 
-/// An update and how many more times it is sent.
+/// An update and the number of times that it is still to be sent.
 struct QueuedUpdate {
     update: GossipUpdate,
     remaining_sends: u32,
 }
 
-/// The updates being disseminated, at most one per member. Building a datagram costs time in the updates that it carries,
-/// not in the updates queued.
+/// The updates being disseminated, at most one per member. The cost of a batch grows with the number of
+/// updates in it, not with the length of the queue.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
     by_member: BTreeMap<MemberId, QueuedUpdate>,
-    /// The send order: the update that was sent least often so far comes first.
+    /// The send order: the update with the most remaining sends comes first.
     order: BTreeSet<(Reverse<u32>, MemberId)>,
 }
 
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Takes up to `max_updates` updates for the next datagram.
+    /// Returns up to `max_updates` updates for the next datagram, and counts one send of each.
     pub fn next_batch(&mut self, max_updates: usize) -> Vec<GossipUpdate> {
         let first: Vec<_> = self.order.iter().take(max_updates).copied().collect();
         let mut batch = Vec::with_capacity(first.len());
@@ -67,7 +68,7 @@
         batch
     }
 
-    /// Drops the update about a member.
+    /// Removes the update about a member, if one is queued.
     pub fn remove(&mut self, about: MemberId) {
         if let Some(queued) = self.by_member.remove(&about) {
             self.order.remove(&(Reverse(queued.remaining_sends), about));
--- a/crates/micadrum-membership/src/gossip/tests.rs
+++ b/crates/micadrum-membership/src/gossip/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against updates that are sent forever, or a newest update that waits behind old ones.
+/// Guards against updates that are sent forever, and against a new update that waits behind older ones.
 #[test]
 fn each_update_is_sent_a_fixed_number_of_times_and_the_newest_first() {
     let mut queue = GossipQueue::default();
--- a/crates/micadrum-membership/src/incarnation.rs
+++ b/crates/micadrum-membership/src/incarnation.rs
@@ -1,4 +1,5 @@
-//! Incarnations: numbers that grow with every start of a sender, and the persisted record of the highest ones known.
+//! Incarnations, whose numbers increase with every start of a sender, and the persisted record of the highest
+//! ones known.
 use crate::member::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,18 +11,19 @@
 /// Length of the BLAKE3 checksum at the end of a persisted record.
 const CHECKSUM_BYTES: usize = 32;
 
-/// One incarnation of a sender. The higher number is the later incarnation. Two incarnations with equal numbers and
-/// different runs belong to two processes, one of which has lost its state.
+/// One incarnation of a sender. The higher number is the later incarnation. Two incarnations with equal
+/// numbers and different runs belong to two processes that both took the number, as a state folder was lost
+/// or copied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Grows with every start; 0 means none.
+    /// The incarnation number, which increases with every start; 0 means that no incarnation is known.
     pub number: u64,
-    /// Random value drawn at the start; distinguishes two processes that took one number from copies of one folder.
+    /// A random value drawn when the process starts, which distinguishes processes that took the same number.
     pub run: u64,
 }
 
-/// A keyed hash proving that an incarnation was announced by its own sender. Only that sender can create and verify it,
-/// so no other member can invent an incarnation that the sender never had.
+/// A keyed hash proving that an incarnation was announced by its own sender. Only that sender can create and
+/// verify it, so no other member can forge an incarnation that the sender never had.
 pub type IncarnationProof = [u8; 16];
 
 /// An incarnation of a member together with its proof, as announced by the member.
@@ -33,22 +35,24 @@
     pub proof: IncarnationProof,
 }
 
-/// Why a persisted record cannot be used. The sender then starts as one that has lost its state.
+/// The error returned when a persisted record cannot be used. The sender then starts without its earlier
+/// state.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum IncarnationRecordError {
     /// The record is truncated, or its checksum does not match its contents.
-    #[error("it is damaged")]
+    #[error("the incarnation record is truncated, or its checksum does not match")]
     Damaged,
     /// The record has a format that this version does not support.
-    #[error("it is of another version")]
+    #[error("the format version of the incarnation record is not supported")]
     UnsupportedVersion,
     /// The record belongs to another sender.
-    #[error("it belongs to another sender")]
+    #[error("the incarnation record belongs to another sender")]
     WrongOwner,
 }
 
-/// The part of the membership state that survives a restart: this sender's last incarnation number, and the highest known
-/// incarnation of every other member. Persisted as the file `lives`; fields are encoded by position.
+/// The part of the membership state that survives a restart: this sender's last incarnation number, and the
+/// highest known incarnation of every other member. Persisted as the file `lives`; fields are encoded by
+/// position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRecord {
     owner: Option<MemberId>,
@@ -57,15 +61,15 @@
 }
 
 impl IncarnationRecord {
-    /// Creates an empty record.
+    /// Creates an empty record of the sender `owner`.
     #[must_use]
     pub fn new(owner: MemberId) -> Self {
         Self { owner: Some(owner), ..Self::default() }
     }
 
-    /// Creates a record whose owner last ran under the incarnation number `last`.
+    /// Creates a record of the sender `owner`, whose last incarnation had the number `last`.
     #[must_use]
-    pub fn starting_at(owner: MemberId, last: u64) -> Self {
+    pub fn with_last_number(owner: MemberId, last: u64) -> Self {
         Self { own_number: last, ..Self::new(owner) }
     }
 
@@ -96,20 +100,22 @@
         if record.owner == Some(owner) { Ok(record) } else { Err(IncarnationRecordError::WrongOwner) }
     }
 
-    /// Returns the highest known incarnation of a member.
+    /// Returns the highest known incarnation of a member, or `None` if none is known.
     pub(crate) fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
         self.known.get(&member).map(|known| known.incarnation)
     }
 
-    /// Returns the highest known incarnation number of a member, or 0.
+    /// Returns the highest known incarnation number of a member, or 0 if none is known.
     pub(crate) fn number_of(&self, member: MemberId) -> u64 {
         self.incarnation_of(member).map_or(0, |incarnation| incarnation.number)
     }
 
-    /// Records an incarnation of a member, and returns whether its number is higher than the one recorded before.
+    /// Records an incarnation of a member, and returns whether its number is higher than the one recorded
+    /// before.
     ///
-    /// Of two incarnations with equal numbers the first one recorded stays: the other process took the number without
-    /// knowing of the first. Beyond the size limit, an entry for which `is_member` is false is evicted.
+    /// Of two incarnations with equal numbers, the one recorded first is kept. If the record exceeds its size
+    /// limit, the former member with the lowest incarnation is evicted: one for which `is_member` returns
+    /// `false`.
     pub(crate) fn record(
         &mut self,
         member: MemberId,
--- a/crates/micadrum-membership/src/incarnation/tests.rs
+++ b/crates/micadrum-membership/src/incarnation/tests.rs
@@ -8,10 +8,11 @@
     KnownIncarnation { incarnation: Incarnation { number, run: 1 }, proof: [0; 16] }
 }
 
-/// Guards against accepting a damaged, foreign or truncated record: every length and every changed byte is tried.
+/// Guards against accepting a record that is truncated at any length, modified in any byte, or that belongs
+/// to another sender.
 #[test]
 fn a_damaged_or_foreign_record_is_rejected() {
-    let mut record = IncarnationRecord::starting_at(id(1), 7);
+    let mut record = IncarnationRecord::with_last_number(id(1), 7);
     assert!(record.record(id(2), announced(3), |_| true));
     let bytes = record.to_bytes();
     assert_eq!(IncarnationRecord::parse(&bytes, id(1)), Ok(record));
@@ -32,8 +33,8 @@
     }
 }
 
-/// Guards against a lower incarnation that replaces a higher one, and a record that grows without bound or evicts a
-/// current member.
+/// Guards against a lower incarnation that replaces a higher one, and against a record that grows without
+/// bound or evicts a current member.
 #[test]
 fn only_higher_incarnations_are_recorded_and_former_members_are_evicted() {
     let mut record = IncarnationRecord::new(id(1));
@@ -42,7 +43,7 @@
     let other = KnownIncarnation { incarnation: Incarnation { number: 5, run: 9 }, ..announced(5) };
     assert!(
         !record.record(id(2), other, |_| true),
-        "another process took the number without knowing of the first"
+        "the first of two runs with the same number must be kept"
     );
     let member = |n: usize| MemberId((n as u64 + (1 << 40)).to_le_bytes());
     for n in 0..2 * MAX_KNOWN_INCARNATIONS {
--- a/crates/micadrum-membership/src/lib.rs
+++ b/crates/micadrum-membership/src/lib.rs
@@ -1,17 +1,20 @@
 //! Cluster membership: which senders of a fleet are alive, and under which incarnation.
 //!
-//! [`Membership`] is a failure detector and gossip protocol in the style of SWIM (Das et al., 2002) with the local health
-//! multiplier of Lifeguard (Dadgar et al., 2018). It is a state machine free of I/O, clocks and global randomness: its
-//! driver reports what happened together with the current time ([`Membership::handle`]), performs the requested effects
-//! ([`Membership::poll_output`]), and returns at [`Membership::due`]. Times are durations since an origin that the driver
-//! chooses, on a monotonic clock; the random number generator is handed in.
+//! [`Membership`] is a failure detector and gossip protocol in the style of SWIM (Das et al., 2002) with the
+//! local health multiplier of Lifeguard (Dadgar et al., 2018). It is a state machine free of I/O, clocks and
+//! global randomness: its driver reports inputs together with the current time ([`Membership::handle`]),
+//! performs the requested effects ([`Membership::poll_output`]), and reports [`Input::Timer`] at
+//! [`Membership::due`]. Times are durations since an origin that the driver chooses, on a monotonic clock;
+//! the random number generator is passed in.
 //!
-//! **A membership view can be wrong at any moment.** It states what this sender believes of other members and since when;
-//! no safety rule may be decided by it alone. What is reliable are incarnations: they only grow, and a sender whose state
-//! folder was lost or restored from an older copy is detected through the incarnations that its peers have recorded.
+//! **A membership view can be wrong at any moment.** It states what this sender believes about other members
+//! and since when; no safety decision may rely on it alone. Incarnations are reliable: their numbers only
+//! increase, and a sender whose state folder was lost or restored from an older copy is detected through the
+//! incarnations that its peers have recorded.
 //!
-//! Gossip never decides about a third member: a gossip update only names a member worth probing. The sole evidence of
-//! liveness is what a member itself answers, directly or relayed under its own seal.
+//! A gossip update about a third member never changes the status of that member: it only triggers a probe.
+//! The only evidence of liveness is an authenticated datagram from the member itself, received directly or
+//! through a relay.
 #![forbid(unsafe_code)]
 
 mod datagram;
--- a/crates/micadrum-membership/src/member.rs
+++ b/crates/micadrum-membership/src/member.rs
@@ -1,4 +1,4 @@
-//! The members of the fleet, as the operator's configuration lists them.
+//! The members of the fleet, as listed in the operator's configuration.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The member's name, constant for as long as it belongs to the fleet.
+    /// The member's name, which stays the same while it belongs to the fleet.
     pub name: String,
     /// The address at which the member receives datagrams.
     pub address: SocketAddr,
@@ -30,14 +30,14 @@
     pub key: [u8; 32],
 }
 
-/// Why a list of members cannot be used.
+/// The error returned when a roster cannot be created from a list of members.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum RosterError {
-    /// The list lacks the member whose process this is.
-    #[error("{0:?} is no member")]
+    /// The list does not contain this process's own member.
+    #[error("{0:?} is not listed as a member")]
     OwnNameMissing(String),
-    /// Two names have one identifier: one in 2^64 pairs of names.
-    #[error("the names {0:?} and {1:?} cannot be told apart: rename one")]
+    /// Two members have the same name, or different names with the same identifier.
+    #[error("the member names {0:?} and {1:?} have the same identifier: rename one of them")]
     IdCollision(String, String),
 }
 
@@ -55,7 +55,7 @@
     u64::from_le_bytes(first_bytes)
 }
 
-/// All members of the fleet. The order in which the configuration lists them has no meaning.
+/// All members of the fleet, independent of their order in the configuration.
 #[derive(Clone, Debug)]
 pub struct Roster {
     own: MemberId,
@@ -64,10 +64,10 @@
 }
 
 impl Roster {
-    /// Creates the roster of the sender called `own`.
+    /// Creates a roster from a list of members, for the process of the member called `own`.
     ///
     /// # Errors
-    /// Returns an error if `own` is not listed, or two names have one identifier.
+    /// Returns an error if `own` is not listed, or if two names have the same identifier.
     pub fn new(own: &str, list: impl IntoIterator<Item = Member>) -> Result<Self, RosterError> {
         let mut members = BTreeMap::new();
         for member in list {
@@ -85,26 +85,28 @@
         }
     }
 
-    /// Returns a digest of the names, zones and keys, by which members notice that their rosters differ. Addresses are
-    /// excluded: behind address translation one member has a different address for different peers.
+    /// Returns a digest of the members' names, zones and keys, which members compare to detect that their
+    /// rosters differ. Addresses are excluded, as a member behind network address translation has different
+    /// addresses for different peers.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns the member whose process this is.
+    /// Returns the identifier of this process's own member.
     #[must_use]
     pub fn own(&self) -> MemberId {
         self.own
     }
 
-    /// Returns a member, which may be this process's own one.
+    /// Returns the member with the identifier `id`, or `None` if it is not listed. The process's own member
+    /// is included.
     #[must_use]
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// Returns all members other than this process's own one.
+    /// Returns an iterator over all members other than this process's own one.
     pub fn others(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members.iter().filter(|(id, _)| **id != self.own).map(|(id, member)| (*id, member))
     }
--- a/crates/micadrum-membership/src/remote_member.rs
+++ b/crates/micadrum-membership/src/remote_member.rs
@@ -1,4 +1,4 @@
-//! What this sender knows of one other member: its state, the probe in progress, and recent probes awaiting an ack.
+//! The state kept for one other member: its status, the probe in progress, and recent pings awaiting an ack.
 use crate::datagram::Header;
 use crate::incarnation::Incarnation;
 use crate::member::{Member, MemberId};
@@ -11,12 +11,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Probes remembered for acks that arrive late: such acks still measure the link.
+/// Upper bound on pings remembered per member, so that late acks still yield round-trip time samples.
 const MAX_REMEMBERED_PROBES: usize = 48;
-/// Bounds on how long an ack is waited for.
+/// Bounds on the time to wait for an ack.
 const MIN_PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_PROBE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long an ack is waited for before the link was measured.
+/// The time to wait for an ack before the first round-trip time sample.
 const INITIAL_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Datagrams received from one member beyond this rate are dropped.
 const RECEIVE_LIMIT: SendBudget = SendBudget { datagrams_per_second: 400.0, bytes_per_second: 200_000.0 };
@@ -30,12 +30,12 @@
     Indirect,
 }
 
-/// A probe without an ack so far.
+/// A probe that has not been acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingProbe {
     pub started_at: Duration,
     pub stage: ProbeStage,
-    /// Rounds of direct and indirect pings that remained without an ack.
+    /// Rounds of direct and indirect pings that ended without an ack.
     pub failed_rounds: u32,
     /// When the current round ends.
     pub expires_at: Duration,
@@ -62,7 +62,7 @@
     pub path: ProbePath,
 }
 
-/// The last sign of life of a member.
+/// When and on which path a member was last heard.
 #[derive(Clone, Copy)]
 struct LastHeard {
     at: Duration,
@@ -83,9 +83,9 @@
     session_keys: SessionKeyState,
     pub status: Status,
     pub status_since: Duration,
-    /// The member announced that it has lost the state of earlier incarnations.
+    /// Whether the member has announced that it lost the state of earlier incarnations.
     pub lost_state: bool,
-    /// The member's roster differs from this sender's.
+    /// Whether the member's roster differs from this sender's.
     pub roster_differs: bool,
     /// The incarnation whose datagrams `replay_window` covers.
     pub active_incarnation: Option<Incarnation>,
@@ -97,9 +97,9 @@
     pub last_direct_ack: Option<Duration>,
     sent_probes: VecDeque<SentProbe>,
     round_trip: Option<RoundTrip>,
-    /// Attempts to reach the member while it is dead or has left.
+    /// Pings sent to the member while it was dead or had left.
     pub reconnect_attempts: u32,
-    /// The member is queued for a probe outside the regular rounds.
+    /// Whether the member is queued for a probe outside the regular rounds.
     pub is_urgent: bool,
     pub last_probed: Option<Duration>,
     /// The incarnation under which the member announced that it leaves.
@@ -133,7 +133,8 @@
 
     /// Returns the session keys shared with this member, or `None` if its public key is degenerate.
     ///
-    /// The keys are derived on first use: a key agreement takes some 50 us, and a thousand at once would delay the start.
+    /// The keys are derived on first use, as deriving those of all members at once would delay the start of a
+    /// large fleet.
     pub fn session_keys(&mut self, secret: &Secret, own: MemberId) -> Option<SessionKeys> {
         if matches!(self.session_keys, SessionKeyState::NotDerived) {
             let other = MemberId::of(&self.member.name);
@@ -146,17 +147,17 @@
         }
     }
 
-    /// Whether the member takes part in the regular probe rounds.
+    /// Returns whether the member takes part in the regular probe rounds.
     pub fn is_probed_in_rounds(&self) -> bool {
         self.status.is_probed_in_rounds()
     }
 
-    /// Records a sign of life.
+    /// Records that the member was heard.
     pub fn record_heard(&mut self, now: Duration, reach: Reach) {
         self.last_heard = Some(LastHeard { at: now, reach });
     }
 
-    /// Returns when the member last gave a sign of life.
+    /// Returns when the member was last heard, or `None` if it never was.
     pub fn last_heard(&self) -> Option<Duration> {
         self.last_heard.map(|heard| heard.at)
     }
@@ -170,7 +171,8 @@
         self.sent_probes.push_back(SentProbe { nonce, sent_at: now, path });
     }
 
-    /// Removes and returns the ping that an ack with this nonce answers.
+    /// Removes and returns the ping with this nonce, or returns `None` if it was not sent or is no longer
+    /// remembered.
     pub fn take_sent_probe(&mut self, nonce: u32) -> Option<SentProbe> {
         let position = self.sent_probes.iter().position(|sent| sent.nonce == nonce)?;
         self.sent_probes.remove(position)
@@ -181,8 +183,8 @@
         self.round_trip.get_or_insert_with(|| RoundTrip::from_first_sample(sample)).add_sample(sample);
     }
 
-    /// Returns how long an ack is waited for. `zone_round_trip` is the estimate for the member's zone, used while the
-    /// link itself is not measured.
+    /// Returns the time to wait for an ack. `zone_round_trip` is the estimate for the member's zone, used
+    /// until the link itself has a sample.
     pub fn probe_timeout(&self, zone_round_trip: Option<RoundTrip>) -> Duration {
         self.round_trip
             .or(zone_round_trip)
@@ -190,7 +192,8 @@
             .clamp(MIN_PROBE_TIMEOUT, MAX_PROBE_TIMEOUT)
     }
 
-    /// Switches to the incarnation of an authentic datagram: datagrams of the previous one do not count against its replay window.
+    /// Switches to the incarnation of an authentic datagram, whose sequence numbers start with an empty
+    /// replay window.
     pub fn begin_incarnation(&mut self, header: &Header) {
         self.active_incarnation = Some(header.incarnation);
         self.replay_window = ReplayWindow::default();
--- a/crates/micadrum-membership/src/replay_window.rs
+++ b/crates/micadrum-membership/src/replay_window.rs
@@ -1,7 +1,7 @@
-//! A sliding replay window (as in RFC 4303, section 3.4.3): each datagram of one incarnation is accepted once, in any
-//! order.
+//! A sliding replay window (as in RFC 4303, section 3.4.3): each datagram of one incarnation is accepted
+//! once, in any order.
 
-/// Sequence numbers tracked below the highest one; older ones are rejected.
+/// The number of sequence numbers tracked, up to the highest one accepted; lower ones are rejected.
 const WINDOW_BITS: u64 = 1024;
 const WORD_BITS: u64 = 64;
 
@@ -13,7 +13,8 @@
 }
 
 impl ReplayWindow {
-    /// Accepts a sequence number, and returns whether it is new. Sequence numbers start at 1.
+    /// Accepts a sequence number, and returns whether it is within the window and new. Sequence numbers start
+    /// at 1.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             self.advance_to(sequence);
--- a/crates/micadrum-membership/src/replay_window/tests.rs
+++ b/crates/micadrum-membership/src/replay_window/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use std::collections::BTreeSet;
 
-/// Guards against a replay that is accepted, or a late datagram that is not, by comparison with a set of all accepted ones.
+/// Guards against accepting a replay and against rejecting a late datagram, by comparison with a set of all
+/// accepted numbers.
 #[test]
 fn each_sequence_number_is_accepted_once() {
     let (mut window, mut accepted, mut highest) = (ReplayWindow::default(), BTreeSet::new(), 0u64);
--- a/crates/micadrum-membership/src/round_trip.rs
+++ b/crates/micadrum-membership/src/round_trip.rs
@@ -9,12 +9,12 @@
 }
 
 impl RoundTrip {
-    /// Creates an estimate from a first sample.
+    /// Creates an estimate from the first sample.
     pub fn from_first_sample(sample: Duration) -> Self {
         Self { smoothed: sample, variation: sample / 2 }
     }
 
-    /// Adds a sample.
+    /// Updates the estimate with a further sample.
     pub fn add_sample(&mut self, sample: Duration) {
         let deviation = sample.abs_diff(self.smoothed);
         *self = Self {
@@ -28,7 +28,7 @@
         self.smoothed
     }
 
-    /// Returns how long an answer is waited for.
+    /// Returns the time to wait for an answer.
     pub fn timeout(self) -> Duration {
         self.smoothed + self.variation * 4
     }
--- a/crates/micadrum-membership/src/sealing.rs
+++ b/crates/micadrum-membership/src/sealing.rs
@@ -1,16 +1,16 @@
-//! Keys and message authentication. Each member has a key pair; each pair of members derives two session keys, one for
-//! each direction.
+//! Keys and message authentication. Each member has a key pair; each pair of members derives two session
+//! keys, one for each direction.
 //!
-//! X25519 (RFC 7748) yields a secret that only the two members share; BLAKE3 derives the session keys from it and
-//! authenticates datagrams with them. A datagram can thus not be forged by a third party, member or not, and verifying
-//! one costs a single hash.
+//! X25519 (RFC 7748) yields a secret that only the two members share; BLAKE3 derives the session keys from it
+//! and authenticates datagrams with them. No third party, not even another member, can forge a datagram, and
+//! verifying one costs a single hash.
 use crate::incarnation::{Incarnation, IncarnationProof};
 use crate::member::MemberId;
 use x25519_dalek::{PublicKey, StaticSecret};
 
-/// The other member's public key is degenerate: every secret agrees with it on one shared value.
+/// The error returned for a degenerate public key, with which every secret key yields the same shared secret.
 #[derive(Clone, Copy, Debug, thiserror::Error, PartialEq, Eq)]
-#[error("its key is none: every secret agrees with it")]
+#[error("the public key is degenerate: every secret key yields the same shared secret with it")]
 pub struct WeakKey;
 
 /// A member's secret key.
@@ -62,7 +62,7 @@
         Ok(SessionKeys { sending: direction_key(own, other), receiving: direction_key(other, own) })
     }
 
-    /// Creates the proof of one of this member's own incarnations.
+    /// Creates the proof of one of this member's own incarnations, which only this secret key can verify.
     pub(crate) fn prove(&self, incarnation: Incarnation) -> IncarnationProof {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&incarnation.number.to_le_bytes());
--- a/crates/micadrum-membership/src/sealing/tests.rs
+++ b/crates/micadrum-membership/src/sealing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against session keys that a third member could derive, that are equal in both directions, or that come from a
-/// degenerate public key.
+/// Guards against session keys that a third member can derive, that are equal in both directions, or that are
+/// derived from a degenerate public key.
 #[test]
 fn only_the_two_members_of_a_pair_derive_its_session_keys() {
     let [first, second, third] = [1, 2, 3].map(|n| Secret::new([n; 32]));
--- a/crates/micadrum-membership/src/send_budget.rs
+++ b/crates/micadrum-membership/src/send_budget.rs
@@ -1,22 +1,22 @@
-//! A fixed upper bound on the traffic that a member sends, at rest and while many members fail at once.
+//! A fixed upper bound on the traffic that a member sends, even while many members fail at once.
 use std::time::Duration;
 
-/// The burst that may leave at one moment, as a share of the traffic of one second.
+/// The capacity of a token bucket, in seconds of traffic at the permitted rate.
 const BURST_SECONDS: f64 = 0.25;
 
-/// Which datagrams are sent first when the budget does not suffice for all of them.
+/// The priority of a datagram while the budget does not suffice for all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendPriority {
-    /// Acks, and probes of suspects: sent as long as any budget is left.
+    /// Acks to fresh pings, and probes of suspects: sent as long as any budget is left.
     High,
     /// Regular probes, and datagrams relayed for other members.
     Normal,
-    /// Gossip pushed ahead of its turn, and attempts to reach dead members.
+    /// Gossip pushed in large fleets, attempts to reach dead members, and acks to pings that may be replayed.
     Low,
 }
 
 impl SendPriority {
-    /// Returns the share of the burst that has to stay available after a datagram of this priority.
+    /// Returns the share of the bucket that has to remain after a datagram of this priority is sent.
     fn reserved_share(self) -> f64 {
         match self {
             Self::High => 0.0,
@@ -35,7 +35,7 @@
     pub bytes_per_second: f64,
 }
 
-/// The amounts that may leave now.
+/// The tokens in a bucket.
 struct Tokens {
     datagrams: f64,
     bytes: f64,
@@ -66,7 +66,8 @@
         self.available.bytes = refilled(self.available.bytes, self.budget.bytes_per_second);
     }
 
-    /// Takes the tokens for one datagram of `bytes` bytes, and returns whether its priority permits it now.
+    /// Takes the tokens for a datagram of `bytes` bytes if its priority permits it now, and returns whether
+    /// it does.
     pub fn try_take(&mut self, now: Duration, bytes: usize, priority: SendPriority) -> bool {
         self.refill(now);
         let reserve = |rate: f64| rate * BURST_SECONDS * priority.reserved_share();
--- a/crates/micadrum-membership/src/send_budget/tests.rs
+++ b/crates/micadrum-membership/src/send_budget/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards against a budget that a storm exceeds, and gossip that takes what acks need.
+/// Guards against exceeding the budget under load, and against gossip that uses up the tokens that acks need.
 #[test]
-fn the_budget_is_never_exceeded_and_acks_go_first() {
+fn never_exceeds_the_budget_and_reserves_tokens_for_acks() {
     let budget = SendBudget { datagrams_per_second: 100.0, bytes_per_second: 10_000.0 };
     let mut bucket = TokenBucket::new(budget, Duration::ZERO);
     let (mut sent, mut bytes) = (0, 0);
@@ -15,8 +15,8 @@
             }
         }
     }
-    assert!(sent <= 100 * 10 + 25 && bytes <= 10_000 * 10 + 2500, "{sent} {bytes}");
-    assert!(sent > 950 || bytes > 95_000, "the budget is used: {sent} {bytes}");
+    assert!(sent <= 100 * 10 + 25 && bytes <= 10_000 * 10 + 2500, "{sent} datagrams, {bytes} bytes");
+    assert!(sent > 950 || bytes > 95_000, "the budget is not used up: {sent} datagrams, {bytes} bytes");
     let now = Duration::from_secs(100);
     while bucket.try_take(now, 10, SendPriority::Low) {}
     assert!(bucket.try_take(now, 10, SendPriority::Normal), "gossip leaves budget for probes");
--- a/crates/micadrum-membership/src/status.rs
+++ b/crates/micadrum-membership/src/status.rs
@@ -1,11 +1,12 @@
-//! The states that the failure detector assigns to members. JSON names are part of the `/status/peers` format.
+//! The states that the failure detector assigns to members. JSON names are part of the `/status/peers`
+//! format.
 use serde::{Deserialize, Serialize};
 
-/// What is believed of another member.
+/// The status of another member, as this sender believes it to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// The member has not been heard yet.
+    /// No datagram that proves the member alive has been received yet.
     Unknown,
     /// The member answers probes.
     Live,
@@ -18,7 +19,8 @@
 }
 
 impl Status {
-    /// Whether a member in this state takes part in the regular probe rounds. Dead and departed members are probed apart.
+    /// Returns whether a member in this state takes part in the regular probe rounds. Dead and departed
+    /// members are probed separately.
     pub(crate) fn is_probed_in_rounds(self) -> bool {
         !matches!(self, Self::Dead | Self::Left)
     }
@@ -28,9 +30,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reach {
-    /// A datagram arrived directly from the member.
+    /// The last datagram arrived directly from the member.
     Direct,
-    /// Datagrams arrive only through other members.
+    /// The last datagram arrived through another member.
     Relayed,
 }
 
@@ -41,13 +43,13 @@
     /// The incarnation is not persisted yet: nothing is sent.
     #[serde(rename = "writing")]
     PersistingIncarnation,
-    /// Members are asked whether any of them knows a higher incarnation of this sender.
+    /// Other members are being asked whether they know a higher incarnation of this sender.
     #[serde(rename = "asking")]
     ConfirmingIncarnation,
     /// A majority of members knows this incarnation as the highest.
     #[serde(rename = "settled")]
     Confirmed,
-    /// A later process uses this sender's name: nothing is sent any more.
+    /// A later process uses this sender's name: nothing is sent.
     Superseded,
     /// No higher incarnation number is left: nothing is sent.
     Exhausted,
@@ -56,7 +58,7 @@
 }
 
 impl LocalStatus {
-    /// Whether datagrams may be sent and accepted in this state.
+    /// Returns whether datagrams are sent and accepted in this state.
     pub(crate) fn is_communicating(self) -> bool {
         matches!(self, Self::ConfirmingIncarnation | Self::Confirmed)
     }
--- a/crates/micadrum-membership/src/view.rs
+++ b/crates/micadrum-membership/src/view.rs
@@ -1,4 +1,5 @@
-//! Snapshots of the membership state, for the layers above and for operators. A snapshot can be wrong at any moment.
+//! Snapshots of the membership state, for the layers above and for operators. A snapshot can be wrong at any
+//! moment.
 //!
 //! Field names in JSON are part of the formats of `/status/peers` and of the links between members.
 use crate::incarnation::Incarnation;
@@ -12,32 +13,32 @@
 pub struct PeerView {
     /// The member's name.
     pub name: String,
-    /// The address at which the member is reached.
+    /// The address to which datagrams for the member are sent.
     pub address: SocketAddr,
     /// The zone in which the member runs.
     #[serde(rename = "building")]
     pub zone: String,
-    /// What is believed of the member.
+    /// The status of the member, as this sender believes it to be.
     pub status: Status,
     /// When `status` last changed.
     pub since: Duration,
-    /// When the member last gave a sign of life.
+    /// When the member was last heard, or `None` if it never was.
     #[serde(rename = "heard")]
     pub last_heard: Option<Duration>,
-    /// The path on which the member was last heard.
+    /// The path on which the member was last heard, or `None` if it never was.
     pub reach: Option<Reach>,
-    /// When the member last answered a direct ping.
+    /// When the member last answered a direct ping, or `None` if it never did.
     #[serde(rename = "answered")]
     pub last_direct_ack: Option<Duration>,
-    /// The smoothed round-trip time.
+    /// The smoothed round-trip time, or `None` before the first sample.
     pub round_trip: Option<Duration>,
-    /// The highest known incarnation.
+    /// The highest known incarnation, or `None` if none is known.
     #[serde(rename = "life")]
     pub incarnation: Option<Incarnation>,
-    /// The member has lost the state of earlier incarnations: its promises and replicas no longer count.
+    /// Whether the member has lost the state of earlier incarnations, including any replicas that it held.
     #[serde(rename = "forgot")]
     pub lost_state: bool,
-    /// The member's roster differs from this sender's.
+    /// Whether the member's roster differs from this sender's.
     #[serde(rename = "other_list")]
     pub roster_differs: bool,
 }
@@ -59,7 +60,7 @@
     pub foreign: u64,
     /// Datagrams received whose authentication failed.
     pub forged: u64,
-    /// Datagrams received that are replayed, or addressed to an earlier run of this sender.
+    /// Datagrams received that were replayed, or addressed to an earlier run of this sender.
     pub stale: u64,
     /// Datagrams received beyond the rate limit of their sender.
     #[serde(rename = "flooded")]
@@ -82,16 +83,16 @@
     /// The state of this sender's own membership.
     #[serde(rename = "standing")]
     pub local_status: LocalStatus,
-    /// This sender has lost the state of earlier incarnations.
+    /// Whether this sender has lost the state of earlier incarnations.
     #[serde(rename = "forgot")]
     pub lost_state: bool,
-    /// No member answers: the statuses of other members are not meaningful.
+    /// Whether no member answers; the statuses of other members are then not meaningful.
     #[serde(rename = "cut_off")]
     pub isolated: bool,
     /// The local health score, from 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_score: u32,
-    /// The other members, by name.
+    /// The other members, sorted by name.
     pub peers: Vec<PeerView>,
     /// Datagrams sent and received.
     pub counts: Counts,
--- a/crates/micadrum-membership/tests/fleet/incarnations.rs
+++ b/crates/micadrum-membership/tests/fleet/incarnations.rs
@@ -1,4 +1,5 @@
-//! Incarnations: a state folder that was lost or restored, two processes under one name, and the end of numbers.
+//! Incarnations: a lost or restored state folder, two processes with one name, and the exhaustion of
+//! incarnation numbers.
 use crate::simulated_fleet::*;
 use micadrum_membership::*;
 
@@ -45,7 +46,7 @@
                 "{n} does not know that 2 lost its state"
             );
         }
-        // Its next start loses nothing.
+        // The next start, with an intact folder, reports no loss.
         fleet.kill(2);
         fleet.start(2);
         fleet.run(ms(2000));
@@ -54,7 +55,8 @@
     }
 }
 
-/// Guards against a lost folder that goes undetected because the new process drew a higher run for one number.
+/// Guards against a lost folder that goes undetected because the new process drew a higher run for the same
+/// number.
 #[test]
 fn a_folder_lost_after_the_first_start_is_detected_whatever_run_is_drawn() {
     for seed in 0..20 {
@@ -68,11 +70,10 @@
     }
 }
 
-/// Guards against a sender that most members know under one run of a number and some under another one, so that the
-/// latter never accept it again (peers-storm.toml --peer-faults, seed 470): its folder was lost before all members had
-/// learned of its last incarnation.
+/// Guards against a sender that some members never accept again, as they know another run of its incarnation
+/// number: its folder was lost before all members had learned of its last incarnation.
 #[test]
-fn a_number_taken_twice_is_abandoned_although_most_members_know_it() {
+fn an_incarnation_number_taken_twice_is_replaced_although_most_members_know_it() {
     for seed in 0..5 {
         let mut fleet = SimulatedFleet::started(5, seed);
         fleet.run(ms(3000));
@@ -97,23 +98,23 @@
     }
 }
 
-/// Guards against two processes that both continue under one name: the older one falls silent.
+/// Guards against two processes that both keep sending under one name.
 #[test]
 fn of_two_processes_under_one_name_the_older_is_superseded() {
-    // The second process has the name, key and folder of the first.
+    // The second process has the name and key of the first, and its folder unless that was lost.
     for lost_folder in [false, true] {
         let mut fleet = SimulatedFleet::started(6, 2);
         fleet.run(ms(3000));
-        let twin = SimulatedFleet::new(6, 9).roster(1);
+        let roster = SimulatedFleet::new(6, 9).roster(1);
         let id = MemberId::of("n1");
-        let book = if lost_folder {
+        let record = if lost_folder {
             IncarnationRecord::new(id)
         } else {
             IncarnationRecord::parse(&fleet.records[1], id).unwrap()
         };
         let rng = rand_chacha::rand_core::SeedableRng::seed_from_u64(77);
         let first = fleet.nodes[1].take().unwrap();
-        fleet.nodes[1] = Some(Membership::new(SETTINGS, secret(1), twin, book, rng, fleet.now));
+        fleet.nodes[1] = Some(Membership::new(SETTINGS, secret(1), roster, record, rng, fleet.now));
         fleet.input(1, Input::Timer);
         fleet.run(ms(2000));
         assert_eq!(fleet.view(1).local_status, LocalStatus::Confirmed);
@@ -124,14 +125,14 @@
         assert_eq!(fleet.view(1).local_status, LocalStatus::Superseded);
         let sent = fleet.view(1).counts.sent;
         fleet.run(ms(3000));
-        assert_eq!(fleet.view(1).counts.sent, sent, "it sends nothing any more");
+        assert_eq!(fleet.view(1).counts.sent, sent, "a superseded process must not send");
         fleet.nodes[1] = Some(second);
         fleet.input(1, Input::Timer);
         assert!(fleet.converge_within(ms(2000)).is_some(), "{:?}", fleet.wrong_views());
     }
 }
 
-/// Guards against using an incarnation before it is persisted: a full disk keeps a sender silent until it has space.
+/// Guards against using an incarnation before it is persisted: a sender sends nothing while its disk is full.
 #[test]
 fn nothing_is_sent_before_the_incarnation_is_persisted() {
     let mut fleet = SimulatedFleet::started(4, 3);
@@ -151,26 +152,31 @@
 
 /// Guards against incarnation numbers that wrap around.
 #[test]
-fn a_sender_without_a_higher_number_falls_silent() {
+fn a_sender_without_a_higher_incarnation_number_stops_sending() {
     let mut fleet = SimulatedFleet::started(4, 4);
     fleet.run(ms(2000));
     fleet.kill(1);
     let id = MemberId::of("n1");
-    for (last, standing) in [(u64::MAX - 1, LocalStatus::Confirmed), (u64::MAX, LocalStatus::Exhausted)] {
-        fleet.records[1] = IncarnationRecord::starting_at(id, last).to_bytes();
+    for (last, expected_status) in
+        [(u64::MAX - 1, LocalStatus::Confirmed), (u64::MAX, LocalStatus::Exhausted)]
+    {
+        fleet.records[1] = IncarnationRecord::with_last_number(id, last).to_bytes();
         fleet.start(1);
         fleet.run(ms(3000));
-        assert_eq!((fleet.view(1).incarnation.number, fleet.view(1).local_status), (u64::MAX, standing));
+        assert_eq!(
+            (fleet.view(1).incarnation.number, fleet.view(1).local_status),
+            (u64::MAX, expected_status)
+        );
         fleet.kill(1);
     }
-    // With its folder lost it learns that the last number was taken: there is no higher one.
+    // After the loss of its folder, the sender learns that the last number is taken.
     fleet.records[1] = Vec::new();
     fleet.start(1);
     fleet.run(ms(3000));
     assert_eq!(fleet.view(1).local_status, LocalStatus::Exhausted);
 }
 
-/// Guards against a fleet that loses incarnations with its power: members persist what they know of each other.
+/// Guards against incarnations that are lost when all members lose power at once.
 #[test]
 fn known_incarnations_survive_a_power_loss_of_all_members() {
     let mut fleet = SimulatedFleet::started(5, 5);
