--- a/crates/micadrum-membership/tests/fleet/adversaries.rs
+++ b/crates/micadrum-membership/tests/fleet/adversaries.rs
@@ -1,9 +1,9 @@
-//! Scheduled strangers, replays, liars and floods can do.
+//! Forged and replayed datagrams, and members that flood others.
 use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use rand_chacha::rand_core::RngCore;
 
-/// Guards against forged and replayed datagrams: no state may change because of one.
+/// Guards against forged and replayed datagrams that change the state of a member.
 #[test]
 fn forged_foreign_and_replayed_datagrams_change_nothing() {
     let mut fleet = SimulatedFleet::started(4, 1);
@@ -11,7 +11,7 @@
     fleet.run(ms(3000));
     let captured = fleet.captured.take().unwrap();
     fleet.run(ms(1000));
-    // Replays of what n1 sent must not keep it alive after its death.
+    // Replayed datagrams of n1 must not make it appear alive after its death.
     fleet.kill(1);
     assert!(fleet.converge_within(ms(3000)).is_some());
     let (before, sent) = (fleet.view(0), fleet.view(0).counts.sent);
@@ -32,20 +32,20 @@
         (before.incarnation, before.local_status, before.local_health_score),
         (after.incarnation, after.local_status, after.local_health_score)
     );
-    for (was, is) in before.peers.iter().zip(&after.peers) {
+    for (old, new) in before.peers.iter().zip(&after.peers) {
         assert_eq!(
-            (was.status, was.incarnation, was.last_heard),
-            (is.status, is.incarnation, is.last_heard),
+            (old.status, old.incarnation, old.last_heard),
+            (new.status, new.incarnation, new.last_heard),
             "{}",
-            is.name
+            new.name
         );
     }
-    // Whatever arrives, no more is sent than the burst of the budget.
+    // The datagrams sent in response do not exceed the burst of the send budget.
     assert!(after.counts.sent - sent <= 100, "{}", after.counts.sent - sent);
     assert!(after.counts.forged > 10_000 && after.counts.foreign > 10_000, "{:?}", after.counts);
 }
 
-/// Guards against replays to a restarted sender, whose replay windows are empty.
+/// Guards against accepting replays after a restart, when all replay windows are empty.
 #[test]
 fn datagrams_to_an_earlier_run_prove_nothing() {
     let mut fleet = SimulatedFleet::started(4, 2);
@@ -66,7 +66,7 @@
     assert_eq!(view.local_status, LocalStatus::ConfirmingIncarnation);
 }
 
-/// Guards against a member that floods: it is limited to its own rate, and others are still heard.
+/// Guards against a flooding member that keeps others from being heard.
 #[test]
 fn a_flooding_member_is_rate_limited() {
     let mut fleet = SimulatedFleet::started(4, 3);
--- a/crates/micadrum-membership/tests/fleet/links.rs
+++ b/crates/micadrum-membership/tests/fleet/links.rs
@@ -1,11 +1,13 @@
-//! Links: streams cut anywhere, modified and replayed frames, impostors, a silent side, a slow reader.
+//! Links: streams split at any position, modified and replayed frames, impostors, a silent side, a slow
+//! reader.
 use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use std::time::Duration;
 
 const INCARNATION: Incarnation = Incarnation { number: 3, run: 9 };
 
-/// The secret key of member `key_of`, presented as member `member`, with a nonce of equal bytes.
+/// Returns the identity of member `member` with the secret key of member `key_of`, and a nonce of equal
+/// bytes.
 fn identity(fleet: &SimulatedFleet, key_of: usize, member: usize, nonce: u8) -> LinkIdentity {
     LinkIdentity {
         secret: secret(key_of),
@@ -40,22 +42,22 @@
 /// Exchanges all pending bytes, in pieces of `size`.
 fn exchange(ends: &mut Ends, size: usize) -> Result<(), LinkError> {
     loop {
-        let (there, back) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
-        if there.is_empty() && back.is_empty() {
+        let (to_acceptor, to_dialer) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
+        if to_acceptor.is_empty() && to_dialer.is_empty() {
             return Ok(());
         }
-        for piece in there.chunks(size) {
+        for piece in to_acceptor.chunks(size) {
             ends.acceptor.handle_received(piece, ms(1))?;
         }
-        for piece in back.chunks(size) {
+        for piece in to_dialer.chunks(size) {
             ends.dialer.handle_received(piece, ms(1))?;
         }
     }
 }
 
-/// Guards against a frame that is handled in parts, and a payload that is lost where a read ends within it.
+/// Guards against handling an incomplete frame, and against losing a payload that is split across reads.
 #[test]
-fn payloads_arrive_whole_and_in_order_however_the_stream_is_cut() {
+fn payloads_arrive_whole_and_in_order_however_the_stream_is_split() {
     for size in [1, 2, 3, 7, 64, 1000, 100_000] {
         let mut ends = ends();
         let payloads: Vec<Vec<u8>> = (0..20u8).map(|n| vec![n; n as usize * 50]).collect();
@@ -63,9 +65,12 @@
             ends.dialer.send(payload.clone()).unwrap();
         }
         exchange(&mut ends, size).unwrap();
-        let mut told = events(&mut ends.acceptor);
-        assert_eq!(told.remove(0), LinkEvent::Open { peer: MemberId::of("n0"), incarnation: INCARNATION });
-        assert_eq!(told, payloads.into_iter().map(LinkEvent::Payload).collect::<Vec<_>>());
+        let mut received = events(&mut ends.acceptor);
+        assert_eq!(
+            received.remove(0),
+            LinkEvent::Open { peer: MemberId::of("n0"), incarnation: INCARNATION }
+        );
+        assert_eq!(received, payloads.into_iter().map(LinkEvent::Payload).collect::<Vec<_>>());
         assert_eq!(
             events(&mut ends.dialer),
             [LinkEvent::Open { peer: MemberId::of("n1"), incarnation: INCARNATION }]
@@ -87,21 +92,21 @@
     let open = LinkEvent::Open { peer: MemberId::of("n0"), incarnation: INCARNATION };
     let read = |bytes: &[u8]| {
         let mut acceptor = ends().acceptor;
-        let ended = acceptor.handle_received(bytes, ms(1));
-        (ended, events(&mut acceptor))
+        let result = acceptor.handle_received(bytes, ms(1));
+        (result, events(&mut acceptor))
     };
     assert_eq!(read(&whole), (Ok(()), vec![open, LinkEvent::Payload(b"payload".to_vec())]));
     for at in 0..whole.len() {
         for bit in 0..8 {
             let mut changed = whole.clone();
             changed[at] ^= 1 << bit;
-            let (_, told) = read(&changed);
-            assert!(!told.contains(&LinkEvent::Payload(b"payload".to_vec())), "byte {at} bit {bit}");
+            let (_, received) = read(&changed);
+            assert!(!received.contains(&LinkEvent::Payload(b"payload".to_vec())), "byte {at} bit {bit}");
         }
-        let (ended, told) = read(&whole[..at]);
-        assert!(ended.is_ok() && told.len() < 2, "cut at {at}");
+        let (result, received) = read(&whole[..at]);
+        assert!(result.is_ok() && received.len() < 2, "cut at {at}");
     }
-    // A replay of the whole stream fails, as the acceptor has drawn another nonce.
+    // A replay of the whole stream fails, as another link has another nonce.
     let fleet = SimulatedFleet::new(3, 1);
     let mut other = Link::accept(identity(&fleet, 1, 1, 3), Duration::ZERO);
     assert_eq!(other.handle_received(&whole, ms(1)), Err(LinkError::InvalidFrame));
@@ -126,21 +131,26 @@
     );
 }
 
-/// Guards against waiting for a half-open peer, and against ending an idle link whose sides are both alive.
+/// Guards against waiting forever for a silent peer, and against ending an idle link whose sides are both
+/// alive.
 #[test]
-fn a_silent_side_times_out_and_an_idle_one_does_not() {
+fn a_silent_link_times_out_and_an_idle_one_does_not() {
     let mut ends = ends();
     assert_eq!(ends.acceptor.handle_timeout(ms(1999)), Ok(()));
-    assert_eq!(ends.acceptor.handle_timeout(ms(2000)), Err(LinkError::TimedOut), "nobody authenticated");
+    assert_eq!(
+        ends.acceptor.handle_timeout(ms(2000)),
+        Err(LinkError::TimedOut),
+        "the handshake was not completed"
+    );
     let mut ends = self::ends();
     exchange(&mut ends, 100).unwrap();
     for second in 1..60 {
         ends.dialer.handle_timeout(ms(second * 1000 + 1)).unwrap();
         ends.acceptor.handle_timeout(ms(second * 1000 + 1)).unwrap();
-        let (there, back) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
-        assert!(!there.is_empty() && !back.is_empty(), "both send keep-alives");
-        ends.acceptor.handle_received(&there, ms(second * 1000 + 1)).unwrap();
-        ends.dialer.handle_received(&back, ms(second * 1000 + 1)).unwrap();
+        let (to_acceptor, to_dialer) = (drain(&mut ends.dialer), drain(&mut ends.acceptor));
+        assert!(!to_acceptor.is_empty() && !to_dialer.is_empty(), "both sides must send keep-alives");
+        ends.acceptor.handle_received(&to_acceptor, ms(second * 1000 + 1)).unwrap();
+        ends.dialer.handle_received(&to_dialer, ms(second * 1000 + 1)).unwrap();
     }
     let last = ms(59_001);
     assert!(ends.dialer.due() <= last + ms(1000));
@@ -148,9 +158,9 @@
     assert_eq!(ends.dialer.handle_timeout(last + ms(3500)), Err(LinkError::TimedOut));
 }
 
-/// Guards against a slow reader that costs unbounded memory on either side.
+/// Guards against a slow reader that causes unbounded memory use on either side.
 #[test]
-fn a_slow_reader_exhausts_the_credit() {
+fn a_slow_reader_limits_the_bytes_that_are_sent_and_queued() {
     let mut ends = ends();
     exchange(&mut ends, 1000).unwrap();
     events(&mut ends.acceptor);
@@ -159,13 +169,13 @@
         sent += 1;
         exchange(&mut ends, 100_000).unwrap();
     }
-    let waiting: usize = events(&mut ends.acceptor).len();
+    let unread: usize = events(&mut ends.acceptor).len();
     assert!(
-        waiting * 10_000 <= 256 * 1024 && sent * 10_000 <= 512 * 1024 && sent > waiting,
-        "{waiting} of {sent}"
+        unread * 10_000 <= 256 * 1024 && sent * 10_000 <= 512 * 1024 && sent > unread,
+        "{unread} of {sent} payloads received"
     );
-    ends.acceptor.release_credit(waiting * 10_000);
+    ends.acceptor.release_credit(unread * 10_000);
     exchange(&mut ends, 100_000).unwrap();
-    assert_eq!(waiting + events(&mut ends.acceptor).len(), sent);
+    assert_eq!(unread + events(&mut ends.acceptor).len(), sent);
     assert_eq!(ends.dialer.send(vec![0; MAX_PAYLOAD_BYTES + 1]), Err(QueueFull));
 }
--- a/crates/micadrum-membership/tests/fleet/main.rs
+++ b/crates/micadrum-membership/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! The fleet as its members see it, in simulated time: the effect of each failure on views and incarnations.
+//! Tests with a simulated fleet: the effect of failures and attacks on membership views, incarnations and
+//! links.
 mod adversaries;
 mod incarnations;
 mod links;
--- a/crates/micadrum-membership/tests/fleet/simulated_fleet.rs
+++ b/crates/micadrum-membership/tests/fleet/simulated_fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet in simulated time: links that lose, delay, cut and duplicate datagrams, processes that pause and restart.
+//! A fleet in simulated time, whose links can lose, delay and duplicate datagrams, and whose processes can
+//! pause and restart.
 use micadrum_membership::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -17,7 +18,7 @@
     send_budget: SendBudget { datagrams_per_second: 400.0, bytes_per_second: 100_000.0 },
 };
 
-/// Scheduled happens to a datagram on its way.
+/// The conditions of a link in one direction.
 #[derive(Clone, Copy)]
 pub struct LinkConditions {
     pub is_cut: bool,
@@ -45,19 +46,19 @@
     pub link: Box<dyn Fn(usize, usize) -> LinkConditions>,
     pub events: Vec<(Duration, usize, Event)>,
     pub paused: BTreeMap<usize, Vec<Vec<u8>>>,
-    /// All datagrams sent (from, to, bytes), while capturing is on.
+    /// The datagrams sent, as (from, to, bytes), or `None` if they are not captured.
     pub captured: Option<Vec<(usize, usize, Vec<u8>)>>,
     pub disk_full: bool,
-    at: BTreeMap<SocketAddr, usize>,
+    index_by_address: BTreeMap<SocketAddr, usize>,
     queue: BinaryHeap<Reverse<(Duration, u64, Scheduled)>>,
     wakeup_numbers: Vec<u64>,
-    count: u64,
+    last_scheduled: u64,
     pub rng: ChaCha8Rng,
 }
 
 pub fn secret(n: usize) -> Secret {
     let mut bytes = [7; 32];
-    // Not the first byte: X25519 leaves three of its bits out.
+    // Leaves the first byte unchanged, as X25519 ignores three of its bits.
     bytes[8..16].copy_from_slice(&(n as u64).to_le_bytes());
     Secret::new(bytes)
 }
@@ -77,7 +78,7 @@
         Self {
             now: Duration::ZERO,
             settings: SETTINGS,
-            at: members.iter().enumerate().map(|(n, member)| (member.address, n)).collect(),
+            index_by_address: members.iter().enumerate().map(|(n, member)| (member.address, n)).collect(),
             members,
             nodes: (0..count).map(|_| None).collect(),
             records: vec![Vec::new(); count],
@@ -88,12 +89,12 @@
             disk_full: false,
             queue: BinaryHeap::new(),
             wakeup_numbers: vec![0; count],
-            count: 0,
+            last_scheduled: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Creates a fleet whose members are all started.
+    /// Creates a fleet and starts all of its members.
     pub fn started(count: usize, seed: u64) -> Self {
         let mut fleet = Self::new(count, seed);
         (0..count).for_each(|n| fleet.start(n));
@@ -104,12 +105,13 @@
         Roster::new(&self.members[n].name, self.members.iter().cloned()).unwrap()
     }
 
-    /// Starts a member from its record, or an empty one if that is damaged.
+    /// Starts a member from its persisted record, or from an empty one if that cannot be used.
     pub fn start(&mut self, n: usize) {
         let id = MemberId::of(&self.members[n].name);
-        let book = IncarnationRecord::parse(&self.records[n], id).unwrap_or(IncarnationRecord::new(id));
+        let record = IncarnationRecord::parse(&self.records[n], id).unwrap_or(IncarnationRecord::new(id));
         let rng = ChaCha8Rng::seed_from_u64(self.rng.next_u64());
-        self.nodes[n] = Some(Membership::new(self.settings, secret(n), self.roster(n), book, rng, self.now));
+        self.nodes[n] =
+            Some(Membership::new(self.settings, secret(n), self.roster(n), record, rng, self.now));
         self.perform_outputs(n);
     }
 
@@ -122,7 +124,7 @@
         self.paused.insert(n, Vec::new());
     }
 
-    /// Resumes a paused member; datagrams that arrived meanwhile are in its socket buffer.
+    /// Resumes a paused member, which first receives the datagrams that have arrived in its socket buffer.
     pub fn resume(&mut self, n: usize) {
         for bytes in self.paused.remove(&n).unwrap() {
             self.input(n, Input::Datagram(&bytes));
@@ -137,9 +139,9 @@
         }
     }
 
-    fn push(&mut self, at: Duration, what: Scheduled) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count, what)));
+    fn push(&mut self, at: Duration, scheduled: Scheduled) {
+        self.last_scheduled += 1;
+        self.queue.push(Reverse((at, self.last_scheduled, scheduled)));
     }
 
     pub fn random_unit(&mut self) -> f64 {
@@ -151,7 +153,7 @@
             match output {
                 Output::Send(to, bytes) => {
                     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-                    let Some(to) = self.at.get(&to).copied() else { continue };
+                    let Some(to) = self.index_by_address.get(&to).copied() else { continue };
                     if let Some(captured) = &mut self.captured {
                         captured.push((n, to, bytes.clone()));
                     }
@@ -164,11 +166,11 @@
                     }
                 }
                 Output::WriteRecord(bytes) => {
-                    let done = !self.disk_full;
-                    if done {
+                    let is_written = !self.disk_full;
+                    if is_written {
                         self.records[n] = bytes;
                     }
-                    let input = if done { Input::RecordWritten } else { Input::RecordWriteFailed };
+                    let input = if is_written { Input::RecordWritten } else { Input::RecordWriteFailed };
                     self.nodes[n].as_mut().unwrap().handle(input, self.now);
                 }
                 Output::Event(event) => self.events.push((self.now, n, event)),
@@ -185,15 +187,15 @@
         while let Some(Reverse((at, ..))) = self.queue.peek()
             && *at <= end
         {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { return };
+            let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { return };
             self.now = at;
-            match what {
+            match scheduled {
                 Scheduled::Delivery(n, bytes) => match self.paused.get_mut(&n) {
                     Some(socket) => socket.push(bytes),
                     None => self.input(n, Input::Datagram(&bytes)),
                 },
-                Scheduled::Wakeup(n, which)
-                    if which == self.wakeup_numbers[n] && !self.paused.contains_key(&n) =>
+                Scheduled::Wakeup(n, number)
+                    if number == self.wakeup_numbers[n] && !self.paused.contains_key(&n) =>
                 {
                     self.input(n, Input::Timer);
                 }
@@ -220,7 +222,8 @@
         (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect()
     }
 
-    /// Returns the views (of, about, status) that are wrong: running members not seen live, stopped ones seen live.
+    /// Returns the wrong views as (observer, observed, status): running members that are not live, and
+    /// stopped ones that are live or suspect.
     pub fn wrong_views(&self) -> Vec<(usize, usize, Status)> {
         let mut wrong = Vec::new();
         let numbers: BTreeMap<&str, usize> =
@@ -228,9 +231,10 @@
         for n in self.running() {
             for peer in self.view(n).peers {
                 let Some(other) = numbers.get(&*peer.name).copied() else { continue };
-                let gone = matches!(peer.status, Status::Dead | Status::Left | Status::Unknown);
-                let right = if self.nodes[other].is_some() { peer.status == Status::Live } else { gone };
-                if !right {
+                let is_absent = matches!(peer.status, Status::Dead | Status::Left | Status::Unknown);
+                let is_correct =
+                    if self.nodes[other].is_some() { peer.status == Status::Live } else { is_absent };
+                if !is_correct {
                     wrong.push((n, other, peer.status));
                 }
             }
@@ -250,7 +254,7 @@
         None
     }
 
-    /// Returns the members declared dead since then: when, by whom, and the name.
+    /// Returns the deaths declared since `since`, as (time, declaring member, name of the dead one).
     pub fn deaths(&self, since: Duration) -> Vec<(Duration, usize, String)> {
         let dead =
             self.events.iter().filter(|(at, ..)| *at >= since).filter_map(|(at, by, event)| match event {
--- a/crates/micadrum-membership/tests/fleet/views.rs
+++ b/crates/micadrum-membership/tests/fleet/views.rs
@@ -1,11 +1,12 @@
-//! What members believe of each other while processes and links fail.
+//! Membership views while processes and links fail.
 use crate::simulated_fleet::*;
 use micadrum_membership::*;
 use std::time::Duration;
 
-/// Guards against a killed member that is detected late or by some members only, and against false accusations.
+/// Guards against a killed member that is detected late or by some members only, and against live members
+/// declared dead.
 #[test]
-fn a_killed_member_is_dead_for_all_within_two_seconds() {
+fn a_killed_member_is_declared_dead_by_all_within_two_seconds() {
     for seed in 0..20 {
         let mut fleet = SimulatedFleet::started(20, seed);
         fleet.run(ms(3000 + 37 * seed));
@@ -41,7 +42,7 @@
 
 /// Guards against an isolated member that declares all others dead.
 #[test]
-fn an_isolated_member_accuses_nobody_and_reports_its_isolation() {
+fn an_isolated_member_declares_nobody_dead_and_reports_its_isolation() {
     let mut fleet = SimulatedFleet::started(8, 3);
     fleet.run(ms(3000));
     fleet.link = Box::new(|a, b| LinkConditions { is_cut: a == 0 || b == 0, ..PERFECT_LINK });
@@ -54,7 +55,7 @@
     assert!(!fleet.view(0).isolated);
 }
 
-/// Guards against a one-way cut that leads to a death: B hears A through others, and A knows that B does not answer.
+/// Guards against a one-way cut after which a member is declared dead: n1 still hears n0 through others.
 #[test]
 fn a_member_behind_a_one_way_cut_stays_live_through_others() {
     let mut fleet = SimulatedFleet::started(6, 4);
@@ -66,10 +67,14 @@
     assert_eq!(fleet.wrong_views(), []);
     assert_eq!(fleet.view_of(1, 0).reach, Some(Reach::Relayed));
     let answered = fleet.view_of(0, 1).last_direct_ack.unwrap();
-    assert!(fleet.now - answered > ms(50_000), "1 answers 0, as it does not hear it: {answered:?}");
+    assert!(
+        fleet.now - answered > ms(50_000),
+        "n1 must not have answered a direct ping of n0 since the cut: {answered:?}"
+    );
 }
 
-/// Guards against a member that reaches half of the others and convinces the fleet that the other half is dead.
+/// Guards against a member that reaches only half of the others and makes the fleet declare the other half
+/// dead.
 #[test]
 fn a_member_that_reaches_half_of_the_others_reaches_the_rest_through_them() {
     let mut fleet = SimulatedFleet::started(9, 5);
@@ -83,14 +88,14 @@
 
 /// Guards against a stalled process that, once resumed, declares the others dead.
 #[test]
-fn a_stalled_process_accuses_nobody_when_it_resumes() {
+fn a_stalled_process_declares_nobody_dead_when_it_resumes() {
     for pause in [ms(700), ms(1500), ms(5000), ms(60_000)] {
         let mut fleet = SimulatedFleet::started(8, 6);
         fleet.run(ms(3050));
         fleet.pause(2);
         fleet.run(pause);
         let dead = (0..8).any(|n| n != 2 && fleet.status(n, 2) == Status::Dead);
-        assert!(dead || pause < ms(5000), "the others detect the stall");
+        assert!(dead || pause < ms(5000), "the other members must declare a long-stalled member dead");
         let at = fleet.now;
         fleet.resume(2);
         assert!(fleet.converge_within(ms(2000)).is_some(), "{pause:?}: {:?}", fleet.wrong_views());
@@ -102,7 +107,7 @@
     }
 }
 
-/// Guards against packet loss that leads to deaths, or hides one.
+/// Guards against packet loss that makes live members appear dead, or hides a death.
 #[test]
 fn loss_of_a_fifth_of_all_datagrams_neither_causes_nor_hides_deaths() {
     let mut fleet = SimulatedFleet::started(20, 7);
@@ -116,7 +121,7 @@
     assert!(took.is_some(), "{:?}", fleet.wrong_views());
 }
 
-/// Guards against a slow link that makes a member flap: once its round-trip time is known, probes wait for it.
+/// Guards against a slow link that makes a member flap: the probe timeout must adapt to its round-trip time.
 #[test]
 fn the_round_trip_time_of_a_slow_link_is_learned() {
     let mut fleet = SimulatedFleet::started(6, 8);
@@ -131,9 +136,9 @@
     assert_eq!(fleet.deaths(at), []);
 }
 
-/// Guards against a restart that causes a death, and against probing a member that has left gracefully.
+/// Guards against declaring a member dead that restarts quickly or has left gracefully.
 #[test]
-fn a_restart_within_the_detection_time_goes_unnoticed() {
+fn a_fast_restart_and_a_graceful_leave_cause_no_deaths() {
     let mut fleet = SimulatedFleet::started(8, 9);
     fleet.run(ms(3000));
     let at = fleet.now;
@@ -149,19 +154,19 @@
     fleet.run(ms(300));
     assert!((0..8).all(|n| n == 5 || fleet.status(n, 5) == Status::Left));
     fleet.run(ms(10_000));
-    assert!(fleet.deaths(at).is_empty(), "a departed member is not declared dead");
+    assert!(fleet.deaths(at).is_empty(), "a departed member must not be declared dead");
     fleet.start(5);
     assert!(fleet.converge_within(ms(2000)).is_some(), "{:?}", fleet.wrong_views());
 }
 
-/// Guards against members that are added or removed while links are cut, and are then known to some only.
+/// Guards against rosters that stay different after members are added or removed while links are cut.
 #[test]
-fn members_are_added_and_removed_while_one_is_cut_off() {
+fn rosters_converge_after_changes_while_one_member_is_isolated() {
     let mut fleet = SimulatedFleet::started(6, 10);
     fleet.run(ms(3000));
     fleet.link = Box::new(|a, b| LinkConditions { is_cut: a == 0 || b == 0, ..PERFECT_LINK });
     fleet.run(ms(3000));
-    // n5 is removed from all rosters but that of n0, which is isolated; its process ends.
+    // n5 is killed and removed from all rosters except that of n0, which is isolated.
     let all = fleet.members.clone();
     fleet.members.truncate(5);
     for n in 1..5 {
@@ -174,13 +179,17 @@
     fleet.link = Box::new(|_, _| PERFECT_LINK);
     fleet.run(ms(4000));
     assert!((1..5).all(|n| fleet.status(0, n) == Status::Live && fleet.status(n, 0) == Status::Live));
-    // Both sides of a mismatch report it.
-    let others = |fleet: &SimulatedFleet, n: usize| {
+    // Both sides of each mismatch report it.
+    let mismatches = |fleet: &SimulatedFleet, n: usize| {
         fleet.view(n).peers.iter().filter(|peer| peer.roster_differs).count()
     };
-    assert_eq!((0..5).map(|n| others(&fleet, n)).collect::<Vec<_>>(), [4, 1, 1, 1, 1]);
+    assert_eq!((0..5).map(|n| mismatches(&fleet, n)).collect::<Vec<_>>(), [4, 1, 1, 1, 1]);
     let is_reported = |event: &(_, usize, Event)| matches!(&event.2, Event::RosterMismatch { name, differs: true } if name == "n0");
-    assert_eq!(fleet.events.iter().filter(|event| is_reported(event)).count(), 4, "once each");
+    assert_eq!(
+        fleet.events.iter().filter(|event| is_reported(event)).count(),
+        4,
+        "each mismatch must be reported once"
+    );
     fleet.members = all;
     assert_eq!(fleet.status(0, 5), Status::Dead);
     for n in 0..5 {
@@ -190,5 +199,5 @@
     fleet.start(5);
     assert!(fleet.converge_within(ms(3000)).is_some(), "{:?}", fleet.wrong_views());
     fleet.run(ms(1000));
-    assert!((0..6).all(|n| others(&fleet, n) == 0), "all rosters match again");
+    assert!((0..6).all(|n| mismatches(&fleet, n) == 0), "all rosters must match again");
 }
