--- a/crates/micadrum-membership/benches/foca_comparison.rs
+++ b/crates/micadrum-membership/benches/foca_comparison.rs
@@ -1,6 +1,7 @@
-//! Compares the failure detector of this package with that of `foca` 1 in one simulated fleet: which failures each
-//! detects, how soon, and which live members it declares dead. Run with
-//! `cargo bench -p micadrum-membership --bench foca_comparison`.
+//! Compares the failure detector of this package with that of `foca` 1 in the same simulated fleet: how soon
+//! each detects failures, and how many live members it declares dead.
+//!
+//! Run with `cargo bench -p micadrum-membership --bench foca_comparison`.
 #[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
 mod simulated_fleet;
@@ -19,13 +20,14 @@
 use std::time::Duration;
 
 const MEMBERS: usize = 20;
-/// foca waits a fixed time for an ack, and probes no sooner than twice that. This setting for clean links probes as often
-/// as our detector does.
+/// The round-trip time that foca expects on clean links. foca probes at twice this interval, as often as our
+/// detector.
 const CLEAN_LINK_RTT: Duration = ms(50);
-/// This setting holds on the lossy links, whose round trips take 110 to 220 ms.
+/// The round-trip time that foca expects on the lossy links, where the real one is 110 to 220 ms.
 const LOSSY_LINK_RTT: Duration = ms(250);
 const ONE_HOUR: Duration = ms(3_600_000);
-const NOBODY: u16 = u16::MAX;
+/// Not the number of any member.
+const NO_MEMBER: u16 = u16::MAX;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct FocaId {
@@ -56,13 +58,13 @@
     Timer(u16, Timer<FocaId>),
 }
 
-/// A member that is paused, with what is due to it meanwhile.
+/// A paused member, with the datagrams and timers that became due during the pause.
 struct Paused {
     member: u16,
-    waiting: Vec<Scheduled>,
+    deferred: Vec<Scheduled>,
 }
 
-/// A member that another one declared dead.
+/// A declaration of the member `of` as dead by the member `by`.
 struct Death {
     at: Duration,
     by: u16,
@@ -116,10 +118,10 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn schedule(&mut self, at: Duration, what: Scheduled) {
+    fn schedule(&mut self, at: Duration, scheduled: Scheduled) {
         self.last_scheduled += 1;
         self.queue.push(Reverse((at, self.last_scheduled)));
-        self.scheduled.insert(self.last_scheduled, what);
+        self.scheduled.insert(self.last_scheduled, scheduled);
     }
 
     fn act(&mut self, member: u16, act: impl FnOnce(&mut Node, &mut AccumulatingRuntime<FocaId>)) {
@@ -144,8 +146,8 @@
         }
     }
 
-    fn handle(&mut self, what: Scheduled) {
-        match what {
+    fn handle(&mut self, scheduled: Scheduled) {
+        match scheduled {
             Scheduled::Delivery(to, bytes) => {
                 self.act(to, |node, runtime| drop(node.handle_data(&bytes, runtime)));
             }
@@ -162,27 +164,27 @@
         {
             self.queue.pop();
             self.now = at;
-            let Some(what) = self.scheduled.remove(&number) else { continue };
-            let (Scheduled::Delivery(member, _) | Scheduled::Timer(member, _)) = &what;
+            let Some(scheduled) = self.scheduled.remove(&number) else { continue };
+            let (Scheduled::Delivery(member, _) | Scheduled::Timer(member, _)) = &scheduled;
             match &mut self.paused {
-                Some(paused) if paused.member == *member => paused.waiting.push(what),
-                _ => self.handle(what),
+                Some(paused) if paused.member == *member => paused.deferred.push(scheduled),
+                _ => self.handle(scheduled),
             }
         }
         self.now = end;
     }
 
     fn pause(&mut self, member: u16) {
-        self.paused = Some(Paused { member, waiting: Vec::new() });
+        self.paused = Some(Paused { member, deferred: Vec::new() });
     }
 
     fn resume(&mut self) {
-        for what in self.paused.take().map_or(Vec::new(), |paused| paused.waiting) {
-            self.handle(what);
+        for scheduled in self.paused.take().map_or(Vec::new(), |paused| paused.deferred) {
+            self.handle(scheduled);
         }
     }
 
-    /// Counts the deaths since then of members other than `except`.
+    /// Returns the number of deaths declared since `since` of members other than `except`.
     fn deaths_since(&self, since: Duration, except: u16) -> usize {
         self.deaths.iter().filter(|death| death.at >= since && death.of != except).count()
     }
@@ -217,7 +219,7 @@
     fleet
 }
 
-/// Counts the deaths since then of members other than `except`.
+/// Returns the number of deaths declared since `since` of members other than `except`.
 fn our_deaths_since(fleet: &SimulatedFleet, since: Duration, except: &str) -> usize {
     fleet.deaths(since).iter().filter(|(.., name)| name != except).count()
 }
@@ -228,7 +230,7 @@
     format!("median {median} ms, worst {} ms of {count}", times_ms[count - 1])
 }
 
-/// Kills member 7, and returns how long our detector takes until all others know, in milliseconds.
+/// Kills member 7, and returns the time in milliseconds until the last declaration of death by our detector.
 fn our_detection_time(seed: u64) -> Option<u128> {
     let mut fleet = start_ours(seed);
     let killed_at = fleet.now;
@@ -239,7 +241,8 @@
     last_death.map(|(at, ..)| (*at - killed_at).as_millis())
 }
 
-/// Kills member 7, and returns how long foca takes until all others know, in milliseconds.
+/// Kills member 7, and returns the time in milliseconds until all others have declared it dead with foca, or
+/// `None` if some have not.
 fn foca_detection_time(seed: u64) -> Option<u128> {
     let mut fleet = FocaFleet::started(seed, CLEAN_LINK_RTT);
     let killed_at = fleet.now;
@@ -255,7 +258,11 @@
 fn compare_detection_times() {
     let ours = (0..100).filter_map(our_detection_time).collect();
     let foca = (0..100).filter_map(foca_detection_time).collect();
-    println!("killed, known to all 19: ours {}; foca {}", summarize(ours), summarize(foca));
+    println!(
+        "killed member, time until all 19 others have declared it dead: ours {}; foca {}",
+        summarize(ours),
+        summarize(foca)
+    );
 }
 
 fn compare_lossy_links() {
@@ -269,9 +276,10 @@
     foca.run(ONE_HOUR);
     let rate = |bytes: u64| bytes / MEMBERS as u64 / ONE_HOUR.as_secs();
     println!(
-        "20% loss, one hour: live members held for dead: ours {}, foca {}; bytes a second for each: ours {}, foca {}",
+        "20% loss, one hour: live members declared dead: ours {}, foca {}; bytes per second and member: ours {}, \
+         foca {}",
         our_deaths_since(&ours, our_start, ""),
-        foca.deaths_since(foca_start, NOBODY),
+        foca.deaths_since(foca_start, NO_MEMBER),
         rate(sent(&ours) - our_bytes_before),
         rate(foca.sent_bytes - foca_bytes_before)
     );
@@ -294,7 +302,7 @@
         foca_deaths += foca.deaths_since(foca_start, 2);
     }
     println!(
-        "one stands still for 5 s, 20 times: others held for dead: ours {our_deaths}, foca {foca_deaths}"
+        "one member paused for 5 s, 20 runs: other members declared dead: ours {our_deaths}, foca {foca_deaths}"
     );
 }
 
@@ -313,7 +321,7 @@
         foca_deaths += foca.deaths_since(foca_start, 0);
     }
     println!(
-        "one is heard by nobody and hears all for 30 s, 20 times: others held for dead: ours {our_deaths}, \
+        "all datagrams from one member lost for 30 s, 20 runs: other members declared dead: ours {our_deaths}, \
          foca {foca_deaths}"
     );
 }
--- a/crates/micadrum-membership/benches/large_fleet.rs
+++ b/crates/micadrum-membership/benches/large_fleet.rs
@@ -1,5 +1,7 @@
-//! A fleet of a thousand members: what each sends at rest and under stress against its budget, how soon the death of a
-//! hundred at once is known to all, what a datagram costs, and what a million forged ones change.
+//! Measures a fleet of a thousand members: the peak traffic of a member in steady state and while members
+//! fail, the time until a hundred simultaneous deaths are detected by all, the cost of receiving a datagram,
+//! and the effect of a million forged ones.
+//!
 //! Run with `cargo bench -p micadrum-membership --bench large_fleet`.
 #[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
@@ -18,14 +20,14 @@
 /// The member that receives the forged datagrams.
 const TARGET: usize = 1;
 
-/// The most that one member sent in a second.
+/// The highest traffic of one member within one second.
 #[derive(Clone, Copy, Default)]
 struct PeakRate {
     datagrams: u64,
     bytes: u64,
 }
 
-/// Runs the fleet for a span, and returns the peak rate of its members.
+/// Runs the fleet for `span`, and returns the peak rate of its members.
 fn measure_peak_rate(fleet: &mut SimulatedFleet, span: Duration) -> PeakRate {
     let sent = |fleet: &SimulatedFleet| -> Vec<PeakRate> {
         let sent_by = |n: &usize| {
@@ -55,8 +57,8 @@
         let PeakRate { datagrams, bytes } = measure_peak_rate(fleet, ms(1_000));
         let wrong = fleet.wrong_views().len();
         println!(
-            "start of all, {second} s after: {wrong} of {} views wrong; in it at most {datagrams} datagrams, {bytes} bytes \
-             for one (ceiling 400, 100000)",
+            "all started, after {second} s: {wrong} of {} views wrong; peak per member {datagrams} datagrams/s, \
+             {bytes} bytes/s (budget 400 and 100000)",
             MEMBERS * (MEMBERS - 1),
         );
         if wrong == 0 {
@@ -65,9 +67,9 @@
     }
 }
 
-fn measure_at_rest(fleet: &mut SimulatedFleet) {
+fn measure_steady_state(fleet: &mut SimulatedFleet) {
     let PeakRate { datagrams, bytes } = measure_peak_rate(fleet, ms(4_000));
-    println!("at rest: at most {datagrams} datagrams, {bytes} bytes a second for one");
+    println!("steady state: peak per member {datagrams} datagrams/s, {bytes} bytes/s");
 }
 
 fn kill_many(fleet: &mut SimulatedFleet) {
@@ -79,10 +81,10 @@
     let mut times_ms: Vec<u128> = deaths.iter().map(|(at, ..)| (*at - killed_at).as_millis()).collect();
     times_ms.sort_unstable();
     let killed: Vec<String> = (0..KILLED).map(|n| format!("n{}", n * KILL_STRIDE)).collect();
-    let accused = deaths.iter().filter(|(.., name)| !killed.contains(name)).count();
+    let false_deaths = deaths.iter().filter(|(.., name)| !killed.contains(name)).count();
     println!(
-        "{KILLED} killed at once: {} of {} views know within 12 s (median {} ms, last {} ms), {accused} others held \
-         for dead, {wrong} views wrong; at most {} datagrams, {} bytes a second for one",
+        "{KILLED} killed at once: {} of {} views updated within 12 s (median {} ms, last {} ms), {false_deaths} \
+         live members declared dead, {wrong} views wrong; peak per member {} datagrams/s, {} bytes/s",
         times_ms.len(),
         KILLED * (MEMBERS - KILLED),
         times_ms.get(times_ms.len() / 2).copied().unwrap_or(0),
@@ -92,17 +94,17 @@
     );
 }
 
-/// Captures what the target receives in ten seconds.
+/// Returns the datagrams sent to the target within ten seconds.
 fn capture_received(fleet: &mut SimulatedFleet) -> Vec<Vec<u8>> {
     fleet.captured = Some(Vec::new());
     fleet.run(ms(10_000));
     let captured = fleet.captured.take().unwrap();
-    // Datagrams still in flight arrive first.
+    // Lets the datagrams still in flight arrive.
     fleet.run(ms(100));
     captured.into_iter().filter(|(_, to, _)| *to == TARGET).map(|(.., bytes)| bytes).collect()
 }
 
-/// Modifies, truncates and repeats captured datagrams.
+/// Returns modified, truncated, overwritten and unchanged copies of captured datagrams.
 fn forge(fleet: &mut SimulatedFleet, captured: &[Vec<u8>]) -> Vec<Vec<u8>> {
     let forge_one = |n: usize| {
         let mut bytes = captured[n % captured.len()].clone();
@@ -132,8 +134,8 @@
     let unchanged =
         before.peers.iter().zip(&after.peers).filter(|(before, after)| state(before) == state(after));
     println!(
-        "1,000,000 forged, cut, changed and repeated: {time_each:?} each; {} of {} views as before, {} datagrams sent for \
-         them",
+        "1,000,000 modified, truncated, overwritten and replayed datagrams: {time_each:?} each; {} of {} views \
+         unchanged, {} datagrams sent in response",
         unchanged.count(),
         after.peers.len(),
         after.counts.sent - before.counts.sent
@@ -144,7 +146,7 @@
     let mut fleet = SimulatedFleet::new(MEMBERS, 1);
     fleet.link = Box::new(|_, _| LinkConditions { delay: ms(1), jitter: ms(4), ..PERFECT_LINK });
     start_all(&mut fleet);
-    measure_at_rest(&mut fleet);
+    measure_steady_state(&mut fleet);
     kill_many(&mut fleet);
     receive_forged(&mut fleet);
 }
