--- a/src/daemon/accept_failure.rs
+++ b/src/daemon/accept_failure.rs
@@ -1,20 +1,21 @@
-//! What an error of `accept` says. No I/O and no clock.
+//! Classifies errors of `accept` by what has to happen before the next call. No I/O and no clock.
 use rustix::io::Errno;
 use std::io;
 
-/// What has to happen before the next connection can be accepted.
+/// The kind of an `accept` error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// One connection failed before it was accepted: the next one may be fine.
+    /// One connection failed before it was accepted. The next call may succeed at once.
     Connection,
-    /// There is no descriptor for the connection: another one has to be closed.
+    /// No file descriptor is free. Another connection has to be closed first.
     Descriptors,
-    /// The system lacks memory, or fails otherwise: it needs time.
+    /// The system is out of memory or failed in another way. The next call has to be delayed.
     System,
 }
 
 impl AcceptFailure {
-    /// Returns what an error says. Linux also reports errors of the new connection's network.
+    /// Classifies an error of `accept`. On Linux, `accept` also returns pending network errors of the new
+    /// connection.
     pub fn of(error: &io::Error) -> Self {
         match Errno::from_io_error(error) {
             Some(Errno::MFILE | Errno::NFILE) => Self::Descriptors,
--- a/src/daemon/accept_failure/tests.rs
+++ b/src/daemon/accept_failure/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of what errors of `accept` say.
+//! Tests of the classification of `accept` errors.
 use super::*;
 
-/// Guards against closing connections for errors that say nothing of descriptors.
+/// Guards against closing connections for errors other than a lack of file descriptors.
 #[test]
-fn only_a_lack_of_descriptors_calls_for_a_connection_to_close() {
+fn only_a_lack_of_descriptors_is_classified_as_descriptors() {
     let failure = |error: Errno| AcceptFailure::of(&error.into());
     for error in [Errno::MFILE, Errno::NFILE] {
         assert_eq!(failure(error), AcceptFailure::Descriptors, "{error}");
--- a/src/daemon/class_registry.rs
+++ b/src/daemon/class_registry.rs
@@ -1,32 +1,32 @@
-//! The classes of messages over changes of the settings. Free of I/O and clocks.
+//! Registry of the message classes of a process, across changes of the settings. No I/O and no clock.
 //!
-//! A class keeps its number for the life of the process: messages in flight keep their class, also when the
-//! settings no longer name the class or give its name another meaning.
+//! A class keeps its ID for the life of the process: messages in flight keep their class, even after a reload
+//! that removes the class from the settings or redefines its name.
 //!
-//! A recovered message states its class by name, and may have been accepted under any meaning that the name
-//! has had: the strictest of these applies. A message whose class is unknown is sent once, as nobody knows
-//! what a retry would do, and in the order of its key.
+//! A recovered message contains only the name of its class, and may have been accepted under any definition
+//! that the name has had: the strictest definition applies. A message whose class is unknown is sent once,
+//! because a retry may be unsafe, and in the order of its key.
 use crate::{Class, ClassId, DeduplicationScope, Idempotency, TimeDelta};
 use std::collections::{BTreeMap, HashMap};
 
-/// How many classes there may be over the life of a process.
+/// The maximum number of class definitions over the life of a process.
 const MAX_CLASSES: usize = 1024;
 
-/// A class with its name.
+/// The name of a class and its definition.
 pub type NamedClass = (String, Class);
 
-/// Why classes cannot be registered; the registry stays as it was.
+/// An error of registering classes. The registry is unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum ClassRegistryError {
-    /// There have been too many classes.
-    #[error("class {0:?}: there have been {MAX_CLASSES} classes since the start")]
+    /// The process has registered the maximum number of class definitions.
+    #[error("class {0:?}: the process has registered the maximum of {MAX_CLASSES} class definitions")]
     TooMany(String),
-    /// Two classes have one name.
-    #[error("class {0:?} is named twice")]
+    /// Two classes have the same name.
+    #[error("duplicate class {0:?}")]
     Duplicate(String),
 }
 
-/// A class as a recovered message names it.
+/// The class of a recovered message, as far as the message's record describes it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecoveredClass {
     /// The name of the class.
@@ -35,10 +35,10 @@
     pub has_idempotency_key: bool,
 }
 
-/// All classes that there have been in this process.
+/// All classes that this process has registered, including those that a reload has removed.
 #[derive(Clone)]
 pub struct ClassRegistry {
-    /// All classes, by number.
+    /// All classes. The index is the class ID.
     classes: Vec<NamedClass>,
     /// The classes in the settings, by name.
     current: HashMap<String, ClassId>,
@@ -46,7 +46,7 @@
     recovered: BTreeMap<RecoveredClass, ClassId>,
 }
 
-/// Ranks a class by what may be done with a message that may have run: the higher the rank, the less.
+/// Returns a rank that is higher the less a class permits to retry a message that may have been processed.
 fn strictness(class: &Class) -> (u8, u64) {
     match class.idempotency {
         Idempotency::Idempotent => (0, 0),
@@ -57,7 +57,8 @@
 }
 
 impl ClassRegistry {
-    /// Registers the classes in the settings, and those that recovered messages may belong to.
+    /// Creates a registry of the classes in the settings and the `retired` classes, to which recovered
+    /// messages may belong.
     ///
     /// # Errors
     /// A name is used twice, or there are too many classes.
@@ -70,7 +71,7 @@
     /// Replaces the classes in the settings.
     ///
     /// # Errors
-    /// A name is used twice, or there are too many classes; nothing has changed then.
+    /// A name is used twice, or there are too many classes; the registry is then unchanged.
     pub fn replace_configured(&mut self, configured: Vec<NamedClass>) -> Result<(), ClassRegistryError> {
         let count_before = self.classes.len();
         let mut current = HashMap::new();
@@ -89,7 +90,7 @@
         Ok(())
     }
 
-    /// Returns the number of a class, and assigns one to a new class.
+    /// Returns the ID of a class definition. Registers the definition if it is new.
     fn register(&mut self, class: NamedClass) -> ClassId {
         let position = self.classes.iter().position(|known| *known == class);
         ClassId(position.unwrap_or_else(|| {
@@ -98,12 +99,12 @@
         }))
     }
 
-    /// Returns all classes, by number.
+    /// Returns all classes, ordered by ID.
     pub fn all(&self) -> Vec<Class> {
         self.classes.iter().map(|(_, class)| class.clone()).collect()
     }
 
-    /// Returns all classes with their names, by number.
+    /// Returns all classes with their names, ordered by ID.
     pub fn named(&self) -> &[NamedClass] {
         &self.classes
     }
@@ -113,25 +114,26 @@
         self.current.keys().map(String::as_str)
     }
 
-    /// Returns the class in the settings that a new message names.
+    /// Returns the ID of a class in the settings; `None` if the settings contain no class of this name.
     pub fn current(&self, name: &str) -> Option<ClassId> {
         self.current.get(name).copied()
     }
 
-    /// Registers a class that recovered messages name; false if nothing is known of the class.
+    /// Registers the class of a recovered message. Returns false if the process knows no definition of the
+    /// class.
     pub fn register_recovered(&mut self, recovered: RecoveredClass) -> bool {
         if self.recovered.contains_key(&recovered) {
             return true;
         }
         let RecoveredClass { name, has_idempotency_key } = &recovered;
-        let meanings = || self.classes.iter().filter(|known| known.0 == *name).map(|known| &known.1);
-        let strictest = meanings().max_by_key(|class| strictness(class)).cloned();
+        let definitions = || self.classes.iter().filter(|known| known.0 == *name).map(|known| &known.1);
+        let strictest = definitions().max_by_key(|class| strictness(class)).cloned();
         let is_known = strictest.is_some();
         let mut class = strictest.unwrap_or_else(|| self.unknown_class());
-        class.ordered |= meanings().any(|class| class.ordered);
+        class.ordered |= definitions().any(|class| class.ordered);
         if matches!(class.idempotency, Idempotency::WithKey { .. }) && !has_idempotency_key {
-            // The message was accepted under a meaning that asked for no key: a retry could not be
-            // recognized.
+            // The message was accepted under a definition that required no key: the destination could not
+            // recognize a retry.
             class.idempotency = Idempotency::NonIdempotent;
         }
         let id = self.register((name.clone(), class));
@@ -139,8 +141,9 @@
         is_known
     }
 
-    /// Returns a class for messages of which nothing is known: no promise towards them may be broken, and
-    /// they take nothing from others.
+    /// Returns a class for messages whose class is unknown. It permits no retry and preserves the order of
+    /// keys; its deadline is the longest and its weights are the lowest of all classes, so that other
+    /// messages are preferred.
     fn unknown_class(&self) -> Class {
         let classes = || self.classes.iter().map(|(_, class)| class);
         let lowest =
@@ -155,7 +158,8 @@
         }
     }
 
-    /// Returns the class of a recovered message that [`ClassRegistry::register_recovered`] was called for.
+    /// Returns the class ID of a recovered message; `None` unless [`ClassRegistry::register_recovered`] was
+    /// called with the same argument.
     pub fn recovered(&self, recovered: &RecoveredClass) -> Option<ClassId> {
         self.recovered.get(recovered).copied()
     }
--- a/src/daemon/class_registry/tests.rs
+++ b/src/daemon/class_registry/tests.rs
@@ -19,10 +19,10 @@
     RecoveredClass { name: name.to_owned(), has_idempotency_key }
 }
 
-/// Guards against messages whose class changes as the settings rename, drop or restore it, and against a
-/// recovered message that is retried under a milder meaning of its class's name.
+/// Guards against a class ID that changes when the settings redefine, remove or restore the class, and
+/// against a recovered message that is retried under a less strict definition of its class.
 #[test]
-fn class_ids_are_stable_and_recovered_messages_get_the_strictest_meaning() {
+fn class_ids_are_stable_and_recovered_messages_get_the_strictest_definition() {
     let (safe, strict) = (class("a", Idempotency::Idempotent), class("a", Idempotency::NonIdempotent));
     let b = class("b", Idempotency::Idempotent);
     let mut classes = ClassRegistry::new(vec![safe.clone(), b.clone()], Vec::new()).unwrap();
@@ -37,7 +37,7 @@
         (classes.current("a"), classes.recovered(&recovered("a", true))),
         (Some(ClassId(0)), Some(ClassId(2)))
     );
-    assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()], "all meanings are kept");
+    assert_eq!(classes.named(), [safe.clone(), b.clone(), strict.clone()], "all definitions are kept");
     assert!(
         classes.replace_configured(vec![b.clone(), class("c", Idempotency::Idempotent), b.clone()]).is_err()
     );
@@ -52,8 +52,9 @@
     assert_eq!(next.all()[0].idempotency, Idempotency::NonIdempotent);
 }
 
-/// Guards against a recovered message that is never attempted as its class was removed or now needs a key that
-/// the message lacks, and against an order that is lost as the strictest meaning of the class asked for none.
+/// Guards against a recovered message that is never attempted because its class was removed or now requires a
+/// key that the message lacks, and against losing the order of keys because the strictest definition of the
+/// class is unordered.
 #[test]
 fn recovered_messages_have_a_class_under_any_settings() {
     let keyed = Idempotency::WithKey { scope: DeduplicationScope::Destination, window: TimeDelta(5) };
@@ -66,7 +67,7 @@
             && classes.register_recovered(recovered("a", false))
             && classes.register_recovered(recovered("b", false))
     );
-    assert!(!classes.register_recovered(recovered("gone", true)), "nothing is known of the class");
+    assert!(!classes.register_recovered(recovered("gone", true)), "the class is unknown");
     let class_of = |name, with_key: bool| {
         classes.all()[classes.recovered(&recovered(name, with_key)).unwrap().0].clone()
     };
--- a/src/daemon/config_schema.rs
+++ b/src/daemon/config_schema.rs
@@ -1,20 +1,21 @@
-//! The keys that a configuration holds. A configuration that lacks a key of the first one was cut short,
-//! whatever else it holds. Free of I/O and clocks.
+//! The keys that every configuration has to contain. A configuration that lacks a key of the first one is
+//! treated as truncated, even if it is valid otherwise. No I/O and no clock.
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The keys of a JSON value at all depths.
+/// The keys of a JSON value at all levels of nesting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigSchema {
     /// An object with these keys.
     Object(BTreeMap<String, ConfigSchema>),
-    /// An array: the keys that all of its elements have, and those of each element with a `name`.
+    /// An array: the keys that all elements have in common, and by name the keys of each element that has a
+    /// `name`.
     Array(Box<ConfigSchema>, BTreeMap<String, ConfigSchema>),
-    /// A value without keys, or one that may be anything.
+    /// A value without keys, or one that is not checked.
     Any,
 }
 
-/// Returns the `name` of an object.
+/// Returns the string under the key `name`, if there is one.
 fn name(value: &Value) -> Option<&str> {
     value.get("name")?.as_str()
 }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Lets the value of one key of an object be anything.
+    /// Accepts any value for a top-level key. The key itself remains required.
     pub fn allow_any_value(&mut self, key: &str) {
         if let Self::Object(fields) = self
             && let Some(field) = fields.get_mut(key)
@@ -79,7 +80,7 @@
     }
 }
 
-/// Joins a key and the path below it; an empty path stands for the value of the key itself.
+/// Joins a key and the path below it. An empty path refers to the value of the key itself.
 fn join(key: &str, path: &str) -> String {
     if path.is_empty() { key.to_owned() } else { format!("{key}.{path}") }
 }
--- a/src/daemon/config_schema/tests.rs
+++ b/src/daemon/config_schema/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use serde_json::json;
 
-/// Guards against a truncated file that is applied, and against a file that is rejected for additional keys.
+/// Guards against applying a truncated file, and against rejecting a file for additional keys.
 #[test]
-fn a_missing_key_is_reported_with_its_path() {
+fn missing_key_is_reported_with_its_path() {
     let first = json!({"a": {"b": 1}, "known": {"x": 1},
         "lanes": [{"name": "l", "aim": 1, "fifo": true}, {"name": "m", "aim": 2}]});
     let mut schema = ConfigSchema::of(&first);
--- a/src/daemon/error_log_limit.rs
+++ b/src/daemon/error_log_limit.rs
@@ -1,10 +1,10 @@
-//! Bounds how often errors are logged that may come in any number. No I/O and no clock.
+//! A rate limit for logging errors that can occur in any number. No I/O and no clock.
 use std::time::Duration;
 
-/// Errors of one kind are logged at most this often.
+/// The minimum time between two logged errors.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds what is logged of errors that may come in any number.
+/// Limits how often errors of one kind are logged.
 #[derive(Default)]
 pub struct ErrorLogLimit {
     logged_at: Option<Duration>,
@@ -12,8 +12,8 @@
 }
 
 impl ErrorLogLimit {
-    /// Notes an error at a time since any fixed moment. Returns how many errors were not logged since the last one that
-    /// was, if this one is to be logged.
+    /// Records an error at `now`, the time since an arbitrary fixed moment. Returns `None` if the error is
+    /// not to be logged, or else the number of errors suppressed since the last logged one.
     pub fn admit(&mut self, now: Duration) -> Option<u64> {
         if self.logged_at.is_some_and(|logged_at| now < logged_at + LOG_INTERVAL) {
             self.suppressed += 1;
--- a/src/daemon/local_failure.rs
+++ b/src/daemon/local_failure.rs
@@ -1,8 +1,9 @@
-//! Which errors of sockets are this machine's own, and say nothing of the other side. No I/O and no clock.
+//! Recognizes socket errors that are caused by this machine and not by the remote side. No I/O and no clock.
 use rustix::io::Errno;
 use std::io;
 
-/// Whether an error of `socket`, `connect` or `bind` comes from this machine: it lacks descriptors, memory, ports or a route.
+/// Returns whether an error of `socket`, `connect` or `bind` is caused by this machine: a lack of
+/// descriptors, memory, ports or a route.
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
--- a/src/daemon/local_failure/tests.rs
+++ b/src/daemon/local_failure/tests.rs
@@ -1,9 +1,10 @@
-//! Tests of which errors are this machine's own.
+//! Tests of the recognition of local socket errors.
 use super::*;
 
-/// Guards against an endpoint that is ejected for what this machine lacks, and one that is not for what it does.
+/// Guards against ejecting an endpoint for a failure of this machine, and against keeping one in service that
+/// failed itself.
 #[test]
-fn only_what_this_machine_lacks_is_local() {
+fn only_errors_caused_by_this_machine_are_local() {
     for error in
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::NETUNREACH]
     {
--- a/src/daemon/resource_budget.rs
+++ b/src/daemon/resource_budget.rs
@@ -1,31 +1,31 @@
-//! How the limits of the machine are divided among the parts of the sender; no other module divides them.
+//! Divides the resource limits of the machine among the parts of the sender.
 use serde::Deserialize;
 
-/// Descriptors besides connections to clients and endpoints: standard streams, those of the runtime, the
-/// listener, the journal and its replacement, discovery and notifications with one connection each on the way
-/// out.
+/// File descriptors that are not connections to clients or endpoints: the standard streams, the runtime, the
+/// listener, the journal and its replacement, and one outgoing connection each for discovery and
+/// notifications.
 const OWN_DESCRIPTORS: usize = 24;
-/// How many operators may be connected at once.
+/// The maximum number of concurrent connections to the admin endpoint.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
-/// Idle connections to endpoints may hold this fraction of the descriptors.
+/// Idle connections to endpoints may use one in this many descriptors.
 const IDLE_DESCRIPTORS_DIVISOR: usize = 4;
-/// Bytes that one client connection may take: read buffer, head, task.
+/// The estimated memory of one client connection, in bytes: read buffer, request head and task.
 const CLIENT_CONNECTION_BYTES: usize = 32 * 1024;
-/// All client connections together may take this fraction of the memory.
+/// All client connections together may use the memory divided by this.
 const CLIENT_MEMORY_DIVISOR: usize = 3;
-/// Request bodies that are being read may take this fraction of the memory.
+/// Request bodies that are being read may use the memory divided by this.
 const REQUEST_BODY_MEMORY_DIVISOR: usize = 8;
-/// An endpoint list that is being read may take this fraction of the memory.
+/// An endpoint list that is being read may use the memory divided by this.
 const ENDPOINT_LIST_MEMORY_DIVISOR: usize = 8;
-/// An endpoint list may take at least this much, in bytes.
+/// The minimum for the maximum size of an endpoint list, in bytes.
 const MIN_ENDPOINT_LIST_BYTES: usize = 2 << 20;
-/// The checkpoint file may take this share of the disk. While it is rewritten there are two, beside the
-/// journal at its largest.
+/// The share of the disk that the checkpoint file may use. While the file is rewritten, two of them exist in
+/// addition to the journal.
 const CHECKPOINT_DISK_SHARE: f64 = 0.02;
-/// Bytes in a megabyte, as the limits count.
+/// The number of bytes in a megabyte of the limits.
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// The limits of the machine, under the names that the configuration gives them.
+/// The limits of the machine, as the configuration states them.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct ResourceLimits {
     memory_mb: f64,
@@ -33,36 +33,35 @@
     disk_mb: f64,
 }
 
-/// What each part of the sender may use.
+/// The resources that each part of the sender may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// Client connections at once.
+    /// The maximum number of concurrent client connections.
     pub client_connections: usize,
-    /// Bytes of request bodies that are being read, over all clients.
+    /// The maximum total size of the request bodies that are being read, over all clients.
     pub request_body_bytes: usize,
-    /// Bytes of an endpoint list.
+    /// The maximum size of an endpoint list, in bytes.
     pub endpoint_list_bytes: usize,
-    /// Idle connections to endpoints.
+    /// The maximum number of idle connections to endpoints.
     pub idle_connections: usize,
-    /// Connections whose outcome is known while their response is still being read.
+    /// The maximum number of connections whose outcome is known while their response is still being read.
     pub unread_responses: usize,
-    /// Bytes in the state folder.
+    /// The maximum size of the state folder, in bytes.
     pub disk_bytes: u64,
-    /// Bytes in the state folder that the checkpoint file may take; while it is rewritten there are two.
+    /// The maximum size of the checkpoint file, in bytes. While it is rewritten, two files exist.
     pub checkpoint_bytes: u64,
 }
 
 impl ResourceBudget {
-    /// Divides the limits for a sender with up to `max_calls` calls in flight, and with an admin endpoint or
-    /// without.
+    /// Divides the limits for a sender with up to `max_calls` calls in flight.
     pub fn new(limits: &ResourceLimits, max_calls: usize, has_admin_endpoint: bool) -> Self {
         let memory = (limits.memory_mb * BYTES_PER_MEGABYTE) as usize;
         let disk = limits.disk_mb * BYTES_PER_MEGABYTE;
-        // The operators' connections come out of those that are only kept for later.
+        // The connections of operators reduce the number of idle connections.
         let operators = if has_admin_endpoint { MAX_OPERATOR_CONNECTIONS + 1 } else { 0 };
         let idle = (limits.sockets / IDLE_DESCRIPTORS_DIVISOR).saturating_sub(operators).max(1);
         let unread = max_calls;
-        // Calls come before clients: what was accepted must be able to go out.
+        // Calls have priority over client connections, so that accepted messages can be sent.
         let reserved = OWN_DESCRIPTORS + operators + idle + max_calls + unread;
         let max_clients_in_memory = memory / CLIENT_MEMORY_DIVISOR / CLIENT_CONNECTION_BYTES;
         Self {
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Reserves descriptors and bytes of disk for a part that the operator's file turns on.
+    /// Reserves descriptors and disk space for a feature that the operator's file enables.
     pub fn reserve(&mut self, descriptors: usize, disk_bytes: u64) {
         self.client_connections = self.client_connections.saturating_sub(descriptors).max(1);
         self.disk_bytes = self.disk_bytes.saturating_sub(disk_bytes);
--- a/src/daemon/resource_budget/tests.rs
+++ b/src/daemon/resource_budget/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Guards against parts that exceed the limits together: each part gets something, and all of them stay within
-/// the descriptors and the memory.
+/// Guards against budgets whose sum exceeds the descriptors or the memory, and against a part that gets too
+/// little.
 #[test]
-fn all_parts_together_stay_within_the_limits() {
+fn sum_of_all_parts_stays_within_the_limits() {
     for sockets in [256, 384, 1024] {
         for calls in [4, 40] {
             let limits = ResourceLimits { memory_mb: 32.0, sockets, disk_mb: 3.0 };
--- a/src/daemon/watch_cell.rs
+++ b/src/daemon/watch_cell.rs
@@ -1,5 +1,5 @@
-//! A value that many tasks follow. Unlike `tokio::sync::watch` it wakes the tasks in the order in which they
-//! began to wait, never at random, so that a simulated run can be reproduced.
+//! A shared value whose changes tasks can wait for. Unlike `tokio::sync::watch`, it wakes tasks in the order
+//! in which they began to wait, so that simulations are reproducible.
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -9,7 +9,7 @@
     changed: Notify,
 }
 
-/// A handle to the value. Every clone of a handle reads, changes and follows one value.
+/// A handle to a shared value. All clones of a handle refer to the same value.
 pub struct WatchCell<T>(Rc<Shared<T>>);
 
 impl<T> Clone for WatchCell<T> {
@@ -24,12 +24,13 @@
         Self(Rc::new(Shared { value: Cell::new(value), changed: Notify::new() }))
     }
 
-    /// Returns the present value.
+    /// Returns the current value.
     pub fn get(&self) -> T {
         self.0.value.get()
     }
 
-    /// Replaces the value and wakes those who wait; true if the new value differs from the one before.
+    /// Replaces the value. Returns true and wakes the waiting tasks if the new value differs from the old
+    /// one.
     pub fn set(&self, value: T) -> bool {
         let has_changed = self.0.value.replace(value) != value;
         if has_changed {
@@ -41,7 +42,7 @@
     /// Waits until the value satisfies `predicate`.
     pub async fn wait_for(&self, predicate: impl Fn(T) -> bool) {
         loop {
-            // Registered before the look at the value, so that no change in between is missed.
+            // Created before the value is read, so that a change in between is not missed.
             let changed = self.0.changed.notified();
             if predicate(self.get()) {
                 return;
--- a/src/daemon/watch_cell/tests.rs
+++ b/src/daemon/watch_cell/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards against a change that is missed between reading the value and waiting for the next one.
+/// Guards against missing a change between reading the value and waiting for the next change.
 #[tokio::test]
-async fn a_waiting_task_sees_the_value_that_it_waits_for() {
+async fn waiting_task_wakes_when_the_predicate_holds() {
     let value = WatchCell::new(1);
     assert!(!value.set(1));
     let other = value.clone();
