--- a/src/daemon/admin_server.rs
+++ b/src/daemon/admin_server.rs
@@ -1,6 +1,7 @@
-//! The admin endpoint: status, metrics and maintenance for operators, on a socket of its own.
+//! The admin endpoint: status, metrics and maintenance for operators, on a separate listening socket.
 //!
-//! It serves one request a connection and has limits of its own, so that neither clients nor operators keep each other out.
+//! It serves one request per connection. Its limits are separate from those for clients, so that neither
+//! group can exhaust the connections or memory of the other.
 use super::error_log_limit::ErrorLogLimit;
 use super::events::{AdminError, AdminRequest, ListenerState, LoopEvent, MaintenanceChange};
 use super::ingress::{ConnectionLimits, ConnectionPermit, LingeringClose, read_body, text_response};
@@ -25,31 +26,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a request may take to arrive.
+/// The time within which the head of a request has to arrive, and then its body.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of request bodies that may be read at once, from all callers together.
+/// The maximum total size of the request bodies that are being read, over all connections.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes of the ID of an endpoint.
+/// The maximum length of an endpoint ID, in bytes.
 const MAX_ENDPOINT_ID_BYTES: usize = 1024;
-/// How long accepting rests after an error.
+/// The delay before the next `accept` after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The views of this sender's members, and a way to ask the members for theirs.
+/// This sender's view of the fleet members, and a query for the views of all members.
 type MemberViews = (ViewSource, ViewQuery);
 
-/// What the responses to operators are made of.
+/// The parts of the daemon that requests of operators read or change.
 pub struct AdminContext {
-    /// The event loop.
+    /// The channel to the event loop.
     pub events: UnboundedSender<LoopEvent>,
-    /// Whether clients are served.
+    /// The state of the client listener.
     pub state: WatchCell<ListenerState>,
-    /// What members believe of each other, where membership is on.
+    /// The members' views of each other; `None` if membership is disabled.
     pub members: Option<MemberViews>,
-    /// How service returns after a restart.
+    /// The progress of the recovery after a restart.
     pub recovery: RecoveryStatus,
 }
 
-/// Serves operators for as long as the process runs. When all permits are taken, the oldest caller is disconnected.
+/// Serves operators until the process ends. When the connection limit is reached, a new connection replaces
+/// the one that has been idle longest.
 pub async fn serve(listener: Box<dyn Listener>, context: AdminContext, log: Rc<dyn Log>) {
     let context = Rc::new(context);
     let limits = ConnectionLimits::new(MAX_OPERATOR_CONNECTIONS, MAX_BODY_BYTES, Duration::ZERO);
@@ -83,7 +85,7 @@
         .serve_connection(TokioIo::new(LingeringClose::new(stream)), service);
     tokio::select! {
         biased;
-        // A caller that breaks the connection off receives nothing more: there is nobody to tell of the error.
+        // An error is ignored: the client has disconnected or stalled, and no response can be sent.
         _ = connection => {}
         () = permit.close_signal.requested() => {}
     }
@@ -95,24 +97,24 @@
             (&Method::GET, "/status") => self.status(),
             (&Method::GET, "/status/metrics") => self.metrics().await,
             (&Method::GET, "/status/peers") => match &self.members {
-                Some((views, _)) => json(&views.current()),
+                Some((views, _)) => json_response(&views.current()),
                 None => text_response(StatusCode::NOT_FOUND, "peers are off\n"),
             },
             (&Method::GET, "/status/peers/all") => match &self.members {
-                Some((_, gathering)) => json(&gathering.all().await),
+                Some((_, query)) => json_response(&query.all().await),
                 None => text_response(StatusCode::NOT_FOUND, "peers are off\n"),
             },
             (&Method::GET, "/status/recovery") => match self.recovery.report() {
-                Some(report) => json(&report),
+                Some(report) => json_response(&report),
                 None => {
                     text_response(StatusCode::NOT_FOUND, "recovery is off, or the journal is not read yet\n")
                 }
             },
             (&Method::POST, "/maintenance/enter") => {
-                self.maintain(request, limits, MaintenanceChange::Enter).await
+                self.set_maintenance(request, limits, MaintenanceChange::Enter).await
             }
             (&Method::POST, "/maintenance/exit") => {
-                self.maintain(request, limits, MaintenanceChange::Exit).await
+                self.set_maintenance(request, limits, MaintenanceChange::Exit).await
             }
             (
                 _,
@@ -134,12 +136,12 @@
         let (reply, metrics) = oneshot::channel();
         let _ = self.events.send(LoopEvent::Admin(AdminRequest::Metrics(reply)));
         match metrics.await {
-            Ok(metrics) => json(&*metrics),
-            Err(_) => ending(),
+            Ok(metrics) => json_response(&*metrics),
+            Err(_) => shutting_down(),
         }
     }
 
-    async fn maintain(
+    async fn set_maintenance(
         &self,
         request: Request<Incoming>,
         limits: &ConnectionLimits,
@@ -158,29 +160,29 @@
         let request = AdminRequest::SetMaintenance { endpoint: endpoint.to_owned(), change, reply };
         let _ = self.events.send(LoopEvent::Admin(request));
         match result.await {
-            Ok(Ok(())) => text_response(StatusCode::OK, done(change)),
+            Ok(Ok(())) => text_response(StatusCode::OK, confirmation(change)),
             Ok(Err(error @ AdminError::UnknownEndpoint(_))) => {
                 text_response(StatusCode::NOT_FOUND, format!("{error}\n"))
             }
             Ok(Err(error)) => text_response(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n")),
-            Err(_) => ending(),
+            Err(_) => shutting_down(),
         }
     }
 }
 
-fn done(change: MaintenanceChange) -> &'static str {
+fn confirmation(change: MaintenanceChange) -> &'static str {
     match change {
         MaintenanceChange::Enter => "out\n",
         MaintenanceChange::Exit => "back\n",
     }
 }
 
-fn ending() -> Response<Full<Bytes>> {
+fn shutting_down() -> Response<Full<Bytes>> {
     text_response(StatusCode::SERVICE_UNAVAILABLE, "the sender is ending\n")
 }
 
-fn json(value: &impl serde::Serialize) -> Response<Full<Bytes>> {
-    // Names and numbers always have a JSON form.
+fn json_response(value: &impl serde::Serialize) -> Response<Full<Bytes>> {
+    // Serialization does not fail: the values contain only numbers, strings and maps with string keys.
     let mut response = text_response(StatusCode::OK, serde_json::to_vec(value).unwrap_or_default());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- a/src/daemon/client_listener.rs
+++ b/src/daemon/client_listener.rs
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// How long responses on their way out may take once the event loop has ended.
+/// The time limit for writing the last responses to clients after the event loop has ended.
 const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The socket at which clients reach this sender.
+/// The server for clients.
 pub struct ClientListener {
     pub listener: Rc<dyn Listener>,
-    /// Ends once the listener is closed or handed over, and every request has its response.
+    /// Completes once the listener is closed or handed over and every request has been answered.
     pub server: JoinHandle<()>,
 }
 
 impl ClientListener {
-    /// Serves clients at an address, or at the listening socket of the predecessor; and listens for a
+    /// Starts to serve clients on the `inherited` listening socket, or else at `address`, and to listen for a
     /// successor.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The listening socket cannot be opened.
     pub async fn start(
         environment: &Environment,
         address: SocketAddr,
@@ -46,7 +46,7 @@
         Ok(Self { listener, server: spawn_local(server) })
     }
 
-    /// Waits a short while for the last responses to clients.
+    /// Waits until the last responses to clients are written, or a short timeout has passed.
     pub async fn finish(self) {
         let _ = tokio::time::timeout(LAST_RESPONSES_TIMEOUT, self.server).await;
     }
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery: a long-poll watch of the endpoint list, served by the agent on this machine.
 //!
-//! Each call asks for the changes since the last revision, and is held by the agent until there are some. After a failure,
-//! [`PollSchedule`] decides how long to wait. An agent at another address is asked for the complete list: its revisions
-//! need not continue those of the previous one.
+//! Each request asks for the changes since the last revision, and the agent holds it until there are changes.
+//! After a failure, [`PollSchedule`] sets the delay before the next request. If the address of the agent
+//! changes, the complete list is requested, because revisions of different agents are unrelated.
 use super::connection::{CallError, Connection, request};
 use super::endpoint_list::EndpointList;
 use super::events::LoopEvent;
@@ -19,54 +19,54 @@
 
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("no answer")]
-    Silent,
+    #[error("no complete response before the timeout")]
+    Timeout,
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("status {0}")]
+    #[error("status {0}, expected 2xx")]
     Status(hyper::StatusCode),
-    #[error("reading the answer: {0}")]
+    #[error("cannot read the response body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("the answer is not a list: {0}")]
+    #[error("invalid endpoint list in the response: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Who is asked for the list, and how.
+/// The discovery agent, and how it is polled.
 pub struct Agent {
-    /// The agent's present address.
+    /// The current address of the agent.
     pub address: WatchCell<SocketAddr>,
-    /// The present terms on which it is asked.
-    pub terms: WatchCell<PollConfig>,
-    /// The revision from which it is first asked for changes; none asks for the complete list, which is long, and requested
-    /// by all senders that start together.
+    /// The current polling settings.
+    pub config: WatchCell<PollConfig>,
+    /// The revision whose changes the first request asks for. `None` requests the complete list, which is
+    /// large and causes load peaks if many senders start together.
     pub resume_revision: Option<u64>,
-    /// A longer list is rejected.
+    /// The maximum size of a list, in bytes; a larger one is rejected.
     pub max_list_bytes: usize,
 }
 
-/// The state of the watch.
+/// The state of the task that watches the list.
 struct Watch {
-    /// The agent that is asked.
+    /// The address of the agent.
     agent: SocketAddr,
-    /// The revision from which it is asked for changes; none asks for the complete list.
+    /// The revision whose changes the next request asks for; `None` requests the complete list.
     revision: Option<u64>,
     connection: Option<Connection>,
-    /// How long to wait before the next call.
+    /// The delay before the next request.
     delay: Duration,
-    /// Whether the last call failed, and was logged.
+    /// Whether the last request failed. Only the first failure of an outage is logged.
     is_failing: bool,
     schedule: PollSchedule,
     max_list_bytes: usize,
 }
 
-/// Watches the list for as long as the event loop runs, and sends each answer to the event loop.
+/// Watches the list until the event loop ends, and sends each response to the event loop.
 pub async fn watch(
     agent: Agent,
     mut schedule: PollSchedule,
     event_loop: UnboundedSender<LoopEvent>,
     ports: Ports,
 ) {
-    let Agent { address, terms, resume_revision, max_list_bytes } = agent;
+    let Agent { address, config, resume_revision, max_list_bytes } = agent;
     let delay = if resume_revision.is_some() { schedule.initial_delay() } else { Duration::ZERO };
     let mut watch = Watch {
         agent: address.get(),
@@ -78,19 +78,19 @@
         max_list_bytes,
     };
     loop {
-        watch.schedule.set_config(terms.get());
+        watch.schedule.set_config(config.get());
         let agent = watch.agent;
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
             () = address.wait_for(|address| address != agent) => {
                 watch.switch_agent(address.get());
                 continue;
             }
-            answer = watch.poll(&*ports.network) => answer,
+            response = watch.poll(&*ports.network) => response,
         };
-        match answer {
+        match response {
             Ok(list) => {
-                watch.record_answer(&list);
+                watch.record_success(&list);
                 if event_loop.send(LoopEvent::EndpointList(list)).is_err() {
                     return;
                 }
@@ -108,14 +108,16 @@
         self.delay = Duration::ZERO;
     }
 
-    /// Waits for the delay, and makes one call.
+    /// Waits for the delay, and sends one request.
     async fn poll(&mut self, network: &dyn Network) -> Result<EndpointList, WatchError> {
         if !self.delay.is_zero() {
             sleep(self.delay).await;
         }
         let scope = if self.revision.is_some() { PollScope::Changes } else { PollScope::CompleteList };
         let poll = self.schedule.next_poll(scope);
-        timeout(poll.total_timeout, self.request_list(network, poll)).await.unwrap_or(Err(WatchError::Silent))
+        timeout(poll.total_timeout, self.request_list(network, poll))
+            .await
+            .unwrap_or(Err(WatchError::Timeout))
     }
 
     async fn request_list(&mut self, network: &dyn Network, poll: Poll) -> Result<EndpointList, WatchError> {
@@ -125,36 +127,37 @@
             None => "/api/targets".to_owned(),
         };
         let cached = self.connection.take();
-        let (connection, answer) = timeout(poll.response_timeout, async {
+        let (connection, response) = timeout(poll.response_timeout, async {
             let mut connection = match cached {
                 Some(connection) => connection,
                 None => Connection::open(network, agent, poll.response_timeout).await?,
             };
-            let answer = connection.send(request(Method::GET, &path, agent), Bytes::new(), None).await?;
-            Ok::<_, CallError>((connection, answer))
+            let response = connection.send(request(Method::GET, &path, agent), Bytes::new(), None).await?;
+            Ok::<_, CallError>((connection, response))
         })
         .await
-        .map_err(|_| WatchError::Silent)??;
-        if !answer.status().is_success() {
-            return Err(WatchError::Status(answer.status()));
+        .map_err(|_| WatchError::Timeout)??;
+        if !response.status().is_success() {
+            return Err(WatchError::Status(response.status()));
         }
-        let body = Limited::new(answer.into_body(), self.max_list_bytes).collect().await;
+        let body = Limited::new(response.into_body(), self.max_list_bytes).collect().await;
         let list: EndpointList = serde_json::from_slice(&body.map_err(WatchError::Body)?.to_bytes())?;
         self.connection = Some(connection);
         Ok(EndpointList { agent: Some(agent), ..list })
     }
 
-    fn record_answer(&mut self, list: &EndpointList) {
+    fn record_success(&mut self, list: &EndpointList) {
         self.is_failing = false;
         self.delay = Duration::ZERO;
         self.schedule.record_success();
-        // An agent that was restarted may count from the beginning: no change would be newer than the known revision.
+        // A restarted agent may number revisions from the beginning again, and would have no changes after
+        // the known revision.
         let continues = list.complete || self.revision.is_none_or(|known| list.revision >= known);
         self.revision = continues.then_some(list.revision);
     }
 
     fn record_failure(&mut self, error: &WatchError, ports: &Ports) {
-        // One line for each outage, and not for each call.
+        // Logs one line per outage, not one per request.
         if !self.is_failing {
             ports.log.line(&format!("discovery: poll failed error={error}"));
         }
--- a/src/daemon/environment.rs
+++ b/src/daemon/environment.rs
@@ -1,4 +1,4 @@
-//! What stays fixed for the life of a process, and the steps of its startup that build on that.
+//! The parts of the daemon that exist for the life of a process, and the steps of its startup.
 use super::admin_server::AdminContext;
 use super::clock::{Clock, Predecessor};
 use super::config::Config;
@@ -26,33 +26,33 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::Instant;
 
-/// What stays fixed for the life of a process.
+/// The parts of the daemon that exist for the life of a process, across its event loops.
 pub struct Environment {
     pub ports: Ports,
     pub budget: ResourceBudget,
-    /// Tells the listeners whether clients are served.
+    /// The state of the client listener.
     pub listener_state: WatchCell<ListenerState>,
-    /// Takes events for the event loop.
+    /// The channel to the event loop.
     pub events: UnboundedSender<LoopEvent>,
     pub recovery: RecoveryStatus,
-    /// What the run-time checks of this process found.
+    /// The violations that the run-time checks of this process have found.
     pub violations: Violations,
-    /// Where the discovery agent listens, which takes notifications, too.
+    /// The address of the discovery agent, which also receives notifications.
     discovery: WatchCell<SocketAddr>,
     seed: u64,
-    /// The keys that every configuration has to hold.
+    /// The keys that every configuration has to contain.
     schema: ConfigSchema,
 }
 
-/// What one event loop after another starts from: the first with what a predecessor left, the others with what the one
-/// before left when its handover failed.
+/// The inputs of a new event loop. The first event loop inherits from the predecessor process, if there is
+/// one; each later one inherits from the event loop before it, whose handover failed.
 pub struct LoopStart {
     pub config: Rc<Config>,
     pub inheritance: Option<InheritedState>,
     pub metrics: Metrics,
 }
 
-/// An open journal, and what the recovery found beside it.
+/// An open journal, the clock that continues its timestamps, and the outcome of the recovery.
 pub struct OpenedJournal {
     journal: Journal,
     clock: Clock,
@@ -60,10 +60,10 @@
 }
 
 impl Environment {
-    /// Derives the environment of a process from its first configuration.
+    /// Creates the environment of a process from its first configuration.
     ///
     /// # Errors
-    /// The seed is not a number.
+    /// The seed is not a hexadecimal number.
     pub fn new(
         config: &Config,
         ports: Ports,
@@ -84,20 +84,20 @@
         })
     }
 
-    /// Joins the fleet, if the operator's file names its members.
+    /// Joins the fleet if the operator's file lists its members; returns `None` otherwise.
     ///
     /// # Errors
-    /// The list of members or the secret cannot be used.
+    /// The list of members or the secret key is invalid.
     pub fn join_membership(&self, config: &Config) -> Result<Option<membership::Handle>, StartError> {
         let reports =
             peer_reporting::source(self.recovery.clone(), self.events.clone(), self.ports.wall.clone());
         Ok(membership::start(config, &self.ports, reports)?)
     }
 
-    /// Serves the admin endpoint, if the configuration has an address for it.
+    /// Starts to serve the admin endpoint if the configuration contains an address for it.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The listening socket cannot be opened.
     pub async fn serve_admin_endpoint(
         &self,
         config: &Config,
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Has the event loop hear of signals.
+    /// Starts to forward signals to the event loop.
     pub fn forward_signals(&self, mut signals: UnboundedReceiver<Signal>) {
         let events = self.events.clone();
         spawn_local(async move {
@@ -130,8 +130,8 @@
         });
     }
 
-    /// Opens the journal, and recovers it where the operator's file turns that on. Right after a handover, or after one
-    /// that failed, there is nothing to recover: the state folder is that of this very moment.
+    /// Opens the journal, and runs the recovery if the operator's file enables it. After a handover,
+    /// completed or failed, there is no recovery, because the state folder is up to date.
     ///
     /// # Errors
     /// The journal cannot be opened.
@@ -164,10 +164,10 @@
         Ok(OpenedJournal { journal, clock, recovery_outcome })
     }
 
-    /// Sets up an event loop that takes over the messages in the journal.
+    /// Creates an event loop that continues with the messages in the journal.
     ///
     /// # Errors
-    /// The settings cannot be used, or the journal cannot be made durable.
+    /// The settings are invalid, or the journal cannot be made durable.
     pub fn set_up_event_loop(
         &self,
         start: LoopStart,
@@ -198,17 +198,18 @@
         Ok(EventLoop::new(start, journal, channels, self.budget, self.ports.clone())?)
     }
 
-    /// Watches the endpoint list, and sends notifications, until the returned tasks are dropped.
-    pub fn follow_platform(
+    /// Spawns the tasks that watch the endpoint list and send notifications. Dropping the returned set ends
+    /// them.
+    pub fn spawn_platform_tasks(
         &self,
         event_loop: &EventLoop,
         notifications: UnboundedReceiver<Notification>,
     ) -> JoinSet<()> {
-        let terms = event_loop.poll_config();
-        let schedule = PollSchedule::new(terms.get(), self.seed);
+        let config = event_loop.poll_config();
+        let schedule = PollSchedule::new(config.get(), self.seed);
         let agent = Agent {
             address: self.discovery.clone(),
-            terms,
+            config,
             resume_revision: event_loop.resume_revision(),
             max_list_bytes: self.budget.endpoint_list_bytes,
         };
@@ -220,24 +221,24 @@
         tasks
     }
 
-    /// Serves clients from now on, unless the recovery still keeps them out.
+    /// Starts to serve clients, unless the recovery does not admit messages yet.
     pub fn accept_clients(&self) {
         if self.recovery.admits_messages() {
             self.listener_state.set(ListenerState::Accepting);
         }
     }
 
-    /// Queues events that came while no event loop was running.
+    /// Queues events again that were received while no event loop was running.
     pub fn resend(&self, events: impl Iterator<Item = LoopEvent>) {
         for event in events {
             let _ = self.events.send(event);
         }
     }
 
-    /// Listens at an address, or with the listening socket that a predecessor handed over.
+    /// Adopts the listening socket of a predecessor if there is one, or else opens one at `address`.
     ///
     /// # Errors
-    /// The system's error, with the address.
+    /// The system's error together with the address.
     pub async fn listen(
         &self,
         address: SocketAddr,
@@ -253,18 +254,18 @@
     }
 }
 
-/// A listening socket, and the address that it is bound to.
+/// A listening socket and its local address.
 pub struct BoundListener {
     pub listener: Box<dyn Listener>,
     pub at: SocketAddr,
 }
 
-/// Puts traces and durability around the state folder where they are turned on.
+/// Wraps the storage port to trace its operations and to make them durable, where these are enabled.
 fn storage_ports(mut ports: Ports, operator: &OperatorConfig) -> Ports {
     if ports.traces.storage {
         ports.storage = Rc::new(TracedStorage::new(ports.storage.clone(), ports.log.clone()));
     }
-    // What a restarted machine relies on has to be durable: incarnations, maintenance, the journal's stamp.
+    // Incarnations, maintenance states and the journal's stamp have to survive a crash of the machine.
     if operator.durability != Durability::Process || operator.recovery.is_some() {
         ports.storage = Rc::new(DurableStorage(ports.storage.clone()));
     }
--- a/src/daemon/events.rs
+++ b/src/daemon/events.rs
@@ -1,5 +1,5 @@
-//! The messages between the daemon's tasks. This module lies below all of them, so that none needs to know
-//! another.
+//! The events and requests that the daemon's tasks send to each other. The tasks depend on this module and
+//! not on each other.
 use super::config::{Config, ConfigReadError};
 use super::connection::Connection;
 use super::endpoint_list::EndpointList;
@@ -17,28 +17,29 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How the event loop responds to a submitted message.
+/// The response of the event loop to a submitted message.
 pub enum SubmitResponse {
-    /// The journal holds the message.
+    /// The message is accepted, and recorded in the journal.
     Accepted,
-    /// The message cannot be understood.
+    /// The message is invalid.
     Malformed(InvalidMessage),
-    /// There is no capacity for the message now, or no use in it.
+    /// The message is valid, but the sender lacks the capacity to accept it now.
     Rejected,
-    /// The sender recovers and accepts new messages at a limited rate: it has capacity after this time.
+    /// The sender is recovering and accepts new messages at a limited rate: the client can retry after this
+    /// time.
     RetryAfter(Duration),
 }
 
-/// Why a message cannot be understood.
+/// The reason why a message is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidMessage {
-    /// The settings do not name the class.
+    /// The settings contain no class of this name.
     #[error("unknown class {0:?}")]
     UnknownClass(String),
-    /// The settings name tenants, and not this one.
+    /// The settings contain tenants, but none of this name.
     #[error("unknown tenant {0:?}")]
     UnknownTenant(String),
-    /// Messages of the class need an idempotency key, and this one has none.
+    /// The class requires an idempotency key, and the message has none.
     #[error("class {0:?} needs an idempotency key")]
     MissingIdempotencyKey(String),
 }
@@ -49,27 +50,27 @@
     Submit {
         /// The message.
         message: SubmittedMessage,
-        /// Until when the message may be delivered.
+        /// The time until which the message may be delivered.
         deadline: Instant,
-        /// Takes the response to the client.
+        /// Receives the response to the client.
         reply: oneshot::Sender<SubmitResponse>,
     },
     /// A call has ended.
     CallCompleted(CallCompletion),
-    /// A call has a new connection, and asks whether its messages may still be sent.
+    /// A call has opened a connection, and asks whether its messages may still be sent.
     Connected {
         /// The endpoint of the call.
         endpoint: EndpointId,
         /// The numbers of the call's messages.
         messages: Vec<u32>,
-        /// Takes the answer.
+        /// Receives whether the messages may be sent.
         is_allowed: oneshot::Sender<bool>,
     },
     /// A connection can carry another call.
     ConnectionIdle {
         /// The endpoint that the connection was opened for.
         endpoint: EndpointId,
-        /// The address that the connection leads to.
+        /// The remote address of the connection.
         address: SocketAddr,
         /// The connection.
         connection: Connection,
@@ -78,43 +79,43 @@
     EndpointList(EndpointList),
     /// The platform has acknowledged the notifications of these messages.
     NotificationsAcknowledged(Vec<u32>),
-    /// The process is to shut down gracefully, since this instant.
+    /// A graceful shutdown was requested at this instant.
     Shutdown(Instant),
-    /// The configuration is to be read again: how it reads now.
+    /// A reload was requested. Contains the configuration as read after the request.
     Reload(Result<Box<Config>, ConfigReadError>),
-    /// The configuration may have changed: how it reads now.
+    /// The configuration may have changed. Contains the configuration as it is now.
     ReloadIfChanged(Result<Box<Config>, ConfigReadError>),
     /// A sync of the journal has ended.
     JournalSynced {
-        /// Which of the journal's files was synced.
+        /// The number of the journal file that was synced.
         file: u64,
         /// Whether the sync succeeded.
         result: io::Result<()>,
     },
-    /// A request through the admin endpoint, or of a peer.
+    /// A request of an operator or a peer.
     Admin(AdminRequest),
     /// A successor asks to take over.
     Successor(Successor),
 }
 
-/// What operators and peers ask of a sender.
+/// A request of an operator through the admin endpoint, or of a peer.
 pub enum AdminRequest {
     /// Returns the metrics.
     Metrics(oneshot::Sender<Rc<Metrics>>),
-    /// Returns what this sender reports of endpoints to a peer that recovers.
+    /// Returns this sender's observations of endpoints, for a peer that is recovering.
     PeerReport(oneshot::Sender<BTreeMap<String, EndpointReport>>),
     /// Takes an endpoint out of service, or puts it back.
     SetMaintenance {
         /// The ID of the endpoint in the endpoint list.
         endpoint: String,
-        /// What is to change.
+        /// The requested change.
         change: MaintenanceChange,
-        /// Takes the result.
+        /// Receives the result.
         reply: oneshot::Sender<Result<(), AdminError>>,
     },
 }
 
-/// What an operator changes about an endpoint.
+/// A change of the maintenance state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceChange {
     /// The endpoint is taken out of service.
@@ -123,27 +124,27 @@
     Exit,
 }
 
-/// Why an operator's request fails.
+/// An error of an operator's request.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
-    /// The endpoint list names no such endpoint.
+    /// The endpoint list contains no endpoint with this ID.
     #[error("no endpoint {0:?} in the list")]
     UnknownEndpoint(String),
-    /// The change could not be made.
+    /// The maintenance state could not be changed.
     #[error(transparent)]
     Maintenance(#[from] MaintenanceError),
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug)]
 pub struct CallCompletion {
     /// The number of the call.
     pub number: u64,
     /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// When the end of the call was seen: a Retry-After runs from here.
+    /// The time at which the end of the call was observed. The Retry-After counts from this time.
     pub completed_at: Instant,
-    /// How each message fared, in the order in which the call carried them.
+    /// The outcome of each message, in the order of the messages in the call.
     pub outcomes: Vec<AttemptOutcome>,
     /// The Retry-After of the response.
     pub retry_after: Option<TimeDelta>,
@@ -151,32 +152,33 @@
     pub report: Option<LoadReport>,
 }
 
-/// How one message fared in a call.
+/// The outcome of one message in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptOutcome {
     /// The number of the message.
     pub message: u32,
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// Whether nothing is left to do for the message.
+    /// Whether the message is complete and needs no further attempt.
     pub completes: bool,
 }
 
-/// What the listener does with the connections of clients.
+/// The state of the client listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerState {
     /// Clients are not served yet.
     Starting,
     /// Clients are served.
     Accepting,
-    /// The handover to a successor is under way: nobody new is let in, and requests on open connections are
-    /// forwarded to the address that both processes share, with an end to the connection.
+    /// A handover to a successor is in progress. No new connections are accepted. Requests on open
+    /// connections are forwarded to the address that both processes share, and the connections are then
+    /// closed.
     HandingOver,
-    /// The successor has taken over for good; requests are forwarded as under `HandingOver`.
+    /// The successor has taken over. Requests are forwarded as in `HandingOver`.
     HandedOver,
-    /// Each connection ends with its next response, so that its client goes elsewhere; new ones are served,
-    /// too.
+    /// Each connection is closed after its next response, so that the client connects elsewhere. New
+    /// connections are still accepted.
     Draining,
-    /// The process is about to end: there are no new connections, and idle ones are closed.
+    /// The process is about to exit. No new connections are accepted, and idle ones are closed.
     Closed,
 }
--- a/src/daemon/frame.rs
+++ b/src/daemon/frame.rs
@@ -1,16 +1,18 @@
-//! Framing of the records in append-only files: a length, a checksum over length and payload, and the payload.
+//! Framing of the records in append-only files: a length, a checksum over length and payload, and the
+//! payload.
 //!
-//! A file can end within a record when its process is killed. The checksum tells a complete record from a partial or a
-//! damaged one, so that a reader can stop at the first, or search for the next, without trusting what it cannot verify.
+//! A file can end within a record when its process is killed. The checksum distinguishes intact records from
+//! partial and damaged ones, so that a reader can stop there or search for the next intact record.
 //!
 //! A frame is `length: u32 le`, `crc32: u32 le`, then `length` bytes of `postcard`.
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io;
 
-/// Length and checksum together.
+/// The size of a frame's header: length and checksum.
 const HEADER_BYTES: usize = 8;
-/// A reader rejects longer payloads. A message's body has at most 64 KiB, and the ingress server bounds its headers.
+/// The maximum length of a payload that a reader accepts. The ingress server limits the body of a message to
+/// 64 KiB, and its headers too.
 const MAX_RECORD_BYTES: usize = 256 * 1024;
 
 /// Appends `record` as one frame to `buffer`, and returns the buffer.
@@ -29,8 +31,8 @@
     Ok(buffer)
 }
 
-/// Returns the record at the start of `bytes` and the length of its frame; none unless the frame is complete and its
-/// checksum matches.
+/// Returns the record at the start of `bytes` and the length of its frame; `None` if the frame is incomplete,
+/// its checksum does not match, or the record cannot be deserialized.
 pub fn read_frame<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sum, rest) = rest.split_first_chunk::<4>()?;
@@ -42,9 +44,9 @@
     Some((postcard::from_bytes(payload).ok()?, HEADER_BYTES + payload_bytes))
 }
 
-/// Returns the length of a damaged frame at the start of `bytes`, if its length can be believed: the frame ends with the file,
-/// or right before a frame that is intact. What the damaged frame contains must not be searched for records: a message's body
-/// may hold any bytes.
+/// Returns the length of a damaged frame at the start of `bytes` if its length field is plausible: the frame
+/// ends at the end of the file, or right before an intact frame. The payload of a damaged frame must not be
+/// searched for records, because the body of a message may contain any bytes.
 pub fn damaged_frame_bytes<T: DeserializeOwned>(bytes: &[u8]) -> Option<usize> {
     let (length, _) = bytes.split_first_chunk::<4>()?;
     let payload_bytes = u32::from_le_bytes(*length) as usize;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -123,7 +123,7 @@
         let journal = environment.open_journal(&start, membership.as_ref()).await?;
         let (notifications, to_notify) = unbounded_channel();
         let event_loop = environment.set_up_event_loop(start, journal, membership.as_ref(), notifications)?;
-        let platform_tasks = environment.follow_platform(&event_loop, to_notify);
+        let platform_tasks = environment.spawn_platform_tasks(&event_loop, to_notify);
         // Only now: a sender that can be reached has taken over the messages in its journal.
         let clients = match open_listener.take() {
             Some(clients) => clients,
