--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -1,20 +1,21 @@
-//! Handover: how one process of a sender replaces another on the same machine without closing its listening socket.
+//! Handover: one process of a sender replaces another on the same machine without closing the listening
+//! socket.
 //!
 //! # Protocol
-//! 1. The new process (the successor) connects to a Unix socket in the state folder and sends a hello, whose number is the
-//!    version of all that follows.
-//! 2. The running process (the predecessor) settles its calls, closes the journal, and sends its listening socket, the lock on
-//!    the folder and its [`InheritedState`].
-//! 3. The successor opens the journal and the socket, and confirms. Until then the predecessor remains responsible: if
-//!    the link ends first, the successor has failed, and the predecessor continues.
-//! 4. While it finishes its own connections, the predecessor forwards requests to reload the configuration.
+//! 1. The new process (the successor) connects to a Unix socket in the state folder and sends a hello, which
+//!    contains the protocol version.
+//! 2. The running process (the predecessor) waits for its calls to end, closes the journal, and sends its
+//!    listening socket, the lock on the folder and its [`InheritedState`].
+//! 3. The successor opens the journal and the socket, and confirms. Until then the predecessor remains
+//!    responsible: if the connection closes first, the successor has failed, and the predecessor continues.
+//! 4. Until its last client connection has closed, the predecessor forwards reload requests to the successor.
 //!
-//! The messages are a wire format between two versions of this program.
+//! The messages are a wire format, because the two processes may run different versions of the program.
 use super::checkpoint::Checkpoint;
 use super::class_registry::NamedClass;
 use super::ports::{Listener, Log};
 use super::ready_stream::ReadyStream;
-use super::state_lock::{LockAttempt, StateLock, UnlockedState};
+use super::state_lock::{LockAttempt, LockFile, StateLock};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -30,104 +31,107 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The socket's name in the state folder.
+/// The name of the Unix socket in the state folder.
 const NAME: &str = "handover.sock";
-/// The first message of a successor.
+/// The first message of a successor, with the protocol version.
 const HELLO: &[u8; 19] = b"micadrum handover 2";
-/// The successor's confirmation.
+/// The successor's confirmation that it has taken over.
 const CONFIRMED: u8 = b'T';
-/// A request to reload the configuration, which the predecessor received and forwards.
+/// A request to reload the configuration that the predecessor forwards.
 const RELOAD: u8 = b'R';
-/// How often a process that is about to start or to end is tried.
+/// The delay before a failed attempt to take over, or to accept a successor, is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// A connection is closed that does not send the hello within this time.
+/// The time within which a successor has to send the hello.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
-/// The predecessor settles within a second; the platform gives the successor 6 s to become ready.
+/// The time within which a predecessor has to hand over. Its calls take at most a second to end, and the
+/// platform expects the successor to be ready within 6 s.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
-/// A successor rejects a longer inherited state.
+/// The maximum size of an inherited state that a successor accepts.
 const MAX_STATE_BYTES: u64 = 32 << 20;
-/// Descriptors in one message: the listening socket and the lock.
+/// The maximum number of descriptors in one message: the listening socket and the lock.
 const MAX_DESCRIPTORS: usize = 2;
 
-/// What one process leaves to the next, beside the journal. Sent by position: fields must not be reordered.
+/// The state that a process hands over in addition to the journal. It is serialized by position: fields must
+/// not be reordered.
 #[derive(Default, Serialize, Deserialize)]
 pub struct InheritedState {
-    /// What the process would also leave to a process after a restart.
+    /// The state that a process also restores after a restart.
     pub checkpoint: Checkpoint,
     /// All classes that a pending message may have.
     pub classes: Vec<NamedClass>,
 }
 
-/// Why a process could not take over.
+/// An error of taking over from a running process.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The running process answered the request, and did not hand over in time.
+    /// The running process accepted the connection, but did not hand over in time.
     #[error("the running process did not hand over within 5 s")]
-    Late,
-    /// Another process holds the lock on the folder, and does not accept the request.
+    TimedOut,
+    /// Another process holds the lock on the folder, and accepts no connection.
     #[error("another process is running in this folder, and did not answer within 5 s")]
-    Held,
-    /// The link to the running process broke.
-    #[error("the link to the running process: {0}")]
-    Link(#[from] io::Error),
-    /// The running process sent something that cannot be read.
-    #[error("the state of the running process cannot be read: {0}")]
-    Unreadable(#[from] UnreadableState),
+    Locked,
+    /// The connection to the running process failed.
+    #[error("connection to the running process failed: {0}")]
+    Connection(#[from] io::Error),
+    /// The running process sent an invalid message.
+    #[error("invalid message from the running process: {0}")]
+    InvalidMessage(#[from] InvalidStateMessage),
 }
 
-/// Which part of a handover cannot be read.
+/// The reason why the message of a predecessor is invalid.
 #[derive(Debug, thiserror::Error)]
-pub enum UnreadableState {
-    /// The length of the state is incomplete.
-    #[error("its length")]
+pub enum InvalidStateMessage {
+    /// The message ends before the length of the state.
+    #[error("the length of the state is missing")]
     Length,
-    /// The message has no descriptor.
-    #[error("the listening socket")]
+    /// The message contains no descriptor.
+    #[error("the listening socket is missing")]
     ListenerMissing,
-    /// The state is longer than a successor accepts.
-    #[error("a length beyond all bounds")]
+    /// The state is larger than a successor accepts.
+    #[error("the state exceeds {MAX_STATE_BYTES} bytes")]
     TooLong,
     /// The state cannot be deserialized.
     #[error(transparent)]
     Content(#[from] postcard::Error),
 }
 
-/// The link to the predecessor, before this process has confirmed.
+/// The connection to the predecessor before the confirmation.
 pub struct Predecessor(ReadyStream<UnixStream>);
 
-/// The link to the predecessor after that, for as long as the predecessor runs.
+/// The connection to the predecessor after the confirmation, until the predecessor exits.
 pub struct ConfirmedPredecessor(ReadyStream<UnixStream>);
 
-/// The link to the successor.
+/// The connection to the successor.
 pub struct Successor(ReadyStream<UnixStream>);
 
-/// What a successor starts with.
+/// Everything that a successor receives from its predecessor.
 pub struct ReceivedListener {
-    /// The link on which to confirm.
+    /// The connection for the confirmation.
     pub predecessor: Predecessor,
     /// The listening socket.
     pub listener: OwnedFd,
-    /// The lock on the folder; none from a predecessor that has none, or of a version that does not send it.
+    /// The lock on the folder; `None` if the predecessor has no lock, or runs a version that does not send
+    /// it.
     pub lock: Option<StateLock>,
     /// The predecessor's state.
     pub state: InheritedState,
 }
 
-/// How a process starts.
+/// The way in which a process starts.
 pub enum StartupMode {
-    /// No other process is running. Without a lock if the folder cannot be locked.
+    /// No other process is running. The lock is `None` if the folder cannot be locked.
     Fresh(Option<StateLock>),
-    /// Another process handed over. The file is for the lock, which is free once that process has ended.
-    Successor(ReceivedListener, Option<UnlockedState>),
+    /// Another process handed over. The lock file can be locked once that process has exited.
+    Successor(ReceivedListener, Option<LockFile>),
 }
 
-/// Takes over from the process that runs in the folder, or finds that there is none. A process that is about to start or to
-/// end is waited for.
+/// Takes over from the process that runs in the folder, if there is one. Waits for a process that holds the
+/// lock and accepts no connection, because it is starting or exiting.
 ///
 /// # Errors
-/// Another process is running and does not hand over.
+/// Another process is running, and the handover failed or timed out.
 pub async fn start_up(folder: &Path, log: &dyn Log) -> Result<StartupMode, HandoverError> {
-    let mut lock_file = UnlockedState::open(folder).map_err(|error| log_unlocked(&error, log)).ok();
+    let mut lock_file = LockFile::open(folder).map_err(|error| log_unlocked(&error, log)).ok();
     let deadline = Instant::now() + HANDOVER_TIMEOUT;
     loop {
         if let Some(received) = request_handover(folder).await? {
@@ -143,25 +147,26 @@
             }
         }
         if Instant::now() >= deadline {
-            return Err(HandoverError::Held);
+            return Err(HandoverError::Locked);
         }
         sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// A folder that cannot be locked is used without a lock.
+/// Logs that the folder cannot be locked. It is then used without a lock.
 fn log_unlocked(error: &io::Error, log: &dyn Log) {
     log.line(&format!("state_lock: unavailable error={error}"));
 }
 
-/// Asks the process that runs in the folder to hand over; none if no process runs there.
+/// Asks the process that runs in the folder to hand over. Returns `None` if no process accepts the
+/// connection.
 async fn request_handover(folder: &Path) -> Result<Option<ReceivedListener>, HandoverError> {
-    // A socket on which nobody listens was left by a process that ended.
+    // Connecting to a socket that an exited process left behind fails.
     let Ok(stream) = UnixStream::connect(folder.join(NAME)).await else { return Ok(None) };
     let mut stream = ReadyStream(stream);
     stream.write_all(HELLO).await?;
     let received = timeout(HANDOVER_TIMEOUT, receive(stream)).await;
-    received.map_err(|_| HandoverError::Late)?.map(Some)
+    received.map_err(|_| HandoverError::TimedOut)?.map(Some)
 }
 
 async fn receive(mut stream: ReadyStream<UnixStream>) -> Result<ReceivedListener, HandoverError> {
@@ -171,24 +176,25 @@
     let read = socket
         .async_io(Interest::READABLE, || receive_with_descriptors(socket, &mut length, &mut descriptors));
     match read.await? {
-        0 => return Err(UnreadableState::Length.into()),
-        // The descriptors come with the first byte; the other bytes may come later.
+        0 => return Err(InvalidStateMessage::Length.into()),
+        // The descriptors arrive with the first byte; the other bytes may arrive later.
         bytes => drop(stream.read_exact(&mut length[bytes..]).await?),
     }
     let mut descriptors = descriptors.into_iter();
-    let listener = descriptors.next().ok_or(UnreadableState::ListenerMissing)?;
+    let listener = descriptors.next().ok_or(InvalidStateMessage::ListenerMissing)?;
     let lock = descriptors.next().map(StateLock::from);
     let length = u64::from_le_bytes(length);
     if length > MAX_STATE_BYTES {
-        return Err(UnreadableState::TooLong.into());
+        return Err(InvalidStateMessage::TooLong.into());
     }
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await?;
-    let state = postcard::from_bytes(&bytes).map_err(UnreadableState::from)?;
+    let state = postcard::from_bytes(&bytes).map_err(InvalidStateMessage::from)?;
     Ok(ReceivedListener { predecessor: Predecessor(stream), listener, lock, state })
 }
 
-/// Reads into `buffer`, and adds the descriptors that come with the bytes. Returns the number of bytes.
+/// Reads into `buffer`, and appends the descriptors that arrive with the bytes to `descriptors`. Returns the
+/// number of bytes read.
 fn receive_with_descriptors(
     stream: &UnixStream,
     buffer: &mut [u8],
@@ -207,7 +213,8 @@
 }
 
 impl Predecessor {
-    /// Confirms the handover: this process is responsible from now on. A predecessor that has ended meanwhile need not know.
+    /// Confirms the handover: this process is responsible from now on. A write error is ignored, because it
+    /// means that the predecessor has exited.
     pub async fn confirm(mut self) -> ConfirmedPredecessor {
         let _ = self.0.write_all(&[CONFIRMED]).await;
         ConfirmedPredecessor(self.0)
@@ -215,8 +222,9 @@
 }
 
 impl ConfirmedPredecessor {
-    /// Calls `reload` now, as the predecessor may have been told to reload during the handover; at each request that the
-    /// predecessor forwards; and at the predecessor's end, with which the last request may have been lost.
+    /// Calls `reload` at once, because the predecessor may have received a reload request during the
+    /// handover; for each request that the predecessor forwards; and when the predecessor exits, because its
+    /// last request may be lost.
     pub async fn follow_reloads(mut self, reload: Rc<dyn Fn()>) {
         reload();
         let mut message = [0];
@@ -233,7 +241,7 @@
     /// Sends the listening socket, the lock and the state.
     ///
     /// # Errors
-    /// The link is broken, or the listener has no descriptor that can be sent.
+    /// The connection failed, or the listener has no descriptor that can be sent.
     pub async fn hand_over(
         &mut self,
         listener: &dyn Listener,
@@ -258,23 +266,24 @@
         self.0.write_all(&bytes).await
     }
 
-    /// Waits for the successor's confirmation, and returns whether it came: if not, the successor has ended.
+    /// Waits for the successor's confirmation. Returns false if the successor exits without one.
     pub async fn wait_for_confirmation(&mut self) -> bool {
         let mut message = [0];
         self.0.read_exact(&mut message).await.is_ok() && message[0] == CONFIRMED
     }
 
-    /// Forwards a request to reload the configuration. A successor that has ended need not know.
+    /// Forwards a request to reload the configuration. A write error is ignored, because it means that the
+    /// successor has exited.
     pub async fn forward_reload(&mut self) {
         let _ = self.0.write_all(&[RELOAD]).await;
     }
 }
 
-/// Listens for successors for as long as this process runs, and calls `on_request` with each. If the folder takes no socket,
-/// the only consequence is that there is no handover.
+/// Listens for successors until the process exits, and calls `on_request` with each of them. If the socket
+/// cannot be created, an error is logged and handover is unavailable.
 pub async fn listen(folder: PathBuf, on_request: impl Fn(Successor), log: Rc<dyn Log>) {
     let path = folder.join(NAME);
-    // A socket of an earlier process, on which nobody listens any more.
+    // The socket of an earlier process would make `bind` fail.
     let _ = std::fs::remove_file(&path);
     let listener = match UnixListener::bind(&path) {
         Ok(listener) => listener,
@@ -291,7 +300,7 @@
         if read.is_ok_and(|read| read.is_ok()) && hello == *HELLO {
             on_request(Successor(stream));
         } else {
-            log.line("handover: rejected a caller reason=unknown_hello");
+            log.line("handover: connection rejected reason=invalid_hello");
         }
     }
 }
--- a/src/daemon/journal_opening.rs
+++ b/src/daemon/journal_opening.rs
@@ -1,17 +1,18 @@
-//! Opens the journal at a start, and waits for a folder that cannot be read for a while.
+//! Opens the journal at startup, with retries while the folder cannot be read.
 use super::journal::{CorruptionReport, Journal};
 use super::ports::Ports;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a journal that cannot be read is waited for. The platform expects most senders to be ready within 10 s.
-const READ_PATIENCE: Duration = Duration::from_secs(8);
-/// How often reading is tried.
+/// Reading the journal is retried for this time. The platform expects most senders to be ready within 10 s.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
+/// The delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Opens the journal, which may take `disk_bytes`. One that cannot be read to the end of the patience is set aside.
+/// Opens the journal, which may use `disk_bytes`. A journal that remains unreadable is renamed, and an empty
+/// one is created.
 pub async fn open_journal(ports: &Ports, disk_bytes: u64) -> (Journal, CorruptionReport) {
-    let deadline = Instant::now() + READ_PATIENCE;
+    let deadline = Instant::now() + READ_TIMEOUT;
     let mut is_logged = false;
     loop {
         let error = match Journal::open(ports.storage.clone(), disk_bytes) {
--- a/src/daemon/listening.rs
+++ b/src/daemon/listening.rs
@@ -1,4 +1,4 @@
-//! Listening for clients and operators, as soon as the system allows it.
+//! Opens the listening sockets for clients and operators, with retries after temporary errors.
 use super::local_failure::is_local;
 use super::ports::{Listener, Network};
 use std::io;
@@ -6,17 +6,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long an address that cannot be listened at is waited for.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How often listening is tried.
+/// The time for which temporary errors are retried.
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Listens at an address. One that another process holds may be free in a moment.
+/// Listens at an address. Retries temporary errors, such as an address that another process is about to
+/// release.
 ///
 /// # Errors
-/// The system's error, if it does not pass.
+/// The system's error, if it is permanent or persists.
 pub async fn listen(network: &dyn Network, address: SocketAddr) -> io::Result<Box<dyn Listener>> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + LISTEN_TIMEOUT;
     loop {
         match network.listen(address).await {
             Err(error) if is_temporary(&error) && Instant::now() < deadline => sleep(RETRY_DELAY).await,
@@ -25,7 +26,7 @@
     }
 }
 
-/// Whether an error of listening may pass.
+/// Returns whether an error of listening may be temporary.
 fn is_temporary(error: &io::Error) -> bool {
     let kind = error.kind();
     kind == io::ErrorKind::AddrInUse || is_local(error) && kind != io::ErrorKind::AddrNotAvailable
--- a/src/daemon/maintenance.rs
+++ b/src/daemon/maintenance.rs
@@ -1,29 +1,29 @@
-//! Endpoints that operators have taken out of service, by name, stored in the state folder.
+//! The IDs of the endpoints that operators have taken out of service, stored in the state folder.
 use super::ports::Storage;
 use std::collections::BTreeSet;
 use std::io;
 use std::rc::Rc;
 
-/// The file in the state folder.
+/// The name of the file in the state folder.
 const FILE: &str = "maintenance.json";
-/// The name of that file until it is complete.
+/// The temporary name of the file while it is written.
 const NEW_FILE: &str = "maintenance.json.new";
-/// How many names are stored at most: names stay until they are put back, also those of endpoints that are no
-/// longer listed.
+/// The maximum number of stored endpoints. An endpoint that is no longer listed remains stored until an
+/// operator puts it back.
 const MAX_ENDPOINTS: usize = 4096;
 
-/// Why an endpoint could not be taken out of service or put back; everything stays as it was.
+/// An error of taking an endpoint out of service or putting it back. The state is unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum MaintenanceError {
-    /// No more names can be stored.
+    /// The maximum number of endpoints is already out of service.
     #[error("{MAX_ENDPOINTS} endpoints are out already")]
     TooMany,
-    /// The change could not be written down.
+    /// The change could not be stored.
     #[error("writing {FILE}: {0}")]
     Write(#[from] io::Error),
 }
 
-/// Why the names of an earlier process are lost.
+/// An error of reading the state that an earlier process stored.
 #[derive(Debug, thiserror::Error)]
 pub enum UnreadableMaintenance {
     /// The file cannot be read.
@@ -41,8 +41,8 @@
 }
 
 impl Maintenance {
-    /// Reads what an earlier process wrote down. A file that cannot be read never stops a start: the error is
-    /// returned beside an empty set.
+    /// Reads the state that an earlier process stored. If the file cannot be read, returns an empty set
+    /// together with the error, so that the process can start.
     pub fn open(folder: Rc<dyn Storage>) -> (Self, Option<UnreadableMaintenance>) {
         let (endpoints, unreadable) = match read(&*folder) {
             Ok(endpoints) => (endpoints, None),
@@ -51,12 +51,12 @@
         (Self { folder, endpoints }, unreadable)
     }
 
-    /// Whether an endpoint is out of service.
+    /// Returns whether an endpoint is out of service.
     pub fn contains(&self, name: &str) -> bool {
         self.endpoints.contains(name)
     }
 
-    /// Takes an endpoint out of service; false if it is out already.
+    /// Takes an endpoint out of service. Returns false if it already was.
     ///
     /// # Errors
     /// The change cannot be stored; the endpoint stays in service.
@@ -75,7 +75,7 @@
         written.map(|()| true)
     }
 
-    /// Puts an endpoint back into service; false if it is in service already.
+    /// Puts an endpoint back into service. Returns false if it was not out of service.
     ///
     /// # Errors
     /// The change cannot be stored; the endpoint stays out of service.
@@ -102,26 +102,28 @@
     }
 }
 
-/// Replaces a JSON file in one step; `new` is its name until it is complete.
+/// Atomically replaces a file by the JSON form of `value`, which is first written to `temporary_name`.
 ///
 /// # Errors
-/// The system's error; the file is then as before.
+/// The system's error; the file is then unchanged.
 pub fn replace_json_file(
     folder: &dyn Storage,
     name: &str,
-    new: &str,
+    temporary_name: &str,
     value: &impl serde::Serialize,
 ) -> io::Result<()> {
-    replace_file(folder, name, new, &serde_json::to_vec(value).map_err(io::Error::other)?)
+    replace_file(folder, name, temporary_name, &serde_json::to_vec(value).map_err(io::Error::other)?)
 }
 
-/// Replaces the bytes of a file in one step; `new` is its name until it is complete.
+/// Atomically replaces the content of a file by `bytes`, which are first written to `temporary_name`.
 ///
 /// # Errors
-/// The system's error; the file is then as before.
-pub fn replace_file(folder: &dyn Storage, name: &str, new: &str, bytes: &[u8]) -> io::Result<()> {
-    let written = folder.create(new).and_then(|mut file| file.append(bytes));
-    written.and_then(|()| folder.rename(new, name)).inspect_err(|_| drop(folder.remove(new)))
+/// The system's error; the file is then unchanged.
+pub fn replace_file(folder: &dyn Storage, name: &str, temporary_name: &str, bytes: &[u8]) -> io::Result<()> {
+    let written = folder.create(temporary_name).and_then(|mut file| file.append(bytes));
+    written
+        .and_then(|()| folder.rename(temporary_name, name))
+        .inspect_err(|_| drop(folder.remove(temporary_name)))
 }
 
 #[cfg(test)]
--- a/src/daemon/maintenance/tests.rs
+++ b/src/daemon/maintenance/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::daemon::system::Folder;
 
-/// Guards against an endpoint that returns to service with a new process, and against a change that is
-/// confirmed and not stored.
+/// Guards against endpoints that return to service when the process restarts, and against confirming a change
+/// that was not stored.
 #[test]
-fn maintenance_outlasts_the_process() {
+fn maintenance_state_survives_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let open = || Maintenance::open(Rc::new(Folder(folder.path().to_owned())));
     let (mut maintenance, unreadable) = open();
@@ -23,8 +23,5 @@
     assert!(!maintenance.contains("s-3") && maintenance.contains("s-2"), "neither change was stored");
     std::fs::create_dir(folder.path()).unwrap();
     std::fs::write(folder.path().join(FILE), "[\"s-").unwrap();
-    assert!(
-        open().1.is_some_and(|error| error.to_string().contains(FILE)),
-        "reported, and no reason not to start"
-    );
+    assert!(open().1.is_some_and(|error| error.to_string().contains(FILE)), "the damaged file is reported");
 }
--- a/src/daemon/metrics.rs
+++ b/src/daemon/metrics.rs
@@ -1,45 +1,46 @@
-//! The metrics of one process, as operators read them. Free of I/O and clocks.
+//! The metrics of one process, as the admin endpoint returns them. No I/O and no clock.
 use super::journal::FinalOutcome;
 use super::runtime_checks::ViolationCounts;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How the messages of one class ended.
+/// The numbers of ended messages of one class, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassMetrics {
-    /// Messages that were delivered.
+    /// Delivered messages.
     pub success: u64,
-    /// Messages that were rejected, or returned undelivered.
+    /// Messages that were rejected, or accepted and returned undelivered.
     pub busy: u64,
-    /// Messages that failed.
+    /// Accepted messages that failed.
     pub failure: u64,
 }
 
-/// A snapshot of a process; its counts begin at 0 with the process. The field names are those of
+/// The metrics of a process. Counters start at 0 when the process starts. The field names are the keys of
 /// `/status/metrics`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Metrics {
     /// Ended messages, by class.
     pub calls: BTreeMap<String, ClassMetrics>,
-    /// Messages that were written whole to endpoints.
+    /// Messages that were completely written to endpoints.
     pub backend_calls: u64,
     /// Accepted messages that have not ended.
     pub inflight: usize,
     /// Endpoints in the endpoint list.
     pub hosts_listed: usize,
-    /// Listed endpoints that no message is sent to now: drained, in maintenance, ejected, or asking for a
-    /// pause.
+    /// Listed endpoints that currently receive no messages: draining, in maintenance, ejected, or after a
+    /// Retry-After.
     pub hosts_down: usize,
     /// Reloaded configurations that were applied.
     pub reconfig_ok: u64,
     /// Reloaded configurations that were rejected.
     pub reconfig_failed: u64,
-    /// Violations of the delivery rules that the run-time checks found; all 0 in a correct program.
+    /// Violations of the delivery rules that the run-time checks have found. Anything but 0 is a defect of
+    /// the program.
     pub violations: ViolationCounts,
 }
 
 impl Metrics {
-    /// Lists a class, with counts of 0 until a message of the class ends.
+    /// Adds a class with counts of 0, unless it is listed already.
     pub fn add_class(&mut self, class: &str) {
         if !self.calls.contains_key(class) {
             self.calls.insert(class.to_owned(), ClassMetrics::default());
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Counts a message under its class. The classes are bounded: they are those of the settings, present or
-    /// former, as messages of other classes are malformed.
+    /// Counts a message under its class. The number of classes is bounded: messages are rejected as malformed
+    /// unless the settings contain, or have contained, their class.
     fn count(&mut self, class: &str, counter: impl Fn(&mut ClassMetrics) -> &mut u64) {
         self.add_class(class);
         if let Some(counts) = self.calls.get_mut(class) {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The sender on real sockets: everything around the decision engine that does I/O or reads a clock.
+//! The sender as a network service: everything around the decision engine that performs I/O or reads a clock.
 //!
-//! The daemon runs on one thread inside a [`tokio::task::LocalSet`]; whoever drops the set ends all tasks of
-//! the daemon. What the daemon needs of the machine comes through [`ports`].
+//! The daemon runs on one thread inside a [`tokio::task::LocalSet`]; dropping the set ends all of its tasks.
+//! It accesses the machine only through [`ports`].
 mod accept_failure;
 mod admin_server;
 mod checkpoint;
@@ -61,37 +61,37 @@
 use takeover::Takeover;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// What the platform asks of a running sender.
+/// A signal from the platform to a running sender.
 pub enum Signal {
-    /// To shut down gracefully: SIGTERM or SIGINT.
+    /// Shut down gracefully: SIGTERM or SIGINT.
     Shutdown,
-    /// To follow the configuration as it reads now: SIGHUP.
+    /// Apply the configuration, as read after the signal: SIGHUP.
     Reload(Result<Box<Config>, ConfigReadError>),
-    /// To follow the configuration if it has changed: a SIGHUP may have gone to the predecessor of this
+    /// Apply the configuration if it has changed: a SIGHUP may have been sent to the predecessor of this
     /// process.
     ReloadIfChanged(Result<Box<Config>, ConfigReadError>),
 }
 
-/// Why a sender could not start.
+/// An error that prevents a sender from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The seed in the configuration is not a number.
-    #[error("configuration: seed {0:?} is not hexadecimal")]
+    /// The seed in the configuration is not a hexadecimal number.
+    #[error("configuration: seed {0:?} is not a hexadecimal number")]
     Seed(String),
     /// The journal cannot be opened.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// The settings cannot be used, or the journal cannot be made durable.
+    /// The settings are invalid, or the journal cannot be made durable.
     #[error("settings: {0}")]
     Settings(#[from] EventLoopError),
-    /// A process is at work in the state folder, and does not hand over.
+    /// Another process is running in the state folder, and the handover from it failed.
     #[error("handover: {0}")]
     Handover(#[from] HandoverError),
     /// The sender cannot join its fleet.
     #[error("peers: {0}")]
     Membership(#[from] membership::MembershipError),
-    /// The address for clients or operators cannot be listened at.
-    #[error("listening on {address}: {source}")]
+    /// The listening socket for clients or operators cannot be opened.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -104,7 +104,7 @@
 /// [`tokio::task::LocalSet`] that the function is called in.
 ///
 /// # Errors
-/// The sender could not start. Once it listens, it ends only in good order.
+/// The sender could not start, or could not resume after a handover that failed.
 pub async fn run(config: Config, ports: Ports, signals: UnboundedReceiver<Signal>) -> Result<(), StartError> {
     let (events, mut received) = unbounded_channel();
     let environment = Environment::new(&config, ports, events)?;
@@ -124,7 +124,7 @@
         let (notifications, to_notify) = unbounded_channel();
         let event_loop = environment.set_up_event_loop(start, journal, membership.as_ref(), notifications)?;
         let platform_tasks = environment.spawn_platform_tasks(&event_loop, to_notify);
-        // Only now: a sender that can be reached has taken over the messages in its journal.
+        // Clients are served only once the event loop has taken over the messages in the journal.
         let clients = match open_listener.take() {
             Some(clients) => clients,
             None => ClientListener::start(&environment, address, takeover.listener.take()).await?,
@@ -141,7 +141,7 @@
         let mut standby = Standby { events: &mut received, log, successor, metrics: metrics.clone() };
         let offer = standby.offer(&*clients.listener, takeover.lock.as_ref(), &inheritance).await;
         if offer.is_accepted {
-            // The successor speaks for this sender from now on, at the same address.
+            // The successor represents this sender in the fleet from now on, at the same address.
             drop((membership, takeover));
             environment.listener_state.set(ListenerState::HandedOver);
             standby.forward_reloads(offer.signals, clients).await;
@@ -153,7 +153,7 @@
     }
 }
 
-/// Leaves the fleet, and gives the last responses to clients time to go out.
+/// Leaves the fleet, and waits until the last responses to clients are written.
 async fn shut_down(
     environment: &Environment,
     membership: Option<membership::Handle>,
@@ -162,7 +162,7 @@
     if let Some(membership) = membership {
         membership.leave().await;
     }
-    // Whoever came until now has a response.
+    // All requests received so far have a response.
     environment.listener_state.set(ListenerState::Closed);
     clients.finish().await;
 }
--- a/src/daemon/peer_reporting.rs
+++ b/src/daemon/peer_reporting.rs
@@ -1,4 +1,4 @@
-//! What this sender reports to peers that recover.
+//! The reports of this sender to peers that are recovering.
 use super::events::{AdminRequest, LoopEvent};
 use super::membership::PeerReportSource;
 use super::ports::WallClock;
@@ -9,7 +9,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Returns a source of reports. The reports of a sender that recovers itself are empty.
+/// Returns a function that creates reports. While this sender is recovering itself, its reports contain no
+/// endpoints.
 pub fn source(
     recovery: RecoveryStatus,
     events: UnboundedSender<LoopEvent>,
@@ -20,7 +21,7 @@
         let (recovery, events, wall) = (recovery.clone(), events.clone(), wall.clone());
         Box::pin(async move {
             let mut report = PeerReport::default();
-            // Once it may send, this sender knows the endpoints.
+            // Before this sender may send messages, it has no observations of endpoints.
             if recovery.sends_backlog() {
                 let (reply, replied) = oneshot::channel();
                 let _ = events.send(LoopEvent::Admin(AdminRequest::PeerReport(reply)));
--- a/src/daemon/ready_stream.rs
+++ b/src/daemon/ready_stream.rs
@@ -1,28 +1,29 @@
-//! Sockets that are read and written until the system says that nothing more can be transferred.
+//! Streams that keep a socket's readiness until the system reports that a transfer would block.
 //!
-//! The runtime's own streams take a transfer of less than the buffer for the last one, and wait for the socket to become
-//! ready again. The system may transfer less although more is there, and then says nothing further.
+//! tokio's own streams clear the readiness after a transfer that is shorter than the buffer, and then wait
+//! for the next readiness event. The system can make a short transfer although more data or space is
+//! available, and then reports no further event.
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A socket that can be asked whether it is ready, and forgets that it is only when a transfer would block.
+/// A socket whose readiness is cleared only when a transfer would block.
 pub trait ReadySocket: AsyncWrite + Unpin {
-    /// Waits until the socket can be read.
+    /// Polls for the socket to become readable.
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 
-    /// Waits until the socket can be written.
+    /// Polls for the socket to become writable.
     fn poll_writable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 
-    /// Reads what is there.
+    /// Reads the available bytes into `buffer`, and returns their number.
     ///
     /// # Errors
-    /// `WouldBlock` if nothing is there, or the error of the system.
+    /// `WouldBlock` if no bytes are available, or the error of the system.
     fn read_ready(&self, buffer: &mut ReadBuf<'_>) -> io::Result<usize>;
 
-    /// Writes what there is space for.
+    /// Writes as many bytes as the socket's buffer has space for, and returns their number.
     ///
     /// # Errors
     /// `WouldBlock` if there is no space, or the error of the system.
@@ -54,7 +55,7 @@
 ready_socket!(TcpStream);
 ready_socket!(UnixStream);
 
-/// A stream over such a socket.
+/// A stream over a [`ReadySocket`].
 pub struct ReadyStream<S>(pub S);
 
 impl<S: ReadySocket> AsyncRead for ReadyStream<S> {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Whether a transfer is tried again: the socket is not ready, or a signal arrived.
+/// Returns whether a transfer is retried: the socket was not ready, or a signal interrupted the call.
 fn is_retried(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -1,5 +1,5 @@
-//! What a process does between the end of its event loop and that of the handover: a successor is taking over
-//! or has done so, and nobody is at work here.
+//! A process whose event loop has ended for a handover: it offers its state to the successor, and forwards
+//! reload requests afterwards.
 use super::client_listener::ClientListener;
 use super::events::{AdminRequest, LoopEvent};
 use super::handover::{InheritedState, Successor};
@@ -19,26 +19,26 @@
     pub metrics: Rc<Metrics>,
 }
 
-/// Signals that came during a handover: they are for whichever process is at work at its end.
+/// Signals received during a handover. They are passed to the process that is active after the handover.
 #[derive(Default)]
 pub struct PendingSignals {
     reload: Option<LoopEvent>,
     shutdown: Option<LoopEvent>,
 }
 
-/// How an offer to a successor ended.
+/// The result of an offer to a successor.
 pub struct OfferOutcome {
     /// Whether the successor has taken over.
     pub is_accepted: bool,
-    /// The signals that came meanwhile.
+    /// The signals received during the offer.
     pub signals: PendingSignals,
 }
 
-/// What ended a wait.
+/// The result of [`wait`].
 enum Wakeup<T> {
     /// The awaited future is ready.
     Ready(T),
-    /// A signal came: to shut down, or to read the configuration again.
+    /// A signal was received: a shutdown or a reload of the configuration.
     Signal(LoopEvent),
 }
 
@@ -51,14 +51,15 @@
         }
     }
 
-    /// Returns the signals for the event loop that goes on.
+    /// Returns the signals as events, for the event loop of this process if the handover failed.
     pub fn into_events(self) -> impl Iterator<Item = LoopEvent> {
         self.reload.into_iter().chain(self.shutdown)
     }
 }
 
 impl Standby<'_> {
-    /// Offers everything to the successor, and waits until it has taken over or has ended.
+    /// Sends the listener, the lock and the state to the successor, and waits until it has taken over or
+    /// exited.
     pub async fn offer(
         &mut self,
         listener: &dyn Listener,
@@ -68,11 +69,11 @@
         let mut signals = PendingSignals::default();
         let (successor, log) = (&mut self.successor, self.log);
         let mut offer = pin!(async {
-            let given = successor.hand_over(listener, lock, inheritance).await;
-            if let Err(error) = &given {
-                log.line(&format!("handover: cannot hand over error={error}"));
+            let sent = successor.hand_over(listener, lock, inheritance).await;
+            if let Err(error) = &sent {
+                log.line(&format!("handover: cannot send the state to the successor error={error}"));
             }
-            given.is_ok() && successor.wait_for_confirmation().await
+            sent.is_ok() && successor.wait_for_confirmation().await
         });
         loop {
             match wait(self.events, &self.metrics, offer.as_mut()).await {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Has the successor read its configuration again if `signals` or later ones ask for that, until the last
-    /// client that is still here has been forwarded.
+    /// Forwards reload requests to the successor, both those in `signals` and later ones, until the last
+    /// client connection of this process has closed.
     pub async fn forward_reloads(mut self, signals: PendingSignals, clients: ClientListener) {
         if signals.reload.is_some() {
             self.successor.forward_reload().await;
@@ -108,12 +109,12 @@
 fn offer_result(is_accepted: bool) -> &'static str {
     match is_accepted {
         true => "handover: the successor took over",
-        false => "handover: the successor ended before it took over, this process goes on",
+        false => "handover: the successor failed before it took over, this process continues",
     }
 }
 
-/// Waits for a future. Operators get the last metrics meanwhile; all other requests are dropped, which tells
-/// those who made them that nobody is at work here.
+/// Waits for a future or a signal. Meanwhile, requests for metrics are answered with the last metrics, and
+/// all other requests are dropped, which closes their reply channels.
 async fn wait<T>(
     events: &mut UnboundedReceiver<LoopEvent>,
     metrics: &Rc<Metrics>,
--- a/src/daemon/state_lock.rs
+++ b/src/daemon/state_lock.rs
@@ -1,8 +1,8 @@
 //! A lock on the state folder, so that only one process of a sender works in it.
 //!
-//! A process that starts while another one is running, and cannot be asked for a handover yet or any more, would replay the
-//! same journal, and both would send the same messages. The lock is a `flock` on a file in the folder: the system releases
-//! the lock when the process ends, however that happens.
+//! Without the lock, a process that starts while another one is running but does not accept a handover
+//! request would replay the same journal, and both processes would send the same messages. The lock is a
+//! `flock` on a file in the folder: the system releases the lock when the process ends, even if it crashes.
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
 use std::fs::File;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The file's name in the state folder; the file stays empty.
+/// The name of the lock file in the state folder. The file is empty.
 const NAME: &str = "lock";
-/// How often a lock that another process holds is tried.
+/// The delay between two attempts to lock the folder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The lock, held until the value is dropped. The lock belongs to the open file and not to the process: a process that is
-/// given the descriptor holds the lock too.
+/// The lock, held until the value is dropped. The lock belongs to the open file description: a process that
+/// receives the descriptor holds the lock too.
 pub struct StateLock(File);
 
 impl AsFd for StateLock {
@@ -35,15 +35,16 @@
 
 /// The result of trying to lock the folder.
 pub enum LockAttempt {
+    /// The folder is locked.
     Locked(StateLock),
     /// Another process holds the lock; the file can be tried again.
-    HeldElsewhere(UnlockedState),
+    HeldElsewhere(LockFile),
 }
 
 /// The open lock file of a folder, not locked by this process.
-pub struct UnlockedState(File);
+pub struct LockFile(File);
 
-impl UnlockedState {
+impl LockFile {
     /// Opens the lock file of a folder, and creates it if necessary.
     ///
     /// # Errors
--- a/src/daemon/system.rs
+++ b/src/daemon/system.rs
@@ -1,4 +1,4 @@
-//! The ports as this machine's own system offers them.
+//! The ports as implemented by the operating system.
 use super::ports::{
     AppendFile, DatagramSocket, Listener, LocalFuture, Log, Network, Storage, Stream, WallClock,
 };
@@ -17,7 +17,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// The system's clocks.
+/// The system's real-time and monotonic clocks.
 pub struct SystemClock;
 
 impl WallClock for SystemClock {
@@ -32,24 +32,24 @@
     }
 }
 
-/// Standard error.
+/// A log on standard error.
 pub struct StandardError;
 
 impl Log for StandardError {
     fn line(&self, text: &str) {
-        // Nobody may be reading any more: no reason to end.
+        // A write error is ignored: the reader of the log may have exited.
         let _ = writeln!(io::stderr(), "{text}");
     }
 }
 
-/// TCP and UDP of this machine.
+/// The TCP and UDP network of this machine.
 pub struct Tcp;
 
 struct TcpConnection(ReadyStream<TcpStream>);
 
 impl Network for Tcp {
     fn connect(&self, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Stream>>> {
-        Box::pin(async move { opened(uninterrupted(|| TcpStream::connect(to)).await?) })
+        Box::pin(async move { wrap_stream(uninterrupted(|| TcpStream::connect(to)).await?) })
     }
 
     fn listen(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Listener>>> {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Repeats an operation until no signal interrupts it.
+/// Retries an operation as long as signals interrupt it.
 async fn uninterrupted<T, F: Future<Output = io::Result<T>>>(operation: impl Fn() -> F) -> io::Result<T> {
     loop {
         match operation().await {
@@ -77,14 +77,14 @@
     }
 }
 
-fn opened(stream: TcpStream) -> io::Result<Box<dyn Stream>> {
+fn wrap_stream(stream: TcpStream) -> io::Result<Box<dyn Stream>> {
     stream.set_nodelay(true)?;
     Ok(Box::new(TcpConnection(ReadyStream(stream))))
 }
 
 impl Listener for TcpListener {
     fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Stream>>> {
-        Box::pin(async move { opened(uninterrupted(|| TcpListener::accept(self)).await?.0) })
+        Box::pin(async move { wrap_stream(uninterrupted(|| TcpListener::accept(self)).await?.0) })
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
@@ -144,7 +144,7 @@
     }
 }
 
-/// A folder of this machine.
+/// A folder of the file system.
 pub struct Folder(pub PathBuf);
 
 impl Storage for Folder {
@@ -192,7 +192,7 @@
         let file = self.try_clone();
         Box::pin(async move {
             let file = file?;
-            // The disk may take its time: a thread waits for it.
+            // A sync can block for long, so it runs on a blocking thread.
             tokio::task::spawn_blocking(move || file.sync_data()).await.map_err(io::Error::other)?
         })
     }
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -1,7 +1,7 @@
-//! Trace lines of what passes between a sender and its endpoints, for counts over a whole fleet.
+//! Trace lines of the calls and messages of a sender, for statistics over a whole fleet.
 //!
-//! Traces are off by default: a line for each call is much on a busy day. `micadrum-testkit count` adds the
-//! lines up.
+//! Traces are off by default, because a line per call is a lot of output under load. The statistics are
+//! computed by `micadrum-testkit aggregate`.
 use super::endpoint_list::EndpointList;
 use super::journal::FinalOutcome;
 use super::ports::Log;
@@ -9,31 +9,31 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Writes trace lines to the log, if traces are on.
+/// Writes trace lines to the log if traces are enabled.
 pub struct Trace(Option<Rc<dyn Log>>);
 
-/// A call that has ended.
+/// A completed call.
 pub struct CompletedCall<'a> {
     /// The number of the destination.
     pub destination: u64,
     /// The name of the endpoint.
     pub endpoint: &'a str,
-    /// How many messages the call carried.
+    /// The number of messages in the call.
     pub messages: usize,
-    /// How the first of the messages fared.
+    /// The outcome of the first message.
     pub outcome: Outcome,
-    /// The time from the begin of the call to its end.
+    /// The duration of the call.
     pub elapsed: TimeDelta,
     /// The load report of the response.
     pub report: Option<LoadReport>,
 }
 
-/// How a message ended undelivered.
+/// The way in which an undelivered message ended.
 #[derive(Clone, Copy)]
 pub enum MessageEnd {
     /// The message was not accepted.
     Rejected,
-    /// The message was accepted, and returned.
+    /// The message was accepted, and returned undelivered.
     Returned,
     /// The message was accepted, and failed.
     Failed,
@@ -64,7 +64,7 @@
         Self(enabled.then_some(log))
     }
 
-    /// Traces a call that has ended.
+    /// Traces a completed call.
     pub fn call(&self, at: Timestamp, call: &CompletedCall<'_>) {
         let CompletedCall { destination, endpoint, messages, outcome, elapsed, report } = call;
         let (outcome, wait) = (outcome_name(*outcome), retry_after(*outcome));
@@ -79,7 +79,7 @@
         ));
     }
 
-    /// Traces that a connection to an endpoint was opened, or could not be had.
+    /// Traces an attempt to connect to an endpoint, successful or not.
     pub fn connected(&self, at: Timestamp, destination: u64, endpoint: &str) {
         let at = at.0;
         self.line(format_args!("trace connect at={at} destination={destination} endpoint={endpoint}"));
@@ -87,8 +87,8 @@
 
     /// Traces an endpoint list, or changes to one.
     pub fn endpoint_list(&self, at: Timestamp, list: &EndpointList) {
-        let EndpointList { revision, complete, endpoints: members, .. } = list;
-        let (at, entries) = (at.0, members.len());
+        let EndpointList { revision, complete, endpoints, .. } = list;
+        let (at, entries) = (at.0, endpoints.len());
         self.line(format_args!("trace list at={at} revision={revision} whole={complete} entries={entries}"));
     }
 
