--- a/src/daemon/poll_schedule.rs
+++ b/src/daemon/poll_schedule.rs
@@ -1,192 +1,203 @@
-//! When to poll a service that a whole fleet polls, such as the endpoint list of discovery. No I/O and no clock.
+//! The schedule for polling a service that a whole fleet polls, such as the endpoint list of discovery. No
+//! I/O and no clock.
 //!
 //! # Problem
-//! The discovery mode decides what a call costs, and by when a sender has to know of a change.
+//! The discovery mode determines the cost of a call, and the time by which a sender has to know of a change.
 //!
-//! - [`DiscoveryMode::Watch`]: the list is pushed to the agent on the sender's own machine, which answers at no cost. The
-//!   sender counts as notified of what its agent has, asked for or not, and has to stop sending to a draining endpoint
-//!   within the grace period.
-//! - [`DiscoveryMode::Poll`]: each call costs the discovery service, and a sender counts as notified once it has not asked for
-//!   the staleness limit, or four times that after a failed call. A call that arrives while too many are queued fails after
-//!   the work for it was done: a fleet that retries at once keeps the queue long, and gets no answers.
+//! - [`DiscoveryMode::Watch`]: the list is pushed to the agent on the sender's machine, so that calls are
+//!   cheap. The sender counts as notified of a change as soon as its agent has it, and has to stop sending to
+//!   a draining endpoint within the grace period.
+//! - [`DiscoveryMode::Poll`]: each call is work for the discovery service. A sender counts as notified of all
+//!   changes if it has not polled for the staleness limit, or four times that after a failed call. A call
+//!   that arrives while too many are queued fails after the service has done the work for it: a fleet that
+//!   retries immediately keeps the queue long, and receives no responses.
 //!
 //! # Mechanism
-//! In watch mode the agent is asked at once, and no pause is longer than the grace period. In poll mode delays grow with the
-//! size of the fleet, as if all senders had failed at once, up to the staleness limit. Delays double with each
-//! failure up to a bound, and are randomized, so that senders that fail together do not return together.
+//! In watch mode the first call is made at once, and no delay is longer than the grace period. In poll mode
+//! delays are proportional to the size of the fleet, because all senders may fail at the same time, and
+//! limited by the staleness limit. Delays double with each failure up to a maximum, and are randomized, so
+//! that senders that fail together do not retry together.
 use crate::DiscoveryMode;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
-/// How long the agent may hold a call until there is a change. A sender counts as notified of what a silent watch missed 6 s
-/// after the watch fell silent, or 2 s after the end of the hold if that is later: no sooner than 7 s after the call started.
-/// The call is given up after 6 s, and repeated within 75 ms; the rest is for the answer.
+/// The time for which the agent may hold a call until there is a change. If a watch falls silent, the sender
+/// counts as notified of the missed changes 6 s later, or 2 s after the end of the hold if that is later,
+/// which is at least 7 s after the start of the call. The call times out after 6 s and is repeated within 75
+/// ms; the rest of the 7 s is for the response.
 const HOLD: Duration = Duration::from_secs(5);
-/// How much longer than the hold an answer may take.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a call in poll mode may take that is to be answered at once: others are queued too. What a silent call missed
-/// counts as notified 6 s later.
-const QUEUED_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// In watch mode a sender counts as notified the moment that an unreachable agent is back. Until the agent answers, a call
-/// for what is there now may take this share of the grace period, so that call and delay stay within it ...
+/// The time that a response may take in addition to the hold.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The timeout in poll mode for a call without a hold, which may be queued behind calls of other senders. The
+/// changes that such a call misses count as notified after 6 s.
+const QUEUED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The timeout in watch mode for a call to an unreachable agent, as a share of the grace period. A sender
+/// counts as notified as soon as the agent is reachable again, so that a call and the following delay have to
+/// stay within the grace period.
 const CALL_GRACE_SHARE: f64 = 0.3;
-/// ... but no less than an agent that is reachable may need.
+/// The minimum timeout of a call, within which a reachable agent responds.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(60);
-/// Consecutive failures after which each call may take long: the agent may just be slow.
+/// The number of consecutive failures after which calls have a longer timeout, because the agent may be
+/// reachable but slow.
 const SLOW_AGENT_FAILURES: u32 = 64;
-/// The shortest delay, and the delay after a first failure: well inside the 200 ms within which a watch continues.
+/// The minimum delay, and the delay after a first failure. A watch that is resumed within 200 ms counts as
+/// uninterrupted.
 const MIN_DELAY: Duration = Duration::from_millis(50);
-/// In poll mode, for each sender of the fleet: the first delay, before it is doubled.
+/// The delay in poll mode before it is doubled, per sender of the fleet.
 const DELAY_PER_SENDER: Duration = Duration::from_millis(25);
-/// For each sender: the time over which the first calls after a start are spread.
+/// The time over which the first calls of a fleet in poll mode are spread, per sender of the fleet.
 const INITIAL_SPREAD_PER_SENDER: Duration = Duration::from_millis(50);
-/// For each sender: the longest delay. All of the fleet together then makes some ten calls a second.
+/// The maximum delay in poll mode, per sender of the fleet: at this delay the fleet makes about ten calls per
+/// second.
 const MAX_DELAY_PER_SENDER: Duration = Duration::from_millis(100);
-/// The size of the fleet beyond which delays do not grow: changes are due within seconds, whatever the settings say.
+/// The size of the fleet beyond which delays do not grow, so that changes arrive within seconds for any
+/// settings.
 const MAX_FLEET_SIZE: usize = 200;
-/// The longest initial delay, as a share of the staleness limit: the rest is for the answer.
+/// The maximum initial delay, as a share of the staleness limit. The rest is for the response.
 const INITIAL_DELAY_STALENESS_SHARE: f64 = 0.8;
-/// The longest delay, as a share of the staleness limit after a failure: randomization adds half.
+/// The maximum delay, as a share of the staleness limit after a failure. Randomization adds up to half of the
+/// delay.
 const MAX_DELAY_STALENESS_SHARE: f64 = 0.5;
-/// In watch mode, the longest delay as a share of the grace period: call and delay stay within it, and leave a third of it
-/// for the answer.
+/// The maximum delay in watch mode, as a share of the grace period. After a call and a delay, a third of the
+/// grace period is left for the response.
 const MAX_DELAY_GRACE_SHARE: f64 = 0.25;
-/// In poll mode the staleness limit is multiplied by this after a failed call.
+/// The factor by which a failed call extends the staleness limit in poll mode.
 const STALENESS_FACTOR_AFTER_FAILURE: u32 = 4;
-/// A delay is doubled at most this often.
+/// The maximum number of times that a delay is doubled.
 const MAX_DOUBLINGS: u32 = 8;
-/// While the agent does not answer, it may hold a call for this part of the response timeout: a reachable agent then answers
-/// in time even if there is no change.
+/// While the agent does not respond, the hold of a call is the response timeout divided by this: a reachable
+/// agent then responds in time even if there is no change.
 const UNREACHABLE_HOLD_DIVISOR: u32 = 4;
 
-/// The settings that decide how the list is polled.
+/// The settings that determine how the list is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollConfig {
-    /// Senders that poll the same service.
+    /// The number of senders that poll the same service.
     pub fleet_size: usize,
     /// How the list is distributed.
     pub discovery: DiscoveryMode,
-    /// How long after it was notified of a draining endpoint a sender may still send to it.
+    /// The time for which a sender may continue to send to an endpoint after being notified that it is
+    /// draining.
     pub drain_grace: Duration,
-    /// A sender that has not asked for this long counts as notified; zero if there is no such limit.
+    /// The time without a poll after which a sender counts as notified of all changes; zero for no limit.
     pub staleness_limit: Duration,
 }
 
-/// What a call asks for.
+/// The content that a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollScope {
-    /// The changes since a revision: the call can be held until there are some.
+    /// The changes since a revision. The agent can hold the call until there are some.
     Changes,
-    /// The complete list, which is answered at once.
+    /// The complete list. The agent responds at once.
     CompleteList,
 }
 
-/// How one call is made.
+/// The hold and the timeouts of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// How long the agent may hold the call until there is a change.
+    /// The time for which the agent may hold the call until there is a change.
     pub hold: Duration,
-    /// How long after its start the call is given up if no answer has started.
+    /// The time after its start at which the call is cancelled unless a response has started.
     pub response_timeout: Duration,
-    /// How long after its start the call is given up if the answer is not complete.
+    /// The time after its start at which the call is cancelled unless the response is complete.
     pub total_timeout: Duration,
 }
 
-/// Decides how long to wait before a call, and how long for its answer.
+/// Determines the delay before each call, and its timeouts.
 pub struct PollSchedule {
     intervals: PollIntervals,
     consecutive_failures: u32,
     random: ChaCha8Rng,
 }
 
-/// What follows from the terms.
+/// The intervals derived from a [`PollConfig`].
 struct PollIntervals {
     mode: DiscoveryMode,
-    /// The longest delay before the first call.
+    /// The maximum delay before the first call.
     max_initial_delay: Duration,
-    /// The delay that is doubled with each failure.
+    /// The delay before it is doubled.
     base_delay: Duration,
     max_delay: Duration,
-    /// How long a call may take that is to be answered at once.
+    /// The response timeout of a call that the agent has to answer without a full hold.
     immediate_timeout: Duration,
 }
 
 impl PollIntervals {
-    fn new(terms: PollConfig) -> Self {
-        match terms.discovery {
+    fn new(config: PollConfig) -> Self {
+        match config.discovery {
             DiscoveryMode::Watch => Self {
-                mode: terms.discovery,
+                mode: config.discovery,
                 max_initial_delay: Duration::ZERO,
                 base_delay: MIN_DELAY,
-                max_delay: terms.drain_grace.mul_f64(MAX_DELAY_GRACE_SHARE),
-                immediate_timeout: terms
+                max_delay: config.drain_grace.mul_f64(MAX_DELAY_GRACE_SHARE),
+                immediate_timeout: config
                     .drain_grace
                     .mul_f64(CALL_GRACE_SHARE)
-                    .clamp(MIN_CALL_TIMEOUT, ANSWER_TIMEOUT),
+                    .clamp(MIN_CALL_TIMEOUT, RESPONSE_TIMEOUT),
             },
             DiscoveryMode::Poll => {
-                let senders = u32::try_from(terms.fleet_size.clamp(1, MAX_FLEET_SIZE)).unwrap_or(1);
-                let limit = terms.staleness_limit;
+                let senders = u32::try_from(config.fleet_size.clamp(1, MAX_FLEET_SIZE)).unwrap_or(1);
+                let limit = config.staleness_limit;
                 let limit_after_failure = limit * STALENESS_FACTOR_AFTER_FAILURE;
                 let spread = INITIAL_SPREAD_PER_SENDER * senders;
                 let max_delay = MAX_DELAY_PER_SENDER * senders;
                 Self {
-                    mode: terms.discovery,
+                    mode: config.discovery,
                     max_initial_delay: capped_at_share(spread, limit, INITIAL_DELAY_STALENESS_SHARE),
                     base_delay: DELAY_PER_SENDER * senders,
                     max_delay: capped_at_share(max_delay, limit_after_failure, MAX_DELAY_STALENESS_SHARE),
-                    immediate_timeout: QUEUED_ANSWER_TIMEOUT,
+                    immediate_timeout: QUEUED_RESPONSE_TIMEOUT,
                 }
             }
         }
     }
 }
 
-/// Returns `delay`, or the share of `limit` if that is shorter; a limit of zero is none.
+/// Returns `delay`, or `share` of `limit` if that is shorter. A limit of zero means no limit.
 fn capped_at_share(delay: Duration, limit: Duration, share: f64) -> Duration {
     if limit.is_zero() { delay } else { delay.min(limit.mul_f64(share)) }
 }
 
 impl PollSchedule {
     /// Creates the schedule of a sender that has made no call yet.
-    pub fn new(terms: PollConfig, seed: u64) -> Self {
+    pub fn new(config: PollConfig, seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Self { intervals: PollIntervals::new(terms), consecutive_failures: 1, random }
+        Self { intervals: PollIntervals::new(config), consecutive_failures: 1, random }
     }
 
-    /// Sets the terms from the next call on.
-    pub fn set_config(&mut self, terms: PollConfig) {
-        self.intervals = PollIntervals::new(terms);
+    /// Sets the configuration for all later calls.
+    pub fn set_config(&mut self, config: PollConfig) {
+        self.intervals = PollIntervals::new(config);
     }
 
-    /// Returns how the next call is made.
+    /// Returns the hold and the timeouts of the next call.
     pub fn next_poll(&self, scope: PollScope) -> Poll {
         let PollIntervals { mode, immediate_timeout, .. } = self.intervals;
         let is_reachable = self.consecutive_failures == 0;
         if scope == PollScope::Changes && (is_reachable || mode == DiscoveryMode::Poll) {
-            let timeout = HOLD + ANSWER_TIMEOUT;
+            let timeout = HOLD + RESPONSE_TIMEOUT;
             return Poll { hold: HOLD, response_timeout: timeout, total_timeout: timeout };
         }
         let (response_timeout, total_timeout) = if self.consecutive_failures >= SLOW_AGENT_FAILURES {
-            (immediate_timeout.max(ANSWER_TIMEOUT), HOLD + ANSWER_TIMEOUT)
+            (immediate_timeout.max(RESPONSE_TIMEOUT), HOLD + RESPONSE_TIMEOUT)
         } else {
-            (immediate_timeout, immediate_timeout.max(ANSWER_TIMEOUT))
+            (immediate_timeout, immediate_timeout.max(RESPONSE_TIMEOUT))
         };
         Poll { hold: response_timeout / UNREACHABLE_HOLD_DIVISOR, response_timeout, total_timeout }
     }
 
-    /// Returns how long to wait before the first call, if a list is known that can be used until then.
+    /// Returns the delay before the first call of a sender that already has a list.
     pub fn initial_delay(&mut self) -> Duration {
         self.intervals.max_initial_delay.mul_f64(self.random_share())
     }
 
-    /// Notes that the last call was answered.
+    /// Records that the last call succeeded.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Notes that the last call failed, and returns how long to wait before the next one.
+    /// Records that the last call failed, and returns the delay before the next one.
     pub fn record_failure(&mut self) -> Duration {
         let delay = match self.consecutive_failures {
             0 => MIN_DELAY,
--- a/src/daemon/poll_schedule/tests.rs
+++ b/src/daemon/poll_schedule/tests.rs
@@ -3,21 +3,21 @@
 const GRACE: Duration = Duration::from_secs(1);
 const STALENESS_LIMIT: Duration = Duration::from_secs(10);
 
-fn terms(fleet_size: usize, discovery: DiscoveryMode) -> PollConfig {
+fn config(fleet_size: usize, discovery: DiscoveryMode) -> PollConfig {
     PollConfig { fleet_size, discovery, drain_grace: GRACE, staleness_limit: STALENESS_LIMIT }
 }
 
-/// What the discovery service does with a call that it cannot answer in time.
+/// The behaviour of the discovery service for a call that it cannot answer in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Overload {
-    /// It rejects the call at no cost.
+    /// It rejects the call without processing it.
     Rejects,
-    /// It works on the call in vain.
+    /// It processes the call and responds too late.
     AnswersLate,
 }
 
-/// A fleet that starts together, and a service that answers `calls_per_second` one after the other. An answer counts only
-/// within 2 s of the call.
+/// A fleet whose senders start at the same time, and a service that processes `calls_per_second` one after
+/// the other. A call times out after 2 s.
 #[derive(Clone, Copy, Debug)]
 struct FleetStart {
     fleet_size: usize,
@@ -26,11 +26,11 @@
     end_s: f64,
 }
 
-/// Returns how many senders were answered by the end.
+/// Returns the number of senders that have received a response by the end.
 fn answered(start: FleetStart) -> usize {
     let FleetStart { fleet_size, calls_per_second, overload, end_s } = start;
     let mut schedules: Vec<_> = (0..fleet_size)
-        .map(|seed| PollSchedule::new(terms(fleet_size, DiscoveryMode::Poll), seed as u64))
+        .map(|seed| PollSchedule::new(config(fleet_size, DiscoveryMode::Poll), seed as u64))
         .collect();
     let mut calls: Vec<(f64, usize)> = schedules
         .iter_mut()
@@ -55,9 +55,10 @@
     answered
 }
 
-/// Guards against a fleet that keeps an overloaded discovery service busy with calls whose answers come too late.
+/// Guards against a fleet that keeps an overloaded discovery service busy with calls whose responses arrive
+/// too late.
 #[test]
-fn fleet_that_starts_together_is_answered() {
+fn senders_that_start_together_receive_responses() {
     let sizes_and_rates = [(3, 2.0), (20, 5.0), (100, 12.5), (100, 25.0), (200, 25.0)];
     let cases = sizes_and_rates.into_iter().flat_map(|(fleet_size, calls_per_second)| {
         [Overload::Rejects, Overload::AnswersLate].map(|overload| FleetStart {
@@ -80,13 +81,13 @@
     }
 }
 
-/// Guards against a sender that lacks for longer than the grace period what its agent has: in watch mode a sender counts as
-/// notified of what the agent has, whatever the size of the fleet.
+/// Guards against a sender in watch mode that polls its agent only after the grace period: it counts as
+/// notified of a change as soon as the agent has it, for any size of the fleet.
 #[test]
 fn watched_list_is_polled_within_the_grace_period() {
     for seed in 0..200 {
         for senders in [1, 20, 300, usize::MAX] {
-            let mut schedule = PollSchedule::new(terms(senders, DiscoveryMode::Watch), seed);
+            let mut schedule = PollSchedule::new(config(senders, DiscoveryMode::Watch), seed);
             assert_eq!(schedule.initial_delay(), Duration::ZERO, "{senders} senders, seed {seed}");
             for _ in 0..20 {
                 let pause = schedule.record_failure();
@@ -100,22 +101,23 @@
     }
 }
 
-/// Guards against a watch whose silence is detected too late to receive what it missed before that counts as notified: 6 s
-/// after it fell silent or 2 s after the hold, whichever is later, in both modes; and against an agent that was
-/// unreachable, counts as heard the moment it is back, and is asked again later than the grace period allows.
+/// Guards against detecting a silent watch too late to receive the missed changes before they count as
+/// notified, in both modes: 6 s after the watch fell silent or 2 s after the hold, whichever is later. Also
+/// guards against polling an agent that was unreachable only after the grace period, which starts as soon as
+/// the agent is reachable again.
 #[test]
 fn silent_watch_is_detected_before_missed_changes_count_as_notified() {
-    const ANSWER: Duration = Duration::from_millis(500);
+    const RESPONSE_TIME: Duration = Duration::from_millis(500);
     for (seed, discovery) in
         (0..200).flat_map(|seed| [(seed, DiscoveryMode::Watch), (seed, DiscoveryMode::Poll)])
     {
         for drain_grace in [Duration::from_millis(250), GRACE] {
-            let mut schedule = PollSchedule::new(PollConfig { drain_grace, ..terms(300, discovery) }, seed);
+            let mut schedule = PollSchedule::new(PollConfig { drain_grace, ..config(300, discovery) }, seed);
             schedule.record_success();
             let watch = schedule.next_poll(PollScope::Changes);
             let notified_after = Duration::from_secs(6).max(watch.hold + Duration::from_secs(2));
             assert!(
-                watch.response_timeout.max(watch.total_timeout) + schedule.record_failure() + ANSWER
+                watch.response_timeout.max(watch.total_timeout) + schedule.record_failure() + RESPONSE_TIME
                     <= notified_after,
                 "{watch:?}"
             );
@@ -130,7 +132,7 @@
                         < schedule.next_poll(PollScope::Changes).response_timeout
                 );
             }
-            // A call for the complete list is answered at once or not at all.
+            // A call for the complete list is not held, and times out early.
             let complete_list = schedule.next_poll(PollScope::CompleteList);
             assert!(
                 complete_list.total_timeout + Duration::from_secs(2) <= Duration::from_secs(6),
@@ -140,11 +142,11 @@
     }
 }
 
-/// Guards against using the terms of the start after a reload.
+/// Guards against using the initial configuration after a reload.
 #[test]
-fn changed_terms_apply_from_the_next_call() {
-    let short = PollConfig { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) };
-    let mut schedule = PollSchedule::new(terms(3, DiscoveryMode::Watch), 1);
+fn changed_config_applies_from_the_next_call() {
+    let short = PollConfig { drain_grace: Duration::from_millis(250), ..config(3, DiscoveryMode::Watch) };
+    let mut schedule = PollSchedule::new(config(3, DiscoveryMode::Watch), 1);
     let before = schedule.next_poll(PollScope::Changes);
     schedule.set_config(short);
     assert_eq!(
@@ -154,35 +156,35 @@
     assert!(schedule.next_poll(PollScope::Changes).response_timeout < before.response_timeout);
 }
 
-/// Guards against an agent that is merely slow and never gets the time to answer.
+/// Guards against timeouts that are always too short for a slow agent.
 #[test]
-fn slow_agent_is_given_more_time() {
+fn timeouts_increase_after_many_failures() {
     let mut schedule = PollSchedule::new(
-        PollConfig { drain_grace: Duration::from_millis(250), ..terms(3, DiscoveryMode::Watch) },
+        PollConfig { drain_grace: Duration::from_millis(250), ..config(3, DiscoveryMode::Watch) },
         1,
     );
     let first = schedule.next_poll(PollScope::Changes);
     (0..SLOW_AGENT_FAILURES).for_each(|_| assert!(schedule.record_failure() > Duration::ZERO));
     let later = schedule.next_poll(PollScope::Changes);
     assert!(
-        first.response_timeout < ANSWER_TIMEOUT
-            && later.response_timeout >= ANSWER_TIMEOUT
+        first.response_timeout < RESPONSE_TIMEOUT
+            && later.response_timeout >= RESPONSE_TIMEOUT
             && later.total_timeout > first.total_timeout
     );
     schedule.record_success();
     assert_eq!(schedule.next_poll(PollScope::Changes).hold, HOLD);
 }
 
-/// Guards against a sender that exceeds the staleness limit after its start or a failed call; against a delay of zero or
-/// without bound, with an absurd fleet size; and against delays that stay long after an answer.
+/// Guards against a sender that exceeds the staleness limit after its start or a failed call; against a delay
+/// that is zero or unbounded for extreme fleet sizes; and against delays that remain long after a success.
 #[test]
-fn delays_are_bounded_whatever_the_settings_say() {
+fn delays_are_bounded_for_extreme_settings() {
     for seed in 0..200 {
         for senders in [0, 1, 3, 300, usize::MAX] {
             for staleness_limit in [STALENESS_LIMIT, Duration::from_secs(2), Duration::ZERO] {
-                let terms = PollConfig { staleness_limit, ..terms(senders, DiscoveryMode::Poll) };
+                let config = PollConfig { staleness_limit, ..config(senders, DiscoveryMode::Poll) };
                 let bound = if staleness_limit.is_zero() { STALENESS_LIMIT } else { staleness_limit };
-                let mut schedule = PollSchedule::new(terms, seed);
+                let mut schedule = PollSchedule::new(config, seed);
                 assert!(schedule.initial_delay() <= bound, "{senders} senders, seed {seed}");
                 for _ in 0..20 {
                     let pause = schedule.record_failure();
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -1,7 +1,7 @@
-//! What the daemon needs of the machine: wall clock, network, the state folder and a log.
+//! The interfaces through which the daemon uses the machine: clocks, network, state folder and log.
 //!
-//! The daemon uses none of them directly, so that a simulation can replace all four. Monotonic time is that of the tokio
-//! clock, which a simulation pauses; random numbers come from the seed in the configuration.
+//! A simulation replaces all of them. Monotonic time within a process comes from tokio's clock, which a
+//! simulation pauses; random numbers come from the seed in the configuration.
 use micadrum_recovery::Boot;
 use std::future::Future;
 use std::io;
@@ -13,25 +13,27 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A future that stays on its thread, as the whole daemon does.
+/// A boxed future that is not `Send`, because the daemon runs on one thread.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// The clocks of a machine: the one that all machines share, as far as they are synchronised, and one that is never set.
+/// The clocks of a machine: the real-time clock, which is synchronized between machines, and the monotonic
+/// clock.
 pub trait WallClock {
     /// Returns the time since the Unix epoch. The clock may be stepped at any time.
     fn now(&self) -> Duration;
 
-    /// Returns the time since some moment that stays the same for all processes of one boot of the machine.
+    /// Returns the time since an arbitrary moment, which is the same for all processes during one boot of the
+    /// machine.
     fn monotonic(&self) -> Duration;
 }
 
 /// An open connection. Dropping it closes it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {
-    /// Checks that nothing has arrived that was not read yet, neither bytes nor the end of the stream. The system itself is
-    /// asked, as the runtime learns of it later.
+    /// Checks that there is no unread input, neither bytes nor the end of the stream. Queries the system,
+    /// because the runtime is notified of input later.
     ///
     /// # Errors
-    /// `ConnectionAborted` if something has arrived, or what is wrong with the connection.
+    /// `ConnectionAborted` if there is unread input, or the error of the connection.
     fn check_no_unread_input(&self) -> io::Result<()>;
 }
 
@@ -40,22 +42,22 @@
     /// Accepts the next connection.
     ///
     /// # Errors
-    /// The error of the system, such as no descriptors left; the listener stays usable.
+    /// The error of the system, such as a lack of file descriptors; the listener remains usable.
     fn accept(&self) -> LocalFuture<'_, io::Result<Box<dyn Stream>>>;
 
-    /// Returns the address that the socket listens at.
+    /// Returns the local address of the socket.
     ///
     /// # Errors
     /// The error of the system.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 
-    /// Returns the descriptor of the system, where there is one that another process can take over.
+    /// Returns the file descriptor, which can be sent to another process; `None` if the listener has none.
     fn as_fd(&self) -> Option<BorrowedFd<'_>> {
         None
     }
 }
 
-/// A datagram socket. A datagram that cannot be sent now is lost, as on any link.
+/// A datagram socket. A datagram that cannot be sent at once is dropped.
 pub trait DatagramSocket {
     /// Sends a datagram.
     ///
@@ -63,10 +65,11 @@
     /// The error of the system, such as a full buffer.
     fn send(&self, to: SocketAddr, bytes: &[u8]) -> io::Result<()>;
 
-    /// Receives the next datagram into `buffer`, which truncates a longer one; returns its length.
+    /// Receives the next datagram into `buffer` and returns the number of bytes. A datagram longer than the
+    /// buffer is truncated.
     ///
     /// # Errors
-    /// The error of the system; the socket stays usable.
+    /// The error of the system; the socket remains usable.
     fn receive<'a>(&'a self, buffer: &'a mut [u8]) -> LocalFuture<'a, io::Result<usize>>;
 
     /// Returns the address that the socket is bound to.
@@ -78,19 +81,19 @@
 
 /// TCP and UDP, or a simulation of them.
 pub trait Network {
-    /// Connects; gives up only when dropped, or when the peer or the system refuses.
+    /// Connects to an address. There is no timeout: dropping the future cancels the attempt.
     fn connect(&self, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Stream>>>;
 
-    /// Listens at an address; port 0 asks for a free one.
+    /// Opens a listening socket at an address; port 0 selects a free port.
     fn listen(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn Listener>>>;
 
-    /// Binds a datagram socket; port 0 asks for a free one.
+    /// Binds a datagram socket to an address; port 0 selects a free port.
     fn bind(&self, at: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn DatagramSocket>>>;
 
     /// Takes over a listening socket of another process.
     ///
     /// # Errors
-    /// `Unsupported` where that is not possible, or the error of the system.
+    /// `Unsupported` if this network cannot do that, or the error of the system.
     fn adopt(&self, _listener: OwnedFd) -> io::Result<Box<dyn Listener>> {
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -104,14 +107,15 @@
     /// The error of the system; some of the bytes may have been appended.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes what was written so far durable; off the event loop, and not bound to this handle.
+    /// Makes everything written so far durable. The future does not block the event loop, and does not borrow
+    /// the file.
     ///
     /// # Errors
-    /// The error of the system. Nothing that was not durable before counts as written then, and a second attempt proves
-    /// nothing.
+    /// The error of the system. Data that was not durable before has to be treated as not written, even if a
+    /// later sync succeeds.
     fn sync(&self) -> LocalFuture<'static, io::Result<()>>;
 
-    /// Makes what was written so far durable at once, while everything else waits.
+    /// Makes everything written so far durable. Blocks the event loop until then.
     ///
     /// # Errors
     /// As [`AppendFile::sync`].
@@ -124,30 +128,30 @@
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 }
 
-/// The state folder, its files by name.
+/// The state folder, with files identified by name.
 pub trait Storage {
-    /// Reads a complete file; none if there is none.
+    /// Reads a complete file. Returns `None` if it does not exist.
     ///
     /// # Errors
     /// The error of the system.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Opens a file for appending; creates an empty one if there is none.
+    /// Opens a file for appending, and creates it if it does not exist.
     ///
     /// # Errors
     /// The error of the system.
     fn open(&self, name: &str) -> io::Result<Box<dyn AppendFile>>;
 
-    /// Creates an empty file, in place of one that may exist.
+    /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
     /// The error of the system.
     fn create(&self, name: &str) -> io::Result<Box<dyn AppendFile>>;
 
-    /// Atomically replaces a file by another.
+    /// Atomically renames a file, and replaces the file `to` if it exists.
     ///
     /// # Errors
-    /// The error of the system; both files are then as before.
+    /// The error of the system; both files are then unchanged.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Makes the creation, renaming and removal of files durable.
@@ -156,20 +160,20 @@
     /// The error of the system.
     fn sync_directory(&self) -> io::Result<()>;
 
-    /// Removes a file, if there is one.
+    /// Removes a file if it exists.
     ///
     /// # Errors
     /// The error of the system.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// The log for people on call.
+/// The log for operators.
 pub trait Log {
     /// Writes a line.
     fn line(&self, text: &str);
 }
 
-/// All ports, as one process of the daemon gets them.
+/// All ports of one daemon process.
 #[derive(Clone)]
 pub struct Ports {
     /// The clocks of the machine.
@@ -180,41 +184,42 @@
     pub storage: Rc<dyn Storage>,
     /// The log.
     pub log: Rc<dyn Log>,
-    /// How one process of the sender hands over to the next, where that is possible.
+    /// The settings of the handover to the next process; `None` disables handover.
     pub handover: Option<HandoverConfig>,
     /// Which traces are written to the log.
     pub traces: Traces,
-    /// The boot of the machine; none where the system does not name it, or nobody asks.
+    /// The current boot of the machine; `None` if the system does not identify boots, or no enabled feature
+    /// needs it.
     pub boot: Option<Boot>,
-    /// Random bytes of this process alone: no two processes have the same, also under one configuration.
+    /// Random bytes that differ between any two processes, even with the same configuration.
     pub entropy: [u8; 32],
 }
 
-/// How one process of the sender hands over to the next on one machine.
+/// The settings of the handover from one process of the sender to the next on the same machine.
 #[derive(Clone)]
 pub struct HandoverConfig {
-    /// The folder in which the processes find each other.
+    /// The folder of the handover socket and the lock file.
     pub folder: PathBuf,
-    /// Has the configuration read again, which [`super::Signal::ReloadIfChanged`] then brings: a SIGHUP that went to the
-    /// predecessor is meant for this process.
+    /// Requests that the configuration be read again and sent as [`super::Signal::ReloadIfChanged`]. Called
+    /// when a SIGHUP may have been sent to the predecessor instead of this process.
     pub request_reload: Rc<dyn Fn()>,
 }
 
-/// Which lines for programs are written to the log.
+/// The kinds of trace lines that are written to the log. Trace lines are read by programs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traces {
-    /// A line for each call.
+    /// A line for each call, connection attempt, endpoint list, and accepted or undelivered message.
     pub calls: bool,
-    /// A line for each change in the view of members.
+    /// A line for each change of the view of the fleet members.
     pub peers: bool,
-    /// What is trusted after a restart, and a line for each phase of the recovery.
+    /// A line for what the recovery trusts after a restart, and for each of its phases.
     pub recovery: bool,
     /// A line for each file that is created, synced or renamed.
     pub storage: bool,
 }
 
 impl Traces {
-    /// Parses names separated by commas; unknown names are ignored.
+    /// Parses a comma-separated list of names. Unknown names are ignored.
     #[must_use]
     pub fn parse(names: &str) -> Self {
         let named = |name: &str| names.split(',').any(|named| named.trim() == name);
