--- a/src/daemon/events.rs
+++ b/src/daemon/events.rs
@@ -23,7 +23,8 @@
     Accepted,
     /// The message is invalid.
     Malformed(InvalidMessage),
-    /// The message is valid, but the sender lacks the capacity to accept it now.
+    /// The message is valid, but cannot be accepted now: there is no capacity or not enough time to deliver
+    /// it, its destination is unknown, or it cannot be recorded.
     Rejected,
     /// The sender is recovering and accepts new messages at a limited rate: the client can retry after this
     /// time.
--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -32,7 +32,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// The name of the Unix socket in the state folder.
-const NAME: &str = "handover.sock";
+const SOCKET_NAME: &str = "handover.sock";
 /// The first message of a successor, with the protocol version.
 const HELLO: &[u8; 19] = b"micadrum handover 2";
 /// The successor's confirmation that it has taken over.
@@ -131,7 +131,7 @@
 /// # Errors
 /// Another process is running, and the handover failed or timed out.
 pub async fn start_up(folder: &Path, log: &dyn Log) -> Result<StartupMode, HandoverError> {
-    let mut lock_file = LockFile::open(folder).map_err(|error| log_unlocked(&error, log)).ok();
+    let mut lock_file = LockFile::open(folder).map_err(|error| log_lock_error(&error, log)).ok();
     let deadline = Instant::now() + HANDOVER_TIMEOUT;
     loop {
         if let Some(received) = request_handover(folder).await? {
@@ -142,7 +142,7 @@
             Ok(LockAttempt::Locked(lock)) => return Ok(StartupMode::Fresh(Some(lock))),
             Ok(LockAttempt::HeldElsewhere(unlocked)) => lock_file = Some(unlocked),
             Err(error) => {
-                log_unlocked(&error, log);
+                log_lock_error(&error, log);
                 return Ok(StartupMode::Fresh(None));
             }
         }
@@ -154,7 +154,7 @@
 }
 
 /// Logs that the folder cannot be locked. It is then used without a lock.
-fn log_unlocked(error: &io::Error, log: &dyn Log) {
+fn log_lock_error(error: &io::Error, log: &dyn Log) {
     log.line(&format!("state_lock: unavailable error={error}"));
 }
 
@@ -162,7 +162,7 @@
 /// connection.
 async fn request_handover(folder: &Path) -> Result<Option<ReceivedListener>, HandoverError> {
     // Connecting to a socket that an exited process left behind fails.
-    let Ok(stream) = UnixStream::connect(folder.join(NAME)).await else { return Ok(None) };
+    let Ok(stream) = UnixStream::connect(folder.join(SOCKET_NAME)).await else { return Ok(None) };
     let mut stream = ReadyStream(stream);
     stream.write_all(HELLO).await?;
     let received = timeout(HANDOVER_TIMEOUT, receive(stream)).await;
@@ -282,12 +282,12 @@
 /// Listens for successors until the process exits, and calls `on_request` with each of them. If the socket
 /// cannot be created, an error is logged and handover is unavailable.
 pub async fn listen(folder: PathBuf, on_request: impl Fn(Successor), log: Rc<dyn Log>) {
-    let path = folder.join(NAME);
+    let path = folder.join(SOCKET_NAME);
     // The socket of an earlier process would make `bind` fail.
     let _ = std::fs::remove_file(&path);
     let listener = match UnixListener::bind(&path) {
         Ok(listener) => listener,
-        Err(error) => return log.line(&format!("handover: unavailable file={NAME} error={error}")),
+        Err(error) => return log.line(&format!("handover: unavailable file={SOCKET_NAME} error={error}")),
     };
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/src/daemon/poll_schedule.rs
+++ b/src/daemon/poll_schedule.rs
@@ -2,7 +2,8 @@
 //! I/O and no clock.
 //!
 //! # Problem
-//! The discovery mode determines the cost of a call, and the time by which a sender has to know of a change.
+//! The discovery mode determines the cost of a call, and the time from which a sender counts as notified of a
+//! change, and so has to comply with it whether or not it has received it.
 //!
 //! - [`DiscoveryMode::Watch`]: the list is pushed to the agent on the sender's machine, so that calls are
 //!   cheap. The sender counts as notified of a change as soon as its agent has it, and has to stop sending to
@@ -24,8 +25,8 @@
 
 /// The time for which the agent may hold a call until there is a change. If a watch falls silent, the sender
 /// counts as notified of the missed changes 6 s later, or 2 s after the end of the hold if that is later,
-/// which is at least 7 s after the start of the call. The call times out after 6 s and is repeated within 75
-/// ms; the rest of the 7 s is for the response.
+/// which is at least 7 s after the start of the call. The call times out after 6 s. The next one follows
+/// within 75 ms, and the rest of the 7 s is for its response.
 const HOLD: Duration = Duration::from_secs(5);
 /// The time that a response may take in addition to the hold.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
--- a/src/daemon/state_lock.rs
+++ b/src/daemon/state_lock.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 /// The name of the lock file in the state folder. The file is empty.
-const NAME: &str = "lock";
+const LOCK_FILE_NAME: &str = "lock";
 /// The delay between two attempts to lock the folder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -50,7 +50,7 @@
     /// # Errors
     /// The file cannot be opened or created.
     pub fn open(folder: &Path) -> io::Result<Self> {
-        File::options().create(true).truncate(false).write(true).open(folder.join(NAME)).map(Self)
+        File::options().create(true).truncate(false).write(true).open(folder.join(LOCK_FILE_NAME)).map(Self)
     }
 
     /// Locks the folder unless another process holds the lock.
