--- a/crates/micadrum-fault-control/src/lib.rs
+++ b/crates/micadrum-fault-control/src/lib.rs
@@ -1,10 +1,12 @@
-//! The control file of the fault injection library: which system calls of a process fail, and how many did.
+//! The control file of the fault injection library. It specifies which system calls of a process fail and
+//! counts the injected failures.
 //!
-//! A test writes the file with [`ControlFile`]; `micadrum-fault-injection`, preloaded into the process under test, maps the
-//! same file into memory and obeys it. A change takes effect at the next system call. The file outlives the process, so that
-//! the counts of a process that was killed are not lost.
+//! A test writes the file with [`ControlFile`]; `micadrum-fault-injection`, preloaded into the process under
+//! test, maps the same file into memory and reads it on each call. A change takes effect at the next system
+//! call. The counts remain in the file after the process has been killed.
 //!
-//! The file is an array of little-endian 64-bit words: the seed, then [`WORDS_PER_FAULT`] words for each [`FaultKind`].
+//! The file is an array of little-endian 64-bit words: the seed, then [`WORDS_PER_FAULT`] words for each
+//! [`FaultKind`].
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -12,53 +14,54 @@
 
 /// The environment variable that names the control file of a process.
 pub const CONTROL_VARIABLE: &str = "MICADRUM_FAULT_CONTROL";
-/// The environment variable with the start of the paths that [`FaultKind::FolderWrite`] and [`FaultKind::FolderRead`] are
-/// about.
+/// The environment variable that holds the path prefix of the files that the folder faults apply to, such as
+/// [`FaultKind::FolderWrite`] and [`FaultKind::FolderRead`].
 pub const PATH_PREFIX_VARIABLE: &str = "MICADRUM_FAULT_PATH_PREFIX";
 /// The file name of the preloaded library.
 pub const LIBRARY_NAME: &str = "libmicadrum_fault_injection.so";
-/// Unit of [`Fault::rate`].
+/// The value of [`Fault::rate`] at which every system call fails; rates are in parts per million.
 pub const RATE_UNIT: u64 = 1_000_000;
-/// No bound on the number of injections.
+/// The value of [`Fault::limit`] that places no limit on the number of failures.
 pub const UNLIMITED: u64 = u64::MAX;
 
 const WORD_BYTES: u64 = 8;
-/// The word that holds the seed.
+/// The index of the word that holds the seed.
 pub const SEED_WORD: usize = 0;
-/// Words of one kind of fault.
+/// The number of words in the file for each kind of fault.
 pub const WORDS_PER_FAULT: usize = 6;
 
-/// What is made to fail.
+/// A kind of fault: the system calls that are affected, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
     /// `accept4` fails.
     Accept,
-    /// `connect` fails at once.
+    /// `connect` fails immediately.
     Connect,
     /// `socket` fails.
     Socket,
     /// `bind` fails.
     Bind,
-    /// Socket reads and writes transfer a part of what they could, at least one byte.
+    /// Socket reads and writes transfer fewer bytes than requested, but at least one.
     ShortTransfer,
-    /// Socket reads fail: the connection has an error.
+    /// Socket reads fail with a connection error.
     Receive,
-    /// System calls that wait, or transfer on sockets and files, fail with `EINTR`.
+    /// Blocking system calls, and transfers on sockets and files, fail with `EINTR`.
     Interrupt,
-    /// Writes to sockets are delayed by up to the parameter, in microseconds.
+    /// Writes to sockets are delayed by a random time; the parameter is its upper bound, in microseconds.
     DelayedWrite,
-    /// Writes, syncs, truncations, renames and creations of files in the folder fail.
+    /// Writes, syncs, truncations, renames and creations of files under the path prefix fail.
     FolderWrite,
-    /// A failing write to a file in the folder writes a part first; takes effect together with `FolderWrite`.
+    /// A write that `FolderWrite` makes fail first writes part of its data. Has no effect without
+    /// `FolderWrite`.
     TornWrite,
-    /// Openings and reads of files in the folder fail.
+    /// Opening and reading files under the path prefix fails.
     FolderRead,
-    /// The wall clock is off by the parameter, in microseconds as a signed number.
+    /// The wall clock is shifted by the parameter, in signed microseconds.
     WallClock,
 }
 
 impl FaultKind {
-    /// All kinds, in the order of the file.
+    /// All kinds, in the order in which the file stores them.
     pub const ALL: [Self; 12] = [
         Self::Accept,
         Self::Connect,
@@ -74,7 +77,7 @@
         Self::WallClock,
     ];
 
-    /// Returns the name that reports use.
+    /// Returns the name of the kind, as reports print it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -93,89 +96,90 @@
         }
     }
 
-    /// Returns the index of a word of this kind.
+    /// Returns the index in the file of one of the words of this kind.
     #[must_use]
     pub fn word(self, word: FaultWord) -> usize {
         SEED_WORD + 1 + self as usize * WORDS_PER_FAULT + word as usize
     }
 }
 
-/// The words of a kind of fault.
+/// The words that the file stores for each kind of fault, in order.
 #[derive(Clone, Copy, Debug)]
 pub enum FaultWord {
-    /// The share of the system calls that fail, in [`RATE_UNIT`]ths.
+    /// The fraction of the system calls that fail, in units of 1 / [`RATE_UNIT`]; zero disables the fault.
     Rate,
-    /// How many more system calls pass before the rate applies.
+    /// The number of system calls that still succeed before the rate applies.
     Skip,
-    /// How many more system calls may fail.
+    /// The number of system calls that may still fail.
     Remaining,
-    /// The error number, or what the kind says.
+    /// The error number, or the parameter that the [`FaultKind`] documents.
     Parameter,
-    /// How many system calls the fault could have hit while its rate was not zero.
+    /// The number of eligible system calls made while the fault was enabled.
     Seen,
-    /// How many system calls were made to fail.
+    /// The number of system calls that the fault has affected.
     Injected,
 }
 
-/// Returns the number of words of a control file.
+/// Returns the length of a control file, in 64-bit words.
 #[must_use]
 pub const fn file_words() -> usize {
     SEED_WORD + 1 + FaultKind::ALL.len() * WORDS_PER_FAULT
 }
 
-/// How a kind of system call fails.
+/// The settings of a fault of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What fails.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// The share of the system calls that fail, in [`RATE_UNIT`]ths.
+    /// The fraction of the system calls that fail, in units of 1 / [`RATE_UNIT`].
     pub rate: u64,
-    /// How many system calls pass first.
+    /// The number of system calls that succeed before the rate applies.
     pub skip: u64,
-    /// How many system calls fail at most.
+    /// The maximum number of system calls that fail; [`UNLIMITED`] for no limit.
     pub limit: u64,
-    /// The error number, or what the kind says; 0 chooses among the errors that the system documents for the call.
+    /// The error number, or the parameter that the [`FaultKind`] documents. An error number of 0 chooses at
+    /// random among the errors that Linux documents for the call.
     pub parameter: i64,
 }
 
 impl Fault {
-    /// Creates a fault that hits every system call of its kind.
+    /// Creates a fault that affects every system call of its kind.
     #[must_use]
     pub fn always(kind: FaultKind) -> Self {
         Self { kind, rate: RATE_UNIT, skip: 0, limit: UNLIMITED, parameter: 0 }
     }
 
-    /// Creates a fault that hits one of so many system calls, at random.
+    /// Creates a fault that affects system calls at random, one in `calls` on average.
     #[must_use]
     pub fn one_in(kind: FaultKind, calls: u64) -> Self {
         Self { rate: RATE_UNIT / calls.max(1), ..Self::always(kind) }
     }
 
-    /// Sets the error number, or what the kind says.
+    /// Sets the error number, or the parameter that the [`FaultKind`] documents.
     #[must_use]
     pub fn with_parameter(self, parameter: i64) -> Self {
         Self { parameter, ..self }
     }
 
-    /// Sets how many system calls pass first.
+    /// Sets the number of system calls that succeed before the rate applies.
     #[must_use]
     pub fn after(self, skip: u64) -> Self {
         Self { skip, ..self }
     }
 
-    /// Sets how many system calls fail at most.
+    /// Sets the maximum number of system calls that fail.
     #[must_use]
     pub fn at_most(self, limit: u64) -> Self {
         Self { limit, ..self }
     }
 }
 
-/// How often a fault was injected.
+/// The counts of system calls for one kind of fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultCount {
-    /// How many system calls the fault could have hit.
+    /// The number of eligible system calls made while the fault was enabled.
     pub seen: u64,
-    /// How many system calls were made to fail.
+    /// The number of system calls that the fault has affected.
     pub injected: u64,
 }
 
@@ -186,10 +190,10 @@
 }
 
 impl ControlFile {
-    /// Creates a control file under which nothing fails.
+    /// Creates a control file without faults. An existing file is overwritten.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Returns an error if the file cannot be created or written.
     pub fn create(path: &Path, seed: u64) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(file_words() as u64 * WORD_BYTES)?;
@@ -198,38 +202,38 @@
         Ok(control)
     }
 
-    /// Returns the path of the file, for [`CONTROL_VARIABLE`].
+    /// Returns the path of the file, to be passed in [`CONTROL_VARIABLE`].
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Begins a fault, in place of another one of its kind.
+    /// Enables a fault. It replaces the previous fault of the same kind.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn begin(&self, fault: Fault) -> io::Result<()> {
         let Fault { kind, rate, skip, limit, parameter } = fault;
         self.end(kind)?;
         self.write(kind.word(FaultWord::Skip), skip)?;
         self.write(kind.word(FaultWord::Remaining), limit)?;
         self.write(kind.word(FaultWord::Parameter), parameter.cast_unsigned())?;
-        // Last: the fault is complete once the rate says that there is one.
+        // The rate is written last, as a non-zero rate enables the fault.
         self.write(kind.word(FaultWord::Rate), rate)
     }
 
-    /// Ends the fault of a kind.
+    /// Disables the fault of a kind.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn end(&self, kind: FaultKind) -> io::Result<()> {
         self.write(kind.word(FaultWord::Rate), 0)
     }
 
-    /// Returns how often a kind of fault was injected so far.
+    /// Returns the counts for a kind of fault since the file was created.
     ///
     /// # Errors
-    /// The file cannot be read.
+    /// Returns an error if the file cannot be read.
     pub fn count(&self, kind: FaultKind) -> io::Result<FaultCount> {
         Ok(FaultCount {
             seen: self.read(kind.word(FaultWord::Seen))?,
@@ -248,15 +252,16 @@
     }
 }
 
-/// The library cannot be found.
+/// The error of [`library_path`] when the built library is missing. It holds the folder that was searched.
 #[derive(Debug, thiserror::Error)]
-#[error("{LIBRARY_NAME} is not in {0}: build the whole workspace")]
+#[error("{LIBRARY_NAME} not found in {0}; build it with `cargo build --workspace`")]
 pub struct LibraryMissing(PathBuf);
 
-/// Returns the path of the built library, for `LD_PRELOAD`: beside the running program, or in a neighbouring folder.
+/// Returns the path of the built library, to be passed in `LD_PRELOAD`. Searches the folder of the running
+/// program, that folder's parent, and the `deps` folders in both.
 ///
 /// # Errors
-/// There is no such file.
+/// Returns an error if the library is in none of these folders.
 pub fn library_path() -> Result<PathBuf, LibraryMissing> {
     let program = std::env::current_exe().unwrap_or_default();
     let folders = program.ancestors().skip(1).take(2);
--- a/crates/micadrum-fault-injection/src/files.rs
+++ b/crates/micadrum-fault-injection/src/files.rs
@@ -1,4 +1,4 @@
-//! Functions on files.
+//! Overrides of the libc functions that operate on files.
 use crate::control::{Control, control, injected, injected_error};
 use crate::{fail, result};
 use libc::{c_char, c_int, c_void, off_t, size_t, ssize_t};
@@ -9,22 +9,22 @@
 const READ_ERRORS: [c_int; 1] = [libc::EIO];
 const INTERRUPTED: [c_int; 1] = [libc::EINTR];
 
-/// Returns the control file if a fault of that kind may hit the descriptor.
+/// Returns the control file if a fault of this kind is enabled and applies to the descriptor.
 fn folder_control(kind: FaultKind, descriptor: c_int) -> Option<&'static Control> {
     let control = control().filter(|control| control.is_active(kind))?;
     control.is_file_in_folder(descriptor).then_some(control)
 }
 
-/// Returns the error that a change of a file in the folder fails with.
+/// Returns the error to inject into a modification of the file that `descriptor` refers to.
 fn write_error(descriptor: c_int) -> Option<c_int> {
     folder_control(FaultKind::FolderWrite, descriptor)?;
     injected_error(FaultKind::FolderWrite, &FOLDER_ERRORS)
 }
 
-/// Returns the error that a change under a path in the folder fails with.
+/// Returns the error to inject into a call on `path`.
 fn path_error(kind: FaultKind, path: *const c_char, documented: &[c_int]) -> Option<c_int> {
     let control = control().filter(|control| control.is_active(kind))?;
-    // SAFETY: the caller's path ends with a zero byte.
+    // SAFETY: the caller passes a NUL-terminated path.
     let path = unsafe { CStr::from_ptr(path) };
     if !control.is_in_folder(path.to_bytes()) {
         return None;
@@ -32,13 +32,14 @@
     injected_error(kind, documented)
 }
 
-/// Stands in for `write`.
+/// Overrides `write`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    // A descriptor that never blocks, such as the one that wakes an event loop, is never interrupted.
+    // Only files under the path prefix are interrupted: a write to an event descriptor never blocks, so it
+    // never fails with `EINTR`.
     if folder_control(FaultKind::Interrupt, descriptor).is_some()
         && let Some(error) = injected_error(FaultKind::Interrupt, &INTERRUPTED)
     {
@@ -46,19 +47,19 @@
     }
     if let Some(error) = write_error(descriptor) {
         if length > 1 && injected(FaultKind::TornWrite).is_some() {
-            // SAFETY: the caller's buffer holds more than half of its length.
+            // SAFETY: the caller's buffer holds at least `length` bytes.
             unsafe { libc::syscall(libc::SYS_write, descriptor, buffer, length / 2) };
         }
         return fail(error) as ssize_t;
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     unsafe { libc::syscall(libc::SYS_write, descriptor, buffer, length) as ssize_t }
 }
 
-/// Stands in for `read`.
+/// Overrides `read`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
     if folder_control(FaultKind::FolderRead, descriptor).is_some()
@@ -66,57 +67,58 @@
     {
         return fail(error) as ssize_t;
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     unsafe { libc::syscall(libc::SYS_read, descriptor, buffer, length) as ssize_t }
 }
 
-/// Stands in for `fdatasync`.
+/// Overrides `fdatasync`.
 #[unsafe(no_mangle)]
 pub extern "C" fn fdatasync(descriptor: c_int) -> c_int {
     if let Some(error) = write_error(descriptor) {
         return fail(error);
     }
-    // SAFETY: a system call without pointers.
+    // SAFETY: the system call takes no pointers.
     result(unsafe { libc::syscall(libc::SYS_fdatasync, descriptor) })
 }
 
-/// Stands in for `fsync`.
+/// Overrides `fsync`.
 #[unsafe(no_mangle)]
 pub extern "C" fn fsync(descriptor: c_int) -> c_int {
     if let Some(error) = write_error(descriptor) {
         return fail(error);
     }
-    // SAFETY: a system call without pointers.
+    // SAFETY: the system call takes no pointers.
     result(unsafe { libc::syscall(libc::SYS_fsync, descriptor) })
 }
 
-/// Stands in for `ftruncate64`.
+/// Overrides `ftruncate64`.
 #[unsafe(no_mangle)]
 pub extern "C" fn ftruncate64(descriptor: c_int, length: off_t) -> c_int {
     if let Some(error) = write_error(descriptor) {
         return fail(error);
     }
-    // SAFETY: a system call without pointers.
+    // SAFETY: the system call takes no pointers.
     result(unsafe { libc::syscall(libc::SYS_ftruncate, descriptor, length) })
 }
 
-/// Stands in for `rename`.
+/// Overrides `rename`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     if let Some(error) = path_error(FaultKind::FolderWrite, to, &FOLDER_ERRORS) {
         return fail(error);
     }
-    // SAFETY: the caller's paths are passed on.
+    // SAFETY: the paths are passed through unchanged.
     result(unsafe { libc::syscall(libc::SYS_renameat2, libc::AT_FDCWD, from, libc::AT_FDCWD, to, 0) })
 }
 
-/// Stands in for `open64`. The C library's function takes the mode as a variable argument, which is passed alike.
+/// Overrides `open64`. In C its mode is a variadic argument, which the calling convention passes like a fixed
+/// one.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int {
     if let Some(error) = injected_error(FaultKind::Interrupt, &INTERRUPTED) {
@@ -130,6 +132,6 @@
     if let Some(error) = error {
         return fail(error);
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     result(unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode) })
 }
--- a/crates/micadrum-fault-injection/src/lib.rs
+++ b/crates/micadrum-fault-injection/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stands in for functions of the C library in a process under test, and makes some of the calls fail in the ways that Linux
+//! Overrides libc functions in a process under test and makes some of the calls fail with errors that Linux
 //! documents.
 //!
-//! The library is loaded with `LD_PRELOAD`. Which calls fail stands in the control file (see `micadrum-fault-control`). Without
-//! one, all calls pass. Calls that pass go to the kernel directly.
+//! The library is loaded with `LD_PRELOAD`. The control file (see `micadrum-fault-control`) specifies which
+//! calls fail; without one, no call fails. All other calls go to the kernel directly, as raw system calls.
 mod control;
 mod files;
 mod sockets;
@@ -10,14 +10,14 @@
 
 use libc::c_int;
 
-/// Sets `errno` and returns what a failing system call returns.
+/// Sets `errno` and returns -1, as a failing libc function does.
 fn fail(error: c_int) -> c_int {
-    // SAFETY: the pointer to the calling thread's `errno` is always valid.
+    // SAFETY: `__errno_location` always returns a valid pointer to the calling thread's `errno`.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// Returns the result of a raw system call in the type that the C library's function has.
+/// Converts the result of `libc::syscall` to the return type of the libc function.
 fn result(returned: libc::c_long) -> c_int {
     returned as c_int
 }
--- a/crates/micadrum-fault-injection/src/sockets.rs
+++ b/crates/micadrum-fault-injection/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Functions on sockets, and those that wait.
+//! Overrides of the libc functions that operate on sockets, and of `epoll_wait`.
 use crate::control::{control, injected, injected_error};
 use crate::{fail, result};
 use libc::{c_int, c_void, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t};
@@ -13,7 +13,7 @@
 const RECEIVE_ERRORS: [c_int; 3] = [libc::ECONNRESET, libc::ETIMEDOUT, libc::EHOSTUNREACH];
 const INTERRUPTED: [c_int; 1] = [libc::EINTR];
 
-/// Returns the address family of a socket; none if the descriptor is no socket.
+/// Returns the address family of a socket, or `None` if the descriptor is not a socket.
 fn socket_domain(descriptor: c_int) -> Option<c_int> {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
@@ -25,13 +25,13 @@
     (outcome == 0).then_some(domain)
 }
 
-/// Whether a descriptor is a socket.
+/// Returns whether a descriptor refers to a socket.
 fn is_socket(descriptor: c_int) -> bool {
     socket_domain(descriptor).is_some()
 }
 
-/// Returns the error of a transfer that a signal interrupts: on a TCP connection alone, as the pair of Unix sockets by which a
-/// process tells itself of signals never waits.
+/// Returns the error to inject into a transfer that a signal interrupts. Only IPv4 sockets are affected: the
+/// Unix socket pair through which a runtime receives its own signals never blocks.
 fn interruption(descriptor: c_int) -> Option<c_int> {
     let is_active = control().is_some_and(|control| control.is_active(FaultKind::Interrupt));
     if !is_active || socket_domain(descriptor) != Some(libc::AF_INET) {
@@ -40,7 +40,8 @@
     injected_error(FaultKind::Interrupt, &INTERRUPTED)
 }
 
-/// Returns the bytes that a transfer of `length` bytes may move: fewer, but at least one, if it has to be short.
+/// Returns the number of bytes to transfer: `length`, or fewer but at least one if a short transfer is
+/// injected.
 fn transfer_length(length: size_t) -> size_t {
     if length <= 1 || injected(FaultKind::ShortTransfer).is_none() {
         return length;
@@ -48,23 +49,22 @@
     control().map_or(length, |control| 1 + control.random_below(length as u64 - 1) as size_t)
 }
 
-/// Delays a write, as if the process had not been scheduled.
+/// Sleeps before a write if a delay is injected, as if the process had not been scheduled.
 fn delay_write() {
     let Some(max_us) = injected(FaultKind::DelayedWrite) else { return };
     let delay_us = control().map_or(0, |control| control.random_below(max_us.unsigned_abs().max(1)));
     std::thread::sleep(std::time::Duration::from_micros(delay_us));
 }
 
-/// Returns the error that a read from a socket fails with.
+/// Returns the error to inject into a read from a socket.
 fn receive_error(descriptor: c_int) -> Option<c_int> {
     interruption(descriptor).or_else(|| injected_error(FaultKind::Receive, &RECEIVE_ERRORS))
 }
 
-/// Stands in for `accept4`. No connection is taken from the queue when the call fails, as with a lack of descriptors, or as
-/// with an aborted connection in front of the others.
+/// Overrides `accept4`. An injected failure leaves the accept queue unchanged.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     descriptor: c_int,
@@ -76,11 +76,11 @@
     if let Some(error) = interrupted.or_else(|| injected_error(FaultKind::Accept, &ACCEPT_ERRORS)) {
         return fail(error);
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     result(unsafe { libc::syscall(libc::SYS_accept4, descriptor, address, length, flags) })
 }
 
-/// Stands in for `socket`.
+/// Overrides `socket`.
 #[unsafe(no_mangle)]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET
@@ -88,44 +88,44 @@
     {
         return fail(error);
     }
-    // SAFETY: a system call without pointers.
+    // SAFETY: the system call takes no pointers.
     result(unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) })
 }
 
-/// Stands in for `connect`.
+/// Overrides `connect`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: the caller's address is at least as long as its family.
+    // SAFETY: the caller passes a valid address, which begins with the address family.
     let is_internet = unsafe { (*address).sa_family } == libc::AF_INET as libc::sa_family_t;
     if is_internet && let Some(error) = injected_error(FaultKind::Connect, &CONNECT_ERRORS) {
         return fail(error);
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     result(unsafe { libc::syscall(libc::SYS_connect, descriptor, address, length) })
 }
 
-/// Stands in for `bind`.
+/// Overrides `bind`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn bind(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: the caller's address is at least as long as its family.
+    // SAFETY: the caller passes a valid address, which begins with the address family.
     let is_internet = unsafe { (*address).sa_family } == libc::AF_INET as libc::sa_family_t;
     if is_internet && let Some(error) = injected_error(FaultKind::Bind, &BIND_ERRORS) {
         return fail(error);
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     result(unsafe { libc::syscall(libc::SYS_bind, descriptor, address, length) })
 }
 
-/// Stands in for `epoll_wait`.
+/// Overrides `epoll_wait`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     descriptor: c_int,
@@ -137,7 +137,7 @@
         return fail(error);
     }
     let no_mask = std::ptr::null::<c_void>();
-    // SAFETY: the caller's arguments are passed on, without a signal mask.
+    // SAFETY: the arguments are passed through unchanged, with a null signal mask.
     result(unsafe {
         libc::syscall(
             libc::SYS_epoll_pwait,
@@ -151,10 +151,10 @@
     })
 }
 
-/// Stands in for `recv`.
+/// Overrides `recv`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -172,10 +172,10 @@
     unsafe { libc::syscall(libc::SYS_recvfrom, descriptor, buffer, length, flags, none, none) as ssize_t }
 }
 
-/// Stands in for `send`.
+/// Overrides `send`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -193,24 +193,25 @@
     unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, none, 0) as ssize_t }
 }
 
-/// Stands in for `readv`.
+/// Overrides `readv`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn readv(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     if count > 0 && is_socket(descriptor) {
-        // SAFETY: there is a first part. Reading into it alone is a short read.
+        // SAFETY: `count` is positive, so there is a first buffer. Reading only into that buffer is a valid
+        // short read.
         return unsafe { recv(descriptor, (*parts).iov_base, (*parts).iov_len, 0) };
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     unsafe { libc::syscall(libc::SYS_readv, descriptor, parts, count) as ssize_t }
 }
 
-/// Stands in for `writev`.
+/// Overrides `writev`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// The same requirements as for the libc function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     if count > 0 && is_socket(descriptor) {
@@ -218,22 +219,22 @@
             return fail(error) as ssize_t;
         }
         delay_write();
-        // SAFETY: the caller's array has `count` parts.
+        // SAFETY: the caller's array has `count` elements.
         let parts = unsafe { std::slice::from_raw_parts(parts, count as usize) };
         let first = parts.iter().find(|part| part.iov_len > 0).unwrap_or(&parts[0]);
         let shortened = transfer_length(first.iov_len);
         if shortened < first.iov_len {
             let flags = libc::MSG_NOSIGNAL;
             let none = std::ptr::null::<c_void>();
-            // SAFETY: the caller's first part holds at least that many bytes.
+            // SAFETY: the caller's buffer holds more than `shortened` bytes.
             return unsafe {
                 libc::syscall(libc::SYS_sendto, descriptor, first.iov_base, shortened, flags, none, 0)
                     as ssize_t
             };
         }
-        // SAFETY: the caller's arguments are passed on.
+        // SAFETY: the arguments are passed through unchanged.
         return unsafe { libc::syscall(libc::SYS_writev, descriptor, parts.as_ptr(), count) as ssize_t };
     }
-    // SAFETY: the caller's arguments are passed on.
+    // SAFETY: the arguments are passed through unchanged.
     unsafe { libc::syscall(libc::SYS_writev, descriptor, parts, count) as ssize_t }
 }
