--- a/crates/micadrum-recovery/src/admission.rs
+++ b/crates/micadrum-recovery/src/admission.rs
@@ -1,16 +1,16 @@
-//! Admission of new messages while a sender recovers: the rate grows exponentially, and each rejected client is given a
-//! moment of its own to retry at.
+//! Admission of new messages during recovery. The admitted rate grows exponentially, and rejected clients
+//! receive staggered retry times.
 use std::time::Duration;
 
-/// Upper bound on the wait given to a rejected client.
+/// The upper bound on the retry delay of a rejected client.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// How often the rate doubles until the limit is lifted.
+/// The number of times that the rate doubles before the limit is removed.
 const DOUBLINGS: f64 = 5.0;
-/// The burst admitted at one moment, as a fraction of the rate per second.
-const BURSTS_PER_SECOND: f64 = 10.0;
+/// The burst size is the rate per second divided by this number.
+const RATE_TO_BURST_RATIO: f64 = 10.0;
 const MIN_RATE_PER_SECOND: f64 = 1.0;
 
-/// A token bucket whose rate grows.
+/// A token bucket whose refill rate grows exponentially until it is unlimited.
 #[derive(Clone, Debug)]
 pub struct Admission {
     started_at: Duration,
@@ -18,13 +18,13 @@
     ramp: Duration,
     tokens: f64,
     refilled_at: Duration,
-    /// The latest moment given to a rejected client.
+    /// The latest retry time returned to a rejected client.
     last_retry_at: Duration,
 }
 
 impl Admission {
-    /// Starts with `initial_rate` messages per second. The rate doubles with each fifth of `ramp` that passes, and is
-    /// unlimited after it.
+    /// Creates a limiter that starts at `initial_rate` messages per second, but at least one. The rate
+    /// doubles after each fifth of `ramp` and is unlimited after `ramp`.
     #[must_use]
     pub fn new(initial_rate: f64, ramp: Duration, now: Duration) -> Self {
         Self {
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Whether the rate is unlimited.
+    /// Returns whether the ramp has ended, so that the rate is unlimited.
     #[must_use]
-    pub fn is_over(&self, now: Duration) -> bool {
+    pub fn has_ended(&self, now: Duration) -> bool {
         now.saturating_sub(self.started_at) >= self.ramp
     }
 
@@ -49,17 +49,18 @@
         self.initial_rate * (DOUBLINGS * progress.min(1.0)).exp2()
     }
 
-    /// Admits a new message.
+    /// Admits a new message if the rate allows it.
     ///
     /// # Errors
-    /// Returns how long the client has to wait before it retries.
+    /// Returns the time after which the client may retry. Consecutive rejections return increasing times, up
+    /// to an upper bound.
     pub fn admit(&mut self, now: Duration) -> Result<(), Duration> {
-        if self.is_over(now) {
+        if self.has_ended(now) {
             return Ok(());
         }
         let rate = self.rate(now);
         let elapsed = now.saturating_sub(std::mem::replace(&mut self.refilled_at, now)).as_secs_f64();
-        self.tokens = (self.tokens + rate * elapsed).min((rate / BURSTS_PER_SECOND).max(1.0));
+        self.tokens = (self.tokens + rate * elapsed).min((rate / RATE_TO_BURST_RATIO).max(1.0));
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
--- a/crates/micadrum-recovery/src/lib.rs
+++ b/crates/micadrum-recovery/src/lib.rs
@@ -1,12 +1,14 @@
-//! Recovery after a restart: what a sender trusts of the state folder that it finds, what it asks other senders, and the
-//! order in which service returns.
+//! Recovery of a sender after a restart: how far it trusts its state folder, what it queries from other
+//! senders, and the order in which it resumes service.
 //!
-//! The parts are free of I/O and clocks: [`journal_trust`] assesses the journal and the clock, [`message_recovery`] derives
-//! what happens to each pending message, [`peer_query`] and [`peer_report`] collect what other senders know, [`phases`]
-//! decides when what is permitted, and [`admission`] limits the rate of new messages. Wall times are microseconds since
-//! 1970, as in the journal; other times are [`std::time::Duration`]s since an origin on a monotonic clock.
+//! The modules perform no I/O and read no clock. [`journal_trust`] assesses the journal and the clock,
+//! [`message_recovery`] decides what happens to each pending message, [`peer_query`] and [`peer_report`]
+//! collect reports from other senders, [`phases`] defines what is permitted in each recovery phase, and
+//! [`admission`] limits the rate of new messages. Wall times are microseconds since the Unix epoch, as in the
+//! journal; other times are [`std::time::Duration`]s since an origin on a monotonic clock.
 //!
-//! Recovery only ever adds caution. A sender that no other sender knows anything about, or that is alone, still serves.
+//! Reports from other senders can only make recovery more cautious. A sender without reports still recovers
+//! to full service.
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -23,11 +25,11 @@
 pub use phases::{Phases, RecoveryPhase};
 use serde::{Deserialize, Serialize};
 
-/// A trace record about the recovery of a process. JSON names are part of the trace format.
+/// A trace record about the recovery of a process. The JSON names are part of the trace format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
-    /// What the process found and how far it trusts that.
+    /// The assessment of the journal and the clock at startup.
     Trust(Trust),
     /// A phase has ended.
     #[serde(rename = "step")]
