--- a/crates/micadrum-recovery/src/journal_trust/finding.rs
+++ b/crates/micadrum-recovery/src/journal_trust/finding.rs
@@ -1,85 +1,85 @@
-//! The results of assessing a journal, and the findings reported to operators. JSON names are part of the
+//! The results of the assessment, and the findings reported to operators. The JSON names are part of the
 //! `/status/recovery` and trace formats.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Whether the machine was restarted since the journal was last written.
+/// Whether the machine rebooted since the last stamp was written to the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BootComparison {
-    /// The machine was not restarted: all that was written is there.
+    /// The boot id is the same, so all writes to the journal have been kept.
     #[serde(rename = "same")]
     SameBoot,
-    /// The machine was restarted.
+    /// The boot id is different.
     #[serde(rename = "another")]
     Rebooted,
-    /// Unknown, which is treated like a restart.
+    /// At least one boot id is unknown; treated as a reboot.
     #[serde(rename = "unknown")]
     Unknown,
 }
 
-/// How far the contents of the journal are trusted. The order goes from no trust to full trust.
+/// How far the contents of the journal are trusted, ordered from no trust to full trust.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum JournalTrust {
     /// The journal belongs to another sender and is ignored.
     #[serde(rename = "void")]
     Foreign,
-    /// What the journal holds is true, but later records may be missing.
+    /// The records are valid, but some may be missing.
     #[serde(rename = "hint")]
     Incomplete,
-    /// The journal is complete.
+    /// The journal holds every record that was written.
     #[serde(rename = "binds")]
     Complete,
 }
 
-/// Whether durations between wall times of before the start and of now are meaningful.
+/// Whether wall times from before the restart can be compared with the current wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClockTrust {
-    /// Such durations are meaningful.
+    /// The times can be compared.
     #[serde(rename = "believed")]
     Trusted,
-    /// The machine was restarted and nobody guarantees its clock, which may be off by hours.
+    /// The machine rebooted and the operators do not guarantee its clock, so it may be wrong by hours.
     #[serde(rename = "unchecked")]
     Unverified,
-    /// The clock is behind the journal by this many microseconds.
+    /// The clock is behind the latest time in the journal by this many microseconds.
     #[serde(rename = "behind")]
     Behind(u64),
-    /// The clock differs from that of most other senders by this many microseconds.
+    /// The clock differs from the median clock of the other senders by this many microseconds.
     #[serde(rename = "off")]
     Skewed(u64),
 }
 
-/// A finding that is reported to operators in one log line.
+/// A finding of the assessment. It is displayed as one line, in the log and by `micadrum recovery`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RecoveryFinding {
-    /// There is no journal.
+    /// The state folder holds no journal, or an empty one.
     Empty,
-    /// The journal belongs to the sender of this name.
+    /// The journal belongs to another sender, with this name.
     Foreign(String),
-    /// The boot id is unknown now, or was when the journal was written.
+    /// The current boot id or the one in the journal is unknown.
     #[serde(rename = "no-boot")]
     BootIdMissing,
-    /// The journal has no stamp: it was written before recovery was enabled.
+    /// The journal has no stamp, as it was written before recovery was enabled.
     #[serde(rename = "unstamped")]
     StampMissing,
-    /// The machine was restarted since the journal was written.
+    /// The machine rebooted since the journal was written.
     Rebooted {
-        /// The journal survives a crash of the machine.
+        /// Whether the journal was written to survive a crash of the machine.
         #[serde(rename = "outlasted")]
         journal_survived: bool,
     },
-    /// The last record was incomplete; its length in bytes.
+    /// The last record is incomplete. Holds its length in bytes.
     #[serde(rename = "torn")]
     TornRecord(usize),
-    /// Records between readable ones are unreadable; their length in bytes.
+    /// Records between readable ones are unreadable. Holds their length in bytes.
     #[serde(rename = "damaged")]
     CorruptRecords(usize),
-    /// Other senders know a higher incarnation of this sender.
+    /// Other members know a higher incarnation of this sender than the state folder does.
     #[serde(rename = "older")]
     OutdatedFolder {
-        /// The number of that incarnation.
+        /// The incarnation that the other members know.
         known: u64,
     },
     /// The clock is not trusted.
@@ -90,33 +90,32 @@
 impl fmt::Display for RecoveryFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Empty => f.write_str("the folder holds no journal: a first start, or a folder that was lost"),
+            Self::Empty => f.write_str("no journal found: first start, or the state folder was lost"),
             Self::Foreign(name) => {
-                write!(f, "the journal is that of {name:?}: it is set aside, and nothing of it is sent")
+                write!(f, "foreign journal renamed sender={name:?}: its messages are not sent")
             }
             Self::StampMissing => f.write_str(
-                "the journal does not say on which run of the machine it was written: what it holds may have run",
-            ),
-            Self::BootIdMissing => f.write_str(
-                "no boot id, now or then: nobody can tell whether the machine began anew, so it is taken as if it did",
+                "journal has no stamp: treated as a reboot, and its pending messages may have been delivered",
             ),
+            Self::BootIdMissing => {
+                f.write_str("boot id unknown, now or when the journal was written: treated as a reboot")
+            }
             Self::Rebooted { journal_survived: true } => {
-                f.write_str("the machine began anew; the journal was written to outlast that")
+                f.write_str("machine rebooted journal_survived=true")
             }
             Self::Rebooted { journal_survived: false } => f.write_str(
-                "the machine began anew, and the journal was not written to outlast that: what it holds may have run, \
-                 and its last records may be gone",
+                "machine rebooted journal_survived=false: pending messages may have been delivered, and the \
+                 last records may be missing",
             ),
             Self::TornRecord(bytes) => {
-                write!(f, "{bytes} bytes of a last record that was broken off are cut off")
+                write!(f, "incomplete last record truncated bytes={bytes}")
             }
             Self::CorruptRecords(bytes) => {
-                write!(f, "{bytes} bytes between records cannot be read: what the journal holds may have run")
+                write!(f, "corrupt journal records bytes={bytes}: pending messages may have been delivered")
             }
             Self::OutdatedFolder { known } => write!(
                 f,
-                "others know life {known} of this sender, its folder does not: an older copy, or lost; what it holds may \
-                 have run"
+                "outdated state folder known_incarnation={known}: pending messages may have been delivered"
             ),
             Self::ClockUntrusted(clock) => fmt_clock(*clock, f),
         }
@@ -125,16 +124,16 @@
 
 fn fmt_clock(clock: ClockTrust, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     match clock {
-        ClockTrust::Trusted => f.write_str("the clock is believed"),
+        ClockTrust::Trusted => f.write_str("clock trusted"),
         ClockTrust::Unverified => f.write_str(
-            "the machine began anew and nobody vouches for its clock: waits count from now, and what may have run \
-             is not sent again within a window",
+            "clock unverified after a reboot: waits restart now, and messages that are idempotent only within \
+             a window are not resent if they may have been delivered",
         ),
-        ClockTrust::Behind(by) => {
-            write!(f, "the clock stands {} s before what was written", by.div_ceil(MICROS_PER_SECOND))
+        ClockTrust::Behind(behind_us) => {
+            write!(f, "clock behind the journal behind_s={}", behind_us.div_ceil(MICROS_PER_SECOND))
         }
-        ClockTrust::Skewed(by) => {
-            write!(f, "the clock stands {} s off that of the other senders", by.div_ceil(MICROS_PER_SECOND))
+        ClockTrust::Skewed(skew_us) => {
+            write!(f, "clock differs from other senders skew_s={}", skew_us.div_ceil(MICROS_PER_SECOND))
         }
     }
 }
--- a/crates/micadrum-recovery/src/journal_trust/mod.rs
+++ b/crates/micadrum-recovery/src/journal_trust/mod.rs
@@ -1,6 +1,6 @@
-//! How far the journal found at the start and the clock are trusted. The assessment depends on whether the machine was
-//! restarted, which failures the journal survives, who vouches for the clock, and which incarnations of this sender other
-//! members know.
+//! Assessment of how far a process trusts its journal and the wall clock at startup. The result depends on
+//! whether the machine rebooted, which failures the journal survives, whether the operators guarantee the
+//! clock, and which incarnations of this sender other members know.
 mod finding;
 mod stamp;
 
@@ -9,37 +9,40 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A clock behind the journal by no more than this was corrected by a step.
+/// The largest backward step of the wall clock that is accepted as a clock correction.
 const MAX_CLOCK_STEP_US: u64 = 1_000_000;
-/// The clocks of senders differ by no more than this.
+/// The largest accepted difference between the clocks of two senders.
 const MAX_CLOCK_SKEW_US: u64 = 5_000_000;
 
-/// The assessment of a journal and of the clock. JSON names are part of the `/status/recovery` and trace formats.
+/// The assessment of the journal and the clock. The JSON names are part of the `/status/recovery` and trace
+/// formats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trust {
-    /// Whether the machine was restarted.
+    /// Whether the machine rebooted since the journal was written.
     pub machine: BootComparison,
-    /// How far the journal is trusted: its pending messages, their attempts, and the ids of completed ones.
+    /// How far the journal is trusted.
     pub journal: JournalTrust,
-    /// Whether durations since before the start are meaningful.
+    /// Whether the wall times in the journal can be compared with the current wall clock.
     pub clock: ClockTrust,
-    /// How far the clock is ahead of that of senders at full service, in microseconds, where it is not trusted and others
-    /// reported theirs. The offset may shorten the time left to a message, but never lengthens it.
+    /// The number of microseconds that the clock is ahead of the clocks of senders at full service; negative
+    /// if it is behind. `None` if the clock is trusted or no sender reported its clock. The offset can reduce
+    /// the time left to a message, but never extend it.
     #[serde(rename = "offset")]
     pub clock_offset_us: Option<i64>,
-    /// What is reported to operators.
+    /// The findings to report to operators.
     pub findings: Vec<RecoveryFinding>,
 }
 
 impl Trust {
-    /// Assesses what a process found at its start.
+    /// Assesses what a process found at startup.
     #[must_use]
     pub fn assess(inputs: &RecoveryInputs<'_>) -> Self {
         let machine = compare_boots(inputs);
         let mut findings = Vec::new();
         let journal = assess_journal(inputs, machine, &mut findings);
         if inputs.torn_bytes > 0 {
-            // The journal is a write-ahead log: what an incomplete record announces has not happened.
+            // A torn record does not reduce trust: the journal is a write-ahead log, so the operation of an
+            // incomplete record was never carried out.
             findings.push(RecoveryFinding::TornRecord(inputs.torn_bytes));
         }
         let clock = assess_clock(inputs, machine, journal);
@@ -49,14 +52,15 @@
         Self { machine, journal, clock, clock_offset_us: None, findings }
     }
 
-    /// Takes into account that other members know a higher incarnation of this sender than its folder does.
+    /// Reduces the trust in the journal because other members know a higher incarnation of this sender
+    /// (`known`) than the state folder does.
     pub fn apply_known_incarnation(&mut self, known: u64) {
         self.journal = self.journal.min(JournalTrust::Incomplete);
         self.findings.push(RecoveryFinding::OutdatedFolder { known });
     }
 
-    /// Takes into account how far the clock is ahead of the clocks of senders at full service. Their median counts, and
-    /// can only reduce trust.
+    /// Applies the offsets of the clock from the clocks of senders at full service, in microseconds. The
+    /// median is used; it can only reduce the trust in the clock.
     pub fn apply_clock_offsets(&mut self, offsets_us: &[i64]) {
         let mut sorted = offsets_us.to_vec();
         sorted.sort_unstable();
@@ -73,13 +77,14 @@
         }
     }
 
-    /// Whether the time left to a message of before the start is known.
+    /// Returns whether the time left to a message from before the restart is known.
     #[must_use]
     pub fn knows_time(&self) -> bool {
         self.clock == ClockTrust::Trusted || self.clock_offset_us.is_some()
     }
 
-    /// Returns the current time by the clock under which the journal was written, where known. Times are in microseconds.
+    /// Converts a current wall time to the clock with which the journal was written, both in microseconds.
+    /// Returns `None` if the offset between the two is unknown.
     #[must_use]
     pub fn journal_time(&self, wall: u64) -> Option<u64> {
         match (self.clock, self.clock_offset_us) {
@@ -89,26 +94,28 @@
         }
     }
 
-    /// Whether the ids of all completed messages are known: without them a message submitted again may be delivered twice.
-    /// An empty folder counts as that of a first start unless other members know better.
+    /// Returns whether the ids of all completed messages are known. If they are not, a resubmitted message
+    /// may be delivered twice. An empty state folder counts as a first start unless other members know an
+    /// earlier incarnation.
     #[must_use]
     pub fn has_all_completed_ids(&self) -> bool {
         self.journal == JournalTrust::Complete
     }
 
-    /// Whether peers are queried: what they know beyond the folder is of use.
+    /// Returns whether peers are queried, as they may know what the state folder lacks.
     #[must_use]
     pub fn queries_peers(&self) -> bool {
         self.follows_machine_restart() || self.journal == JournalTrust::Incomplete
     }
 
-    /// Whether service returns in phases; otherwise the sender begins at full service.
+    /// Returns whether the sender goes through the recovery phases. Otherwise it starts at full service.
     #[must_use]
     pub fn recovers_in_phases(&self) -> bool {
         self.follows_machine_restart() || self.journal != JournalTrust::Complete
     }
 
-    /// Whether the machine lost power, or may have: destinations and other senders may have too.
+    /// Returns whether the machine rebooted or may have rebooted. The cause may have affected destinations
+    /// and other senders too.
     #[must_use]
     pub fn follows_machine_restart(&self) -> bool {
         self.machine != BootComparison::SameBoot && !self.findings.contains(&RecoveryFinding::Empty)
@@ -158,7 +165,7 @@
     let last_written = inputs.latest_wall.max(inputs.stamp.map_or(0, |stamp| stamp.wall));
     let behind_us = last_written.saturating_sub(inputs.wall);
     if inputs.is_empty || journal == JournalTrust::Foreign {
-        // No times of before the start are used.
+        // No wall time from before the restart is used.
         ClockTrust::Trusted
     } else if behind_us > MAX_CLOCK_STEP_US {
         ClockTrust::Behind(behind_us)
--- a/crates/micadrum-recovery/src/journal_trust/stamp.rs
+++ b/crates/micadrum-recovery/src/journal_trust/stamp.rs
@@ -1,14 +1,16 @@
-//! What identifies the machine's run and the process that wrote a journal.
+//! The boot id of the machine, the stamp that a process writes to its journal, and the inputs of the
+//! assessment.
 use serde::{Deserialize, Serialize};
 
 const BOOT_ID_HEX_DIGITS: usize = 32;
 
-/// One run of a machine, from power-on to power-off: the kernel's boot id.
+/// The kernel's boot id, which changes with every boot of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootId(pub [u8; 16]);
 
 impl BootId {
-    /// Parses a boot id as the kernel writes it: 32 hexadecimal digits with or without dashes.
+    /// Parses a boot id in the kernel's format: 32 hexadecimal digits, with or without dashes. Returns `None`
+    /// if the text has another format.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let digits: Vec<u8> = text.trim().bytes().filter(|byte| *byte != b'-').collect();
@@ -23,38 +25,38 @@
     }
 }
 
-/// What a process writes into its journal at the start. Encoded by position.
+/// The record that a process writes to its journal at startup. The fields are encoded by position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalStamp {
     /// The sender's name.
     pub sender: String,
-    /// The machine's run; `None` where unknown.
+    /// The boot id of the machine; `None` if unknown.
     pub boot: Option<BootId>,
-    /// The wall clock, in microseconds.
+    /// The wall time of the stamp, in microseconds.
     pub wall: u64,
-    /// The records of the journal survive a crash of the machine.
+    /// Whether the records of the journal survive a crash of the machine.
     pub survives_machine_crash: bool,
 }
 
-/// What a process finds at its start.
+/// The inputs of [`Trust::assess`](super::Trust::assess): what a process finds at startup.
 #[derive(Clone, Debug)]
 pub struct RecoveryInputs<'a> {
     /// This sender's name.
     pub own_name: &'a str,
-    /// The machine's current run.
+    /// The current boot id of the machine; `None` if unknown.
     pub boot: Option<BootId>,
-    /// The current wall clock, in microseconds.
+    /// The current wall time, in microseconds.
     pub wall: u64,
-    /// The operators guarantee that the clock was set before this process started.
+    /// Whether the operators guarantee that the clock was set before this process started.
     pub trusts_clock: bool,
-    /// The last stamp in the journal.
+    /// The last stamp in the journal; `None` if it has none.
     pub stamp: Option<&'a JournalStamp>,
     /// The latest wall time in the journal, in microseconds.
     pub latest_wall: u64,
-    /// The journal holds no records.
+    /// Whether the journal holds no records.
     pub is_empty: bool,
-    /// Bytes of unreadable records between readable ones.
+    /// The number of bytes of unreadable records between readable ones.
     pub corrupt_bytes: usize,
-    /// Bytes of an incomplete last record.
+    /// The number of bytes of an incomplete last record.
     pub torn_bytes: usize,
 }
--- a/tests/sockets/recovery.rs
+++ b/tests/sockets/recovery.rs
@@ -69,7 +69,7 @@
     let shown =
         Command::new(env!("CARGO_BIN_EXE_micadrum")).args(["recovery", "--door", &door]).output().unwrap();
     let shown = String::from_utf8_lossy(&shown.stdout).into_owned();
-    assert!(shown.contains("began anew") && shown.contains("not written to outlast"), "{shown}");
+    assert!(shown.contains("machine  rebooted") && shown.contains("journal_survived=false"), "{shown}");
     node.terminate();
     assert!(node.ends_well().await);
 }
