--- a/crates/micadrum-recovery/src/message_recovery.rs
+++ b/crates/micadrum-recovery/src/message_recovery.rs
@@ -1,59 +1,66 @@
-//! What happens to a pending message of before the start, by the trust in journal and clock.
+//! What happens to a pending message from before the restart, depending on the trust in the journal and the
+//! clock.
 //!
 //! | journal | clock | idempotent | idempotent within a window | not idempotent |
 //! | --- | --- | --- | --- | --- |
 //! | complete | trusted | unchanged | unchanged | unchanged |
-//! | complete | not trusted, time known from peers | unchanged | attempted: fails; else unchanged | unchanged |
-//! | complete | not trusted, time unknown | returned | attempted: fails; else returned | attempted: fails; else returned |
-//! | incomplete | trusted | uncertain since its acceptance | uncertain since its acceptance | fails |
-//! | incomplete | not trusted, time known from peers | uncertain since its acceptance | fails | fails |
-//! | incomplete | not trusted, time unknown | returned | fails | fails |
+//! | complete | offset known | unchanged | attempted: fails; else unchanged | unchanged |
+//! | complete | unknown | returned | attempted: fails; else returned | attempted: fails; else returned |
+//! | incomplete | trusted | uncertain | uncertain if its acceptance time is bounded; else fails | fails |
+//! | incomplete | offset known | uncertain | fails | fails |
+//! | incomplete | unknown | returned | fails | fails |
 //! | foreign | any | discarded | discarded | discarded |
 //!
-//! "Fails" is the final outcome that promises nothing; "returned" is the one after which a client may safely submit again.
-//! Where the time is unknown, both happen immediately: nobody knows how long the machine was down, and an outcome after a
-//! message's deadline is useless. A completed message keeps its outcome: only its notification is pending.
+//! "Offset known" means that the clock is not trusted, but peers reported its offset; "unknown", that they
+//! did not. A message that fails may have been delivered; a returned one was not delivered or is idempotent,
+//! so its client can submit it again safely. "Uncertain" means that it may have been delivered at any time
+//! since it was accepted. If the time is unknown, a message fails or is returned immediately: the downtime is
+//! unknown too, and its deadline may have passed. A completed message keeps its outcome, as only its
+//! notification is pending.
 use crate::journal_trust::{ClockTrust, JournalTrust, Trust};
 use std::time::Duration;
 
-/// The effect of delivering a message twice: the decision core's idempotency, without the scope of deduplication.
+/// The effect of delivering a message twice. It mirrors the idempotency of the decision core, without the
+/// deduplication scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Redelivery {
     /// A second delivery has no effect.
     Harmless,
-    /// A second delivery has no effect within a window after the first one; the decision core tracks that window.
+    /// A second delivery has no effect within a window after the first one. The decision core tracks the
+    /// window.
     HarmlessWithinWindow,
-    /// A second delivery has a second effect.
+    /// A second delivery repeats the effect.
     Harmful,
 }
 
-/// What the journal has of a message. Times are wall times in microseconds.
+/// The state of a message in the journal. Times are wall times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournaledMessage {
-    /// The message is completed, and only its notification is pending.
+    /// Whether the message is completed, so that only its notification is pending.
     pub is_completed: bool,
-    /// When the first attempt began that may have been delivered.
+    /// The start of the first attempt that may have delivered the message; `None` if the journal has none.
     pub first_attempt_at: Option<u64>,
-    /// A time before which the message was not accepted.
+    /// A lower bound on the time at which the message was accepted; `None` if unknown.
     pub not_accepted_before: Option<u64>,
 }
 
-/// What happens to a message.
+/// The action that recovery takes on a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// The message is kept as the journal has it.
+    /// The message keeps its state in the journal.
     Unchanged,
-    /// The message may have been delivered, first at this wall time in microseconds.
+    /// The message may have been delivered. Holds the earliest wall time at which that can have happened, in
+    /// microseconds.
     Uncertain(u64),
     /// The message fails immediately.
     Fail,
     /// The message is returned to its client immediately.
     Return,
-    /// The message belongs to another sender.
+    /// The message is discarded because it belongs to another sender.
     Discard,
 }
 
-/// Decides what happens to a message.
+/// Returns the action to take on a message. See the table in the module documentation.
 #[must_use]
 pub fn assess_message(trust: &Trust, redelivery: Redelivery, message: JournaledMessage) -> RecoveryAction {
     match trust.journal {
@@ -77,9 +84,9 @@
             _ => RecoveryAction::Return,
         };
     }
-    let is_window_unknown = trust.clock != ClockTrust::Trusted && was_attempted;
+    let is_within_window_unknown = trust.clock != ClockTrust::Trusted && was_attempted;
     match redelivery {
-        Redelivery::HarmlessWithinWindow if is_window_unknown => RecoveryAction::Fail,
+        Redelivery::HarmlessWithinWindow if is_within_window_unknown => RecoveryAction::Fail,
         _ => RecoveryAction::Unchanged,
     }
 }
@@ -94,7 +101,7 @@
     match redelivery {
         Redelivery::Harmless if !trust.knows_time() => RecoveryAction::Return,
         Redelivery::Harmless => uncertain,
-        // An attempt before the first known one may be among the missing records, so only the acceptance bounds it.
+        // The record of an earlier attempt may be missing, so only the time of acceptance is a lower bound.
         Redelivery::HarmlessWithinWindow
             if trust.clock == ClockTrust::Trusted && message.not_accepted_before.is_some() =>
         {
@@ -104,11 +111,12 @@
     }
 }
 
-/// Returns how much longer new messages of a class are rejected because the ids of completed messages may be missing: a
-/// message submitted again cannot be told from a new one then.
+/// Returns how much longer new messages of a class are rejected, or `None` if they are admitted. Messages are
+/// rejected while ids of completed messages may be missing, because a resubmitted message cannot be
+/// distinguished from a new one.
 ///
-/// `hold` is how long after the start the operators want such messages to be rejected; `elapsed` is the time since the
-/// start.
+/// `hold` is the configured duration of the rejection, counted from startup; `elapsed` is the time since
+/// startup.
 #[must_use]
 pub fn rejection_time_left(
     trust: &Trust,
@@ -120,20 +128,21 @@
     is_at_risk.then(|| hold.saturating_sub(elapsed)).filter(|remaining| *remaining > Duration::ZERO)
 }
 
-/// The times that bound what is left to a message of before the start, in microseconds.
+/// The times that limit the time left to a message from before the restart, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageTimes {
-    /// The deadline, by the clock under which the journal was written.
+    /// The deadline of the message, on the clock with which the journal was written.
     pub deadline: u64,
     /// The latest wall time in the journal.
     pub latest_wall: u64,
-    /// The current wall clock.
+    /// The current wall time.
     pub wall: u64,
     /// The time to live of the message's class.
     pub time_to_live: u64,
 }
 
-/// Returns the time left to a message of before the start, in microseconds.
+/// Returns the time left to a message from before the restart, in microseconds; 0 if the current time is
+/// unknown.
 #[must_use]
 pub fn time_left(trust: &Trust, times: MessageTimes) -> u64 {
     let MessageTimes { deadline, latest_wall, wall, time_to_live } = times;
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -15,11 +15,11 @@
     MessageTimes { deadline, latest_wall, wall, time_to_live }
 }
 
-/// Guards against less caution where less is known: what is sent again then is also sent again where more is known.
+/// Guards against a less cautious action when the journal or the clock is trusted less.
 #[test]
-fn less_knowledge_never_leads_to_more_sends() {
+fn less_trust_never_leads_to_a_less_cautious_action() {
     let clocks = [ClockTrust::Trusted, ClockTrust::Unverified, ClockTrust::Behind(9), ClockTrust::Skewed(9)];
-    let caution = |verdict| match verdict {
+    let caution = |action| match action {
         RecoveryAction::Unchanged => 0,
         RecoveryAction::Uncertain(_) => 1,
         RecoveryAction::Return => 2,
@@ -30,20 +30,20 @@
         for (first_attempt_at, not_accepted_before) in
             [(None, None), (Some(7), None), (None, Some(5)), (Some(7), Some(5))]
         {
-            let left = JournaledMessage { is_completed: false, first_attempt_at, not_accepted_before };
+            let message = JournaledMessage { is_completed: false, first_attempt_at, not_accepted_before };
             for clock in clocks {
                 for clock_offset_us in [Some(0), None] {
                     let trust = |journal| Trust { clock_offset_us, ..trust(journal, clock) };
-                    let of = |journal| caution(assess_message(&trust(journal), redelivery, left));
+                    let of = |journal| caution(assess_message(&trust(journal), redelivery, message));
                     assert!(
                         of(JournalTrust::Complete) <= of(JournalTrust::Incomplete)
                             && of(JournalTrust::Incomplete) <= of(JournalTrust::Foreign)
                     );
                 }
                 for journal in [JournalTrust::Complete, JournalTrust::Incomplete] {
-                    let [best, here] = [ClockTrust::Trusted, clock]
-                        .map(|clock| caution(assess_message(&trust(journal, clock), redelivery, left)));
-                    assert!(best <= here, "{journal:?} {redelivery:?} {left:?} {clock:?}");
+                    let [trusted, actual] = [ClockTrust::Trusted, clock]
+                        .map(|clock| caution(assess_message(&trust(journal, clock), redelivery, message)));
+                    assert!(trusted <= actual, "{journal:?} {redelivery:?} {message:?} {clock:?}");
                 }
             }
         }
@@ -52,7 +52,7 @@
 
 /// Guards against code that deviates from the table in the module documentation.
 #[test]
-fn verdicts_match_the_documented_table() {
+fn actions_match_the_documented_table() {
     let of = |journal, clock, redelivery, first_attempt_at, not_accepted_before| {
         assess_message(
             &trust(journal, clock),
@@ -70,7 +70,7 @@
     assert_eq!(
         of(Complete, Unverified, Harmful, Some(7), None),
         Unchanged,
-        "the module fails what may have run"
+        "the decision core itself fails a message that may have been delivered"
     );
     assert_eq!(of(Incomplete, Trusted, Harmless, None, None), Uncertain(0));
     assert_eq!(of(Incomplete, Trusted, HarmlessWithinWindow, Some(7), Some(5)), Uncertain(5));
@@ -78,7 +78,7 @@
     assert_eq!(of(Incomplete, Unverified, HarmlessWithinWindow, None, Some(5)), Fail);
     assert_eq!(of(Incomplete, Trusted, Harmful, None, Some(5)), Fail);
     assert_eq!(of(Foreign, Trusted, Harmless, None, None), Discard);
-    let dark = |journal, redelivery, first_attempt_at| {
+    let with_unknown_time = |journal, redelivery, first_attempt_at| {
         let trust = Trust { clock_offset_us: None, ..trust(journal, Unverified) };
         assess_message(
             &trust,
@@ -87,21 +87,37 @@
         )
     };
     use RecoveryAction::Return;
-    assert_eq!((dark(Complete, Harmless, Some(7)), dark(Incomplete, Harmless, Some(7))), (Return, Return));
-    assert_eq!((dark(Complete, HarmlessWithinWindow, None), dark(Complete, Harmful, None)), (Return, Return));
     assert_eq!(
-        (dark(Complete, HarmlessWithinWindow, Some(7)), dark(Complete, Harmful, Some(7))),
+        (with_unknown_time(Complete, Harmless, Some(7)), with_unknown_time(Incomplete, Harmless, Some(7))),
+        (Return, Return)
+    );
+    assert_eq!(
+        (with_unknown_time(Complete, HarmlessWithinWindow, None), with_unknown_time(Complete, Harmful, None)),
+        (Return, Return)
+    );
+    assert_eq!(
+        (
+            with_unknown_time(Complete, HarmlessWithinWindow, Some(7)),
+            with_unknown_time(Complete, Harmful, Some(7))
+        ),
+        (Fail, Fail)
+    );
+    assert_eq!(
+        (
+            with_unknown_time(Incomplete, HarmlessWithinWindow, None),
+            with_unknown_time(Incomplete, Harmful, None)
+        ),
         (Fail, Fail)
     );
-    assert_eq!((dark(Incomplete, HarmlessWithinWindow, None), dark(Incomplete, Harmful, None)), (Fail, Fail));
-    let over = JournaledMessage { is_completed: true, first_attempt_at: None, not_accepted_before: None };
-    assert_eq!(assess_message(&trust(Incomplete, Unverified), Harmful, over), Unchanged);
+    let completed =
+        JournaledMessage { is_completed: true, first_attempt_at: None, not_accepted_before: None };
+    assert_eq!(assess_message(&trust(Incomplete, Unverified), Harmful, completed), Unchanged);
 }
 
-/// Guards against resubmissions of messages that were delivered before the journal was lost, where the operators want to
-/// wait for those, and against needless rejections.
+/// Guards against admitting resubmitted messages during the configured hold, and against rejections that are
+/// not needed.
 #[test]
-fn resubmissions_are_rejected_during_the_hold() {
+fn rejects_new_messages_during_the_hold_if_ids_may_be_missing() {
     let secs = Duration::from_secs;
     let complete = trust(JournalTrust::Complete, ClockTrust::Trusted);
     let incomplete = trust(JournalTrust::Incomplete, ClockTrust::Trusted);
@@ -114,22 +130,24 @@
     assert_eq!(rejection_time_left(&incomplete, Redelivery::Harmless, secs(12), secs(5)), None);
 }
 
-/// Guards against a message that is sent past its deadline because the clock was set back or has jumped.
+/// Guards against sending a message after its deadline because the clock is wrong or was set back.
 #[test]
-fn no_message_gains_time() {
-    let believed = trust(JournalTrust::Complete, ClockTrust::Trusted);
-    assert_eq!(time_left(&believed, times(100, 0, 40, 30)), 60, "as ever");
-    assert_eq!(time_left(&believed, times(100, 0, 140, 30)), 0);
-    let told = |offset| Trust {
+fn a_wrong_clock_never_extends_a_deadline() {
+    let trusted = trust(JournalTrust::Complete, ClockTrust::Trusted);
+    assert_eq!(time_left(&trusted, times(100, 0, 40, 30)), 60, "a trusted clock gives the exact time left");
+    assert_eq!(time_left(&trusted, times(100, 0, 140, 30)), 0);
+    let with_offset = |offset| Trust {
         clock_offset_us: Some(offset),
         ..trust(JournalTrust::Complete, ClockTrust::Unverified)
     };
-    // Its clock stands 1000 ahead, or behind; it is 60 by the others.
-    assert_eq!(time_left(&told(1_000), times(100, 50, 1_060, 500)), 40);
-    assert_eq!(time_left(&told(-40), times(100, 50, 20, 500)), 40);
-    // A liar makes it no more than there was when the journal ended.
-    assert_eq!(time_left(&told(1_000_000), times(100, 50, 60, 500)), 50);
-    assert_eq!(time_left(&told(1_000_000), times(1_000_000, 50, 60, 500)), 500);
-    let dark = Trust { clock_offset_us: None, ..trust(JournalTrust::Complete, ClockTrust::Unverified) };
-    assert_eq!(time_left(&dark, times(100, 50, 60, 500)), 0);
+    // The own clock is 1000 ahead of the peers' or 40 behind it; the time by the peers' clock is 60.
+    assert_eq!(time_left(&with_offset(1_000), times(100, 50, 1_060, 500)), 40);
+    assert_eq!(time_left(&with_offset(-40), times(100, 50, 20, 500)), 40);
+    // A wrong offset leaves at most the time that was left at the latest time in the journal, and the time to
+    // live.
+    assert_eq!(time_left(&with_offset(1_000_000), times(100, 50, 60, 500)), 50);
+    assert_eq!(time_left(&with_offset(1_000_000), times(1_000_000, 50, 60, 500)), 500);
+    let with_unknown_time =
+        Trust { clock_offset_us: None, ..trust(JournalTrust::Complete, ClockTrust::Unverified) };
+    assert_eq!(time_left(&with_unknown_time, times(100, 50, 60, 500)), 0);
 }
