--- a/crates/micadrum-recovery/src/journal_trust/finding.rs
+++ b/crates/micadrum-recovery/src/journal_trust/finding.rs
@@ -126,8 +126,8 @@
     match clock {
         ClockTrust::Trusted => f.write_str("clock trusted"),
         ClockTrust::Unverified => f.write_str(
-            "clock unverified after a reboot: waits restart now, and messages that are idempotent only within \
-             a window are not resent if they may have been delivered",
+            "clock unverified after a reboot: waits restart now, and messages that are idempotent only \
+             within a window are not resent if they may have been delivered",
         ),
         ClockTrust::Behind(behind_us) => {
             write!(f, "clock behind the journal behind_s={}", behind_us.div_ceil(MICROS_PER_SECOND))
--- a/crates/micadrum-recovery/src/peer_query.rs
+++ b/crates/micadrum-recovery/src/peer_query.rs
@@ -1,17 +1,18 @@
-//! Which peers a recovering sender queries, and when it has queried enough.
+//! The selection of the peers that a recovering sender queries, and the conditions that end the query.
 //!
-//! A few peers are queried at a time, alternating between other zones and the own one, as a power loss mostly affects one
-//! zone. The query ends when enough peers at full service have answered, when no peer is left to query, or when its time
-//! is over; it then makes do with the reports received.
+//! A few peers are queried concurrently. Peers in other zones and in the own zone alternate, as a power loss
+//! usually affects a single zone. The query ends when enough peers at full service have answered, when no
+//! peer is left to query, or at its deadline. Recovery then continues with the reports received so
+//! far.
 use crate::peer_report::PeerReport;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Peers queried at once.
+/// The maximum number of concurrent queries.
 pub const MAX_CONCURRENT_QUERIES: usize = 4;
-/// Reports of peers at full service that suffice.
+/// The number of reports from peers at full service after which the query ends.
 pub const SUFFICIENT_REPORTS: usize = 3;
-/// Upper bound on peers queried: it limits the load while a whole fleet recovers.
+/// The maximum number of peers queried; limits the load while a whole fleet recovers.
 pub const MAX_QUERIES: usize = 12;
 
 /// A peer that may be queried.
@@ -23,18 +24,18 @@
     pub zone: String,
 }
 
-/// Why a query ended.
+/// The reason why a query ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryEnd {
     /// Enough peers at full service have answered.
     Sufficient,
-    /// All peers that could be queried have answered or failed to.
+    /// No peer is left to query, and none of the queries is in flight.
     Exhausted,
-    /// The time was over.
+    /// The deadline passed.
     TimedOut,
 }
 
-/// A report and when it was received.
+/// A report and the time at which it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ReceivedReport {
     report: PeerReport,
@@ -46,22 +47,22 @@
 pub struct AgedReport {
     /// What the peer reported.
     pub report: PeerReport,
-    /// How long ago the report was received.
+    /// The time since the report was received.
     pub age: Duration,
 }
 
-/// How many peers answered.
+/// The numbers of peers by result of the query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueryCounts {
-    /// Peers that answered.
+    /// The number of peers that answered.
     pub answered: usize,
-    /// Peers among them at full service.
+    /// The number of peers that answered and are at full service.
     pub at_full_service: usize,
-    /// Peers that were queried and did not answer.
+    /// The number of peers that were queried but have not answered.
     pub unanswered: usize,
 }
 
-/// The query of peers by one recovering process.
+/// The state of the query of peers by a recovering process.
 pub struct PeerQuery {
     candidates: VecDeque<String>,
     in_flight: BTreeSet<String>,
@@ -72,15 +73,15 @@
 }
 
 impl PeerQuery {
-    /// Creates a query that ends at `deadline` at the latest. Candidates are queried in their order, alternating between
-    /// zones other than `own_zone` and that zone.
+    /// Creates a query that ends at `deadline` at the latest. Candidates are queried in order, alternating
+    /// between other zones and `own_zone`.
     #[must_use]
     pub fn new(candidates: impl IntoIterator<Item = Candidate>, own_zone: &str, deadline: Duration) -> Self {
-        let (mut near, mut far): (VecDeque<_>, VecDeque<_>) =
+        let (mut own_zone_peers, mut other_zone_peers): (VecDeque<_>, VecDeque<_>) =
             candidates.into_iter().partition(|candidate| candidate.zone == own_zone);
         let mut alternating = VecDeque::new();
-        while !near.is_empty() || !far.is_empty() {
-            let next = far.pop_front().into_iter().chain(near.pop_front());
+        while !own_zone_peers.is_empty() || !other_zone_peers.is_empty() {
+            let next = other_zone_peers.pop_front().into_iter().chain(own_zone_peers.pop_front());
             alternating.extend(next.map(|candidate| candidate.name));
         }
         Self {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns the next peer to query now, if any.
+    /// Returns the name of the next peer to query, or `None` if no further query may start now.
     pub fn next_to_query(&mut self, now: Duration) -> Option<String> {
         let is_at_limit = self.remaining_queries == 0 || self.in_flight.len() >= MAX_CONCURRENT_QUERIES;
         if is_at_limit || self.end(now).is_some() {
@@ -105,7 +106,8 @@
         Some(name)
     }
 
-    /// Handles the answer of a peer; `None` means that the peer failed to answer.
+    /// Handles the answer of a peer; `None` means that the query of this peer failed. Ignores peers without a
+    /// query in flight.
     pub fn handle_answer(&mut self, name: &str, report: Option<PeerReport>, now: Duration) {
         if !self.in_flight.remove(name) {
             return;
@@ -123,7 +125,7 @@
         self.reports.values().filter(|received| received.report.is_at_full_service()).count()
     }
 
-    /// Returns why the query has ended, or `None` if it goes on.
+    /// Returns why the query has ended, or `None` if it is still running.
     #[must_use]
     pub fn end(&self, now: Duration) -> Option<QueryEnd> {
         let is_exhausted = self.candidates.is_empty() || self.remaining_queries == 0;
@@ -136,13 +138,13 @@
         }
     }
 
-    /// Returns when the query ends at the latest.
+    /// Returns the time at which the query ends at the latest.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// Returns the reports received so far.
+    /// Returns the reports received so far, with their ages at `now`.
     #[must_use]
     pub fn reports(&self, now: Duration) -> Vec<AgedReport> {
         let aged = |received: &ReceivedReport| AgedReport {
@@ -152,7 +154,7 @@
         self.reports.values().map(aged).collect()
     }
 
-    /// Returns how many peers answered.
+    /// Returns the numbers of peers by result so far.
     #[must_use]
     pub fn counts(&self) -> QueryCounts {
         QueryCounts {
--- a/crates/micadrum-recovery/src/peer_query/tests.rs
+++ b/crates/micadrum-recovery/src/peer_query/tests.rs
@@ -17,9 +17,10 @@
     PeerReport { at_full_service_us: Some(1), ..PeerReport::default() }
 }
 
-/// Guards against querying the whole fleet, or first the peers that the same power loss affected.
+/// Guards against querying the whole fleet, and against querying only the own zone, which may have lost power
+/// too.
 #[test]
-fn a_few_peers_are_queried_in_both_zones() {
+fn queries_a_limited_number_of_peers_in_alternating_zones() {
     let mut query = PeerQuery::new(candidates(300), "a", ms(1000));
     let first: Vec<String> = std::iter::from_fn(|| query.next_to_query(ms(0))).collect();
     assert_eq!(first, ["n1", "n0", "n3", "n2"]);
@@ -36,9 +37,9 @@
     assert_eq!(query.counts(), counts(MAX_QUERIES, 0, 0));
 }
 
-/// Guards against waiting although enough is known, and forever when no peer answers.
+/// Guards against a query that continues after enough reports, or never ends when no peer answers.
 #[test]
-fn a_query_ends_with_enough_reports_or_its_time() {
+fn ends_with_sufficient_reports_or_at_the_deadline() {
     let mut query = PeerQuery::new(candidates(9), "a", ms(1000));
     let names: Vec<String> = std::iter::from_fn(|| query.next_to_query(ms(0))).collect();
     for name in &names[..SUFFICIENT_REPORTS] {
@@ -52,12 +53,12 @@
     while silent.next_to_query(ms(0)).is_some() {}
     assert_eq!((silent.end(ms(999)), silent.end(ms(1000))), (None, Some(QueryEnd::TimedOut)));
     assert_eq!(silent.counts(), counts(0, 0, 4));
-    assert_eq!(PeerQuery::new([], "a", ms(1000)).end(ms(0)), Some(QueryEnd::Exhausted), "no peers at all");
+    assert_eq!(PeerQuery::new([], "a", ms(1000)).end(ms(0)), Some(QueryEnd::Exhausted), "without candidates");
 }
 
-/// Guards against unsolicited and duplicate answers.
+/// Guards against counting unsolicited or duplicate answers.
 #[test]
-fn only_answers_to_queries_count() {
+fn ignores_unsolicited_and_duplicate_answers() {
     let mut query = PeerQuery::new(candidates(9), "a", ms(1000));
     query.handle_answer("n1", Some(report_at_full_service()), ms(0));
     let name = query.next_to_query(ms(0)).unwrap();
--- a/crates/micadrum-recovery/src/peer_report.rs
+++ b/crates/micadrum-recovery/src/peer_report.rs
@@ -1,83 +1,84 @@
-//! What another sender reports to a recovering one: Retry-After waits, draining or deleted endpoints, outages, and
-//! endpoints in slow start.
+//! The reports that other senders give to a recovering sender: Retry-After waits, endpoints that are
+//! draining, deleted or in slow start, and endpoint outages.
 //!
-//! A report can only add caution, and a dishonest one does little harm: a wait is limited to [`MAX_REPORTED_WAIT`], an
-//! outage ends with the first successful health check, and the sender's own endpoint list takes precedence.
+//! A report can only restrict traffic, and the effect of a false one is limited: a wait is capped at
+//! [`MAX_REPORTED_WAIT`], an outage ends with the first successful health check, and the sender's own
+//! endpoint list takes precedence.
 use crate::peer_query::AgedReport;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Upper bound on a Retry-After wait reported by a peer.
+/// The upper bound on a Retry-After wait reported by a peer.
 pub const MAX_REPORTED_WAIT: Duration = Duration::from_secs(60);
-/// Upper bound on endpoints in one report.
+/// The maximum number of endpoints in a report.
 pub const MAX_ENDPOINTS: usize = 4096;
-/// Upper bound on the length of an endpoint id.
+/// The maximum length of an endpoint id in a report.
 const MAX_ENDPOINT_ID_BYTES: usize = 1024;
 
-/// The report of one sender. Durations refer to the moment of the report, so clocks need not agree. JSON names are part of
-/// the protocol between members.
+/// The report of one sender. Durations are relative to the time of the report, so the clocks of the senders
+/// may differ. The JSON names are part of the protocol between members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReport {
-    /// How long the sender has been at full service, in microseconds; `None` while it recovers itself.
+    /// The time since the sender reached full service, in microseconds; `None` while it is recovering.
     #[serde(rename = "steady_for")]
     pub at_full_service_us: Option<u64>,
-    /// The sender's wall clock, in microseconds.
+    /// The wall time of the sender, in microseconds.
     #[serde(rename = "wall")]
     pub wall_us: u64,
-    /// What the sender reports, by endpoint id.
+    /// The reports on endpoints, by endpoint id.
     pub endpoints: BTreeMap<String, EndpointReport>,
 }
 
-/// What a sender reports of one endpoint.
+/// The report of one sender on one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// The endpoint list has the endpoint as draining or deleted.
+    /// Whether the sender's endpoint list has the endpoint as draining or deleted.
     #[serde(rename = "out")]
     pub is_withdrawn: bool,
-    /// The remainder of a Retry-After wait, in microseconds.
+    /// The remaining Retry-After wait, in microseconds; 0 if there is none.
     #[serde(rename = "told")]
     pub retry_after_us: u64,
-    /// Whether the endpoint answers.
+    /// The health of the endpoint.
     pub health: ReportedHealth,
 }
 
-/// Whether an endpoint answers.
+/// The health of an endpoint, as a sender reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportedHealth {
-    /// The endpoint answers, as far as is known.
+    /// The endpoint is healthy, or its health is unknown.
     #[default]
     #[serde(rename = "Up")]
     Healthy,
-    /// The endpoint does not answer.
+    /// The endpoint is ejected because it does not answer.
     #[serde(rename = "Down")]
     Ejected,
-    /// The endpoint has been answering again for this many microseconds.
+    /// The endpoint is in slow start. Holds the time since it answered again, in microseconds.
     #[serde(rename = "Returning")]
     SlowStart(u64),
 }
 
 impl EndpointReport {
-    /// Whether the report restricts nothing.
+    /// Returns whether the report contains no restriction.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Returns the remainder of the Retry-After wait after a report has aged, in microseconds.
+    /// Returns the remaining Retry-After wait `age_us` after the report, in microseconds.
     fn remaining_wait_us(&self, age_us: u64) -> u64 {
         self.retry_after_us.min(MAX_REPORTED_WAIT.as_micros() as u64).saturating_sub(age_us)
     }
 }
 
 impl PeerReport {
-    /// Whether the reporting sender is at full service.
+    /// Returns whether the reporting sender is at full service.
     #[must_use]
     pub fn is_at_full_service(&self) -> bool {
         self.at_full_service_us.is_some()
     }
 
-    /// Removes empty entries and what exceeds the bounds.
+    /// Removes entries that are empty, have too long an id, or exceed [`MAX_ENDPOINTS`].
     #[must_use]
     pub fn bounded(mut self) -> Self {
         self.endpoints.retain(|id, endpoint| id.len() <= MAX_ENDPOINT_ID_BYTES && !endpoint.is_empty());
@@ -95,7 +96,7 @@
     pub endpoints: BTreeMap<String, EndpointReport>,
 }
 
-/// What one sender reports of one endpoint, and the age of the report.
+/// The report of one sender on one endpoint, and its age.
 #[derive(Clone, Copy)]
 struct AgedEndpointReport {
     endpoint: EndpointReport,
@@ -104,8 +105,9 @@
 
 /// Combines the reports of senders at full service.
 ///
-/// A withdrawal or a wait takes effect if one sender reports it. An outage is the impression of one sender and may be due
-/// to that sender's own links: it has to be reported by half of the senders, and by at least two if several reported.
+/// A withdrawal or a wait takes effect if a single sender reports it. An outage may be caused by the network
+/// of the reporting sender, so it takes effect only if half of the senders (rounded down) report it, and at
+/// least two if there are several reports.
 #[must_use]
 pub fn combine(reports: &[AgedReport]) -> EndpointRestrictions {
     let reports: Vec<_> = reports.iter().filter(|aged| aged.report.is_at_full_service()).collect();
@@ -140,11 +142,11 @@
         ReportedHealth::Healthy | ReportedHealth::Ejected => None,
     };
     let slow_starts: Vec<u64> = reports.iter().filter_map(slow_start).collect();
-    let min_agreeing = if reports.len() > 1 { (reports.len() / 2).max(2) } else { 1 };
-    if ejected >= min_agreeing {
+    let min_reports = if reports.len() > 1 { (reports.len() / 2).max(2) } else { 1 };
+    if ejected >= min_reports {
         ReportedHealth::Ejected
-    } else if ejected + slow_starts.len() >= min_agreeing {
-        // An endpoint that some senders still see as ejected has only just started to answer.
+    } else if ejected + slow_starts.len() >= min_reports {
+        // While some senders still report the endpoint as ejected, its slow start begins now.
         let shortest = slow_starts.iter().copied().min().unwrap_or(0);
         ReportedHealth::SlowStart(if ejected > 0 { 0 } else { shortest })
     } else {
@@ -152,17 +154,18 @@
     }
 }
 
-/// The wall clocks of a peer and of this sender at one moment, in microseconds.
+/// The wall times of a peer and of this sender at the same moment, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockPair {
-    /// The peer's wall clock.
+    /// The wall time of the peer.
     pub peer_us: u64,
-    /// This sender's wall clock.
+    /// The wall time of this sender.
     pub own_us: u64,
 }
 
 impl ClockPair {
-    /// Returns how far this sender's clock is ahead of the peer's, in microseconds.
+    /// Returns the number of microseconds that this sender's clock is ahead of the peer's; negative if it is
+    /// behind.
     #[must_use]
     pub fn offset_us(self) -> i64 {
         self.own_us.wrapping_sub(self.peer_us) as i64
