--- a/crates/micadrum-recovery/src/phases.rs
+++ b/crates/micadrum-recovery/src/phases.rs
@@ -1,44 +1,48 @@
-//! The order in which service returns after a restart, as a state machine.
+//! The state machine of the recovery phases, which define the order in which a sender resumes service after a
+//! restart.
 //!
-//! | phase | what happens | ends with | timeout |
+//! | phase | activity | ends when | timeout |
 //! | --- | --- | --- | --- |
-//! | querying peers | peers are queried; no client is served, nothing is sent | the end of the query | `peer_query_timeout` |
-//! | awaiting endpoints | expired or failed messages are completed; nothing is sent | the first word of the own discovery agent | `endpoint_list_timeout` |
-//! | draining the backlog | pending messages are sent; new ones are rejected | an empty backlog | `backlog_timeout` |
-//! | admitting gradually | new messages are admitted at a growing rate | the end of the ramp | `admission_ramp` |
-//! | full service | normal operation | the end of the process | |
+//! | querying peers | peers are queried; no client is served | the query has ended | `peer_query_timeout` |
+//! | awaiting endpoints | expired messages are completed | discovery has answered | `endpoint_list_timeout` |
+//! | draining the backlog | pending messages are sent | the backlog is empty | `backlog_timeout` |
+//! | admitting gradually | new messages are rate-limited | the ramp has ended | `admission_ramp` |
+//! | full service | normal operation | the process ends | |
 //!
-//! A process whose machine was not restarted begins at full service. Nothing of the phases is persisted: a power loss in
-//! the middle is another restart, which begins with the first phase.
+//! No message is sent before the phase that drains the backlog, and new messages are rejected until the
+//! gradual admission. A process that does not need to recover starts at full service. The phases are not
+//! persisted: after another restart, recovery starts with the first phase again.
 use crate::admission::Admission;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The timeouts of the phases, and the rate at which new messages are admitted at first.
+/// The timeouts of the phases and the initial rate of the gradual admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The timeout of querying peers.
+    /// The timeout of the phase [`RecoveryPhase::QueryingPeers`].
     pub peer_query_timeout: Duration,
-    /// The timeout of awaiting endpoints.
+    /// The timeout of the phase [`RecoveryPhase::AwaitingEndpoints`].
     pub endpoint_list_timeout: Duration,
-    /// The timeout of draining the backlog.
+    /// The timeout of the phase [`RecoveryPhase::DrainingBacklog`].
     pub backlog_timeout: Duration,
-    /// The length of the gradual admission.
+    /// The duration of the phase [`RecoveryPhase::AdmittingGradually`].
     pub admission_ramp: Duration,
-    /// New messages per second at the beginning of the gradual admission.
+    /// The number of new messages per second that are admitted at the start of the gradual admission.
     pub initial_admissions_per_second: f64,
 }
 
-/// How far service has returned. JSON names are part of the `/status/recovery` and trace formats.
+/// A recovery phase, in the order in which they follow each other. The JSON names are part of the
+/// `/status/recovery` and trace formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RecoveryPhase {
-    /// Peers are queried.
+    /// Peers are queried. No client is served and no message is sent.
     #[serde(rename = "asking")]
     QueryingPeers,
-    /// The endpoint list is awaited.
+    /// The sender waits for the first message of its discovery agent. Expired and failed messages are
+    /// completed.
     #[serde(rename = "listing")]
     AwaitingEndpoints,
-    /// Pending messages of before the restart are sent.
+    /// Pending messages from before the restart are sent. New messages are rejected.
     #[serde(rename = "finishing")]
     DrainingBacklog,
     /// New messages are admitted at a growing rate.
@@ -50,19 +54,19 @@
 }
 
 impl RecoveryPhase {
-    /// Returns what the phase waits for, as shown to operators.
+    /// Returns a description for operators of what ends the phase.
     #[must_use]
     pub fn waits_for(self) -> &'static str {
         match self {
-            Self::QueryingPeers => "what other senders know",
-            Self::AwaitingEndpoints => "the list of this sender's own agent",
-            Self::DrainingBacklog => "what is owed from before",
-            Self::AdmittingGradually => "nothing: newcomers come in at a rate that grows",
+            Self::QueryingPeers => "reports from other senders",
+            Self::AwaitingEndpoints => "the endpoint list of the discovery agent",
+            Self::DrainingBacklog => "the pending messages from before the restart",
+            Self::AdmittingGradually => "the end of the admission ramp",
             Self::FullService => "nothing",
         }
     }
 
-    /// Returns the phase after this one.
+    /// Returns the phase that follows this one; full service is the last.
     fn next(self) -> Self {
         match self {
             Self::QueryingPeers => Self::AwaitingEndpoints,
@@ -73,10 +77,10 @@
     }
 }
 
-/// Why a phase ended.
+/// The reason why a phase ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PhaseEnd {
-    /// The awaited condition occurred.
+    /// The condition that the phase waits for was met.
     #[serde(rename = "done")]
     Completed,
     /// The timeout expired.
@@ -89,21 +93,21 @@
 pub enum Input {
     /// The query of peers has ended.
     PeersQueried,
-    /// The own discovery agent has sent a first message about the endpoint list.
+    /// The sender's discovery agent has sent its first message about the endpoint list.
     EndpointListReceived,
-    /// This many messages of before the restart still wait for a call or for their notification.
+    /// The number of messages from before the restart whose call or notification is still pending.
     Backlog(usize),
-    /// Time has passed.
+    /// The time that [`Phases::due`] returned has been reached.
     Timer,
 }
 
 /// A phase that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PhaseRecord {
-    /// The phase.
+    /// The phase that ended.
     #[serde(rename = "stage")]
     pub phase: RecoveryPhase,
-    /// The length of the phase, in microseconds.
+    /// The duration of the phase, in microseconds.
     #[serde(rename = "took")]
     pub took_us: u64,
     /// Why the phase ended.
@@ -111,7 +115,7 @@
     pub end: PhaseEnd,
 }
 
-/// The phases of one process.
+/// The state machine of the recovery phases of one process.
 #[derive(Clone, Debug)]
 pub struct Phases {
     settings: Settings,
@@ -123,7 +127,7 @@
 }
 
 impl Phases {
-    /// Creates the phases of a process that begins with querying peers.
+    /// Creates a state machine that starts in the phase [`RecoveryPhase::QueryingPeers`].
     #[must_use]
     pub fn new(settings: Settings, now: Duration) -> Self {
         Self {
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Creates the phases of a process that begins at full service.
+    /// Creates a state machine that starts in the phase [`RecoveryPhase::FullService`].
     #[must_use]
     pub fn at_full_service(settings: Settings, now: Duration) -> Self {
         Self { phase: RecoveryPhase::FullService, ..Self::new(settings, now) }
@@ -148,13 +152,13 @@
         self.phase
     }
 
-    /// Returns when the current phase began.
+    /// Returns the time at which the current phase began.
     #[must_use]
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// Returns the phases that have ended, in their order.
+    /// Returns the records of the phases that have ended, in order.
     #[must_use]
     pub fn ended(&self) -> &[PhaseRecord] {
         &self.ended
@@ -170,19 +174,19 @@
         }
     }
 
-    /// Returns when [`Input::Timer`] is due.
+    /// Returns the time at which [`Input::Timer`] is due, or `None` at full service.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
         self.timeout().map(|timeout| self.since + timeout)
     }
 
-    /// Handles an input, and returns whether the phase has changed. `now` never goes back.
+    /// Handles an input and returns whether the phase has changed. `now` must not decrease between calls.
     pub fn handle(&mut self, input: Input, now: Duration) -> bool {
         let before = self.phase;
         self.has_endpoint_list |= input == Input::EndpointListReceived;
         let is_timed_out = self.due().is_some_and(|due| due <= now);
         let is_completed = match (self.phase, input) {
-            // A query that ended with its time has timed out.
+            // A query that ended at its deadline counts as timed out.
             (RecoveryPhase::QueryingPeers, Input::PeersQueried) => !is_timed_out,
             (RecoveryPhase::AwaitingEndpoints, _) => self.has_endpoint_list,
             (RecoveryPhase::DrainingBacklog, Input::Backlog(0)) => true,
@@ -190,14 +194,14 @@
         };
         if is_completed {
             self.end_phase(PhaseEnd::Completed, now);
-            // The endpoint list may have arrived while peers were queried.
+            // The endpoint list may have arrived during the query of peers.
             if self.phase == RecoveryPhase::AwaitingEndpoints && self.has_endpoint_list {
                 self.end_phase(PhaseEnd::Completed, now);
             }
         } else if is_timed_out {
-            // The gradual admission ends with its time as intended.
-            let is_intended = self.phase == RecoveryPhase::AdmittingGradually;
-            self.end_phase(if is_intended { PhaseEnd::Completed } else { PhaseEnd::TimedOut }, now);
+            // The gradual admission always ends by its timer, so this is its regular end.
+            let is_regular_end = self.phase == RecoveryPhase::AdmittingGradually;
+            self.end_phase(if is_regular_end { PhaseEnd::Completed } else { PhaseEnd::TimedOut }, now);
         }
         before != self.phase
     }
@@ -213,22 +217,23 @@
         });
     }
 
-    /// Whether pending messages of before the restart may be sent.
+    /// Returns whether pending messages from before the restart may be sent.
     #[must_use]
     pub fn sends_backlog(&self) -> bool {
         self.phase >= RecoveryPhase::DrainingBacklog
     }
 
-    /// Whether new messages are admitted.
+    /// Returns whether new messages are admitted, possibly at a limited rate.
     #[must_use]
     pub fn admits_new_messages(&self) -> bool {
         self.phase >= RecoveryPhase::AdmittingGradually
     }
 
-    /// Admits a new message.
+    /// Admits a new message if the phase and the rate allow it.
     ///
     /// # Errors
-    /// Returns how long the client has to wait; if no message is admitted in this phase, until its timeout.
+    /// Returns the time after which the client may retry. In a phase that admits no messages, this is the
+    /// time until the phase times out.
     pub fn admit(&mut self, now: Duration) -> Result<(), Duration> {
         match (&mut self.admission, self.phase) {
             (_, RecoveryPhase::FullService) => Ok(()),
--- a/crates/micadrum-recovery/src/phases/tests.rs
+++ b/crates/micadrum-recovery/src/phases/tests.rs
@@ -14,9 +14,9 @@
     initial_admissions_per_second: 20.0,
 };
 
-/// Guards against service that returns in another order, or is withheld although nothing is awaited.
+/// Guards against phases in the wrong order, and against a phase that continues after its condition is met.
 #[test]
-fn each_phase_ends_with_what_it_waits_for() {
+fn each_phase_ends_when_its_condition_is_met() {
     let mut phases = Phases::new(SETTINGS, ms(0));
     assert!(!phases.handle(Input::Backlog(0), ms(10)), "an empty backlog does not end the query");
     assert!(
@@ -42,7 +42,7 @@
     assert_eq!((phases.phase(), phases.due()), (RecoveryPhase::FullService, None));
     assert!((0..100).all(|_| phases.admit(ms(5400)).is_ok()));
     let took: Vec<_> =
-        phases.ended().iter().map(|step| (step.phase, step.took_us / 1000, step.end)).collect();
+        phases.ended().iter().map(|record| (record.phase, record.took_us / 1000, record.end)).collect();
     let done = PhaseEnd::Completed;
     let expected = [
         (RecoveryPhase::QueryingPeers, 100, done),
@@ -53,9 +53,9 @@
     assert_eq!(took, expected);
 }
 
-/// Guards against a query that timed out and is reported as completed.
+/// Guards against reporting a query that timed out as completed.
 #[test]
-fn a_query_that_took_all_its_time_has_timed_out() {
+fn a_query_that_ends_at_its_deadline_counts_as_timed_out() {
     for (at, end) in [(999, PhaseEnd::Completed), (1000, PhaseEnd::TimedOut)] {
         let mut phases = Phases::new(SETTINGS, ms(0));
         assert!(phases.handle(Input::PeersQueried, ms(at)));
@@ -63,19 +63,19 @@
     }
 }
 
-/// Guards against waiting for an endpoint list that has already arrived.
+/// Guards against waiting for an endpoint list that arrived during the query of peers.
 #[test]
-fn an_endpoint_list_that_arrived_early_counts() {
+fn an_early_endpoint_list_ends_the_wait_for_it() {
     let mut phases = Phases::new(SETTINGS, ms(0));
     assert!(!phases.handle(Input::EndpointListReceived, ms(10)));
     phases.handle(Input::PeersQueried, ms(20));
     assert_eq!(phases.phase(), RecoveryPhase::DrainingBacklog);
 }
 
-/// Guards against a sender that never returns to service: phases end in their order and in their time.
+/// Guards against a sender that never reaches full service, or reaches it after the sum of the timeouts.
 #[test]
-fn service_returns_in_time_whatever_happens() {
-    let most = SETTINGS.peer_query_timeout
+fn reaches_full_service_within_the_timeouts_for_any_inputs() {
+    let max_duration = SETTINGS.peer_query_timeout
         + SETTINGS.endpoint_list_timeout
         + SETTINGS.backlog_timeout
         + SETTINGS.admission_ramp;
@@ -95,14 +95,14 @@
                 _ => Input::Timer,
             };
             phases.handle(input, now);
-            assert!(phases.phase() >= last && now <= most, "seed {seed}");
+            assert!(phases.phase() >= last && now <= max_duration, "seed {seed}");
             assert!(
                 phases.phase() == RecoveryPhase::FullService || phases.due().unwrap() > now,
                 "seed {seed}"
             );
             last = phases.phase();
         }
-        let order: Vec<RecoveryPhase> = phases.ended().iter().map(|step| step.phase).collect();
+        let order: Vec<RecoveryPhase> = phases.ended().iter().map(|record| record.phase).collect();
         assert_eq!(
             order,
             [
