--- a/crates/micadrum-fault-injection/src/sockets.rs
+++ b/crates/micadrum-fault-injection/src/sockets.rs
@@ -32,7 +32,7 @@
 
 /// Returns the error to inject into a transfer that a signal interrupts. Only IPv4 sockets are affected: the
 /// Unix socket pair through which a runtime receives its own signals never blocks.
-fn interruption(descriptor: c_int) -> Option<c_int> {
+fn interrupt_error(descriptor: c_int) -> Option<c_int> {
     let is_active = control().is_some_and(|control| control.is_active(FaultKind::Interrupt));
     if !is_active || socket_domain(descriptor) != Some(libc::AF_INET) {
         return None;
@@ -58,7 +58,7 @@
 
 /// Returns the error to inject into a read from a socket.
 fn receive_error(descriptor: c_int) -> Option<c_int> {
-    interruption(descriptor).or_else(|| injected_error(FaultKind::Receive, &RECEIVE_ERRORS))
+    interrupt_error(descriptor).or_else(|| injected_error(FaultKind::Receive, &RECEIVE_ERRORS))
 }
 
 /// Overrides `accept4`. An injected failure leaves the accept queue unchanged.
@@ -183,7 +183,7 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(error) = interruption(descriptor) {
+    if let Some(error) = interrupt_error(descriptor) {
         return fail(error) as ssize_t;
     }
     delay_write();
@@ -215,7 +215,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     if count > 0 && is_socket(descriptor) {
-        if let Some(error) = interruption(descriptor) {
+        if let Some(error) = interrupt_error(descriptor) {
             return fail(error) as ssize_t;
         }
         delay_write();
--- a/crates/micadrum-recovery/src/message_recovery/tests.rs
+++ b/crates/micadrum-recovery/src/message_recovery/tests.rs
@@ -34,10 +34,11 @@
             for clock in clocks {
                 for clock_offset_us in [Some(0), None] {
                     let trust = |journal| Trust { clock_offset_us, ..trust(journal, clock) };
-                    let of = |journal| caution(assess_message(&trust(journal), redelivery, message));
+                    let caution_with =
+                        |journal| caution(assess_message(&trust(journal), redelivery, message));
                     assert!(
-                        of(JournalTrust::Complete) <= of(JournalTrust::Incomplete)
-                            && of(JournalTrust::Incomplete) <= of(JournalTrust::Foreign)
+                        caution_with(JournalTrust::Complete) <= caution_with(JournalTrust::Incomplete)
+                            && caution_with(JournalTrust::Incomplete) <= caution_with(JournalTrust::Foreign)
                     );
                 }
                 for journal in [JournalTrust::Complete, JournalTrust::Incomplete] {
@@ -53,7 +54,7 @@
 /// Guards against code that deviates from the table in the module documentation.
 #[test]
 fn actions_match_the_documented_table() {
-    let of = |journal, clock, redelivery, first_attempt_at, not_accepted_before| {
+    let action_for = |journal, clock, redelivery, first_attempt_at, not_accepted_before| {
         assess_message(
             &trust(journal, clock),
             redelivery,
@@ -64,20 +65,20 @@
     use JournalTrust::{Complete, Foreign, Incomplete};
     use RecoveryAction::{Discard, Fail, Uncertain, Unchanged};
     use Redelivery::{Harmful, Harmless, HarmlessWithinWindow};
-    assert_eq!(of(Complete, Trusted, HarmlessWithinWindow, Some(7), None), Unchanged);
-    assert_eq!(of(Complete, Unverified, HarmlessWithinWindow, Some(7), None), Fail);
-    assert_eq!(of(Complete, Unverified, HarmlessWithinWindow, None, Some(5)), Unchanged);
+    assert_eq!(action_for(Complete, Trusted, HarmlessWithinWindow, Some(7), None), Unchanged);
+    assert_eq!(action_for(Complete, Unverified, HarmlessWithinWindow, Some(7), None), Fail);
+    assert_eq!(action_for(Complete, Unverified, HarmlessWithinWindow, None, Some(5)), Unchanged);
     assert_eq!(
-        of(Complete, Unverified, Harmful, Some(7), None),
+        action_for(Complete, Unverified, Harmful, Some(7), None),
         Unchanged,
         "the decision core itself fails a message that may have been delivered"
     );
-    assert_eq!(of(Incomplete, Trusted, Harmless, None, None), Uncertain(0));
-    assert_eq!(of(Incomplete, Trusted, HarmlessWithinWindow, Some(7), Some(5)), Uncertain(5));
-    assert_eq!(of(Incomplete, Trusted, HarmlessWithinWindow, Some(7), None), Fail);
-    assert_eq!(of(Incomplete, Unverified, HarmlessWithinWindow, None, Some(5)), Fail);
-    assert_eq!(of(Incomplete, Trusted, Harmful, None, Some(5)), Fail);
-    assert_eq!(of(Foreign, Trusted, Harmless, None, None), Discard);
+    assert_eq!(action_for(Incomplete, Trusted, Harmless, None, None), Uncertain(0));
+    assert_eq!(action_for(Incomplete, Trusted, HarmlessWithinWindow, Some(7), Some(5)), Uncertain(5));
+    assert_eq!(action_for(Incomplete, Trusted, HarmlessWithinWindow, Some(7), None), Fail);
+    assert_eq!(action_for(Incomplete, Unverified, HarmlessWithinWindow, None, Some(5)), Fail);
+    assert_eq!(action_for(Incomplete, Trusted, Harmful, None, Some(5)), Fail);
+    assert_eq!(action_for(Foreign, Trusted, Harmless, None, None), Discard);
     let with_unknown_time = |journal, redelivery, first_attempt_at| {
         let trust = Trust { clock_offset_us: None, ..trust(journal, Unverified) };
         assess_message(
--- a/crates/micadrum-recovery/src/peer_query/tests.rs
+++ b/crates/micadrum-recovery/src/peer_query/tests.rs
@@ -5,8 +5,8 @@
 }
 
 fn candidates(count: usize) -> Vec<Candidate> {
-    let of = |n: usize| Candidate { name: format!("n{n}"), zone: ["a", "b"][n % 2].to_owned() };
-    (0..count).map(of).collect()
+    let candidate = |n: usize| Candidate { name: format!("n{n}"), zone: ["a", "b"][n % 2].to_owned() };
+    (0..count).map(candidate).collect()
 }
 
 fn counts(answered: usize, at_full_service: usize, unanswered: usize) -> QueryCounts {
--- a/crates/micadrum-recovery/src/peer_report.rs
+++ b/crates/micadrum-recovery/src/peer_report.rs
@@ -114,11 +114,11 @@
     let ids: BTreeSet<&String> = reports.iter().flat_map(|aged| aged.report.endpoints.keys()).collect();
     let mut restrictions = EndpointRestrictions::default();
     for id in ids {
-        let of_endpoint = |aged: &&AgedReport| AgedEndpointReport {
+        let endpoint_report = |aged: &&AgedReport| AgedEndpointReport {
             endpoint: aged.report.endpoints.get(id).copied().unwrap_or_default(),
             age_us: aged.age.as_micros() as u64,
         };
-        let combined = combine_endpoint(&reports.iter().map(of_endpoint).collect::<Vec<_>>());
+        let combined = combine_endpoint(&reports.iter().map(endpoint_report).collect::<Vec<_>>());
         if !combined.is_empty() {
             restrictions.endpoints.insert(id.clone(), combined);
         }
