--- a/crates/micadrum-testkit/src/invariants/duplicates.rs
+++ b/crates/micadrum-testkit/src/invariants/duplicates.rs
@@ -2,14 +2,14 @@
 use super::state::{Finding, Message};
 use super::{Invariant, InvariantChecker, TOLERANCE_MICROS, seconds};
 use crate::observation::At;
-use crate::plan::{Class, KEY_WINDOW};
+use crate::plan::{Class, DEDUPLICATION_WINDOW};
 
 /// Checks an attempt that was sent at `sent`.
 pub(super) fn check_duplicate(message: &Message, sent: At) -> Option<Finding> {
     let first_attempt = message.first_uncertain_attempt?;
     let what = match message.class {
         Class::Charge => "it was sent again though it may have run".to_owned(),
-        Class::TripRecord if sent > first_attempt + KEY_WINDOW.0 + TOLERANCE_MICROS => {
+        Class::TripRecord if sent > first_attempt + DEDUPLICATION_WINDOW.0 + TOLERANCE_MICROS => {
             format!("it was sent again {} after it may have run", seconds(sent - first_attempt))
         }
         Class::TripRecord => return None,
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -2,7 +2,7 @@
 use crate::history::History;
 use crate::invariants::{InvariantChecker, Verdict, look_at_views};
 use crate::observation::{At, MessageEnd, Seen, Told};
-use crate::plan::{AIM, Arrival, Class, LATE_WORTH, PlannedFault, TENANTS};
+use crate::plan::{Arrival, Class, DEADLINE_WORTH_SHARE, LATENCY_OBJECTIVE, PlannedFault, TENANTS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
@@ -246,6 +246,7 @@
 
 /// Returns what a delivery is worth: 1 up to the latency objective, and linearly less up to the deadline.
 fn worth(class: Class, latency: At) -> f64 {
-    let late = latency.saturating_sub(AIM.0) as f64 / (class.deadline().0 - AIM.0) as f64;
-    1.0 - (1.0 - LATE_WORTH) * late.min(1.0)
+    let late = latency.saturating_sub(LATENCY_OBJECTIVE.0) as f64
+        / (class.deadline().0 - LATENCY_OBJECTIVE.0) as f64;
+    1.0 - (1.0 - DEADLINE_WORTH_SHARE) * late.min(1.0)
 }
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -7,7 +7,7 @@
 pub use route::{Collapse, LoadReport};
 
 use crate::observation::{At, MessageEnd};
-use crate::plan::{Class, Destination, KEY_WINDOW, Kind, Limit, SeededRng};
+use crate::plan::{Class, DEDUPLICATION_WINDOW, Destination, Kind, Limit, SeededRng};
 use route::{LIMIT_WINDOW_US, Route};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -297,7 +297,7 @@
         if self.keys.get(message.key).is_some_and(|closes_at| sent_at < *closes_at) {
             return false;
         }
-        let closes_at = sent_at + KEY_WINDOW.0;
+        let closes_at = sent_at + DEDUPLICATION_WINDOW.0;
         self.keys.insert(message.key.to_owned(), closes_at);
         self.key_expiries.push_back(KeyExpiry { closes_at, key: message.key.to_owned() });
         true
--- a/crates/micadrum-testkit/src/world/destination_model/route.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/route.rs
@@ -1,6 +1,6 @@
 //! A route of a destination: its limit, and its capacity while it is warming up after an outage.
 use crate::observation::At;
-use crate::plan::{COLD_SHARE, FALL, Limit, OVERLOAD_FACTOR, RAMP};
+use crate::plan::{INITIAL_CAPACITY_SHARE, Limit, OVERLOAD_FACTOR, OVERLOAD_WINDOW, SLOW_START_DURATION};
 use std::collections::VecDeque;
 
 /// Length of the window of a limit that counts calls.
@@ -119,8 +119,8 @@
     /// Returns the share of its capacity that the route has: less than 1 while it is cold.
     pub(super) fn warmth(&self, now: At) -> f64 {
         let Some(slow_start_since) = self.slow_start_since else { return 1.0 };
-        let ramp_share = now.saturating_sub(slow_start_since) as f64 / RAMP.0 as f64;
-        (COLD_SHARE + (1.0 - COLD_SHARE) * ramp_share).min(1.0)
+        let ramp_share = now.saturating_sub(slow_start_since) as f64 / SLOW_START_DURATION.0 as f64;
+        (INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * ramp_share).min(1.0)
     }
 
     fn current_limit(&self) -> Limit {
@@ -188,16 +188,16 @@
     /// Records a call of a sender. Returns the collapse of the route, if this call caused it.
     pub(super) fn record_call(&mut self, now: At, sender: u32) -> Option<Collapse> {
         self.recent_calls.push_back(RecentCall { at: now, sender });
-        while self.recent_calls.front().is_some_and(|call| call.at + FALL.0 < now) {
+        while self.recent_calls.front().is_some_and(|call| call.at + OVERLOAD_WINDOW.0 < now) {
             self.recent_calls.pop_front();
         }
         let slow_start_since = self.slow_start_since?;
-        if now >= slow_start_since + RAMP.0 || self.collapsed || self.outage_since.is_some() {
+        if now >= slow_start_since + SLOW_START_DURATION.0 || self.collapsed || self.outage_since.is_some() {
             return None;
         }
-        let from = now.saturating_sub(FALL.0).max(slow_start_since);
+        let from = now.saturating_sub(OVERLOAD_WINDOW.0).max(slow_start_since);
         let mean_warmth = (self.warmth(from) + self.warmth(now)) / 2.0;
-        let sustainable = OVERLOAD_FACTOR * self.capacity * mean_warmth * FALL.0 as f64 / 1e6;
+        let sustainable = OVERLOAD_FACTOR * self.capacity * mean_warmth * OVERLOAD_WINDOW.0 as f64 / 1e6;
         let budget = sustainable + COLLAPSE_TOLERANCE_SIGMAS * sustainable.sqrt();
         let in_window = self.recent_calls.iter().filter(|call| call.at >= from);
         let senders: Vec<u32> = in_window.map(|call| call.sender).collect();
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -8,7 +8,7 @@
 use super::messages::MessageOutcome;
 use crate::http::{Conversation, Message, answer};
 use crate::observation::{At, Seen};
-use crate::plan::{MUST_ASK_IN, SeededRng};
+use crate::plan::{MAX_POLL_INTERVAL, SeededRng};
 use crate::scenario::Discovery;
 use crate::test_network::{Host, TestConnection};
 use agent::{AGENT_PORT, record_delivered_list};
@@ -88,7 +88,7 @@
     let listed_at = world.now();
     while agent.delivered_revision.get() < revision {
         let factor = if agent.last_request_failed.get() { FAILED_POLL_FACTOR } else { 1 };
-        let due = listed_at.max(agent.last_request_at.get()) + factor * MUST_ASK_IN.0;
+        let due = listed_at.max(agent.last_request_at.get()) + factor * MAX_POLL_INTERVAL.0;
         if world.now() >= due && agent.pending_watches.get() == 0 {
             break;
         }
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -3,8 +3,9 @@
 use super::{World, endpoints};
 use crate::link_faults::{self, Named};
 use crate::plan::{
-    AIM, COLD_SHARE, CONNECT_TIMEOUT, Class, DRAIN_GRACE, FALL, KEY_WINDOW, LATE_WORTH, MAX_ATTEMPTS,
-    MUST_ASK_IN, OVERLOAD_FACTOR, RAMP, TENANTS,
+    CONNECT_TIMEOUT, Class, DEADLINE_WORTH_SHARE, DEDUPLICATION_WINDOW, DRAIN_GRACE, INITIAL_CAPACITY_SHARE,
+    LATENCY_OBJECTIVE, MAX_ATTEMPTS, MAX_POLL_INTERVAL, OVERLOAD_FACTOR, OVERLOAD_WINDOW,
+    SLOW_START_DURATION, TENANTS,
 };
 use crate::scenario::Discovery;
 use serde_json::{Value, json};
@@ -66,9 +67,9 @@
             "limits": {"cancel": true, "connect_timeout": CONNECT_TIMEOUT.0,
                 "conn_idle": endpoints::IDLE_TIMEOUT_US, "max_attempts": MAX_ATTEMPTS,
                 "most_held": capacity.max_pending, "probes": false},
-            "invariants": {"drain_grace": DRAIN_GRACE.0, "cold_share": COLD_SHARE, "ramp_time": RAMP.0,
-                "overload_factor": OVERLOAD_FACTOR, "fall": FALL.0, "order_settle": 0,
-                "must_ask_in": MUST_ASK_IN.0},
+            "invariants": {"drain_grace": DRAIN_GRACE.0, "cold_share": INITIAL_CAPACITY_SHARE, "ramp_time": SLOW_START_DURATION.0,
+                "overload_factor": OVERLOAD_FACTOR, "fall": OVERLOAD_WINDOW.0, "order_settle": 0,
+                "must_ask_in": MAX_POLL_INTERVAL.0},
             "specifics": {"bundle_max": [5, 1, 1], "kind_apart": [true, false, false], "decay": "even",
                 "max_calls": capacity.max_calls},
             "tenants": TENANTS.iter().map(tenant).collect::<Vec<_>>(), "over_share_worth": 0.05,
@@ -106,7 +107,7 @@
 }
 
 fn class_settings(class: Class, repeat: &str) -> Value {
-    json!({"name": class.name(), "aim": AIM.0, "hard_limit": class.deadline().0, "worth": 1.0,
-        "late_value": LATE_WORTH, "repeat": repeat, "group": "all", "key_ttl": KEY_WINDOW.0,
+    json!({"name": class.name(), "aim": LATENCY_OBJECTIVE.0, "hard_limit": class.deadline().0, "worth": 1.0,
+        "late_value": DEADLINE_WORTH_SHARE, "repeat": repeat, "group": "all", "key_ttl": DEDUPLICATION_WINDOW.0,
         "fifo_by_key": class == Class::TripRecord})
 }
