--- a/crates/micadrum-testkit/src/link_faults/mod.rs
+++ b/crates/micadrum-testkit/src/link_faults/mod.rs
@@ -4,7 +4,7 @@
 pub use operator_file::{Named, OperatorFileError, hex, operator_file, secret};
 
 use crate::plan::{Plan, PlannedFault, SeededRng};
-use crate::scenario::{FaultKind, Ways};
+use crate::scenario::{CutDirection, FaultKind};
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -88,9 +88,9 @@
         is_source != is_target
             && fault.between.as_ref().is_none_or(|between| between.contains(&other))
             && match fault.ways {
-                Ways::Both => true,
-                Ways::Out => is_source,
-                Ways::In => is_target,
+                CutDirection::Both => true,
+                CutDirection::Out => is_source,
+                CutDirection::In => is_target,
             }
     }
 
--- a/crates/micadrum-testkit/src/live/fleet.rs
+++ b/crates/micadrum-testkit/src/live/fleet.rs
@@ -5,7 +5,7 @@
 use super::system_faults::SystemFaults;
 use crate::link_faults::hex;
 use crate::plan::{PlannedFault, SeededRng};
-use crate::scenario::Where;
+use crate::scenario::WritePoint;
 use crate::world::senders::{Fleet, Links, LogSink, OperatorFile, SyncBehavior};
 use micadrum::daemon::ports::LocalFuture;
 use std::cell::{Cell, RefCell};
@@ -283,7 +283,7 @@
         }
     }
 
-    fn kill_at_write(&self, _: u32, _: u64, _: Where) -> bool {
+    fn kill_at_write(&self, _: u32, _: u64, _: WritePoint) -> bool {
         false
     }
 
--- a/crates/micadrum-testkit/src/plan/description.rs
+++ b/crates/micadrum-testkit/src/plan/description.rs
@@ -1,6 +1,6 @@
 //! Describes planned faults in reports.
 use super::model::PlannedFault;
-use crate::scenario::{FaultKind, FolderKept};
+use crate::scenario::{FaultKind, FolderContent};
 use crate::units::Span;
 
 impl PlannedFault {
@@ -53,7 +53,7 @@
     fn restart_parameters(&self) -> Vec<String> {
         let batch = self.batch.min(self.senders.len());
         let mut parts = vec![format!("{:?}, {batch} at once, a batch every {}", self.how, self.every)];
-        if self.folder != FolderKept::Kept {
+        if self.folder != FolderContent::Kept {
             parts.push(format!("folder {:?}", self.folder));
         }
         parts
--- a/crates/micadrum-testkit/src/plan/faults.rs
+++ b/crates/micadrum-testkit/src/plan/faults.rs
@@ -1,7 +1,7 @@
 //! Resolves a scenario's fault into a planned one: draws its targets and fills in the defaults.
 use super::model::{Destination, EndpointPlan, PlannedFault, SystemFault};
 use super::{Plan, SeededRng};
-use crate::scenario::{Fault, FaultKind, FolderKept, How, Where};
+use crate::scenario::{Fault, FaultKind, FolderContent, StopMethod, WritePoint};
 use crate::units::{Percent, Span};
 
 const DEFAULT_INTERVAL: Span = Span::seconds(4);
@@ -30,13 +30,13 @@
             endpoints,
             senders,
             calls: fault.calls.map_or(1.0, Percent::share),
-            how: fault.how.unwrap_or(How::Kill),
+            how: fault.how.unwrap_or(StopMethod::Kill),
             batch: fault.batch.map_or(usize::MAX, |batch| batch as usize),
             every: fault.every.unwrap_or(DEFAULT_INTERVAL),
             pause: fault.pause.unwrap_or(DEFAULT_PAUSE),
             delay: fault.delay.unwrap_or_default(),
             nth: fault.nth.unwrap_or(1),
-            place: fault.write_point.unwrap_or(Where::After),
+            place: fault.write_point.unwrap_or(WritePoint::After),
             down: fault.down.unwrap_or(DEFAULT_DOWNTIME),
             ways: fault.direction.unwrap_or_default(),
             between: fault.between.clone(),
@@ -122,9 +122,9 @@
     items.truncate(((items.len() as f64 * share.share()).ceil() as usize).max(1));
 }
 
-fn default_folder(kind: FaultKind) -> FolderKept {
+fn default_folder(kind: FaultKind) -> FolderContent {
     match kind {
-        FaultKind::PowerLoss => FolderKept::Synced,
-        _ => FolderKept::Kept,
+        FaultKind::PowerLoss => FolderContent::Synced,
+        _ => FolderContent::Kept,
     }
 }
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -1,5 +1,7 @@
 //! What a plan consists of: message classes, destinations, endpoints, senders, client operations and faults.
-use crate::scenario::{FaultKind, FolderError, FolderKept, How, SystemCall, Ways, Where};
+use crate::scenario::{
+    CutDirection, FaultKind, FolderContent, FolderError, StopMethod, SystemCall, WritePoint,
+};
 use crate::units::Span;
 
 /// The message classes.
@@ -153,7 +155,7 @@
     /// Share of the calls that is affected.
     pub calls: f64,
     /// How a restart ends the process.
-    pub how: How,
+    pub how: StopMethod,
     /// Number of senders that are restarted at once.
     pub batch: usize,
     /// Interval between two batches, pauses or breaks.
@@ -165,11 +167,11 @@
     /// Which write to the journal the fault hits, counted from 1.
     pub nth: u64,
     /// At which point of that write.
-    pub place: Where,
+    pub place: WritePoint,
     /// How long a sender stays down.
     pub down: Span,
     /// The direction of a cut.
-    pub ways: Ways,
+    pub ways: CutDirection,
     /// Numbers of the senders that a cut separates from; all others if not given.
     pub between: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
@@ -179,7 +181,7 @@
     /// Period over which the senders that lost power come back.
     pub back: Span,
     /// The content of the state folder after a restart.
-    pub folder: FolderKept,
+    pub folder: FolderContent,
     /// Numbers of the senders that never come back.
     pub never: Vec<u32>,
     /// Maximum error of the senders' clocks afterwards.
--- a/crates/micadrum-testkit/src/plan/random_faults.rs
+++ b/crates/micadrum-testkit/src/plan/random_faults.rs
@@ -1,6 +1,6 @@
 //! Random faults, drawn from the seed in addition to those of the scenario.
 use super::{Plan, SeededRng};
-use crate::scenario::{Fault, FaultKind, How, Ways, Where};
+use crate::scenario::{CutDirection, Fault, FaultKind, StopMethod, WritePoint};
 use crate::units::{Percent, Span};
 
 /// Random faults of peers end this many seconds before the end of the run, so that membership views can converge.
@@ -88,8 +88,8 @@
     Some(Percent(rng.between(low, high).round()))
 }
 
-fn draw_how(rng: &mut SeededRng, kill_probability: f64) -> How {
-    if rng.chance(kill_probability) { How::Kill } else { How::Term }
+fn draw_how(rng: &mut SeededRng, kill_probability: f64) -> StopMethod {
+    if rng.chance(kill_probability) { StopMethod::Kill } else { StopMethod::Term }
 }
 
 fn draw_world_fault(rng: &mut SeededRng, length: f64, senders: usize) -> Fault {
@@ -107,7 +107,7 @@
     fault.share = Some(Percent((rng.between(0.1, 0.5) * 100.0).round()));
     fault.how = Some(draw_how(rng, 0.5));
     fault.nth = Some(1 + rng.below(200) as u64);
-    fault.write_point = Some([Where::Before, Where::Torn, Where::After][rng.below(3)]);
+    fault.write_point = Some([WritePoint::Before, WritePoint::Torn, WritePoint::After][rng.below(3)]);
     if kind == FaultKind::Restart {
         fault.batch = Some(1 + rng.below(senders) as u32);
         fault.share = Some(Percent(100.0));
@@ -137,7 +137,7 @@
     fault.every = Some(draw_span(rng, 0.3, 2.0));
     fault.calls = draw_percent(rng, 5.0, 40.0);
     fault.share = draw_percent(rng, 5.0, 60.0);
-    fault.direction = Some([Ways::Both, Ways::Out, Ways::In][rng.below(3)]);
+    fault.direction = Some([CutDirection::Both, CutDirection::Out, CutDirection::In][rng.below(3)]);
     fault.how = Some(draw_how(rng, 0.7));
     if matches!(kind, FaultKind::Restart | FaultKind::MachineLost) {
         fault.duration = None;
--- a/crates/micadrum-testkit/src/plan/random_system_faults.rs
+++ b/crates/micadrum-testkit/src/plan/random_system_faults.rs
@@ -1,7 +1,7 @@
 //! Random faults of the senders' system calls, clocks and state folders, drawn from the seed.
 use super::random_faults::draw_span;
 use super::{Plan, SeededRng};
-use crate::scenario::{Fault, FaultKind, FolderError, How, SystemCall};
+use crate::scenario::{Fault, FaultKind, FolderError, StopMethod, SystemCall};
 use crate::units::{Percent, Span};
 
 /// Number that identifies the targets of the first random system fault.
@@ -54,7 +54,7 @@
 
 fn draw_restart(rng: &mut SeededRng, at: Span) -> Fault {
     let mut fault = Fault::new(FaultKind::Restart, at);
-    fault.how = Some(if rng.chance(0.6) { How::Kill } else { How::Term });
+    fault.how = Some(if rng.chance(0.6) { StopMethod::Kill } else { StopMethod::Term });
     fault.share = Some(Percent(rng.between(20.0, 100.0).round()));
     fault.batch = Some(1 + rng.below(3) as u32);
     fault.every = Some(draw_span(rng, 0.5, 3.0));
--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -106,7 +106,7 @@
 /// The direction of a cut, seen from the affected senders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ways {
+pub enum CutDirection {
     /// Nothing passes.
     #[default]
     Both,
@@ -119,7 +119,7 @@
 /// The content of a sender's state folder after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FolderKept {
+pub enum FolderContent {
     /// Everything the sender wrote.
     #[default]
     Kept,
@@ -134,7 +134,7 @@
 /// How a sender's process is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum StopMethod {
     /// By SIGTERM, followed 3.7 s later by SIGKILL if the process still runs.
     Term,
     /// By SIGKILL.
@@ -144,7 +144,7 @@
 /// The point of a write to the journal at which the process is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Where {
+pub enum WritePoint {
     /// Before any of it is written.
     Before,
     /// When a part of it is written.
@@ -209,7 +209,7 @@
     /// Numbers of the affected senders, from 0.
     pub senders: Option<Vec<u32>>,
     /// How a restart ends the process.
-    pub how: Option<How>,
+    pub how: Option<StopMethod>,
     /// Number of senders that are restarted at once.
     pub batch: Option<u32>,
     /// Interval between two batches, pauses or breaks.
@@ -222,12 +222,12 @@
     pub nth: Option<u64>,
     /// At which point of that write.
     #[serde(rename = "where")]
-    pub write_point: Option<Where>,
+    pub write_point: Option<WritePoint>,
     /// How long a sender stays down before it is started again.
     pub down: Option<Span>,
     /// The direction of a cut.
     #[serde(rename = "ways")]
-    pub direction: Option<Ways>,
+    pub direction: Option<CutDirection>,
     /// Numbers of the senders that a cut separates from; all others if not given.
     pub between: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
@@ -239,7 +239,7 @@
     #[serde(rename = "back")]
     pub return_period: Option<Span>,
     /// The content of the state folder after a restart.
-    pub folder: Option<FolderKept>,
+    pub folder: Option<FolderContent>,
     /// Share of the senders that lost power and never come back.
     #[serde(rename = "never")]
     pub lost_share: Option<Percent>,
--- a/crates/micadrum-testkit/src/scenario/mod.rs
+++ b/crates/micadrum-testkit/src/scenario/mod.rs
@@ -5,7 +5,9 @@
 mod schema;
 mod validation;
 
-pub use fault::{Fault, FaultKind, FolderError, FolderKept, How, SystemCall, Ways, Where};
+pub use fault::{
+    CutDirection, Fault, FaultKind, FolderContent, FolderError, StopMethod, SystemCall, WritePoint,
+};
 pub use fault_validation::FaultError;
 pub use schema::{AdminSnapshotPlan, Discovery, Peak, Scenario};
 pub use validation::{ScenarioError, ScenarioProblem};
--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -1,7 +1,7 @@
 //! A simulated disk that outlasts its process: it can be full, and kill the process at a chosen write.
 use super::process::Process;
 use crate::plan::SeededRng;
-use crate::scenario::Where;
+use crate::scenario::WritePoint;
 use crate::world::senders::SyncBehavior;
 use micadrum::daemon::ports::{AppendFile, LocalFuture, Storage};
 use std::cell::RefCell;
@@ -50,7 +50,7 @@
     /// Writes up to the one at which the process is killed.
     pub remaining: u64,
     /// Where in that write.
-    pub place: Where,
+    pub place: WritePoint,
 }
 
 /// How changes of files fail.
@@ -243,9 +243,9 @@
             if *remaining == 0 {
                 killed = true;
                 written = match place {
-                    Where::Before => 0,
-                    Where::Torn => bytes.len() / 2,
-                    Where::After => bytes.len(),
+                    WritePoint::Before => 0,
+                    WritePoint::Torn => bytes.len() / 2,
+                    WritePoint::After => bytes.len(),
                 };
             }
         }
--- a/crates/micadrum-testkit/src/sim/fleet.rs
+++ b/crates/micadrum-testkit/src/sim/fleet.rs
@@ -6,7 +6,7 @@
 use super::process::Process;
 use super::process_network::ProcessNetwork;
 use crate::plan::{PlannedFault, SeededRng};
-use crate::scenario::{FaultKind, Where};
+use crate::scenario::{FaultKind, WritePoint};
 use crate::test_network::Host;
 use crate::world::senders::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
 use micadrum::daemon::config::{Config, ConfigReadError};
@@ -237,7 +237,7 @@
         self.nodes[sender as usize].disk.borrow_mut().wipe();
     }
 
-    fn kill_at_write(&self, sender: u32, nth: u64, place: Where) -> bool {
+    fn kill_at_write(&self, sender: u32, nth: u64, place: WritePoint) -> bool {
         self.nodes[sender as usize].disk.borrow_mut().kill_at_write =
             Some(KillAtWrite { remaining: nth, place });
         true
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -3,7 +3,7 @@
 use crate::history::What;
 use crate::observation::{At, Seen};
 use crate::plan::{PlannedFault, SeededRng};
-use crate::scenario::{FaultKind, FolderKept, How};
+use crate::scenario::{FaultKind, FolderContent, StopMethod};
 use crate::world::World;
 use crate::world::senders::{PowerRecovery, SyncBehavior};
 use std::time::Duration;
@@ -47,7 +47,7 @@
 /// Replaces the machines of senders: their state folders are lost.
 pub(super) fn machine_lost(world: &World, fault: &PlannedFault) {
     for sender in &fault.senders {
-        world.restart(*sender, How::Kill, Duration::from_micros(fault.down.0), FolderKept::Lost);
+        world.restart(*sender, StopMethod::Kill, Duration::from_micros(fault.down.0), FolderContent::Lost);
     }
 }
 
--- a/crates/micadrum-testkit/src/world/senders/fleet.rs
+++ b/crates/micadrum-testkit/src/world/senders/fleet.rs
@@ -1,6 +1,6 @@
 //! The interface to the senders' processes and the links between hosts, simulated or real.
 use crate::plan::{PlannedFault, SeededRng};
-use crate::scenario::Where;
+use crate::scenario::WritePoint;
 use micadrum::daemon::ports::LocalFuture;
 use serde_json::Value;
 use std::cell::Cell;
@@ -90,7 +90,7 @@
     fn wipe_state_folder(&self, sender: u32);
 
     /// Kills a sender at a later write to its journal. Returns whether that is possible.
-    fn kill_at_write(&self, sender: u32, nth: u64, place: Where) -> bool;
+    fn kill_at_write(&self, sender: u32, nth: u64, place: WritePoint) -> bool;
 
     /// Fills the disk of a sender, or frees it. Returns whether that is possible.
     fn fill_disk(&self, sender: u32, full: bool) -> bool;
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -9,7 +9,7 @@
 use crate::http::Conversation;
 use crate::observation::{At, Seen};
 use crate::plan::SeededRng;
-use crate::scenario::{FolderKept, How, Where};
+use crate::scenario::{FolderContent, StopMethod, WritePoint};
 use crate::test_network::Host;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -81,17 +81,17 @@
     }
 
     /// Restarts a sender after `down`, with `folder` as its state folder.
-    pub(super) fn restart(&self, sender: u32, how: How, down: Duration, folder: FolderKept) {
+    pub(super) fn restart(&self, sender: u32, how: StopMethod, down: Duration, folder: FolderContent) {
         self.senders[sender as usize].send(SenderCommand::Restart { how, down, folder });
     }
 
     /// Cuts the power of a sender's machine.
-    pub(super) fn lose_power(&self, sender: u32, recovery: PowerRecovery, folder: FolderKept) {
+    pub(super) fn lose_power(&self, sender: u32, recovery: PowerRecovery, folder: FolderContent) {
         self.senders[sender as usize].send(SenderCommand::LosePower { recovery, folder });
     }
 
     /// Kills a sender at a write to its journal.
-    pub(super) fn kill_at_write(&self, sender: u32, nth: u64, place: Where, down: Duration) {
+    pub(super) fn kill_at_write(&self, sender: u32, nth: u64, place: WritePoint, down: Duration) {
         self.senders[sender as usize].send(SenderCommand::KillAtWrite { nth, place, down });
     }
 }
--- a/crates/micadrum-testkit/src/world/senders/supervisor.rs
+++ b/crates/micadrum-testkit/src/world/senders/supervisor.rs
@@ -3,7 +3,7 @@
 use crate::history::What;
 use crate::observation::Seen;
 use crate::plan::SeededRng;
-use crate::scenario::{FolderKept, How, Where};
+use crate::scenario::{FolderContent, StopMethod, WritePoint};
 use crate::world::World;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,30 +17,30 @@
 
 /// What the supervisor is to do with its sender.
 pub(super) enum SenderCommand {
-    Restart { how: How, down: Duration, folder: FolderKept },
-    LosePower { recovery: PowerRecovery, folder: FolderKept },
-    KillAtWrite { nth: u64, place: Where, down: Duration },
+    Restart { how: StopMethod, down: Duration, folder: FolderContent },
+    LosePower { recovery: PowerRecovery, folder: FolderContent },
+    KillAtWrite { nth: u64, place: WritePoint, down: Duration },
 }
 
 /// How a sender is to be stopped, and what follows.
 struct StopPlan {
-    how: How,
+    how: StopMethod,
     /// How long the sender stays down; `None` where it never comes back.
     down: Option<Duration>,
-    folder: FolderKept,
+    folder: FolderContent,
     /// How far its clock is off after a power loss.
     clock_offset_us: Option<i64>,
 }
 
 impl StopPlan {
-    fn power_loss(recovery: PowerRecovery, folder: FolderKept) -> Self {
+    fn power_loss(recovery: PowerRecovery, folder: FolderContent) -> Self {
         // A machine that never comes back takes what it held with it.
-        let folder = if recovery.downtime.is_none() { FolderKept::Lost } else { folder };
+        let folder = if recovery.downtime.is_none() { FolderContent::Lost } else { folder };
         let clock_offset_us = Some(recovery.clock_offset_us);
-        Self { how: How::Kill, down: recovery.downtime, folder, clock_offset_us }
+        Self { how: StopMethod::Kill, down: recovery.downtime, folder, clock_offset_us }
     }
 
-    fn restart(how: How, down: Duration, folder: FolderKept) -> Self {
+    fn restart(how: StopMethod, down: Duration, folder: FolderContent) -> Self {
         Self { how, down: Some(down), folder, clock_offset_us: None }
     }
 }
@@ -82,7 +82,7 @@
         } else {
             eprintln!("sender {sender} ended by itself{}", if clean { "" } else { ", in disorder" });
         }
-        self.record_exit(expected, FolderKept::Kept);
+        self.record_exit(expected, FolderContent::Kept);
         let down = self.pending_kill.take().unwrap_or(RESTART_DELAY);
         self.restart_after(down).await
     }
@@ -98,7 +98,7 @@
                     return true;
                 }
                 // Where writes cannot be counted the sender is killed at once.
-                StopPlan::restart(How::Kill, down, FolderKept::Kept)
+                StopPlan::restart(StopMethod::Kill, down, FolderContent::Kept)
             }
         };
         let expected = self.stop(plan.how).await;
@@ -114,11 +114,11 @@
     }
 
     /// Stops the process, and returns whether it ended as expected.
-    async fn stop(&mut self, how: How) -> bool {
+    async fn stop(&mut self, how: StopMethod) -> bool {
         let sender = self.sender;
         let fleet = self.world.fleet.clone();
         self.world.senders[sender as usize].is_accepting.set(false);
-        let killed = how == How::Kill;
+        let killed = how == StopMethod::Kill;
         self.world.observe(Seen::Ending { sender, killed });
         if !killed {
             fleet.terminate(sender);
@@ -143,7 +143,7 @@
     }
 
     /// Records the exit of the process, and puts the state folder into the condition that follows.
-    fn record_exit(&self, expected: bool, folder: FolderKept) {
+    fn record_exit(&self, expected: bool, folder: FolderContent) {
         let (world, sender) = (&*self.world, self.sender);
         let state = &world.senders[sender as usize];
         state.is_accepting.set(false);
@@ -155,10 +155,10 @@
             world.fleet.wipe_state_folder(sender);
         }
         match folder {
-            FolderKept::Kept => {}
-            FolderKept::Synced => self.discard_unsynced(),
-            FolderKept::Lost => self.lose_machine(),
-            FolderKept::Older => {
+            FolderContent::Kept => {}
+            FolderContent::Synced => self.discard_unsynced(),
+            FolderContent::Lost => self.lose_machine(),
+            FolderContent::Older => {
                 world.fleet.wipe_state_folder(sender);
                 world.fleet.restore_state_folder(sender);
                 self.record_machine_lost();
