--- a/crates/micadrum-testkit/src/link_faults/mod.rs
+++ b/crates/micadrum-testkit/src/link_faults/mod.rs
@@ -64,7 +64,7 @@
                 FaultKind::Slow if is_source || is_target => delay += Duration::from_micros(fault.delay.0),
                 FaultKind::Break
                     if (is_source || is_target)
-                        && broken.get().is_none_or(|at| at + fault.every.0 <= now) =>
+                        && broken.get().is_none_or(|at| at + fault.interval.0 <= now) =>
                 {
                     broken.set(Some(now));
                     return FaultWindow::Breaks;
@@ -86,8 +86,8 @@
         let [is_source, is_target] = [from, to].map(|sender| fault.senders.contains(&sender));
         let other = if is_source { to } else { from };
         is_source != is_target
-            && fault.between.as_ref().is_none_or(|between| between.contains(&other))
-            && match fault.ways {
+            && fault.cut_peers.as_ref().is_none_or(|between| between.contains(&other))
+            && match fault.direction {
                 CutDirection::Both => true,
                 CutDirection::Out => is_source,
                 CutDirection::In => is_target,
@@ -108,7 +108,7 @@
                     );
                 }
                 FaultKind::Lose if is_source || is_target => {
-                    if self.random.chance(fault.calls) {
+                    if self.random.chance(fault.call_share) {
                         return Vec::new();
                     }
                     if self.random.chance(DUPLICATE_SHARE) {
--- a/crates/micadrum-testkit/src/live/system_faults.rs
+++ b/crates/micadrum-testkit/src/live/system_faults.rs
@@ -50,7 +50,7 @@
         if !fails {
             return self.control.end(kind);
         }
-        let rate = (fault.calls * RATE_UNIT as f64) as u64;
+        let rate = (fault.call_share * RATE_UNIT as f64) as u64;
         let injected = Fault { rate, ..Fault::always(kind) };
         match kind {
             SystemFaultKind::WallClock => {
--- a/crates/micadrum-testkit/src/plan/description.rs
+++ b/crates/micadrum-testkit/src/plan/description.rs
@@ -23,36 +23,37 @@
     /// Describes the parameters that matter for this kind of fault.
     fn parameters(&self) -> Vec<String> {
         match self.kind {
-            FaultKind::LimitFalls => vec![format!("{:.0}% of the limit stays", self.calls * 100.0)],
+            FaultKind::LimitFalls => vec![format!("{:.0}% of the limit stays", self.call_share * 100.0)],
             FaultKind::Full | FaultKind::Errors | FaultKind::Spoil | FaultKind::Reset => {
-                vec![format!("{:.0}% of the calls", self.calls * 100.0)]
+                vec![format!("{:.0}% of the calls", self.call_share * 100.0)]
             }
             FaultKind::Late | FaultKind::ListLag | FaultKind::LinkDelay => vec![format!("by {}", self.delay)],
-            FaultKind::Stall => vec![format!("{} every {}", self.pause, self.every)],
+            FaultKind::Stall => vec![format!("{} every {}", self.pause, self.interval)],
             FaultKind::Restart => self.restart_parameters(),
             FaultKind::PowerLoss => self.power_loss_parameters(),
-            FaultKind::KillAtWrite => vec![format!("{:?} write {}", self.place, self.nth)],
+            FaultKind::KillAtWrite => vec![format!("{:?} write {}", self.write_point, self.nth)],
             FaultKind::Cut => vec![self.cut_parameters()],
             FaultKind::Slow => vec![format!("by {} and up to {}", self.delay, self.jitter)],
-            FaultKind::Break => vec![format!("one every {}", self.every)],
+            FaultKind::Break => vec![format!("one every {}", self.interval)],
             FaultKind::SystemCalls => {
-                vec![format!("{:?}, {:.2}% of the calls", self.system.call, self.calls * 100.0)]
+                vec![format!("{:?}, {:.2}% of the calls", self.system.call, self.call_share * 100.0)]
             }
             FaultKind::WallClock => vec![format!("by {} us", self.system.step_us)],
             FaultKind::Folder => vec![format!(
                 "error {:?}, torn: {}, {:.2}% of the calls",
                 self.system.error,
                 self.system.is_torn,
-                self.calls * 100.0
+                self.call_share * 100.0
             )],
-            FaultKind::Lose => vec![format!("{:.0}% lost", self.calls * 100.0)],
+            FaultKind::Lose => vec![format!("{:.0}% lost", self.call_share * 100.0)],
             _ => Vec::new(),
         }
     }
 
     fn restart_parameters(&self) -> Vec<String> {
         let batch = self.batch.min(self.senders.len());
-        let mut parts = vec![format!("{:?}, {batch} at once, a batch every {}", self.how, self.every)];
+        let mut parts =
+            vec![format!("{:?}, {batch} at once, a batch every {}", self.stop_method, self.interval)];
         if self.folder != FolderContent::Kept {
             parts.push(format!("folder {:?}", self.folder));
         }
@@ -60,18 +61,18 @@
     }
 
     fn power_loss_parameters(&self) -> Vec<String> {
-        let mut parts = vec![format!("back over {}, folder {:?}", self.back, self.folder)];
-        if !self.never.is_empty() {
-            parts.push(format!("never {:?}", self.never));
+        let mut parts = vec![format!("back over {}, folder {:?}", self.return_period, self.folder)];
+        if !self.lost_senders.is_empty() {
+            parts.push(format!("never {:?}", self.lost_senders));
         }
-        if self.clock > Span(0) {
-            parts.push(format!("clocks off by up to {}", self.clock));
+        if self.max_clock_error > Span(0) {
+            parts.push(format!("clocks off by up to {}", self.max_clock_error));
         }
         parts
     }
 
     fn cut_parameters(&self) -> String {
-        let between = self.between.as_ref().map_or(String::new(), |senders| format!(" from {senders:?}"));
-        format!("ways {:?}{between}, partners too: {}", self.ways, self.from_partners)
+        let between = self.cut_peers.as_ref().map_or(String::new(), |senders| format!(" from {senders:?}"));
+        format!("ways {:?}{between}, partners too: {}", self.direction, self.cuts_destinations)
     }
 }
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -153,13 +153,13 @@
     /// Numbers of the affected senders, in the order in which the fault reaches them.
     pub senders: Vec<u32>,
     /// Share of the calls that is affected.
-    pub calls: f64,
+    pub call_share: f64,
     /// How a restart ends the process.
-    pub how: StopMethod,
+    pub stop_method: StopMethod,
     /// Number of senders that are restarted at once.
     pub batch: usize,
     /// Interval between two batches, pauses or breaks.
-    pub every: Span,
+    pub interval: Span,
     /// Length of a pause.
     pub pause: Span,
     /// Added delay.
@@ -167,25 +167,25 @@
     /// Which write to the journal the fault hits, counted from 1.
     pub nth: u64,
     /// At which point of that write.
-    pub place: WritePoint,
+    pub write_point: WritePoint,
     /// How long a sender stays down.
-    pub down: Span,
+    pub downtime: Span,
     /// The direction of a cut.
-    pub ways: CutDirection,
+    pub direction: CutDirection,
     /// Numbers of the senders that a cut separates from; all others if not given.
-    pub between: Option<Vec<u32>>,
+    pub cut_peers: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
-    pub from_partners: bool,
+    pub cuts_destinations: bool,
     /// Maximum of the random delay that is added to `delay`.
     pub jitter: Span,
     /// Period over which the senders that lost power come back.
-    pub back: Span,
+    pub return_period: Span,
     /// The content of the state folder after a restart.
     pub folder: FolderContent,
     /// Numbers of the senders that never come back.
-    pub never: Vec<u32>,
+    pub lost_senders: Vec<u32>,
     /// Maximum error of the senders' clocks afterwards.
-    pub clock: Span,
+    pub max_clock_error: Span,
     /// How system calls are made to fail.
     pub system: SystemFault,
 }
--- a/crates/micadrum-testkit/src/plan/random_faults.rs
+++ b/crates/micadrum-testkit/src/plan/random_faults.rs
@@ -101,11 +101,11 @@
     fault.duration = Some(Span(duration.0.min(remaining)));
     fault.delay = Some(draw_span(rng, 0.5, 10.0));
     fault.pause = Some(draw_span(rng, 0.2, 0.5));
-    fault.every = Some(draw_span(rng, 0.8, 4.0));
-    fault.down = Some(draw_span(rng, 0.6, 2.0));
-    fault.calls = Some(Percent((rng.between(0.1, 1.0) * 100.0).round()));
+    fault.interval = Some(draw_span(rng, 0.8, 4.0));
+    fault.downtime = Some(draw_span(rng, 0.6, 2.0));
+    fault.call_share = Some(Percent((rng.between(0.1, 1.0) * 100.0).round()));
     fault.share = Some(Percent((rng.between(0.1, 0.5) * 100.0).round()));
-    fault.how = Some(draw_how(rng, 0.5));
+    fault.stop_method = Some(draw_how(rng, 0.5));
     fault.nth = Some(1 + rng.below(200) as u64);
     fault.write_point = Some([WritePoint::Before, WritePoint::Torn, WritePoint::After][rng.below(3)]);
     if kind == FaultKind::Restart {
@@ -133,12 +133,12 @@
     // Senders raise their timeouts with the latency, so that a delay alone gets nobody declared dead within the run.
     fault.delay = Some(draw_span(rng, 0.05, 1.0));
     fault.jitter = Some(draw_span(rng, 0.0, 0.2));
-    fault.down = Some(draw_span(rng, 0.3, 4.0));
-    fault.every = Some(draw_span(rng, 0.3, 2.0));
-    fault.calls = draw_percent(rng, 5.0, 40.0);
+    fault.downtime = Some(draw_span(rng, 0.3, 4.0));
+    fault.interval = Some(draw_span(rng, 0.3, 2.0));
+    fault.call_share = draw_percent(rng, 5.0, 40.0);
     fault.share = draw_percent(rng, 5.0, 60.0);
     fault.direction = Some([CutDirection::Both, CutDirection::Out, CutDirection::In][rng.below(3)]);
-    fault.how = Some(draw_how(rng, 0.7));
+    fault.stop_method = Some(draw_how(rng, 0.7));
     if matches!(kind, FaultKind::Restart | FaultKind::MachineLost) {
         fault.duration = None;
         fault.batch = Some(1 + rng.below(3) as u32);
--- a/crates/micadrum-testkit/src/plan/random_system_faults.rs
+++ b/crates/micadrum-testkit/src/plan/random_system_faults.rs
@@ -54,11 +54,11 @@
 
 fn draw_restart(rng: &mut SeededRng, at: Span) -> Fault {
     let mut fault = Fault::new(FaultKind::Restart, at);
-    fault.how = Some(if rng.chance(0.6) { StopMethod::Kill } else { StopMethod::Term });
+    fault.stop_method = Some(if rng.chance(0.6) { StopMethod::Kill } else { StopMethod::Term });
     fault.share = Some(Percent(rng.between(20.0, 100.0).round()));
     fault.batch = Some(1 + rng.below(3) as u32);
-    fault.every = Some(draw_span(rng, 0.5, 3.0));
-    fault.down = Some(draw_span(rng, 0.6, 2.0));
+    fault.interval = Some(draw_span(rng, 0.5, 3.0));
+    fault.downtime = Some(draw_span(rng, 0.6, 2.0));
     fault
 }
 
@@ -79,12 +79,12 @@
             fault.duration = duration;
             fault.error = Some([FolderError::InputOutput, FolderError::NoSpace][rng.below(2)]);
             fault.torn = Some(rng.chance(0.5));
-            fault.calls = Some(Percent([100.0, 30.0][rng.below(2)]));
+            fault.call_share = Some(Percent([100.0, 30.0][rng.below(2)]));
         }
         _ => {
             fault.duration = duration;
             fault.call = Some(SYSTEM_CALLS[rng.below(SYSTEM_CALLS.len())]);
-            fault.calls = Some(Percent([1.0, 5.0, 20.0][rng.below(3)]));
+            fault.call_share = Some(Percent([1.0, 5.0, 20.0][rng.below(3)]));
         }
     }
     fault
--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -205,15 +205,18 @@
     #[serde(rename = "building")]
     pub zone: Option<String>,
     /// Share of the calls that is affected, or of the limit that remains.
-    pub calls: Option<Percent>,
+    #[serde(rename = "calls")]
+    pub call_share: Option<Percent>,
     /// Numbers of the affected senders, from 0.
     pub senders: Option<Vec<u32>>,
     /// How a restart ends the process.
-    pub how: Option<StopMethod>,
+    #[serde(rename = "how")]
+    pub stop_method: Option<StopMethod>,
     /// Number of senders that are restarted at once.
     pub batch: Option<u32>,
     /// Interval between two batches, pauses or breaks.
-    pub every: Option<Span>,
+    #[serde(rename = "every")]
+    pub interval: Option<Span>,
     /// Length of a pause.
     pub pause: Option<Span>,
     /// Added delay.
@@ -224,12 +227,14 @@
     #[serde(rename = "where")]
     pub write_point: Option<WritePoint>,
     /// How long a sender stays down before it is started again.
-    pub down: Option<Span>,
+    #[serde(rename = "down")]
+    pub downtime: Option<Span>,
     /// The direction of a cut.
     #[serde(rename = "ways")]
     pub direction: Option<CutDirection>,
     /// Numbers of the senders that a cut separates from; all others if not given.
-    pub between: Option<Vec<u32>>,
+    #[serde(rename = "between")]
+    pub cut_peers: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
     #[serde(rename = "from_partners")]
     pub cuts_destinations: Option<bool>,
@@ -244,7 +249,8 @@
     #[serde(rename = "never")]
     pub lost_share: Option<Percent>,
     /// Maximum error of the senders' clocks afterwards, in either direction.
-    pub clock: Option<Span>,
+    #[serde(rename = "clock")]
+    pub max_clock_error: Option<Span>,
     /// Whether the endpoints in the same zone lose power too, and go through a slow start.
     #[serde(rename = "with_partners")]
     pub includes_endpoints: Option<bool>,
@@ -270,24 +276,24 @@
             destinations: None,
             share: None,
             zone: None,
-            calls: None,
+            call_share: None,
             senders: None,
-            how: None,
+            stop_method: None,
             batch: None,
-            every: None,
+            interval: None,
             pause: None,
             delay: None,
             nth: None,
             write_point: None,
-            down: None,
+            downtime: None,
             direction: None,
-            between: None,
+            cut_peers: None,
             cuts_destinations: None,
             jitter: None,
             return_period: None,
             folder: None,
             lost_share: None,
-            clock: None,
+            max_clock_error: None,
             includes_endpoints: None,
             call: None,
             error: None,
--- a/crates/micadrum-testkit/src/scenario/fault_validation.rs
+++ b/crates/micadrum-testkit/src/scenario/fault_validation.rs
@@ -95,7 +95,7 @@
     let (destinations, senders) = (*scenario.destinations.get_ref(), *scenario.senders.get_ref());
     validate_numbers(fault.destinations.as_deref(), "partner", destinations)?;
     validate_numbers(fault.senders.as_deref(), "sender", senders)?;
-    validate_numbers(fault.between.as_deref(), "sender", senders)
+    validate_numbers(fault.cut_peers.as_deref(), "sender", senders)
 }
 
 fn validate_numbers(numbers: Option<&[u32]>, role: &'static str, count: u32) -> Result<(), FaultError> {
@@ -109,10 +109,10 @@
     if fault.nth == Some(0) || fault.batch == Some(0) {
         return Err(FaultError::ZeroCount);
     }
-    if fault.every == Some(Span(0)) || fault.duration == Some(Span(0)) {
+    if fault.interval == Some(Span(0)) || fault.duration == Some(Span(0)) {
         return Err(FaultError::ZeroDuration);
     }
-    if let (Some(pause), Some(interval)) = (fault.pause, fault.every)
+    if let (Some(pause), Some(interval)) = (fault.pause, fault.interval)
         && pause >= interval
     {
         return Err(FaultError::PauseTooLong);
--- a/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
@@ -25,14 +25,17 @@
         FaultKind::Hang => condition.hangs = true,
         FaultKind::Late => condition.added_latency = fault.delay.0,
         FaultKind::Stall => {
-            condition.stall =
-                Some(Stall { pause: fault.pause.0, period: fault.every.0, from: started_at + fault.from.0 });
+            condition.stall = Some(Stall {
+                pause: fault.pause.0,
+                period: fault.interval.0,
+                from: started_at + fault.from.0,
+            });
         }
         FaultKind::Shut => condition.unavailable_until = Some(started_at + fault.until.0),
-        FaultKind::Full => condition.rejected_share = fault.calls,
-        FaultKind::Errors => condition.error_share = fault.calls,
-        FaultKind::Spoil => condition.corrupted_share = fault.calls,
-        FaultKind::Reset => condition.reset_share = fault.calls,
+        FaultKind::Full => condition.rejected_share = fault.call_share,
+        FaultKind::Errors => condition.error_share = fault.call_share,
+        FaultKind::Spoil => condition.corrupted_share = fault.call_share,
+        FaultKind::Reset => condition.reset_share = fault.call_share,
         FaultKind::Vanish => condition.unreachable = true,
         FaultKind::Die => condition.process_down = true,
         _ => {}
@@ -84,7 +87,7 @@
 
 /// Lowers the limits of endpoints until `until`.
 pub(super) async fn lower_limit(world: &World, fault: &PlannedFault, until: At) {
-    set_limit_share(world, fault, fault.calls);
+    set_limit_share(world, fault, fault.call_share);
     world.wait_until(until).await;
     set_limit_share(world, fault, 1.0);
 }
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -14,10 +14,10 @@
     let batch_size = fault.batch.clamp(1, fault.senders.len().max(1));
     for (number, batch) in fault.senders.chunks(batch_size).enumerate() {
         if number > 0 {
-            sleep(Duration::from_micros(fault.every.0)).await;
+            sleep(Duration::from_micros(fault.interval.0)).await;
         }
         for sender in batch {
-            world.restart(*sender, fault.how, Duration::from_micros(fault.down.0), fault.folder);
+            world.restart(*sender, fault.stop_method, Duration::from_micros(fault.downtime.0), fault.folder);
         }
     }
 }
@@ -35,26 +35,31 @@
 
 /// Draws when a sender comes back, and how far its clock is off then.
 fn draw_recovery(random: &mut SeededRng, fault: &PlannedFault, sender: u32) -> PowerRecovery {
-    let delay = (random.unit() * fault.back.0 as f64) as u64;
+    let delay = (random.unit() * fault.return_period.0 as f64) as u64;
     let downtime = Duration::from_micros(fault.until.0 - fault.from.0 + delay);
-    let clock_offset_us = match fault.clock.0 {
+    let clock_offset_us = match fault.max_clock_error.0 {
         0 => 0,
         max => ((random.unit() * 2.0 - 1.0) * max as f64) as i64,
     };
-    PowerRecovery { downtime: (!fault.never.contains(&sender)).then_some(downtime), clock_offset_us }
+    PowerRecovery { downtime: (!fault.lost_senders.contains(&sender)).then_some(downtime), clock_offset_us }
 }
 
 /// Replaces the machines of senders: their state folders are lost.
 pub(super) fn machine_lost(world: &World, fault: &PlannedFault) {
     for sender in &fault.senders {
-        world.restart(*sender, StopMethod::Kill, Duration::from_micros(fault.down.0), FolderContent::Lost);
+        world.restart(
+            *sender,
+            StopMethod::Kill,
+            Duration::from_micros(fault.downtime.0),
+            FolderContent::Lost,
+        );
     }
 }
 
 /// Kills senders in the midst of a write to the journal.
 pub(super) fn kill_at_write(world: &World, fault: &PlannedFault) {
     for sender in &fault.senders {
-        world.kill_at_write(*sender, fault.nth, fault.place, Duration::from_micros(fault.down.0));
+        world.kill_at_write(*sender, fault.nth, fault.write_point, Duration::from_micros(fault.downtime.0));
     }
 }
 
@@ -115,11 +120,11 @@
 pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: At) {
     world.link_faults.borrow_mut().begin_fault(fault);
     record(world, fault, true);
-    if fault.from_partners {
+    if fault.cuts_destinations {
         cut_from_destinations(world, fault, true);
     }
     world.wait_until(until).await;
-    if fault.from_partners {
+    if fault.cuts_destinations {
         cut_from_destinations(world, fault, false);
     }
     world.link_faults.borrow_mut().end_fault(fault);
