--- a/crates/micadrum-testkit/src/plan/arrivals.rs
+++ b/crates/micadrum-testkit/src/plan/arrivals.rs
@@ -63,7 +63,7 @@
 
     /// Draws a burst of messages for one destination, and returns the one drawn last.
     fn draw_burst(&mut self) -> Option<Arrival> {
-        let destination = self.rng.below(self.plan.partners.len()) as u32;
+        let destination = self.rng.below(self.plan.destinations.len()) as u32;
         let size = MIN_BURST_MESSAGES + self.rng.below(BURST_SIZES);
         self.burst = (0..size).map(|_| self.draw(Some(destination))).collect();
         self.burst.pop()
@@ -85,7 +85,7 @@
     }
 
     fn draw_destination(&mut self) -> u32 {
-        let shares = self.plan.partners.iter().map(|destination| destination.share);
+        let shares = self.plan.destinations.iter().map(|destination| destination.share);
         self.rng.weighted_index(shares).map_or(0, |number| number as u32)
     }
 
--- a/crates/micadrum-testkit/src/plan/faults.rs
+++ b/crates/micadrum-testkit/src/plan/faults.rs
@@ -55,7 +55,7 @@
             return Targets { endpoints: self.draw_endpoints(fault, zone, &mut rng), senders: Vec::new() };
         }
         let endpoints = if fault.includes_endpoints == Some(true) {
-            endpoints_in_zone(self.partners.iter(), zone).collect()
+            endpoints_in_zone(self.destinations.iter(), zone).collect()
         } else {
             Vec::new()
         };
@@ -70,7 +70,7 @@
 
     /// Draws destinations, and returns all their endpoints in the zone.
     fn draw_endpoints(&self, fault: &Fault, zone: Option<usize>, rng: &mut SeededRng) -> Vec<u32> {
-        let mut destinations: Vec<&Destination> = (self.partners.iter())
+        let mut destinations: Vec<&Destination> = (self.destinations.iter())
             .filter(|destination| is_listed(fault.destinations.as_ref(), destination.number))
             .collect();
         draw_share(&mut destinations, fault.share, rng);
--- a/crates/micadrum-testkit/src/plan/mod.rs
+++ b/crates/micadrum-testkit/src/plan/mod.rs
@@ -33,7 +33,7 @@
     /// The senders, by number.
     pub senders: Vec<SenderPlan>,
     /// The destinations, by number.
-    pub partners: Vec<Destination>,
+    pub destinations: Vec<Destination>,
     /// The faults, ordered by when they begin.
     pub faults: Vec<PlannedFault>,
     /// Deliberate errors in the senders' configuration; empty but in tests of the invariant checker.
@@ -47,12 +47,12 @@
     /// Draws the plan of a scenario for a seed, with the scenario's own faults.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let senders = senders(&scenario);
-        let partners = destinations::draw_destinations(&scenario, seed);
+        let destinations = destinations::draw_destinations(&scenario, seed);
         let mut plan = Self {
             scenario,
             seed,
             senders,
-            partners,
+            destinations,
             faults: Vec::new(),
             lies: Vec::new(),
             forgetful: false,
@@ -75,7 +75,7 @@
 
     /// Returns all endpoints, each with its destination.
     pub fn endpoints(&self) -> impl Iterator<Item = (&Destination, &EndpointPlan)> {
-        self.partners
+        self.destinations
             .iter()
             .flat_map(|destination| destination.endpoints.iter().map(move |endpoint| (destination, endpoint)))
     }
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -120,7 +120,7 @@
             seed: plan.seed,
             length_us: plan.length().0,
             senders: plan.senders.len(),
-            destinations: plan.partners.len(),
+            destinations: plan.destinations.len(),
             endpoints: plan.endpoints().count(),
             operations,
             digest: format!("{digest:016x}"),
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -115,7 +115,7 @@
     ) -> std::io::Result<Rc<Self>> {
         let senders = plan.senders.len();
         let model = |destination| DestinationModel::new(destination, plan.seed);
-        let destinations: Vec<_> = plan.partners.iter().map(model).collect();
+        let destinations: Vec<_> = plan.destinations.iter().map(model).collect();
         let (endpoints, route_count) = initial_endpoints(&plan, &destinations);
         let mut agents = Vec::new();
         for sender in 0..senders as u32 {
@@ -214,7 +214,7 @@
             id: endpoint.id.clone(),
             addresses: endpoint.addresses.clone(),
             zone: self.plan.scenario.buildings.get_ref()[endpoint.zone].clone(),
-            kind: self.plan.partners[endpoint.destination as usize].kind.name(),
+            kind: self.plan.destinations[endpoint.destination as usize].kind.name(),
             destination: endpoint.destination,
             phase: endpoint.phase,
         }
@@ -228,7 +228,7 @@
             id: endpoint.id.clone(),
             addresses: vec![address; self.plan.senders.len()],
             zone: self.plan.scenario.buildings.get_ref()[0].clone(),
-            kind: self.plan.partners[endpoint.destination as usize].kind.name(),
+            kind: self.plan.destinations[endpoint.destination as usize].kind.name(),
             destination: endpoint.destination,
             phase: "SERVING",
         }
@@ -244,7 +244,7 @@
 fn initial_endpoints(plan: &Plan, models: &[DestinationModel]) -> (Vec<EndpointState>, u32) {
     let mut endpoints = Vec::new();
     let mut route_count = 0;
-    for (destination, model) in plan.partners.iter().zip(models) {
+    for (destination, model) in plan.destinations.iter().zip(models) {
         for endpoint in &destination.endpoints {
             endpoints.push(EndpointState {
                 number: endpoint.number,
