--- a/crates/micadrum-testkit/src/plan/mod.rs
+++ b/crates/micadrum-testkit/src/plan/mod.rs
@@ -12,7 +12,8 @@
 
 pub use arrivals::Arrivals;
 pub use model::{
-    Arrival, Class, Destination, EndpointPlan, Kind, Lie, Limit, PlannedFault, SenderPlan, SystemFault,
+    Arrival, Class, ConfigOverride, Destination, EndpointPlan, Kind, Limit, PlannedFault, SenderPlan,
+    SystemFault,
 };
 pub use parameters::{
     CONNECT_TIMEOUT, DEADLINE_WORTH_SHARE, DEDUPLICATION_WINDOW, DRAIN_GRACE, INITIAL_CAPACITY_SHARE,
@@ -37,10 +38,10 @@
     /// The faults, ordered by when they begin.
     pub faults: Vec<PlannedFault>,
     /// Deliberate errors in the senders' configuration; empty but in tests of the invariant checker.
-    pub lies: Vec<Lie>,
+    pub config_overrides: Vec<ConfigOverride>,
     /// Whether senders lose their state folder at each restart without any record of it; false but in tests of the
     /// invariant checker.
-    pub forgetful: bool,
+    pub wipes_state_on_restart: bool,
 }
 
 impl Plan {
@@ -54,8 +55,8 @@
             senders,
             destinations,
             faults: Vec::new(),
-            lies: Vec::new(),
-            forgetful: false,
+            config_overrides: Vec::new(),
+            wipes_state_on_restart: false,
         };
         plan.faults =
             plan.scenario.faults().enumerate().map(|(number, fault)| plan.resolve(fault, number)).collect();
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -206,7 +206,7 @@
 /// A deliberate error in the senders' configuration, which makes faulty senders of correct ones, so that tests can show
 /// that the invariant checker detects their violations.
 #[derive(Clone, Debug)]
-pub struct Lie {
+pub struct ConfigOverride {
     /// The position in the configuration, as a JSON pointer (RFC 6901).
     pub pointer: String,
     /// The value to put there.
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -41,7 +41,7 @@
         if let (Some(address), true) = (self.fleet.admin_address(), plan.scenario.operator.is_some()) {
             config["management"] = json!(address.to_string());
         }
-        for lie in &plan.lies {
+        for lie in &plan.config_overrides {
             if let Some(value) = config.pointer_mut(&lie.pointer) {
                 *value = lie.value.clone();
             }
--- a/crates/micadrum-testkit/src/world/senders/supervisor.rs
+++ b/crates/micadrum-testkit/src/world/senders/supervisor.rs
@@ -151,7 +151,7 @@
         world.agents[sender as usize].reset_for_process(world.now());
         world.observe(Seen::Exited { sender, asked: expected });
         world.record(sender, What::Ended);
-        if world.plan.forgetful {
+        if world.plan.wipes_state_on_restart {
             world.fleet.wipe_state_folder(sender);
         }
         match folder {
--- a/crates/micadrum-testkit/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 use common::{kept, play, read, scenario, shipped};
 use micadrum_testkit::invariants::Invariant;
-use micadrum_testkit::plan::{Lie, Plan};
+use micadrum_testkit::plan::{ConfigOverride, Plan};
 use micadrum_testkit::scenario::Scenario;
 use micadrum_testkit::units::Span;
 
@@ -104,7 +104,8 @@
         assert!(verdict.broken.is_empty(), "seed {seed}: {:?}", verdict.broken);
     }
     let mut slow = fleet(1);
-    slow.lies = vec![Lie { pointer: "/settings/discovery".to_owned(), value: "on_request".into() }];
+    slow.config_overrides =
+        vec![ConfigOverride { pointer: "/settings/discovery".to_owned(), value: "on_request".into() }];
     assert!(play(slow).verdict.broken.contains_key(&Invariant::SentToDraining));
 }
 
@@ -116,7 +117,8 @@
     let rest = "discovery = \"on-request\"\ndiscovery_bears = \"20/s\"\n\
                 [[fault]]\nkind = \"drain\"\nat = \"5 s\"\nshare = \"50%\"\n";
     let mut alone = Plan::new(scenario("30 s", rest), 1);
-    alone.lies = vec![Lie { pointer: "/discovery".to_owned(), value: "10.9.9.9:1".into() }];
+    alone.config_overrides =
+        vec![ConfigOverride { pointer: "/discovery".to_owned(), value: "10.9.9.9:1".into() }];
     assert!(play(alone).verdict.broken.contains_key(&Invariant::SentToDraining));
     kept(scenario("30 s", rest), 1);
 }
@@ -143,13 +145,13 @@
     let full = "[[fault]]\nkind = \"full\"\nat = \"5 s\"\nfor = \"20 s\"\ncalls = \"60%\"\n";
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"5 s\"\nshare = \"50%\"\n";
     let restart = "[[fault]]\nkind = \"restart\"\nat = \"8 s\"\nhow = \"kill\"\n";
-    let lie = |pointer: &str, value: serde_json::Value| Lie { pointer: pointer.to_owned(), value };
+    let lie = |pointer: &str, value: serde_json::Value| ConfigOverride { pointer: pointer.to_owned(), value };
     let restless = || {
         let aims = [0, 1].map(|lane| lie(&format!("/settings/lanes/{lane}/aim"), 100_000.into()));
         aims.into_iter().chain([lie("/settings/limits/max_attempts", 50.into())]).collect::<Vec<_>>()
     };
     let few = format!("vehicles = 3\n{errors}");
-    let cases: Vec<(&str, Invariant, Vec<Lie>, bool)> = vec![
+    let cases: Vec<(&str, Invariant, Vec<ConfigOverride>, bool)> = vec![
         (errors, Invariant::Duplicated, vec![lie("/settings/lanes/0/repeat", "retryable".into())], false),
         (errors, Invariant::Duplicated, vec![lie("/settings/lanes/1/key_ttl", 60_000_000.into())], false),
         (&few, Invariant::OutOfOrder, vec![lie("/settings/lanes/1/fifo_by_key", false.into())], false),
@@ -160,7 +162,7 @@
     for (rest, rule, lies, forgetful) in cases {
         let convicted = (1..=3).any(|seed| {
             let mut plan = Plan::new(scenario("30 s", rest), seed);
-            (plan.lies, plan.forgetful) = (lies.clone(), forgetful);
+            (plan.config_overrides, plan.wipes_state_on_restart) = (lies.clone(), forgetful);
             play(plan).verdict.broken.contains_key(&rule)
         });
         assert!(convicted, "{rule:?} was not found with {lies:?}");
--- a/crates/micadrum-testkit/tests/hunt.rs
+++ b/crates/micadrum-testkit/tests/hunt.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::scenario;
-use micadrum_testkit::plan::{Lie, Plan};
+use micadrum_testkit::plan::{ConfigOverride, Plan};
 use micadrum_testkit::seed_search;
 
 /// Guards against a change that breaks a rule under faults that nobody thought of.
@@ -25,8 +25,9 @@
         let rest = "[[fault]]\nkind = \"stall\"\nat = \"2 s\"\nfor = \"5 s\"\npause = \"200 ms\"\nevery = \"1 s\"\n\
                     [[fault]]\nkind = \"errors\"\nat = \"4 s\"\nfor = \"10 s\"\ncalls = \"60%\"\n";
         let mut plan = Plan::new(scenario("30 s", rest), seed);
-        let lie = Lie { pointer: "/settings/lanes/0/repeat".to_owned(), value: "retryable".into() };
-        plan.lies.push(lie);
+        let lie =
+            ConfigOverride { pointer: "/settings/lanes/0/repeat".to_owned(), value: "retryable".into() };
+        plan.config_overrides.push(lie);
         plan
     };
     let found = seed_search::run(3..=3, 1, &plan, &|_, _| {});
