--- a/crates/micadrum-testkit/src/plan/destinations.rs
+++ b/crates/micadrum-testkit/src/plan/destinations.rs
@@ -40,19 +40,19 @@
 impl DestinationDraw {
     fn destination(&mut self, number: u32, share: f64) -> Destination {
         let kind = kind(number);
-        let service = self.rng.between(120_000.0, 210_000.0) * self.rng.between(0.6, 1.5);
+        let mean_service_us = self.rng.between(120_000.0, 210_000.0) * self.rng.between(0.6, 1.5);
         let size =
             if share > LARGE_DESTINATION_SHARE { 3 + self.rng.below(2) } else { 1 + self.rng.below(3) };
-        let routes = if kind.routes_apart() { size as f64 } else { 1.0 };
+        let routes = if kind.has_endpoint_limits() { size as f64 } else { 1.0 };
         let rate = (self.full_load * share / routes * self.rng.between(1.2, 2.2)).max(MIN_RATE_LIMIT);
         let limit = self.limit(kind, rate);
         let usual = self.full_load * share * self.rng.between(1.1, 1.5);
         // A destination can serve whatever its limit admits.
         let capacity = if limit == Limit::None { usual.max(MIN_CAPACITY) } else { usual.max(rate * routes) };
-        let slots = (capacity * service / 1e6 / size as f64).ceil() as usize + 1;
+        let slots = (capacity * mean_service_us / 1e6 / size as f64).ceil() as usize + 1;
         let endpoints = (0..size).map(|index| self.endpoint(index, slots)).collect();
-        let tells = self.retry_after_share(kind);
-        Destination { number, kind, share, capacity, limit, tells, service, endpoints }
+        let retry_after_share = self.retry_after_share(kind);
+        Destination { number, kind, share, capacity, limit, retry_after_share, mean_service_us, endpoints }
     }
 
     fn limit(&mut self, kind: Kind, rate: f64) -> Limit {
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether limits hold for each endpoint rather than for the whole destination.
-    pub fn routes_apart(self) -> bool {
+    pub fn has_endpoint_limits(self) -> bool {
         self == Self::Bank
     }
 }
@@ -87,9 +87,9 @@
     /// Its limit; that of each endpoint where limits hold for each endpoint.
     pub limit: Limit,
     /// Share of its rejections that carry a Retry-After.
-    pub tells: f64,
+    pub retry_after_share: f64,
     /// Mean service time of a call, in microseconds.
-    pub service: f64,
+    pub mean_service_us: f64,
     /// Its endpoints.
     pub endpoints: Vec<EndpointPlan>,
 }
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -137,7 +137,7 @@
 impl DestinationModel {
     /// Creates the model of a destination of the plan.
     pub fn new(destination: &Destination, seed: u64) -> Self {
-        let separate = destination.kind.routes_apart();
+        let separate = destination.kind.has_endpoint_limits();
         let route_count = if separate { destination.endpoints.len() } else { 1 };
         let capacity = destination.capacity / route_count as f64;
         let rejections_consume_rate = destination.kind == Kind::Bank;
@@ -148,8 +148,8 @@
         };
         Self {
             has_window_limit: matches!(destination.limit, Limit::Window(_)),
-            service_time_us: destination.service,
-            retry_after_share: destination.tells,
+            service_time_us: destination.mean_service_us,
+            retry_after_share: destination.retry_after_share,
             routes: (0..route_count).map(|_| route()).collect(),
             endpoints: destination.endpoints.iter().enumerate().map(endpoint).collect(),
             keys: BTreeMap::new(),
--- a/crates/micadrum-testkit/src/world/destination_model/tests.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/tests.rs
@@ -11,8 +11,8 @@
         share: 1.0,
         capacity,
         limit,
-        tells: 1.0,
-        service: 100_000.0,
+        retry_after_share: 1.0,
+        mean_service_us: 100_000.0,
         endpoints: vec![endpoint],
     };
     DestinationModel::new(&destination, 7)
--- a/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
@@ -127,7 +127,7 @@
     let mut random = SeededRng::new(world.plan.seed, &format!("id after {}", endpoint.id));
     endpoint.previous = Some(EndpointIdentity { id: endpoint.id.clone(), route: endpoint.route });
     endpoint.id = format!("s-{}", &random.id()[..ID_DIGITS]);
-    if world.plan.destinations[endpoint.destination as usize].kind.routes_apart() {
+    if world.plan.destinations[endpoint.destination as usize].kind.has_endpoint_limits() {
         // A new route: a Retry-After of the previous one does not apply to it.
         endpoint.route = world.next_route.get();
         world.next_route.set(endpoint.route + 1);
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -259,7 +259,8 @@
                 condition: Condition::default(),
             });
         }
-        route_count += if destination.kind.routes_apart() { destination.endpoints.len() as u32 } else { 1 };
+        route_count +=
+            if destination.kind.has_endpoint_limits() { destination.endpoints.len() as u32 } else { 1 };
     }
     (endpoints, route_count)
 }
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -81,7 +81,7 @@
         let plan = &self.plan;
         let senders = plan.senders.len() as f64;
         let full_load = plan.full_load();
-        let mean_service_us: f64 = plan.destinations.iter().map(|p| p.share * p.service).sum();
+        let mean_service_us: f64 = plan.destinations.iter().map(|p| p.share * p.mean_service_us).sum();
         let concurrent_calls = mean_service_us * full_load / 1e6;
         SenderCapacity {
             max_calls: ((concurrent_calls / senders * CALL_SLOT_FACTOR) as usize).max(MIN_CALL_SLOTS),
