--- a/crates/micadrum-testkit/src/link_faults/mod.rs
+++ b/crates/micadrum-testkit/src/link_faults/mod.rs
@@ -1,7 +1,7 @@
 //! The faults of the links between senders, the same in simulated time and live. Free of I/O and clocks.
 mod operator_file;
 
-pub use operator_file::{Named, OperatorFileError, hex, operator_file, secret};
+pub use operator_file::{MemberEntry, OperatorFileError, hex, operator_file, secret};
 
 use crate::plan::{Plan, PlannedFault, SeededRng};
 use crate::scenario::{CutDirection, FaultKind};
@@ -36,7 +36,7 @@
 
     /// Creates the links of senders in one zone, without faults.
     #[must_use]
-    pub fn calm(senders: usize) -> Self {
+    pub fn single_zone(senders: usize) -> Self {
         let random = SeededRng::new(0, "links of senders");
         Self { zones: vec![0; senders], zone_delay: Duration::ZERO, active: Vec::new(), random }
     }
@@ -55,24 +55,24 @@
 
     /// Returns what happens to bytes that are sent on a link at `now`, in microseconds. `broken` is when the link was last
     /// broken, and is updated.
-    pub fn fault_window(&self, from: u32, to: u32, now: u64, broken: &Cell<Option<u64>>) -> FaultWindow {
+    pub fn link_effect(&self, from: u32, to: u32, now: u64, broken: &Cell<Option<u64>>) -> LinkEffect {
         let mut delay = self.base_delay(from, to);
         for fault in &self.active {
             let [is_source, is_target] = [from, to].map(|sender| fault.senders.contains(&sender));
             match fault.kind {
-                FaultKind::Cut if self.is_cut(fault, from, to) => return FaultWindow::Held,
+                FaultKind::Cut if self.is_cut(fault, from, to) => return LinkEffect::Held,
                 FaultKind::Slow if is_source || is_target => delay += Duration::from_micros(fault.delay.0),
                 FaultKind::Break
                     if (is_source || is_target)
                         && broken.get().is_none_or(|at| at + fault.interval.0 <= now) =>
                 {
                     broken.set(Some(now));
-                    return FaultWindow::Breaks;
+                    return LinkEffect::Breaks;
                 }
                 _ => {}
             }
         }
-        FaultWindow::Delayed(delay)
+        LinkEffect::Delayed(delay)
     }
 
     /// Returns the delay without faults.
@@ -127,7 +127,7 @@
 
 /// What happens to bytes on a link between two senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FaultWindow {
+pub enum LinkEffect {
     /// The bytes arrive after this.
     Delayed(Duration),
     /// The bytes do not arrive for now: the link is open and silent.
--- a/crates/micadrum-testkit/src/link_faults/operator_file.rs
+++ b/crates/micadrum-testkit/src/link_faults/operator_file.rs
@@ -26,7 +26,7 @@
 }
 
 /// A sender as a member of the operator's file.
-pub struct Named {
+pub struct MemberEntry {
     /// Its name.
     pub name: String,
     /// The address at which the sender whose file this is reaches it.
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// Returns what is wrong with the scenario's `[operator]`.
-pub fn operator_file(table: &Table, members: &[Named]) -> Result<String, OperatorFileError> {
+pub fn operator_file(table: &Table, members: &[MemberEntry]) -> Result<String, OperatorFileError> {
     let mut table = table.clone();
     let Some(peers) = table.get_mut("peers") else {
         let text = toml::to_string(&table)?;
@@ -86,8 +86,8 @@
 }
 
 /// Returns a member for a file that is only checked.
-fn placeholder(number: u8) -> Named {
-    Named {
+fn placeholder(number: u8) -> MemberEntry {
+    MemberEntry {
         name: format!("n{number}"),
         address: SocketAddr::from(([127, 0, 0, 1], 1 + u16::from(number))),
         zone: "a".to_owned(),
@@ -96,7 +96,7 @@
 }
 
 /// Returns the entry of a member in the file.
-fn member(named: &Named) -> Value {
+fn member(named: &MemberEntry) -> Value {
     let fields = [
         ("name", named.name.clone()),
         ("address", named.address.to_string()),
--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -1,5 +1,5 @@
 //! Relays of the links between real senders: delayed, held, or broken within a frame.
-use crate::link_faults::{FaultWindow, LinkFaults};
+use crate::link_faults::{LinkEffect, LinkFaults};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -63,14 +63,14 @@
             let Ok(length @ 1..) = read.read(&mut buffer).await else { return };
             loop {
                 let now = self.started_at.elapsed().as_micros() as u64;
-                let window = self.link_faults.borrow().fault_window(self.from, self.to, now, &self.broken);
-                match window {
-                    FaultWindow::Delayed(delay) => {
+                let effect = self.link_faults.borrow().link_effect(self.from, self.to, now, &self.broken);
+                match effect {
+                    LinkEffect::Delayed(delay) => {
                         sleep(delay).await;
                         break;
                     }
-                    FaultWindow::Held => sleep(HOLD_POLL_INTERVAL).await,
-                    FaultWindow::Breaks => {
+                    LinkEffect::Held => sleep(HOLD_POLL_INTERVAL).await,
+                    LinkEffect::Breaks => {
                         let _ = write.write_all(&buffer[..length / 2]).await;
                         return;
                     }
--- a/crates/micadrum-testkit/src/sim/network/mod.rs
+++ b/crates/micadrum-testkit/src/sim/network/mod.rs
@@ -8,7 +8,7 @@
 
 use super::hosts;
 use super::process::Process;
-use crate::link_faults::{FaultWindow, LinkFaults};
+use crate::link_faults::{LinkEffect, LinkFaults};
 use crate::test_network::{Host, TestConnection, TestListener, TestNetwork};
 use listener::{AcceptQueue, SimListener};
 use micadrum::daemon::ports::LocalFuture;
@@ -97,10 +97,10 @@
     }
 
     /// Returns what happens to bytes on a link between two senders; `None` for all other connections.
-    fn fault_window(&self, from: Host, to: Host, last_broken_at: &Cell<Option<u64>>) -> Option<FaultWindow> {
+    fn link_effect(&self, from: Host, to: Host, last_broken_at: &Cell<Option<u64>>) -> Option<LinkEffect> {
         let (Host::Sender(from), Host::Sender(to)) = (from, to) else { return None };
         let now = self.started_at.elapsed().as_micros() as u64;
-        (from != to).then(|| self.link_faults.borrow().fault_window(from, to, now, last_broken_at))
+        (from != to).then(|| self.link_faults.borrow().link_effect(from, to, now, last_broken_at))
     }
 
     /// Sets the state of the links between zones. Connections that lost something are reset when losses end.
@@ -179,8 +179,7 @@
             // A host that does not exist does not answer.
             return std::future::pending().await;
         };
-        let held =
-            || self.fault_window(from, peer, &Cell::new(Some(u64::MAX / 2))) == Some(FaultWindow::Held);
+        let held = || self.link_effect(from, peer, &Cell::new(Some(u64::MAX / 2))) == Some(LinkEffect::Held);
         if !self.is_reachable(from, peer) || process.is_dead() || held() {
             return std::future::pending().await;
         }
--- a/crates/micadrum-testkit/src/sim/network/stream.rs
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -1,7 +1,7 @@
 //! Connections, and what each side reads and writes.
 use super::SimNetwork;
 use super::pipe::{Pipe, Segment, SegmentBody};
-use crate::link_faults::FaultWindow;
+use crate::link_faults::LinkEffect;
 use crate::sim::process::Process;
 use crate::test_network::{Host, TestConnection};
 use micadrum::daemon::ports::Stream;
@@ -62,8 +62,8 @@
         }
         let Some(network) = self.network.upgrade() else { return };
         let (me, peer) = self.ends();
-        let fault_window = network.fault_window(me, peer, &self.connection.last_broken_at);
-        if !network.is_reachable(me, peer) || fault_window == Some(FaultWindow::Held) {
+        let link_effect = network.link_effect(me, peer, &self.connection.last_broken_at);
+        if !network.is_reachable(me, peer) || link_effect == Some(LinkEffect::Held) {
             self.connection.broken.set(true);
         }
         // An end that a sender's side sends is shown to the stand-in even so: it only has to write it down, and
@@ -73,8 +73,8 @@
             return;
         }
         let now = Instant::now();
-        let due = match fault_window {
-            Some(FaultWindow::Delayed(delay)) => now + delay,
+        let due = match link_effect {
+            Some(LinkEffect::Delayed(delay)) => now + delay,
             _ => now + network.delay(me, peer),
         };
         let mut outgoing = self.outgoing().borrow_mut();
@@ -84,7 +84,7 @@
             self.incoming().borrow_mut().push(now, back, SegmentBody::Reset);
             return;
         }
-        if let (Some(FaultWindow::Breaks), SegmentBody::Data(data)) = (fault_window, &body) {
+        if let (Some(LinkEffect::Breaks), SegmentBody::Data(data)) = (link_effect, &body) {
             // In the midst of what is said, for both.
             outgoing.push(now, due, SegmentBody::Data(data[..data.len() / 2].to_vec()));
             outgoing.push(now, due, SegmentBody::Reset);
--- a/crates/micadrum-testkit/src/sim/network/tests.rs
+++ b/crates/micadrum-testkit/src/sim/network/tests.rs
@@ -19,7 +19,7 @@
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     let hosts = BTreeMap::from([(HERE, 0), (OTHER, 0), (NEAR, 0), (FAR, 1)]);
     let within = runtime.enter();
-    let net = SimNetwork::new(hosts, ZONE_DELAY, Rc::new(RefCell::new(LinkFaults::calm(2))));
+    let net = SimNetwork::new(hosts, ZONE_DELAY, Rc::new(RefCell::new(LinkFaults::single_zone(2))));
     drop(within);
     LocalSet::new().block_on(&runtime, test(net));
 }
@@ -149,7 +149,7 @@
     play(async |net| {
         let listener = net.listen(NEAR, 5000).await.unwrap();
         let process = Rc::<Process>::default();
-        let datagrams = DatagramNetwork::new(Rc::new(RefCell::new(LinkFaults::calm(1))));
+        let datagrams = DatagramNetwork::new(Rc::new(RefCell::new(LinkFaults::single_zone(1))));
         let network =
             ProcessNetwork { network: net.clone(), datagrams, host: HERE, process: process.clone() };
         let at = listener.address();
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -1,7 +1,7 @@
 //! The configuration that the world gives to each sender.
 use super::senders::OperatorFile;
 use super::{World, endpoints};
-use crate::link_faults::{self, Named};
+use crate::link_faults::{self, MemberEntry};
 use crate::plan::{
     CONNECT_TIMEOUT, Class, DEADLINE_WORTH_SHARE, DEDUPLICATION_WINDOW, DRAIN_GRACE, INITIAL_CAPACITY_SHARE,
     LATENCY_OBJECTIVE, MAX_ATTEMPTS, MAX_POLL_INTERVAL, OVERLOAD_FACTOR, OVERLOAD_WINDOW,
@@ -94,7 +94,7 @@
         let plan = &self.plan;
         let table = plan.scenario.operator.as_ref()?.get_ref();
         let zones = plan.scenario.buildings.get_ref();
-        let members = plan.senders.iter().map(|other| Named {
+        let members = plan.senders.iter().map(|other| MemberEntry {
             name: other.name.clone(),
             address: self.fleet.peer_address(sender, other.number),
             zone: zones[other.building].clone(),
