--- a/crates/micadrum-testkit/src/link_faults/mod.rs
+++ b/crates/micadrum-testkit/src/link_faults/mod.rs
@@ -28,7 +28,7 @@
     pub fn new(plan: &Plan) -> Self {
         Self {
             zones: plan.senders.iter().map(|sender| sender.building).collect(),
-            zone_delay: Duration::from_micros(plan.scenario.crossing.0),
+            zone_delay: Duration::from_micros(plan.scenario.zone_delay.0),
             active: Vec::new(),
             random: SeededRng::new(plan.seed, "links of senders"),
         }
--- a/crates/micadrum-testkit/src/scenario/schema.rs
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -32,8 +32,8 @@
     #[serde(default = "default_zones")]
     pub buildings: Spanned<Vec<String>>,
     /// One-way latency between two zones.
-    #[serde(default = "default_crossing")]
-    pub crossing: Span,
+    #[serde(rename = "crossing", default = "default_zone_delay")]
+    pub zone_delay: Span,
     /// Size of each sender's state folder, in megabytes.
     #[serde(default = "default_disk")]
     pub disk_mb: f64,
@@ -41,13 +41,14 @@
     #[serde(default)]
     pub discovery: Discovery,
     /// Calls per second that discovery can serve when it is polled; without it, any number.
-    pub discovery_bears: Option<Rate>,
+    #[serde(rename = "discovery_bears")]
+    pub discovery_capacity: Option<Rate>,
     /// Maximum delay of updates of the endpoint list.
     #[serde(default = "default_list_delay")]
     pub list_delay: Span,
     /// How long the load balancer goes on assigning connections to a sender that has died.
-    #[serde(default = "default_front_notice")]
-    pub front_notice: Span,
+    #[serde(rename = "front_notice", default = "default_balancer_failover_delay")]
+    pub balancer_failover_delay: Span,
     /// The operator's configuration file of every sender, without the members, names and keys, which the kit fills in.
     pub operator: Option<Spanned<toml::Table>>,
     /// How long the run is observed after its end; without it, for as long as the latest message may take.
@@ -56,8 +57,8 @@
     #[serde(default)]
     pub peak: Vec<Peak>,
     /// When senders are asked for their view of the membership (live runs only).
-    #[serde(default)]
-    pub look: Vec<AdminSnapshotPlan>,
+    #[serde(rename = "look", default)]
+    pub admin_snapshots: Vec<AdminSnapshotPlan>,
     /// The faults.
     #[serde(default)]
     pub fault: Vec<Spanned<Fault>>,
@@ -118,7 +119,7 @@
     default_value(vec!["building-a".to_owned(), "building-b".to_owned()])
 }
 
-fn default_crossing() -> Span {
+fn default_zone_delay() -> Span {
     Span::millis(110)
 }
 
@@ -130,6 +131,6 @@
     Span::millis(1500)
 }
 
-fn default_front_notice() -> Span {
+fn default_balancer_failover_delay() -> Span {
     Span::millis(2500)
 }
--- a/crates/micadrum-testkit/src/scenario/validation.rs
+++ b/crates/micadrum-testkit/src/scenario/validation.rs
@@ -105,7 +105,7 @@
 pub(super) fn validate(scenario: &Scenario) -> Result<(), LocatedProblem> {
     validate_sizes(scenario)?;
     validate_operator(scenario)?;
-    scenario.look.iter().try_for_each(|snapshot| validate_snapshot(snapshot, scenario))?;
+    scenario.admin_snapshots.iter().try_for_each(|snapshot| validate_snapshot(snapshot, scenario))?;
     scenario.peak.iter().try_for_each(|peak| validate_peak(peak, *scenario.length.get_ref()))?;
     scenario.faults().try_for_each(|fault| {
         validate_fault(fault, scenario)
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -50,7 +50,7 @@
         let nodes = plan.senders.iter().map(|_| Node::default()).collect();
         let link_faults = Rc::new(RefCell::new(LinkFaults::new(&plan)));
         let network =
-            SimNetwork::new(hosts, Duration::from_micros(plan.scenario.crossing.0), link_faults.clone());
+            SimNetwork::new(hosts, Duration::from_micros(plan.scenario.zone_delay.0), link_faults.clone());
         let datagrams = DatagramNetwork::new(link_faults.clone());
         let fleet = SimFleet {
             network: network.clone(),
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -294,7 +294,7 @@
 
 /// Reads the status of senders at the times that the scenario names.
 fn schedule_admin_snapshots(world: &Rc<World>, started_at: At) {
-    for look in world.plan.scenario.look.clone() {
+    for look in world.plan.scenario.admin_snapshots.clone() {
         let world = world.clone();
         spawn_local(async move {
             world.wait_until(started_at + look.at.get_ref().0).await;
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -194,7 +194,7 @@
 async fn wait_in_discovery_queue(world: &World, agent: &Agent, process: u32) -> QueueExit {
     let last_answer_at = agent.last_answer_at.get();
     let continues = last_answer_at > 0 && world.now() < last_answer_at + WATCH_GAP_US;
-    let (Some(requests_per_second), false) = (world.plan.scenario.discovery_bears, continues) else {
+    let (Some(requests_per_second), false) = (world.plan.scenario.discovery_capacity, continues) else {
         return QueueExit::Served;
     };
     let service_us = (1e6 / requests_per_second.0) as At;
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -72,7 +72,7 @@
 impl World {
     /// Returns the sender that the front selects for a client: by number, without those that it knows to be down.
     pub(super) fn select_sender(&self, number: u64) -> Option<u32> {
-        let detection_delay = self.plan.scenario.front_notice.0;
+        let detection_delay = self.plan.scenario.balancer_failover_delay.0;
         let count = self.senders.len() as u64;
         (0..count).map(|offset| ((number + offset) % count) as u32).find(|sender| {
             let down_since = self.senders[*sender as usize].down_since.get();
