--- a/crates/micadrum-testkit/src/cli.rs
+++ b/crates/micadrum-testkit/src/cli.rs
@@ -211,10 +211,10 @@
             plan.add_system_faults();
         }
         if let Some(FaultSelection(numbers)) = &self.faults {
-            plan.keep_faults(numbers);
+            plan.retain_faults(numbers);
         }
         if let Some(until) = self.until {
-            plan.cut(until);
+            plan.truncate(until);
         }
         plan
     }
--- a/crates/micadrum-testkit/src/main.rs
+++ b/crates/micadrum-testkit/src/main.rs
@@ -80,7 +80,7 @@
 fn simulate(args: SimulateArgs) -> Result<ExitCode, CommandError> {
     let plan = args.run.plan(&read_scenario(&args.run.scenario.file)?);
     let progress = args.progress || plan.length() >= MIN_PROGRESS_LENGTH;
-    let report = sim::run(plan, sim::Show { logs: args.logs, progress })?;
+    let report = sim::run(plan, sim::OutputOptions { logs: args.logs, progress })?;
     publish(&report, args.run)
 }
 
--- a/crates/micadrum-testkit/src/plan/description.rs
+++ b/crates/micadrum-testkit/src/plan/description.rs
@@ -5,7 +5,7 @@
 
 impl PlannedFault {
     /// Describes the fault with all its targets and parameters in one line.
-    pub fn line(&self) -> String {
+    pub fn describe(&self) -> String {
         let mut parts = vec![format!("{:?} at {}", self.kind, self.from)];
         if self.until > self.from {
             parts.push(format!("until {}", self.until));
--- a/crates/micadrum-testkit/src/plan/destinations.rs
+++ b/crates/micadrum-testkit/src/plan/destinations.rs
@@ -1,6 +1,6 @@
 //! Draws the destinations and their endpoints.
 use super::model::{Destination, EndpointPlan, Kind, Limit};
-use super::{SeededRng, full_load};
+use super::{SeededRng, total_capacity};
 use crate::scenario::Scenario;
 
 /// Exponent of the Zipf distribution of the traffic over the destinations.
@@ -22,7 +22,7 @@
     let mut draw = DestinationDraw {
         rng: SeededRng::new(seed, "partners"),
         zones: scenario.buildings.get_ref().len(),
-        full_load: full_load(scenario),
+        total_capacity: total_capacity(scenario),
         endpoints: 0,
     };
     (0..count).map(|number| draw.destination(number, weights[number as usize] / total_weight)).collect()
@@ -32,7 +32,7 @@
 struct DestinationDraw {
     rng: SeededRng,
     zones: usize,
-    full_load: f64,
+    total_capacity: f64,
     /// Number of endpoints drawn so far.
     endpoints: u32,
 }
@@ -44,9 +44,9 @@
         let size =
             if share > LARGE_DESTINATION_SHARE { 3 + self.rng.below(2) } else { 1 + self.rng.below(3) };
         let routes = if kind.has_endpoint_limits() { size as f64 } else { 1.0 };
-        let rate = (self.full_load * share / routes * self.rng.between(1.2, 2.2)).max(MIN_RATE_LIMIT);
+        let rate = (self.total_capacity * share / routes * self.rng.between(1.2, 2.2)).max(MIN_RATE_LIMIT);
         let limit = self.limit(kind, rate);
-        let usual = self.full_load * share * self.rng.between(1.1, 1.5);
+        let usual = self.total_capacity * share * self.rng.between(1.1, 1.5);
         // A destination can serve whatever its limit admits.
         let capacity = if limit == Limit::None { usual.max(MIN_CAPACITY) } else { usual.max(rate * routes) };
         let slots = (capacity * mean_service_us / 1e6 / size as f64).ceil() as usize + 1;
--- a/crates/micadrum-testkit/src/plan/mod.rs
+++ b/crates/micadrum-testkit/src/plan/mod.rs
@@ -70,8 +70,8 @@
     }
 
     /// Returns how many messages per second the destinations can take in all.
-    pub fn full_load(&self) -> f64 {
-        full_load(&self.scenario)
+    pub fn total_capacity(&self) -> f64 {
+        total_capacity(&self.scenario)
     }
 
     /// Returns all endpoints, each with its destination.
@@ -88,7 +88,7 @@
     }
 
     /// Removes all faults but those with these indices.
-    pub fn keep_faults(&mut self, indices: &[usize]) {
+    pub fn retain_faults(&mut self, indices: &[usize]) {
         let mut index = 0;
         self.faults.retain(|_| {
             index += 1;
@@ -97,7 +97,7 @@
     }
 
     /// Shortens the run to `length`, and removes the faults that would begin after its new end.
-    pub fn cut(&mut self, length: Span) {
+    pub fn truncate(&mut self, length: Span) {
         if length < self.length() {
             *self.scenario.length.get_mut() = length;
             self.faults.retain(|fault| fault.from < length);
@@ -109,7 +109,7 @@
     }
 }
 
-fn full_load(scenario: &Scenario) -> f64 {
+fn total_capacity(scenario: &Scenario) -> f64 {
     scenario.traffic.0 / scenario.load.get_ref().share()
 }
 
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns the maximum number of messages in one call.
-    pub fn batch(self) -> usize {
+    pub fn max_batch_size(self) -> usize {
         if self == Self::Bank { 5 } else { 1 }
     }
 
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -124,7 +124,7 @@
             endpoints: plan.endpoints().count(),
             operations,
             digest: format!("{digest:016x}"),
-            faults: plan.faults.iter().map(|fault| fault.line()).collect(),
+            faults: plan.faults.iter().map(|fault| fault.describe()).collect(),
         }
     }
 
--- a/crates/micadrum-testkit/src/seed_search.rs
+++ b/crates/micadrum-testkit/src/seed_search.rs
@@ -125,7 +125,7 @@
 
 /// Runs a plan, and returns the failure if there is one.
 fn simulate(plan: Plan) -> Option<Failure> {
-    match sim::run(plan, sim::Show::default()) {
+    match sim::run(plan, sim::OutputOptions::default()) {
         Ok(report) if report.verdict.kept => None,
         Ok(report) => Some(Failure::Violation(Box::new(report))),
         Err(error) => Some(Failure::Run(error)),
@@ -150,7 +150,7 @@
     FailingSeed {
         seed,
         broken,
-        lines: lines.iter().map(|fault| fault.line()).collect(),
+        lines: lines.iter().map(|fault| fault.describe()).collect(),
         first: shrinking.failure.description(),
         faults: shrinking.faults,
         length: shrinking.length,
@@ -171,8 +171,8 @@
 impl Shrinking<'_> {
     fn shrunk_plan(&self, faults: &[usize], length: Span) -> Plan {
         let mut plan = (self.plan)(self.seed);
-        plan.keep_faults(faults);
-        plan.cut(length);
+        plan.retain_faults(faults);
+        plan.truncate(length);
         plan
     }
 
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -168,7 +168,7 @@
 
     /// Notes a fault that this kind of run cannot play.
     pub fn not_played(&mut self, fault: &PlannedFault) {
-        self.not_played.push(fault.line());
+        self.not_played.push(fault.describe());
     }
 
     /// Processes one observation.
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -25,7 +25,7 @@
 
 /// What a run shows while it goes on.
 #[derive(Clone, Copy, Default)]
-pub struct Show {
+pub struct OutputOptions {
     /// The senders' logs.
     pub logs: bool,
     /// A line each ten simulated minutes; each minute of short days.
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// Where the world cannot be set up, or a sender does not start.
-pub fn run(plan: Plan, show: Show) -> io::Result<Report> {
+pub fn run(plan: Plan, output: OutputOptions) -> io::Result<Report> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     let plan = Rc::new(plan);
     LocalSet::new().block_on(&runtime, async move {
@@ -57,12 +57,12 @@
             datagrams,
             nodes,
             origin: Instant::now(),
-            show_logs: show.logs,
+            show_logs: output.logs,
         };
         let world = World::new(plan.clone(), network, Rc::new(fleet), link_faults).await?;
         let minutes = plan.length().0 / 60_000_000;
         run_scenario(&world, move |minute, operations| {
-            if show.progress && (minute % 10 == 0 || minutes < 10) {
+            if output.progress && (minute % 10 == 0 || minutes < 10) {
                 eprintln!("minute {minute} of {minutes}: {operations} operations");
             }
         })
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -80,12 +80,12 @@
     fn sender_capacity(&self) -> SenderCapacity {
         let plan = &self.plan;
         let senders = plan.senders.len() as f64;
-        let full_load = plan.full_load();
+        let total_capacity = plan.total_capacity();
         let mean_service_us: f64 = plan.destinations.iter().map(|p| p.share * p.mean_service_us).sum();
-        let concurrent_calls = mean_service_us * full_load / 1e6;
+        let concurrent_calls = mean_service_us * total_capacity / 1e6;
         SenderCapacity {
             max_calls: ((concurrent_calls / senders * CALL_SLOT_FACTOR) as usize).max(MIN_CALL_SLOTS),
-            max_pending: ((full_load / senders * PENDING_SECONDS) as usize).max(MIN_PENDING_MESSAGES),
+            max_pending: ((total_capacity / senders * PENDING_SECONDS) as usize).max(MIN_PENDING_MESSAGES),
         }
     }
 
--- a/crates/micadrum-testkit/tests/common/mod.rs
+++ b/crates/micadrum-testkit/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::report::Report;
 use micadrum_testkit::scenario::Scenario;
-use micadrum_testkit::sim::{self, Show};
+use micadrum_testkit::sim::{self, OutputOptions};
 use std::path::{Path, PathBuf};
 
 /// The scenarios that are shipped.
@@ -28,7 +28,7 @@
 }
 
 pub fn play(plan: Plan) -> Report {
-    sim::run(plan, Show::default()).unwrap()
+    sim::run(plan, OutputOptions::default()).unwrap()
 }
 
 /// Plays it and checks that no rule broke; a failure tells all.
--- a/crates/micadrum-testkit/tests/determinism.rs
+++ b/crates/micadrum-testkit/tests/determinism.rs
@@ -25,7 +25,7 @@
         for file in shipped() {
             let run = || {
                 let mut plan = Plan::new(read(&file), 11);
-                plan.cut(CUT);
+                plan.truncate(CUT);
                 play(plan).json()
             };
             let (first, second) = std::thread::scope(|twice| {
--- a/crates/micadrum-testkit/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -195,7 +195,7 @@
     scenario.set_length(Span::millis(60_000));
     let mut plan = Plan::new(scenario, seed);
     plan.add_random_faults();
-    plan.cut(Span::millis(until));
+    plan.truncate(Span::millis(until));
     let report = play(plan);
     assert!(report.verdict.kept, "{}", report.text());
 }
