--- a/crates/micadrum-testkit/src/plan/faults.rs
+++ b/crates/micadrum-testkit/src/plan/faults.rs
@@ -1,7 +1,7 @@
 //! Resolves a scenario's fault into a planned one: draws its targets and fills in the defaults.
 use super::model::{Destination, EndpointPlan, PlannedFault, SystemFault};
 use super::{Plan, SeededRng};
-use crate::scenario::{Fault, FaultKind, FolderKept, How, Where};
+use crate::scenario::{Fault, FaultKind, FolderContent, StopMethod, WritePoint};
 use crate::units::{Percent, Span};
 
 const DEFAULT_INTERVAL: Span = Span::seconds(4);
@@ -22,27 +22,27 @@
         let lost_share = fault.lost_share.map_or(0.0, Percent::share);
         let lost_senders = (senders.len() as f64 * lost_share).round() as usize;
         PlannedFault {
-            never: senders[..lost_senders].to_vec(),
-            clock: fault.clock.unwrap_or_default(),
+            lost_senders: senders[..lost_senders].to_vec(),
+            max_clock_error: fault.max_clock_error.unwrap_or_default(),
             kind: fault.kind,
             from,
             until: Span(from.0 + fault.duration.map_or(0, |duration| duration.0)),
             endpoints,
             senders,
-            calls: fault.calls.map_or(1.0, Percent::share),
-            how: fault.how.unwrap_or(How::Kill),
+            call_share: fault.call_share.map_or(1.0, Percent::share),
+            stop_method: fault.stop_method.unwrap_or(StopMethod::Kill),
             batch: fault.batch.map_or(usize::MAX, |batch| batch as usize),
-            every: fault.every.unwrap_or(DEFAULT_INTERVAL),
+            interval: fault.interval.unwrap_or(DEFAULT_INTERVAL),
             pause: fault.pause.unwrap_or(DEFAULT_PAUSE),
             delay: fault.delay.unwrap_or_default(),
             nth: fault.nth.unwrap_or(1),
-            place: fault.write_point.unwrap_or(Where::After),
-            down: fault.down.unwrap_or(DEFAULT_DOWNTIME),
-            ways: fault.direction.unwrap_or_default(),
-            between: fault.between.clone(),
-            from_partners: fault.cuts_destinations.unwrap_or(false),
+            write_point: fault.write_point.unwrap_or(WritePoint::After),
+            downtime: fault.downtime.unwrap_or(DEFAULT_DOWNTIME),
+            direction: fault.direction.unwrap_or_default(),
+            cut_peers: fault.cut_peers.clone(),
+            cuts_destinations: fault.cuts_destinations.unwrap_or(false),
             jitter: fault.jitter.unwrap_or_default(),
-            back: fault.return_period.unwrap_or_default(),
+            return_period: fault.return_period.unwrap_or_default(),
             folder: fault.folder.unwrap_or(default_folder(fault.kind)),
             system: system_fault(fault),
         }
@@ -55,7 +55,7 @@
             return Targets { endpoints: self.draw_endpoints(fault, zone, &mut rng), senders: Vec::new() };
         }
         let endpoints = if fault.includes_endpoints == Some(true) {
-            endpoints_in_zone(self.partners.iter(), zone).collect()
+            endpoints_in_zone(self.destinations.iter(), zone).collect()
         } else {
             Vec::new()
         };
@@ -70,7 +70,7 @@
 
     /// Draws destinations, and returns all their endpoints in the zone.
     fn draw_endpoints(&self, fault: &Fault, zone: Option<usize>, rng: &mut SeededRng) -> Vec<u32> {
-        let mut destinations: Vec<&Destination> = (self.partners.iter())
+        let mut destinations: Vec<&Destination> = (self.destinations.iter())
             .filter(|destination| is_listed(fault.destinations.as_ref(), destination.number))
             .collect();
         draw_share(&mut destinations, fault.share, rng);
@@ -122,9 +122,9 @@
     items.truncate(((items.len() as f64 * share.share()).ceil() as usize).max(1));
 }
 
-fn default_folder(kind: FaultKind) -> FolderKept {
+fn default_folder(kind: FaultKind) -> FolderContent {
     match kind {
-        FaultKind::PowerLoss => FolderKept::Synced,
-        _ => FolderKept::Kept,
+        FaultKind::PowerLoss => FolderContent::Synced,
+        _ => FolderContent::Kept,
     }
 }
--- a/crates/micadrum-testkit/src/plan/mod.rs
+++ b/crates/micadrum-testkit/src/plan/mod.rs
@@ -12,11 +12,13 @@
 
 pub use arrivals::Arrivals;
 pub use model::{
-    Arrival, Class, Destination, EndpointPlan, Kind, Lie, Limit, PlannedFault, SenderPlan, SystemFault,
+    Arrival, Class, ConfigOverride, Destination, EndpointPlan, Kind, Limit, PlannedFault, SenderPlan,
+    SystemFault,
 };
 pub use parameters::{
-    AIM, COLD_SHARE, CONNECT_TIMEOUT, DRAIN_GRACE, FALL, KEY_WINDOW, LATE_WORTH, MAX_ATTEMPTS, MUST_ASK_IN,
-    OVERLOAD_FACTOR, RAMP, TENANTS,
+    CONNECT_TIMEOUT, DEADLINE_WORTH_SHARE, DEDUPLICATION_WINDOW, DRAIN_GRACE, INITIAL_CAPACITY_SHARE,
+    LATENCY_OBJECTIVE, MAX_ATTEMPTS, MAX_POLL_INTERVAL, OVERLOAD_FACTOR, OVERLOAD_WINDOW,
+    SLOW_START_DURATION, TENANTS,
 };
 pub use random::SeededRng;
 
@@ -32,29 +34,29 @@
     /// The senders, by number.
     pub senders: Vec<SenderPlan>,
     /// The destinations, by number.
-    pub partners: Vec<Destination>,
+    pub destinations: Vec<Destination>,
     /// The faults, ordered by when they begin.
     pub faults: Vec<PlannedFault>,
     /// Deliberate errors in the senders' configuration; empty but in tests of the invariant checker.
-    pub lies: Vec<Lie>,
+    pub config_overrides: Vec<ConfigOverride>,
     /// Whether senders lose their state folder at each restart without any record of it; false but in tests of the
     /// invariant checker.
-    pub forgetful: bool,
+    pub wipes_state_on_restart: bool,
 }
 
 impl Plan {
     /// Draws the plan of a scenario for a seed, with the scenario's own faults.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let senders = senders(&scenario);
-        let partners = destinations::draw_destinations(&scenario, seed);
+        let destinations = destinations::draw_destinations(&scenario, seed);
         let mut plan = Self {
             scenario,
             seed,
             senders,
-            partners,
+            destinations,
             faults: Vec::new(),
-            lies: Vec::new(),
-            forgetful: false,
+            config_overrides: Vec::new(),
+            wipes_state_on_restart: false,
         };
         plan.faults =
             plan.scenario.faults().enumerate().map(|(number, fault)| plan.resolve(fault, number)).collect();
@@ -68,13 +70,13 @@
     }
 
     /// Returns how many messages per second the destinations can take in all.
-    pub fn full_load(&self) -> f64 {
-        full_load(&self.scenario)
+    pub fn total_capacity(&self) -> f64 {
+        total_capacity(&self.scenario)
     }
 
     /// Returns all endpoints, each with its destination.
     pub fn endpoints(&self) -> impl Iterator<Item = (&Destination, &EndpointPlan)> {
-        self.partners
+        self.destinations
             .iter()
             .flat_map(|destination| destination.endpoints.iter().map(move |endpoint| (destination, endpoint)))
     }
@@ -86,7 +88,7 @@
     }
 
     /// Removes all faults but those with these indices.
-    pub fn keep_faults(&mut self, indices: &[usize]) {
+    pub fn retain_faults(&mut self, indices: &[usize]) {
         let mut index = 0;
         self.faults.retain(|_| {
             index += 1;
@@ -95,7 +97,7 @@
     }
 
     /// Shortens the run to `length`, and removes the faults that would begin after its new end.
-    pub fn cut(&mut self, length: Span) {
+    pub fn truncate(&mut self, length: Span) {
         if length < self.length() {
             *self.scenario.length.get_mut() = length;
             self.faults.retain(|fault| fault.from < length);
@@ -107,7 +109,7 @@
     }
 }
 
-fn full_load(scenario: &Scenario) -> f64 {
+fn total_capacity(scenario: &Scenario) -> f64 {
     scenario.traffic.0 / scenario.load.get_ref().share()
 }
 
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -1,5 +1,7 @@
 //! What a plan consists of: message classes, destinations, endpoints, senders, client operations and faults.
-use crate::scenario::{FaultKind, FolderError, FolderKept, How, SystemCall, Ways, Where};
+use crate::scenario::{
+    CutDirection, FaultKind, FolderContent, FolderError, StopMethod, SystemCall, WritePoint,
+};
 use crate::units::Span;
 
 /// The message classes.
@@ -50,12 +52,12 @@
     }
 
     /// Returns the maximum number of messages in one call.
-    pub fn batch(self) -> usize {
+    pub fn max_batch_size(self) -> usize {
         if self == Self::Bank { 5 } else { 1 }
     }
 
     /// Returns whether limits hold for each endpoint rather than for the whole destination.
-    pub fn routes_apart(self) -> bool {
+    pub fn has_endpoint_limits(self) -> bool {
         self == Self::Bank
     }
 }
@@ -85,9 +87,9 @@
     /// Its limit; that of each endpoint where limits hold for each endpoint.
     pub limit: Limit,
     /// Share of its rejections that carry a Retry-After.
-    pub tells: f64,
+    pub retry_after_share: f64,
     /// Mean service time of a call, in microseconds.
-    pub service: f64,
+    pub mean_service_us: f64,
     /// Its endpoints.
     pub endpoints: Vec<EndpointPlan>,
 }
@@ -151,13 +153,13 @@
     /// Numbers of the affected senders, in the order in which the fault reaches them.
     pub senders: Vec<u32>,
     /// Share of the calls that is affected.
-    pub calls: f64,
+    pub call_share: f64,
     /// How a restart ends the process.
-    pub how: How,
+    pub stop_method: StopMethod,
     /// Number of senders that are restarted at once.
     pub batch: usize,
     /// Interval between two batches, pauses or breaks.
-    pub every: Span,
+    pub interval: Span,
     /// Length of a pause.
     pub pause: Span,
     /// Added delay.
@@ -165,25 +167,25 @@
     /// Which write to the journal the fault hits, counted from 1.
     pub nth: u64,
     /// At which point of that write.
-    pub place: Where,
+    pub write_point: WritePoint,
     /// How long a sender stays down.
-    pub down: Span,
+    pub downtime: Span,
     /// The direction of a cut.
-    pub ways: Ways,
+    pub direction: CutDirection,
     /// Numbers of the senders that a cut separates from; all others if not given.
-    pub between: Option<Vec<u32>>,
+    pub cut_peers: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
-    pub from_partners: bool,
+    pub cuts_destinations: bool,
     /// Maximum of the random delay that is added to `delay`.
     pub jitter: Span,
     /// Period over which the senders that lost power come back.
-    pub back: Span,
+    pub return_period: Span,
     /// The content of the state folder after a restart.
-    pub folder: FolderKept,
+    pub folder: FolderContent,
     /// Numbers of the senders that never come back.
-    pub never: Vec<u32>,
+    pub lost_senders: Vec<u32>,
     /// Maximum error of the senders' clocks afterwards.
-    pub clock: Span,
+    pub max_clock_error: Span,
     /// How system calls are made to fail.
     pub system: SystemFault,
 }
@@ -204,7 +206,7 @@
 /// A deliberate error in the senders' configuration, which makes faulty senders of correct ones, so that tests can show
 /// that the invariant checker detects their violations.
 #[derive(Clone, Debug)]
-pub struct Lie {
+pub struct ConfigOverride {
     /// The position in the configuration, as a JSON pointer (RFC 6901).
     pub pointer: String,
     /// The value to put there.
--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -106,7 +106,7 @@
 /// The direction of a cut, seen from the affected senders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ways {
+pub enum CutDirection {
     /// Nothing passes.
     #[default]
     Both,
@@ -119,7 +119,7 @@
 /// The content of a sender's state folder after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FolderKept {
+pub enum FolderContent {
     /// Everything the sender wrote.
     #[default]
     Kept,
@@ -134,7 +134,7 @@
 /// How a sender's process is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum StopMethod {
     /// By SIGTERM, followed 3.7 s later by SIGKILL if the process still runs.
     Term,
     /// By SIGKILL.
@@ -144,7 +144,7 @@
 /// The point of a write to the journal at which the process is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Where {
+pub enum WritePoint {
     /// Before any of it is written.
     Before,
     /// When a part of it is written.
@@ -205,15 +205,18 @@
     #[serde(rename = "building")]
     pub zone: Option<String>,
     /// Share of the calls that is affected, or of the limit that remains.
-    pub calls: Option<Percent>,
+    #[serde(rename = "calls")]
+    pub call_share: Option<Percent>,
     /// Numbers of the affected senders, from 0.
     pub senders: Option<Vec<u32>>,
     /// How a restart ends the process.
-    pub how: Option<How>,
+    #[serde(rename = "how")]
+    pub stop_method: Option<StopMethod>,
     /// Number of senders that are restarted at once.
     pub batch: Option<u32>,
     /// Interval between two batches, pauses or breaks.
-    pub every: Option<Span>,
+    #[serde(rename = "every")]
+    pub interval: Option<Span>,
     /// Length of a pause.
     pub pause: Option<Span>,
     /// Added delay.
@@ -222,14 +225,16 @@
     pub nth: Option<u64>,
     /// At which point of that write.
     #[serde(rename = "where")]
-    pub write_point: Option<Where>,
+    pub write_point: Option<WritePoint>,
     /// How long a sender stays down before it is started again.
-    pub down: Option<Span>,
+    #[serde(rename = "down")]
+    pub downtime: Option<Span>,
     /// The direction of a cut.
     #[serde(rename = "ways")]
-    pub direction: Option<Ways>,
+    pub direction: Option<CutDirection>,
     /// Numbers of the senders that a cut separates from; all others if not given.
-    pub between: Option<Vec<u32>>,
+    #[serde(rename = "between")]
+    pub cut_peers: Option<Vec<u32>>,
     /// Whether a cut separates from the destinations too.
     #[serde(rename = "from_partners")]
     pub cuts_destinations: Option<bool>,
@@ -239,12 +244,13 @@
     #[serde(rename = "back")]
     pub return_period: Option<Span>,
     /// The content of the state folder after a restart.
-    pub folder: Option<FolderKept>,
+    pub folder: Option<FolderContent>,
     /// Share of the senders that lost power and never come back.
     #[serde(rename = "never")]
     pub lost_share: Option<Percent>,
     /// Maximum error of the senders' clocks afterwards, in either direction.
-    pub clock: Option<Span>,
+    #[serde(rename = "clock")]
+    pub max_clock_error: Option<Span>,
     /// Whether the endpoints in the same zone lose power too, and go through a slow start.
     #[serde(rename = "with_partners")]
     pub includes_endpoints: Option<bool>,
@@ -270,24 +276,24 @@
             destinations: None,
             share: None,
             zone: None,
-            calls: None,
+            call_share: None,
             senders: None,
-            how: None,
+            stop_method: None,
             batch: None,
-            every: None,
+            interval: None,
             pause: None,
             delay: None,
             nth: None,
             write_point: None,
-            down: None,
+            downtime: None,
             direction: None,
-            between: None,
+            cut_peers: None,
             cuts_destinations: None,
             jitter: None,
             return_period: None,
             folder: None,
             lost_share: None,
-            clock: None,
+            max_clock_error: None,
             includes_endpoints: None,
             call: None,
             error: None,
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -7,7 +7,7 @@
 pub use route::{Collapse, LoadReport};
 
 use crate::observation::{At, MessageEnd};
-use crate::plan::{Class, Destination, KEY_WINDOW, Kind, Limit, SeededRng};
+use crate::plan::{Class, DEDUPLICATION_WINDOW, Destination, Kind, Limit, SeededRng};
 use route::{LIMIT_WINDOW_US, Route};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -137,7 +137,7 @@
 impl DestinationModel {
     /// Creates the model of a destination of the plan.
     pub fn new(destination: &Destination, seed: u64) -> Self {
-        let separate = destination.kind.routes_apart();
+        let separate = destination.kind.has_endpoint_limits();
         let route_count = if separate { destination.endpoints.len() } else { 1 };
         let capacity = destination.capacity / route_count as f64;
         let rejections_consume_rate = destination.kind == Kind::Bank;
@@ -148,8 +148,8 @@
         };
         Self {
             has_window_limit: matches!(destination.limit, Limit::Window(_)),
-            service_time_us: destination.service,
-            retry_after_share: destination.tells,
+            service_time_us: destination.mean_service_us,
+            retry_after_share: destination.retry_after_share,
             routes: (0..route_count).map(|_| route()).collect(),
             endpoints: destination.endpoints.iter().enumerate().map(endpoint).collect(),
             keys: BTreeMap::new(),
@@ -297,7 +297,7 @@
         if self.keys.get(message.key).is_some_and(|closes_at| sent_at < *closes_at) {
             return false;
         }
-        let closes_at = sent_at + KEY_WINDOW.0;
+        let closes_at = sent_at + DEDUPLICATION_WINDOW.0;
         self.keys.insert(message.key.to_owned(), closes_at);
         self.key_expiries.push_back(KeyExpiry { closes_at, key: message.key.to_owned() });
         true
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -1,10 +1,11 @@
 //! The configuration that the world gives to each sender.
 use super::senders::OperatorFile;
 use super::{World, endpoints};
-use crate::link_faults::{self, Named};
+use crate::link_faults::{self, MemberEntry};
 use crate::plan::{
-    AIM, COLD_SHARE, CONNECT_TIMEOUT, Class, DRAIN_GRACE, FALL, KEY_WINDOW, LATE_WORTH, MAX_ATTEMPTS,
-    MUST_ASK_IN, OVERLOAD_FACTOR, RAMP, TENANTS,
+    CONNECT_TIMEOUT, Class, DEADLINE_WORTH_SHARE, DEDUPLICATION_WINDOW, DRAIN_GRACE, INITIAL_CAPACITY_SHARE,
+    LATENCY_OBJECTIVE, MAX_ATTEMPTS, MAX_POLL_INTERVAL, OVERLOAD_FACTOR, OVERLOAD_WINDOW,
+    SLOW_START_DURATION, TENANTS,
 };
 use crate::scenario::Discovery;
 use serde_json::{Value, json};
@@ -40,7 +41,7 @@
         if let (Some(address), true) = (self.fleet.admin_address(), plan.scenario.operator.is_some()) {
             config["management"] = json!(address.to_string());
         }
-        for lie in &plan.lies {
+        for lie in &plan.config_overrides {
             if let Some(value) = config.pointer_mut(&lie.pointer) {
                 *value = lie.value.clone();
             }
@@ -66,9 +67,9 @@
             "limits": {"cancel": true, "connect_timeout": CONNECT_TIMEOUT.0,
                 "conn_idle": endpoints::IDLE_TIMEOUT_US, "max_attempts": MAX_ATTEMPTS,
                 "most_held": capacity.max_pending, "probes": false},
-            "invariants": {"drain_grace": DRAIN_GRACE.0, "cold_share": COLD_SHARE, "ramp_time": RAMP.0,
-                "overload_factor": OVERLOAD_FACTOR, "fall": FALL.0, "order_settle": 0,
-                "must_ask_in": MUST_ASK_IN.0},
+            "invariants": {"drain_grace": DRAIN_GRACE.0, "cold_share": INITIAL_CAPACITY_SHARE, "ramp_time": SLOW_START_DURATION.0,
+                "overload_factor": OVERLOAD_FACTOR, "fall": OVERLOAD_WINDOW.0, "order_settle": 0,
+                "must_ask_in": MAX_POLL_INTERVAL.0},
             "specifics": {"bundle_max": [5, 1, 1], "kind_apart": [true, false, false], "decay": "even",
                 "max_calls": capacity.max_calls},
             "tenants": TENANTS.iter().map(tenant).collect::<Vec<_>>(), "over_share_worth": 0.05,
@@ -79,12 +80,12 @@
     fn sender_capacity(&self) -> SenderCapacity {
         let plan = &self.plan;
         let senders = plan.senders.len() as f64;
-        let full_load = plan.full_load();
-        let mean_service_us: f64 = plan.partners.iter().map(|p| p.share * p.service).sum();
-        let concurrent_calls = mean_service_us * full_load / 1e6;
+        let total_capacity = plan.total_capacity();
+        let mean_service_us: f64 = plan.destinations.iter().map(|p| p.share * p.mean_service_us).sum();
+        let concurrent_calls = mean_service_us * total_capacity / 1e6;
         SenderCapacity {
             max_calls: ((concurrent_calls / senders * CALL_SLOT_FACTOR) as usize).max(MIN_CALL_SLOTS),
-            max_pending: ((full_load / senders * PENDING_SECONDS) as usize).max(MIN_PENDING_MESSAGES),
+            max_pending: ((total_capacity / senders * PENDING_SECONDS) as usize).max(MIN_PENDING_MESSAGES),
         }
     }
 
@@ -93,7 +94,7 @@
         let plan = &self.plan;
         let table = plan.scenario.operator.as_ref()?.get_ref();
         let zones = plan.scenario.buildings.get_ref();
-        let members = plan.senders.iter().map(|other| Named {
+        let members = plan.senders.iter().map(|other| MemberEntry {
             name: other.name.clone(),
             address: self.fleet.peer_address(sender, other.number),
             zone: zones[other.building].clone(),
@@ -106,7 +107,7 @@
 }
 
 fn class_settings(class: Class, repeat: &str) -> Value {
-    json!({"name": class.name(), "aim": AIM.0, "hard_limit": class.deadline().0, "worth": 1.0,
-        "late_value": LATE_WORTH, "repeat": repeat, "group": "all", "key_ttl": KEY_WINDOW.0,
+    json!({"name": class.name(), "aim": LATENCY_OBJECTIVE.0, "hard_limit": class.deadline().0, "worth": 1.0,
+        "late_value": DEADLINE_WORTH_SHARE, "repeat": repeat, "group": "all", "key_ttl": DEDUPLICATION_WINDOW.0,
         "fifo_by_key": class == Class::TripRecord})
 }
