--- a/crates/micadrum-testkit/src/invariants/calls.rs
+++ b/crates/micadrum-testkit/src/invariants/calls.rs
@@ -11,8 +11,8 @@
     pub(super) fn call_began(&mut self, start: &CallStart) {
         self.check_draining(start);
         self.check_retry_after(start);
-        let CallStart { call, sender, line, ids, sent, .. } = *start;
-        self.calls.insert(call, Call { sender, line, sent, ids: ids.to_vec(), conflicts: Vec::new() });
+        let CallStart { call, sender, route, ids, sent_at, .. } = *start;
+        self.calls.insert(call, Call { sender, route, sent_at, ids: ids.to_vec(), conflicts: Vec::new() });
         for id in ids {
             self.attempt_began(start, id);
         }
@@ -20,22 +20,23 @@
 
     /// A call with the message `id` has arrived.
     fn attempt_began(&mut self, start: &CallStart, id: &str) {
-        let CallStart { at, call, sender, endpoint, sent, .. } = *start;
+        let CallStart { at, call, sender, endpoint, sent_at, .. } = *start;
         let Some(message) = self.messages.get_mut(id) else {
             let what = format!("sender {sender} sent an unknown message");
             return self.report(Invariant::SentAfterEnd, at, Some(id), what);
         };
         message.attempts += 1;
-        message.record(at, format!("call {call} by sender {sender} at {endpoint}, sent {}", seconds(sent)));
+        message
+            .record(at, format!("call {call} by sender {sender} at {endpoint}, sent {}", seconds(sent_at)));
         let in_flight = std::mem::replace(&mut message.calls, vec![call]);
         message.calls.extend(&in_flight);
         if !message.counts() {
             return;
         }
         let mut findings: Vec<Finding> = check_attempt_limit(message).into_iter().collect();
-        findings.extend(check_sent_after_end(message, sent));
-        findings.extend(check_duplicate(message, sent));
-        let order = self.check_order(id, sent);
+        findings.extend(check_sent_after_end(message, sent_at));
+        findings.extend(check_duplicate(message, sent_at));
+        let order = self.check_order(id, sent_at);
         findings.extend(order.findings);
         self.add_conflicts(start, id, &in_flight, Invariant::ConcurrentAttempts);
         self.add_conflicts(start, id, &order.earlier_calls, Invariant::OutOfOrder);
@@ -47,9 +48,9 @@
     /// An endpoint has answered a call.
     pub(super) fn replied(&mut self, at: At, call: u64, ends: &[(String, MessageEnd)]) {
         let Some(known) = self.calls.get(&call) else { return };
-        let (sender, line, sent) = (known.sender, known.line, known.sent);
-        if self.receives_answer(sender, sent) && ends.iter().any(|(_, end)| *end != MessageEnd::Ok) {
-            self.witness_failure(line, sender);
+        let (sender, route, sent_at) = (known.sender, known.route, known.sent_at);
+        if self.receives_answer(sender, sent_at) && ends.iter().any(|(_, end)| *end != MessageEnd::Ok) {
+            self.witness_failure(route, sender);
         }
         let mut delivered = Vec::new();
         for (id, end) in ends {
@@ -57,7 +58,7 @@
             message.record(at, format!("call {call} answered: {end:?}"));
             message.calls.retain(|other| *other != call);
             if *end != MessageEnd::Full {
-                message.first_uncertain_attempt.get_or_insert(sent);
+                message.first_uncertain_attempt.get_or_insert(sent_at);
             }
             if *end == MessageEnd::Ok {
                 delivered.push(id);
@@ -69,27 +70,27 @@
     }
 
     /// Returns whether the process that sent a call at `sent` still runs, and hears the answer.
-    pub(super) fn receives_answer(&self, sender: u32, sent: At) -> bool {
+    pub(super) fn receives_answer(&self, sender: u32, sent_at: At) -> bool {
         let exited_at = self.senders.get(&sender).and_then(|sender| sender.exited_at);
-        exited_at.is_none_or(|exited_at| exited_at < sent)
+        exited_at.is_none_or(|exited_at| exited_at < sent_at)
     }
 
     /// The sender has closed the connection of a call that has no answer.
-    pub(super) fn closed(&mut self, at: At, call: u64, sent: At) {
-        self.unanswered(at, call, sent);
-        self.call_ended(at, call, sent);
+    pub(super) fn closed(&mut self, at: At, call: u64, closed_at: At) {
+        self.unanswered(at, call, closed_at);
+        self.call_ended(at, call, closed_at);
     }
 
     /// A call gets no answer any more: its messages may have taken effect.
-    pub(super) fn unanswered(&mut self, at: At, call: u64, sent: At) {
+    pub(super) fn unanswered(&mut self, at: At, call: u64, closed_at: At) {
         let Some(known) = self.calls.get(&call) else { return };
-        let (line, sender, call_sent, ids) = (known.line, known.sender, known.sent, known.ids.clone());
-        self.witness_failure(line, sender);
+        let (route, sender, sent_at, ids) = (known.route, known.sender, known.sent_at, known.ids.clone());
+        self.witness_failure(route, sender);
         for id in &ids {
             let Some(message) = self.messages.get_mut(id) else { continue };
-            message.record(at, format!("call {call} closed by the sender, sent {}", seconds(sent)));
+            message.record(at, format!("call {call} closed by the sender, sent {}", seconds(closed_at)));
             message.calls.retain(|other| *other != call);
-            message.first_uncertain_attempt.get_or_insert(call_sent);
+            message.first_uncertain_attempt.get_or_insert(sent_at);
         }
     }
 }
--- a/crates/micadrum-testkit/src/invariants/concurrency.rs
+++ b/crates/micadrum-testkit/src/invariants/concurrency.rs
@@ -21,17 +21,17 @@
     ) {
         // The connections of an earlier process ended with it, whenever that shows.
         let exited_at = self.senders.get(&start.sender).and_then(|sender| sender.exited_at).unwrap_or(0);
-        let is_same_process = |call: &&mut Call| call.sender == start.sender && call.sent >= exited_at;
+        let is_same_process = |call: &&mut Call| call.sender == start.sender && call.sent_at >= exited_at;
         for other in others {
             let Some(other) = self.calls.get_mut(other).filter(is_same_process) else { continue };
             let id = id.to_owned();
             // The call that was seen first need not have been sent first.
-            if other.sent <= start.sent {
-                other.conflicts.push(Conflict { invariant, id, sent: start.sent });
+            if other.sent_at <= start.sent_at {
+                other.conflicts.push(Conflict { invariant, id, sent_at: start.sent_at });
             } else if invariant == Invariant::ConcurrentAttempts {
-                let sent = other.sent;
+                let sent_at = other.sent_at;
                 if let Some(this) = self.calls.get_mut(&start.call) {
-                    this.conflicts.push(Conflict { invariant, id, sent });
+                    this.conflicts.push(Conflict { invariant, id, sent_at });
                 }
             }
         }
@@ -50,13 +50,13 @@
     /// A call was in flight until `until`: attempts in conflict with it must not have been sent before.
     pub(super) fn call_ended(&mut self, at: At, number: u64, until: At) {
         let Some(call) = self.calls.remove(&number) else { return };
-        for Conflict { invariant, id, sent } in call.conflicts {
-            if sent >= until {
+        for Conflict { invariant, id, sent_at } in call.conflicts {
+            if sent_at >= until {
                 continue;
             }
             let what = format!(
                 "it was sent {} beside call {number} of {}, out until {}",
-                seconds(sent),
+                seconds(sent_at),
                 call.ids.join(", "),
                 seconds(until)
             );
--- a/crates/micadrum-testkit/src/invariants/draining.rs
+++ b/crates/micadrum-testkit/src/invariants/draining.rs
@@ -17,9 +17,9 @@
 
     /// Checks that a call goes to an endpoint in service.
     pub(super) fn check_draining(&mut self, start: &CallStart) {
-        let CallStart { sender, endpoint, sent, .. } = *start;
+        let CallStart { sender, endpoint, sent_at, .. } = *start;
         if let Some(since) = self.unlisted_since.get(&(sender, endpoint.to_owned()))
-            && sent > since + DRAIN_GRACE.0 + TOLERANCE_MICROS
+            && sent_at > since + DRAIN_GRACE.0 + TOLERANCE_MICROS
         {
             let what =
                 format!("sender {sender} called {endpoint}, out of service for it since {}", seconds(*since));
--- a/crates/micadrum-testkit/src/invariants/duplicates.rs
+++ b/crates/micadrum-testkit/src/invariants/duplicates.rs
@@ -5,12 +5,12 @@
 use crate::plan::{Class, KEY_WINDOW};
 
 /// Checks an attempt that was sent at `sent`.
-pub(super) fn check_duplicate(message: &Message, sent: At) -> Option<Finding> {
+pub(super) fn check_duplicate(message: &Message, sent_at: At) -> Option<Finding> {
     let first_attempt = message.first_uncertain_attempt?;
     let what = match message.class {
         Class::Charge => "it was sent again though it may have run".to_owned(),
-        Class::TripRecord if sent > first_attempt + KEY_WINDOW.0 + TOLERANCE_MICROS => {
-            format!("it was sent again {} after it may have run", seconds(sent - first_attempt))
+        Class::TripRecord if sent_at > first_attempt + KEY_WINDOW.0 + TOLERANCE_MICROS => {
+            format!("it was sent again {} after it may have run", seconds(sent_at - first_attempt))
         }
         Class::TripRecord => return None,
     };
--- a/crates/micadrum-testkit/src/invariants/messages.rs
+++ b/crates/micadrum-testkit/src/invariants/messages.rs
@@ -1,12 +1,14 @@
 //! Messages, from their first submission until they are forgotten.
 use super::state::{Acceptance, Message, UnansweredSubmission};
 use super::{Invariant, InvariantChecker};
-use crate::observation::{At, Seen, Told};
+use crate::observation::{At, Observation, Told};
 
 impl InvariantChecker {
     /// A client submits a message.
-    pub(super) fn submitted(&mut self, at: At, seen: &Seen) {
-        let Seen::HandedIn { id, operation, sender, class, vehicle, deadline } = seen else { return };
+    pub(super) fn submitted(&mut self, at: At, observation: &Observation) {
+        let Observation::Submitted { id, operation, sender, class, vehicle, deadline } = observation else {
+            return;
+        };
         let text = format!("handed in to sender {sender} (operation {operation}, {})", class.name());
         if let Some(known) = self.messages.get_mut(id) {
             // The same id once more: the first submission counts.
@@ -36,20 +38,20 @@
     }
 
     /// A client got an answer to its submission, or gave up on it.
-    pub(super) fn answered(&mut self, at: At, id: &str, told: Told) {
+    pub(super) fn answered(&mut self, at: At, id: &str, answer: Told) {
         let Some(message) = self.messages.get_mut(id) else { return };
-        message.record(at, format!("its client heard {told:?}"));
+        message.record(at, format!("its client heard {answer:?}"));
         // If the id was submitted again, the first answer counts.
         if message.acceptance != Acceptance::Pending {
             return;
         }
-        message.acceptance = match told {
+        message.acceptance = match answer {
             Told::TakenOn => Acceptance::Accepted,
             Told::Refused => Acceptance::Rejected,
             Told::Failed | Told::Nothing | Told::Cut => Acceptance::Unknown,
         };
         let (sender, is_sent) = (message.sender, message.attempts > 0);
-        match told {
+        match answer {
             Told::Cut => {
                 let submission = UnansweredSubmission { at, sender, id: id.to_owned() };
                 self.unanswered_submissions.push_back(submission);
--- a/crates/micadrum-testkit/src/invariants/mod.rs
+++ b/crates/micadrum-testkit/src/invariants/mod.rs
@@ -22,7 +22,7 @@
 pub use membership_views::look_at_views;
 pub use violation::{Invariant, Verdict, Violation};
 
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use state::{Call, CallStart, Message, Outage, RetryAfter, Sender, UnansweredSubmission};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -45,9 +45,9 @@
     senders: BTreeMap<u32, Sender>,
     /// When a sender was told that an endpoint is not in service.
     unlisted_since: BTreeMap<(u32, String), At>,
-    /// By sender and line.
+    /// By sender and route.
     retry_after: BTreeMap<(u32, u32), Vec<RetryAfter>>,
-    /// By line.
+    /// By route.
     outages: BTreeMap<u32, Outage>,
     /// Those whose sender's process may still be seen to have ended.
     unanswered_submissions: VecDeque<UnansweredSubmission>,
@@ -58,41 +58,43 @@
 
 impl InvariantChecker {
     /// Checks one observation.
-    pub fn see(&mut self, at: At, seen: &Seen) {
+    pub fn see(&mut self, at: At, observation: &Observation) {
         self.run_due_checks(at);
-        match seen {
-            Seen::HandedIn { .. } => self.submitted(at, seen),
-            Seen::Answered { id, told } => self.answered(at, id, *told),
-            Seen::Ran { id } => self.took_effect(at, id),
-            Seen::Noticed { id, returned } => self.notified(at, id, *returned),
-            Seen::Began { call, sender, endpoint, line, ids, sent } => {
-                let (call, sender, line, sent) = (*call, *sender, *line, *sent);
-                self.call_began(&CallStart { at, call, sender, endpoint, line, ids, sent });
+        match observation {
+            Observation::Submitted { .. } => self.submitted(at, observation),
+            Observation::Answered { id, answer } => self.answered(at, id, *answer),
+            Observation::TookEffect { id } => self.took_effect(at, id),
+            Observation::Notified { id, returned } => self.notified(at, id, *returned),
+            Observation::CallBegan { call, sender, endpoint, route, ids, sent_at } => {
+                let (call, sender, route, sent_at) = (*call, *sender, *route, *sent_at);
+                self.call_began(&CallStart { at, call, sender, endpoint, route, ids, sent_at });
             }
-            Seen::Replied { call, ends, wait, heard, out_until } => {
+            Observation::CallAnswered { call, ends, retry_after, received_at, in_flight_until } => {
                 self.replied(at, *call, ends);
-                self.note_retry_after(at, *call, *wait, *heard);
-                self.call_ended(at, *call, *out_until);
+                self.note_retry_after(at, *call, *retry_after, *received_at);
+                self.call_ended(at, *call, *in_flight_until);
             }
             // No call that the wait would bind can have come yet: it binds those sent after the answer is heard.
-            Seen::Unheard { call } => self.forget_retry_after(*call),
-            Seen::Closed { call, sent } => self.closed(at, *call, *sent),
-            _ => self.see_environment(at, seen),
+            Observation::AnswerLost { call } => self.forget_retry_after(*call),
+            Observation::CallClosed { call, closed_at } => self.closed(at, *call, *closed_at),
+            _ => self.see_environment(at, observation),
         }
     }
 
     /// Checks an observation of processes, discovery or destinations.
-    fn see_environment(&mut self, at: At, seen: &Seen) {
-        match seen {
-            Seen::Ready { sender } => self.ready(at, *sender),
-            Seen::Ending { sender, .. } => self.shutdown_requested(at, *sender),
-            Seen::Exited { sender, asked } => self.exited(at, *sender, *asked),
-            Seen::MachineLost { sender } => self.machine_lost(at, *sender),
-            Seen::Deaf { sender, until } | Seen::Paused { sender, until } => self.excuse(*sender, *until),
-            Seen::Listed { sender, endpoint, serving } => self.listed(at, *sender, endpoint, *serving),
-            Seen::Outage { line, began } => self.outage(*line, *began),
-            Seen::Fell { line, senders, budget, endpoint } => {
-                self.overloaded(at, *line, senders, *budget, endpoint);
+    fn see_environment(&mut self, at: At, observation: &Observation) {
+        match observation {
+            Observation::Ready { sender } => self.ready(at, *sender),
+            Observation::ShutdownRequested { sender, .. } => self.shutdown_requested(at, *sender),
+            Observation::Exited { sender, expected } => self.exited(at, *sender, *expected),
+            Observation::MachineLost { sender } => self.machine_lost(at, *sender),
+            Observation::NotificationsBlocked { sender, until } | Observation::Paused { sender, until } => {
+                self.excuse(*sender, *until)
+            }
+            Observation::Listed { sender, endpoint, serving } => self.listed(at, *sender, endpoint, *serving),
+            Observation::Outage { route, began } => self.outage(*route, *began),
+            Observation::Overloaded { route, senders, budget, endpoint } => {
+                self.overloaded(at, *route, senders, *budget, endpoint);
             }
             _ => {}
         }
--- a/crates/micadrum-testkit/src/invariants/ordering.rs
+++ b/crates/micadrum-testkit/src/invariants/ordering.rs
@@ -13,13 +13,13 @@
 
 impl InvariantChecker {
     /// Checks an attempt to send the message `id` at `sent` against the earlier messages of its ordering key.
-    pub(super) fn check_order(&self, id: &str, sent: At) -> OrderCheck {
+    pub(super) fn check_order(&self, id: &str, sent_at: At) -> OrderCheck {
         let mut check = OrderCheck::default();
         for earlier in self.earlier_messages(id) {
             let Some(message) = self.messages.get(earlier).filter(|message| message.is_accepted()) else {
                 continue;
             };
-            if message.ended_at.is_none_or(|ended_at| ended_at > sent) {
+            if message.ended_at.is_none_or(|ended_at| ended_at > sent_at) {
                 let what = format!("it was sent before {earlier} was over");
                 check.findings.push(Finding { invariant: Invariant::OutOfOrder, what });
             } else {
--- a/crates/micadrum-testkit/src/invariants/overload.rs
+++ b/crates/micadrum-testkit/src/invariants/overload.rs
@@ -13,8 +13,8 @@
 
 impl InvariantChecker {
     /// An outage of a line began or ended.
-    pub(super) fn outage(&mut self, line: u32, began: bool) {
-        let outage = self.outages.entry(line).or_default();
+    pub(super) fn outage(&mut self, route: u32, began: bool) {
+        let outage = self.outages.entry(route).or_default();
         if began && !outage.is_active {
             outage.witnesses.clear();
         }
@@ -22,23 +22,23 @@
     }
 
     /// A sender has seen a call to the line fail.
-    pub(super) fn witness_failure(&mut self, line: u32, sender: u32) {
-        if let Some(outage) = self.outages.get_mut(&line).filter(|outage| outage.is_active) {
+    pub(super) fn witness_failure(&mut self, route: u32, sender: u32) {
+        if let Some(outage) = self.outages.get_mut(&route).filter(|outage| outage.is_active) {
             outage.witnesses.insert(sender);
         }
     }
 
     /// A line in slow start failed by calls of `senders`, one entry for each call.
-    pub(super) fn overloaded(&mut self, at: At, line: u32, senders: &[u32], budget: f64, endpoint: &str) {
+    pub(super) fn overloaded(&mut self, at: At, route: u32, senders: &[u32], budget: f64, endpoint: &str) {
         let calls = senders.len();
         let knowing = self
             .outages
-            .get(&line)
+            .get(&route)
             .map_or(0, |outage| senders.iter().filter(|sender| outage.witnesses.contains(sender)).count());
         let standing_bound = budget + STANDING_TEST_MARGIN_CALLS;
         let exceeds_standing_bound = calls as f64 > standing_bound && knowing * 3 > calls * 2;
         let what = format!(
-            "line {line} ({endpoint}) fell by {calls} calls where it bore {budget:.1}: {knowing} by senders that knew; \
+            "line {route} ({endpoint}) fell by {calls} calls where it bore {budget:.1}: {knowing} by senders that knew; \
              by the bound of the standing test, {standing_bound:.1}, it {}",
             if exceeds_standing_bound { "would have fallen as well" } else { "stood here" }
         );
--- a/crates/micadrum-testkit/src/invariants/retry_after.rs
+++ b/crates/micadrum-testkit/src/invariants/retry_after.rs
@@ -12,22 +12,22 @@
     /// Notes the Retry-After that the answer to a call carries, unless the sender's process has ended before.
     pub(super) fn note_retry_after(&mut self, at: At, call: u64, until: Option<At>, heard: At) {
         let (Some(known), Some(until)) = (self.calls.get(&call), until) else { return };
-        let (sender, line) = (known.sender, known.line);
-        if !self.receives_answer(sender, known.sent) {
+        let (sender, route) = (known.sender, known.route);
+        if !self.receives_answer(sender, known.sent_at) {
             return;
         }
-        let waits = self.retry_after.entry((sender, line)).or_default();
+        let waits = self.retry_after.entry((sender, route)).or_default();
         waits.retain(|wait| wait.until + RETENTION_MICROS > at);
         waits.push(RetryAfter { call, from: heard + REACTION_MICROS, until });
     }
 
     /// Checks that a call is not made before the time of a Retry-After.
     pub(super) fn check_retry_after(&mut self, start: &CallStart) {
-        let CallStart { sender, line, sent, .. } = *start;
-        let waits = self.retry_after.get(&(sender, line)).map_or(&[][..], Vec::as_slice);
-        if let Some(wait) = waits.iter().find(|wait| sent > wait.from && sent < wait.until) {
+        let CallStart { sender, route, sent_at, .. } = *start;
+        let waits = self.retry_after.get(&(sender, route)).map_or(&[][..], Vec::as_slice);
+        if let Some(wait) = waits.iter().find(|wait| sent_at > wait.from && sent_at < wait.until) {
             let what = format!(
-                "sender {sender} called line {line} during a wait until {}, told by call {} and binding from {}",
+                "sender {sender} called line {route} during a wait until {}, told by call {} and binding from {}",
                 seconds(wait.until),
                 wait.call,
                 seconds(wait.from)
--- a/crates/micadrum-testkit/src/invariants/sent_after_end.rs
+++ b/crates/micadrum-testkit/src/invariants/sent_after_end.rs
@@ -4,10 +4,10 @@
 use crate::observation::At;
 
 /// Checks an attempt that was sent at `sent`.
-pub(super) fn check_sent_after_end(message: &Message, sent: At) -> Vec<Finding> {
+pub(super) fn check_sent_after_end(message: &Message, sent_at: At) -> Vec<Finding> {
     let finding = |what: &str| Finding { invariant: Invariant::SentAfterEnd, what: what.to_owned() };
     let mut findings = Vec::new();
-    if message.notified_at.is_some_and(|notified_at| notified_at < sent) {
+    if message.notified_at.is_some_and(|notified_at| notified_at < sent_at) {
         findings.push(finding("it was sent after the notice of its end"));
     }
     if message.acceptance == Acceptance::Rejected {
--- a/crates/micadrum-testkit/src/invariants/state.rs
+++ b/crates/micadrum-testkit/src/invariants/state.rs
@@ -63,8 +63,8 @@
 /// A call that is in flight.
 pub(super) struct Call {
     pub(super) sender: u32,
-    pub(super) line: u32,
-    pub(super) sent: At,
+    pub(super) route: u32,
+    pub(super) sent_at: At,
     /// Ids of its messages.
     pub(super) ids: Vec<String>,
     /// Attempts that must not have been sent before the end of this call.
@@ -77,7 +77,7 @@
     /// Id of the message that was sent.
     pub(super) id: String,
     /// When the attempt was sent.
-    pub(super) sent: At,
+    pub(super) sent_at: At,
 }
 
 /// A call that begins, as the endpoint sees it.
@@ -86,9 +86,9 @@
     pub(super) call: u64,
     pub(super) sender: u32,
     pub(super) endpoint: &'a str,
-    pub(super) line: u32,
+    pub(super) route: u32,
     pub(super) ids: &'a [String],
-    pub(super) sent: At,
+    pub(super) sent_at: At,
 }
 
 impl CallStart<'_> {
@@ -110,7 +110,7 @@
     pub(super) is_shutdown_requested: bool,
 }
 
-/// The outage of a line.
+/// The outage of a route.
 #[derive(Default)]
 pub(super) struct Outage {
     pub(super) is_active: bool,
--- a/crates/micadrum-testkit/src/invariants/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/tests.rs
@@ -20,8 +20,8 @@
         self
     }
 
-    fn see(&mut self, seen: Seen) -> &mut Self {
-        self.judge.see(self.now, &seen);
+    fn see(&mut self, observation: Observation) -> &mut Self {
+        self.judge.see(self.now, &observation);
         self
     }
 
@@ -29,45 +29,57 @@
         let deadline = self.now + class.deadline().0;
         let id = id.to_owned();
         let operation = 0;
-        self.see(Seen::HandedIn { id: id.clone(), operation, sender: 0, class, vehicle, deadline });
-        self.see(Seen::Answered { id, told: Told::TakenOn })
+        self.see(Observation::Submitted { id: id.clone(), operation, sender: 0, class, vehicle, deadline });
+        self.see(Observation::Answered { id, answer: Told::TakenOn })
     }
 
     fn began(&mut self, ids: &[&str]) -> u64 {
         self.began_at(ids, 0, self.now)
     }
 
-    fn began_at(&mut self, ids: &[&str], sender: u32, sent: At) -> u64 {
+    fn began_at(&mut self, ids: &[&str], sender: u32, sent_at: At) -> u64 {
         let call = self.next_call;
         self.next_call += 1;
         let ids = ids.iter().map(|id| (*id).to_owned()).collect();
-        self.see(Seen::Began { call, sender, endpoint: "e".to_owned(), line: 0, ids, sent });
+        self.see(Observation::CallBegan { call, sender, endpoint: "e".to_owned(), route: 0, ids, sent_at });
         call
     }
 
     fn replied(&mut self, call: u64, id: &str, end: MessageEnd) -> &mut Self {
-        self.told(call, id, end, None)
+        self.replied_with_wait(call, id, end, None)
     }
 
-    fn told(&mut self, call: u64, id: &str, end: MessageEnd, wait: Option<At>) -> &mut Self {
-        let (heard, out_until) = (self.now, self.now);
-        self.see(Seen::Replied { call, ends: vec![(id.to_owned(), end)], wait, heard, out_until })
+    fn replied_with_wait(
+        &mut self,
+        call: u64,
+        id: &str,
+        end: MessageEnd,
+        retry_after: Option<At>,
+    ) -> &mut Self {
+        let (received_at, in_flight_until) = (self.now, self.now);
+        self.see(Observation::CallAnswered {
+            call,
+            ends: vec![(id.to_owned(), end)],
+            retry_after,
+            received_at,
+            in_flight_until,
+        })
     }
 
     fn closed(&mut self, call: u64) -> &mut Self {
-        let sent = self.now;
-        self.see(Seen::Closed { call, sent })
+        let closed_at = self.now;
+        self.see(Observation::CallClosed { call, closed_at })
     }
 
     fn noticed(&mut self, id: &str, returned: bool) -> &mut Self {
-        self.see(Seen::Noticed { id: id.to_owned(), returned })
+        self.see(Observation::Notified { id: id.to_owned(), returned })
     }
 
     fn restart(&mut self, from: At, ready: At) -> &mut Self {
         self.at(from)
-            .see(Seen::Ending { sender: 0, killed: true })
-            .see(Seen::Exited { sender: 0, asked: true });
-        self.at(ready).see(Seen::Ready { sender: 0 })
+            .see(Observation::ShutdownRequested { sender: 0, killed: true })
+            .see(Observation::Exited { sender: 0, expected: true });
+        self.at(ready).see(Observation::Ready { sender: 0 })
     }
 
     fn broken(&mut self) -> Vec<Invariant> {
@@ -86,9 +98,9 @@
     day.taken("a", Charge, None).taken("k1", TripRecord, Some(7)).taken("k2", TripRecord, Some(7));
     let (a, k1) = (day.began(&["a"]), day.began(&["k1"]));
     // Turned away it never ran: a charge may go again, after the wait.
-    day.at(S).told(a, "a", Full, Some(2 * S)).replied(k1, "k1", Error);
+    day.at(S).replied_with_wait(a, "a", Full, Some(2 * S)).replied(k1, "k1", Error);
     let (a, k1) = (day.at(2 * S).began(&["a"]), day.began(&["k1"]));
-    day.at(3 * S).closed(k1).see(Seen::Ran { id: "a".to_owned() }).replied(a, "a", Delivered);
+    day.at(3 * S).closed(k1).see(Observation::TookEffect { id: "a".to_owned() }).replied(a, "a", Delivered);
     // In the window, and with the first call closed.
     let k1 = day.at(4 * S).began(&["k1"]);
     day.at(5 * S).replied(k1, "k1", Delivered);
@@ -97,7 +109,7 @@
     // Overdue only once the restart is over; the process that was told the wait has gone.
     day.taken("late", Charge, None);
     let call = day.began(&["late"]);
-    day.told(call, "late", Full, Some(60 * S));
+    day.replied_with_wait(call, "late", Full, Some(60 * S));
     day.restart(20 * S, 23 * S);
     let call = day.began(&["late"]);
     day.at(24 * S).replied(call, "late", Error).noticed("late", false);
@@ -114,12 +126,12 @@
     day = Day::default();
     day.taken("a", Charge, None);
     for n in 1..20 {
-        day.at(n * 10 * S).see(Seen::Ready { sender: 0 });
+        day.at(n * 10 * S).see(Observation::Ready { sender: 0 });
     }
     assert_eq!(day.broken(), [Invariant::Lost]);
     // Not where its machine was lost with it, or its client never heard that it was taken on.
     day = Day::default();
-    day.taken("a", Charge, None).at(S).see(Seen::MachineLost { sender: 0 }).at(60 * S);
+    day.taken("a", Charge, None).at(S).see(Observation::MachineLost { sender: 0 }).at(60 * S);
     assert_eq!(day.broken(), []);
 }
 
@@ -129,12 +141,19 @@
     for (ended, broken) in [(None, vec![Invariant::Lost]), (Some(S + 1), vec![])] {
         let mut day = Day::default();
         let (id, class, deadline) = ("a".to_owned(), Charge, 16 * S);
-        day.see(Seen::HandedIn { id: id.clone(), operation: 0, sender: 0, class, vehicle: None, deadline });
-        day.at(S).see(Seen::Answered { id, told: Told::Cut });
+        day.see(Observation::Submitted {
+            id: id.clone(),
+            operation: 0,
+            sender: 0,
+            class,
+            vehicle: None,
+            deadline,
+        });
+        day.at(S).see(Observation::Answered { id, answer: Told::Cut });
         if let Some(at) = ended {
             day.restart(at, at + S);
         }
-        day.at(5 * S).see(Seen::Ready { sender: 1 });
+        day.at(5 * S).see(Observation::Ready { sender: 1 });
         assert_eq!(day.broken(), broken);
     }
 }
@@ -159,10 +178,17 @@
     day.began(&["nobody's"]);
     assert_eq!(day.broken(), [Invariant::SentAfterEnd]);
     let mut day = Day::default();
-    let (id, told) = ("a".to_owned(), Told::Refused);
+    let (id, answer) = ("a".to_owned(), Told::Refused);
     let (class, deadline) = (Charge, 16 * S);
-    day.see(Seen::HandedIn { id: id.clone(), operation: 0, sender: 0, class, vehicle: None, deadline });
-    day.see(Seen::Answered { id, told }).at(S).began(&["a"]);
+    day.see(Observation::Submitted {
+        id: id.clone(),
+        operation: 0,
+        sender: 0,
+        class,
+        vehicle: None,
+        deadline,
+    });
+    day.see(Observation::Answered { id, answer }).at(S).began(&["a"]);
     assert_eq!(day.broken(), [Invariant::SentAfterEnd]);
 }
 
@@ -187,8 +213,8 @@
     day.noticed("a", false);
     assert_eq!(day.broken(), [Invariant::Duplicated], "a keyed message past its window");
     let mut day = Day::default();
-    day.taken("a", TripRecord, None).see(Seen::Ran { id: "a".to_owned() });
-    day.at(S).see(Seen::Ran { id: "a".to_owned() }).noticed("a", false);
+    day.taken("a", TripRecord, None).see(Observation::TookEffect { id: "a".to_owned() });
+    day.at(S).see(Observation::TookEffect { id: "a".to_owned() }).noticed("a", false);
     assert_eq!(day.broken(), [Invariant::Duplicated], "two effects");
     let mut day = Day::default();
     day.taken("a", Charge, None);
@@ -237,7 +263,7 @@
     for (after, broken) in [(S, vec![]), (S + 100_000, vec![Invariant::SentToDraining])] {
         let mut day = Day::default();
         day.taken("a", Charge, None);
-        day.see(Seen::Listed { sender: 0, endpoint: "e".to_owned(), serving: false });
+        day.see(Observation::Listed { sender: 0, endpoint: "e".to_owned(), serving: false });
         let call = day.at(after).began(&["a"]);
         day.replied(call, "a", Delivered);
         assert_eq!(day.broken(), broken);
@@ -252,16 +278,21 @@
         let mut day = Day::default();
         day.taken("a", TripRecord, None);
         if knew {
-            day.see(Seen::Outage { line: 0, began: true });
+            day.see(Observation::Outage { route: 0, began: true });
         }
         let call = day.began(&["a"]);
         day.at(S).closed(call);
         if !knew {
-            day.see(Seen::Outage { line: 0, began: true });
+            day.see(Observation::Outage { route: 0, began: true });
         }
-        day.at(2 * S).see(Seen::Outage { line: 0, began: false });
+        day.at(2 * S).see(Observation::Outage { route: 0, began: false });
         day.at(3 * S)
-            .see(Seen::Fell { line: 0, senders: vec![0, 0, 1], budget: 2.0, endpoint: "e".to_owned() })
+            .see(Observation::Overloaded {
+                route: 0,
+                senders: vec![0, 0, 1],
+                budget: 2.0,
+                endpoint: "e".to_owned(),
+            })
             .noticed("a", true);
         assert_eq!(day.broken(), broken);
     }
@@ -303,12 +334,12 @@
         day.at(S).noticed("k1", true);
         let second = day.at(2 * S).began(&["k2"]);
         let exit = 3 * S + 500_000;
-        day.at(exit).see(Seen::Ending { sender: 0, killed: true });
-        day.see(Seen::Exited { sender: 0, asked: true }).at(exit + news);
-        if let Some(sent) = end_sent {
-            day.see(Seen::Closed { call: first, sent });
+        day.at(exit).see(Observation::ShutdownRequested { sender: 0, killed: true });
+        day.see(Observation::Exited { sender: 0, expected: true }).at(exit + news);
+        if let Some(closed_at) = end_sent {
+            day.see(Observation::CallClosed { call: first, closed_at });
         }
-        day.at(6 * S).see(Seen::Ready { sender: 0 }).closed(second).noticed("k2", true);
+        day.at(6 * S).see(Observation::Ready { sender: 0 }).closed(second).noticed("k2", true);
         assert_eq!(day.broken(), broken, "{end_sent:?}, heard {news} us after");
     }
 }
@@ -323,8 +354,10 @@
     day.began(&["out"]);
     let over = day.began(&["over"]);
     day.replied(over, "over", Delivered);
-    day.at(S).see(Seen::Ending { sender: 0, killed: true });
-    day.see(Seen::Exited { sender: 0, asked: true }).at(2 * S).see(Seen::Ready { sender: 0 });
+    day.at(S).see(Observation::ShutdownRequested { sender: 0, killed: true });
+    day.see(Observation::Exited { sender: 0, expected: true })
+        .at(2 * S)
+        .see(Observation::Ready { sender: 0 });
     let call = day.began(&["tried"]);
     day.replied(call, "tried", Full).noticed("tried", true);
     day.at(3 * S).noticed("given-up", true).noticed("out", true);
@@ -339,7 +372,7 @@
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None);
         let call = day.began(&["a"]);
-        day.at(S).told(call, "a", Full, Some(3 * S));
+        day.at(S).replied_with_wait(call, "a", Full, Some(3 * S));
         let call = day.at(at).began(&["b"]);
         day.replied(call, "b", Delivered).noticed("a", true);
         assert_eq!(day.broken(), broken, "at {at}");
@@ -356,9 +389,14 @@
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None).taken("c", Charge, None);
         let (one, two) = (day.began(&["a"]), day.began(&["c"]));
-        day.at(S).told(one, "a", Full, Some(3 * S)).told(two, "c", Full, Some(3 * S));
+        day.at(S).replied_with_wait(one, "a", Full, Some(3 * S)).replied_with_wait(
+            two,
+            "c",
+            Full,
+            Some(3 * S),
+        );
         for call in [one, two].into_iter().take(unheard) {
-            day.see(Seen::Unheard { call });
+            day.see(Observation::AnswerLost { call });
         }
         let call = day.at(2 * S).began(&["b"]);
         day.replied(call, "b", Delivered).noticed("a", true).noticed("c", true);
@@ -370,6 +408,6 @@
 #[test]
 fn an_unasked_end_is_a_crash() {
     let mut day = Day::default();
-    day.see(Seen::Ready { sender: 0 }).at(S).see(Seen::Exited { sender: 0, asked: false });
+    day.see(Observation::Ready { sender: 0 }).at(S).see(Observation::Exited { sender: 0, expected: false });
     assert_eq!(day.broken(), [Invariant::Crash]);
 }
--- a/crates/micadrum-testkit/src/observation.rs
+++ b/crates/micadrum-testkit/src/observation.rs
@@ -34,14 +34,14 @@
 
 /// One observation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A sender reported that it is ready.
     Ready {
         /// Number of the sender.
         sender: u32,
     },
     /// A sender's process was told to end, by SIGTERM or SIGKILL.
-    Ending {
+    ShutdownRequested {
         /// Number of the sender.
         sender: u32,
         /// Whether by SIGKILL.
@@ -52,7 +52,7 @@
         /// Number of the sender.
         sender: u32,
         /// Whether the process was told to end, and was killed or ended without an error.
-        asked: bool,
+        expected: bool,
     },
     /// A sender's machine was lost with everything on it.
     MachineLost {
@@ -60,7 +60,7 @@
         sender: u32,
     },
     /// A client submitted a message.
-    HandedIn {
+    Submitted {
         /// Id of the message.
         id: String,
         /// Number of the operation that the message belongs to.
@@ -79,7 +79,7 @@
         /// Id of the message.
         id: String,
         /// The answer.
-        told: Told,
+        answer: Told,
     },
     /// Discovery told a sender the state of an endpoint.
     Listed {
@@ -91,53 +91,53 @@
         serving: bool,
     },
     /// The last byte of a call arrived at an endpoint.
-    Began {
+    CallBegan {
         /// Number of the call.
         call: u64,
         /// Number of the sender.
         sender: u32,
         /// Id of the endpoint in the endpoint list.
         endpoint: String,
-        /// The line: a destination, or one endpoint of a destination whose limits hold for each endpoint. Limits, waits
-        /// and outages are of a line.
-        line: u32,
+        /// The route: a destination, or one endpoint of a destination whose limits apply to each endpoint. Limits,
+        /// Retry-After and outages apply to a route.
+        route: u32,
         /// Ids of the call's messages.
         ids: Vec<String>,
         /// When the sender sent the first byte.
-        sent: At,
+        sent_at: At,
     },
     /// A message took effect at a destination. A repeat that the destination dropped does not.
-    Ran {
+    TookEffect {
         /// Id of the message.
         id: String,
     },
     /// An endpoint answered a call, or would have but for a fault that corrupted the answer or broke the connection.
-    Replied {
+    CallAnswered {
         /// Number of the call.
         call: u64,
         /// The end of each message.
         ends: Vec<(String, MessageEnd)>,
         /// The time that a Retry-After in the answer names.
-        wait: Option<At>,
+        retry_after: Option<At>,
         /// When the sender receives the answer.
-        heard: At,
+        received_at: At,
         /// Until when the call was in flight: until the answer arrived, or the sender closed the connection.
-        out_until: At,
+        in_flight_until: At,
     },
     /// A sender had closed the connection of a call before the answer reached it, so it cannot know the answer.
-    Unheard {
+    AnswerLost {
         /// Number of the call.
         call: u64,
     },
     /// A sender closed the connection of a call that had no answer.
-    Closed {
+    CallClosed {
         /// Number of the call.
         call: u64,
-        /// When the sender closed it.
-        sent: At,
+        /// When the sender closed the connection.
+        closed_at: At,
     },
     /// The platform acknowledged the notification of a message's end.
-    Noticed {
+    Notified {
         /// Id of the message.
         id: String,
         /// Whether the message was reported as returned rather than failed.
@@ -151,26 +151,26 @@
         until: At,
     },
     /// The platform acknowledges no notifications of a sender.
-    Deaf {
+    NotificationsBlocked {
         /// Number of the sender.
         sender: u32,
         /// When the platform acknowledges notifications again.
         until: At,
     },
-    /// An outage of a line began or ended.
+    /// An outage of a route began or ended.
     Outage {
-        /// The line.
-        line: u32,
+        /// The route.
+        route: u32,
         /// Whether the outage began.
         began: bool,
     },
-    /// A line in slow start failed by overload.
-    Fell {
-        /// The line.
-        line: u32,
+    /// A route in slow start failed by overload.
+    Overloaded {
+        /// The route.
+        route: u32,
         /// Numbers of the senders whose calls overloaded it, one entry for each call.
         senders: Vec<u32>,
-        /// Number of calls that the line could have served in that time.
+        /// Number of calls that the route could have served in that time.
         budget: f64,
         /// Id of the endpoint that received the last of the calls.
         endpoint: String,
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -1,7 +1,7 @@
 //! Processes the observations of a run: checks the invariants, and measures the service that clients got.
 use crate::history::History;
 use crate::invariants::{InvariantChecker, Verdict, look_at_views};
-use crate::observation::{At, MessageEnd, Seen, Told};
+use crate::observation::{At, MessageEnd, Observation, Told};
 use crate::plan::{AIM, Arrival, Class, LATE_WORTH, PlannedFault, TENANTS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -172,25 +172,25 @@
     }
 
     /// Processes one observation.
-    pub fn see(&mut self, at: At, seen: &Seen) {
-        self.checker.see(at, seen);
-        match seen {
-            Seen::HandedIn { id, operation, .. } => {
+    pub fn see(&mut self, at: At, observation: &Observation) {
+        self.checker.see(at, observation);
+        match observation {
+            Observation::Submitted { id, operation, .. } => {
                 self.counts.submitted += 1;
                 self.operation_of_message.insert(id.clone(), *operation);
             }
-            Seen::Answered { id, told } => self.answered(id, *told),
-            Seen::Began { .. } => self.counts.calls += 1,
-            Seen::Closed { .. } => self.counts.calls_abandoned += 1,
-            Seen::Replied { ends, .. } => self.replied(at, ends),
-            Seen::Noticed { id, returned } => self.notified(id, *returned),
-            Seen::Exited { .. } => self.counts.exits += 1,
+            Observation::Answered { id, answer } => self.answered(id, *answer),
+            Observation::CallBegan { .. } => self.counts.calls += 1,
+            Observation::CallClosed { .. } => self.counts.calls_abandoned += 1,
+            Observation::CallAnswered { ends, .. } => self.replied(at, ends),
+            Observation::Notified { id, returned } => self.notified(id, *returned),
+            Observation::Exited { .. } => self.counts.exits += 1,
             _ => {}
         }
     }
 
-    fn answered(&mut self, id: &str, told: Told) {
-        match told {
+    fn answered(&mut self, id: &str, answer: Told) {
+        match answer {
             Told::TakenOn => return,
             Told::Refused | Told::Failed => self.counts.rejected += 1,
             Told::Nothing | Told::Cut => self.counts.unanswered += 1,
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -2,7 +2,7 @@
 use super::World;
 use super::messages::{MessageOutcome, SubmittedMessage};
 use crate::http::Conversation;
-use crate::observation::{At, Seen, Told};
+use crate::observation::{At, Observation, Told};
 use crate::plan::{Arrival, SeededRng, TENANTS};
 use crate::test_network::Host;
 use std::cell::RefCell;
@@ -187,7 +187,7 @@
         let submitted = || self.submitted(&id, sender, now + remaining);
         self.world.observe(submitted());
         let response = self.send_with_retry(sender, connection, &request).await;
-        self.world.observe(Seen::Answered { id: id.clone(), told: response });
+        self.world.observe(Observation::Answered { id: id.clone(), answer: response });
         if has_duplicate && response == Told::TakenOn {
             let delay = Duration::from_secs_f64(duplicate_delay);
             schedule_duplicate(self.world.clone(), sender, delay, request, submitted());
@@ -207,8 +207,8 @@
         }
     }
 
-    fn submitted(&self, id: &str, sender: u32, deadline: At) -> Seen {
-        Seen::HandedIn {
+    fn submitted(&self, id: &str, sender: u32, deadline: At) -> Observation {
+        Observation::Submitted {
             id: id.to_owned(),
             operation: self.arrival.number,
             sender,
@@ -281,7 +281,13 @@
 
 /// Submits the same message under the same id once more after a delay, as a client that was restarted does, unless the
 /// machine of the sender is lost before. The sender owes nothing new for it.
-fn schedule_duplicate(world: Rc<World>, sender: u32, delay: Duration, request: Vec<u8>, submitted: Seen) {
+fn schedule_duplicate(
+    world: Rc<World>,
+    sender: u32,
+    delay: Duration,
+    request: Vec<u8>,
+    submitted: Observation,
+) {
     let lost_machines = world.senders[sender as usize].lost_machines();
     spawn_local(async move {
         sleep(delay).await;
@@ -291,8 +297,8 @@
     });
 }
 
-async fn submit_duplicate(world: &Rc<World>, sender: u32, request: &[u8], submitted: Seen) {
-    let Seen::HandedIn { deadline, .. } = submitted else { return };
+async fn submit_duplicate(world: &Rc<World>, sender: u32, request: &[u8], submitted: Observation) {
+    let Observation::Submitted { deadline, .. } = submitted else { return };
     let Some(address) = world.senders[sender as usize].address() else { return };
     if world.now() + MIN_REMAINING_US > deadline {
         return;
--- a/crates/micadrum-testkit/src/world/endpoints/call.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -1,7 +1,7 @@
 //! A call to an endpoint: read, decided by the destination's model, and answered.
 use super::{is_mute, wait_for_state};
 use crate::http::{Conversation, Message, answer};
-use crate::observation::{At, MessageEnd, Seen};
+use crate::observation::{At, MessageEnd, Observation};
 use crate::plan::Class;
 use crate::world::destination_model::{CallMessage, CallOutcome, Collapse, Delivery, IncomingCall};
 use crate::world::messages::MessageOutcome;
@@ -84,7 +84,7 @@
 /// What happens first to a call that is being processed.
 enum CallEvent {
     AnswerDue,
-    ConnectionClosed { sent: At },
+    ConnectionClosed { closed_at: At },
     ProcessDown,
 }
 
@@ -98,15 +98,21 @@
         let state = &world.endpoints.borrow()[endpoint];
         let identified: Vec<_> =
             received.into_iter().map(|received| received.identify(world, state.destination)).collect();
-        let sent = world.timestamp(message.first_sent);
-        let outcome = decide(world, state, sender, sent, &identified);
-        let EndpointIdentity { id, route } = identity_for(world, state, sender, sent);
+        let sent_at = world.timestamp(message.first_sent);
+        let outcome = decide(world, state, sender, sent_at, &identified);
+        let EndpointIdentity { id, route } = identity_for(world, state, sender, sent_at);
         let ids: Vec<_> = identified.into_iter().map(|message| message.id).collect();
-        let began =
-            Seen::Began { call: number, sender, endpoint: id.clone(), line: route, ids: ids.clone(), sent };
+        let began = Observation::CallBegan {
+            call: number,
+            sender,
+            endpoint: id.clone(),
+            route,
+            ids: ids.clone(),
+            sent_at,
+        };
         world.observe(began);
         if let Some(Collapse { senders, budget }) = outcome.collapse.clone() {
-            world.observe(Seen::Fell { line: route, senders, budget, endpoint: id });
+            world.observe(Observation::Overloaded { route, senders, budget, endpoint: id });
         }
         Some(Self { number, endpoint, ids, is_batch, outcome })
     }
@@ -123,12 +129,12 @@
                 CallEvent::ProcessDown
             }
             () = world.wait_until(self.outcome.answer_at) => CallEvent::AnswerDue,
-            closed = conversation.ended() => CallEvent::ConnectionClosed { sent: world.timestamp(closed) },
+            closed = conversation.ended() => CallEvent::ConnectionClosed { closed_at: world.timestamp(closed) },
         };
         match event {
             CallEvent::AnswerDue => self.answer(world, conversation).await,
-            CallEvent::ConnectionClosed { sent } => {
-                world.observe(Seen::Closed { call: self.number, sent });
+            CallEvent::ConnectionClosed { closed_at } => {
+                world.observe(Observation::CallClosed { call: self.number, closed_at });
                 self.run_on(world.clone());
                 None
             }
@@ -153,15 +159,15 @@
         self.take_effect(world);
         let is_mute = is_mute(world, &world.endpoints.borrow()[self.endpoint]);
         if is_mute || self.outcome.delivery == Delivery::Never {
-            let sent = world.timestamp(conversation.ended().await);
-            world.observe(Seen::Closed { call: self.number, sent });
+            let closed_at = world.timestamp(conversation.ended().await);
+            world.observe(Observation::CallClosed { call: self.number, closed_at });
             return None;
         }
         let now = world.now();
         let ends: Vec<_> = self.ids.iter().cloned().zip(self.outcome.ends.iter().copied()).collect();
         // A Retry-After that is written while the link is cut reaches nobody.
         let retry_after = self.outcome.retry_after.filter(|_| conversation.arrives()).map(|wait| now + wait);
-        let heard = self.observe_reply(world, &conversation, ends.clone(), retry_after);
+        let received_at = self.observe_reply(world, &conversation, ends.clone(), retry_after);
         for (id, end) in ends {
             if end == MessageEnd::Ok {
                 world.messages.borrow_mut().complete(&id, MessageOutcome::Delivered);
@@ -170,7 +176,7 @@
         let bytes = self.answer_bytes(world)?;
         conversation.write(&bytes).await.ok()?;
         if retry_after.is_some() {
-            self.watch_delivery(world, &conversation, heard).await;
+            self.watch_delivery(world, &conversation, received_at).await;
         }
         if self.outcome.delivery == Delivery::Complete {
             return Some(conversation);
@@ -189,26 +195,32 @@
         retry_after: Option<At>,
     ) -> At {
         let now = world.now();
-        let heard = now + conversation.delay().as_micros() as At;
+        let received_at = now + conversation.delay().as_micros() as At;
         // The sender may have ended the call before, with that still on its way.
-        let out_until = conversation.ended_at().map_or(now, |ended| world.timestamp(ended).min(now));
-        world.observe(Seen::Replied { call: self.number, ends, wait: retry_after, heard, out_until });
-        heard
+        let in_flight_until = conversation.ended_at().map_or(now, |ended| world.timestamp(ended).min(now));
+        world.observe(Observation::CallAnswered {
+            call: self.number,
+            ends,
+            retry_after,
+            received_at,
+            in_flight_until,
+        });
+        received_at
     }
 
     /// Waits until a Retry-After has arrived, and records where the sender did not receive it. Nothing else comes on
     /// this connection before that.
-    async fn watch_delivery(&self, world: &World, conversation: &Conversation, heard: At) {
-        world.wait_until(heard).await;
-        if conversation.ended_at().is_some_and(|ended| world.timestamp(ended) < heard) {
-            world.observe(Seen::Unheard { call: self.number });
+    async fn watch_delivery(&self, world: &World, conversation: &Conversation, received_at: At) {
+        world.wait_until(received_at).await;
+        if conversation.ended_at().is_some_and(|ended| world.timestamp(ended) < received_at) {
+            world.observe(Observation::AnswerLost { call: self.number });
         }
     }
 
     fn take_effect(&self, world: &World) {
         for (id, effect) in self.ids.iter().zip(&self.outcome.effects) {
             if *effect {
-                world.observe(Seen::Ran { id: id.clone() });
+                world.observe(Observation::TookEffect { id: id.clone() });
             }
         }
     }
--- a/crates/micadrum-testkit/src/world/faults/discovery_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/discovery_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the platform: the endpoint list lags, stays silent, moves or names endpoints that do not exist, and
 //! notifications are not acknowledged.
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::world::{NonexistentEndpoint, World, platform};
 use std::cell::Cell;
@@ -14,7 +14,7 @@
 pub(super) fn ignore_notifications(world: &World, fault: &PlannedFault, until: At) {
     for sender in &fault.senders {
         extend(&world.agents[*sender as usize].notifications_ignored_until, until);
-        world.observe(Seen::Deaf { sender: *sender, until });
+        world.observe(Observation::NotificationsBlocked { sender: *sender, until });
     }
 }
 
--- a/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
@@ -1,5 +1,5 @@
 //! Faults of the destinations' endpoints: degraded service, lower limits, new addresses and ids, and drains.
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::FaultKind;
 use crate::world::destination_model::{Condition, Stall};
@@ -76,7 +76,7 @@
         let route_in_destination = model.route_of(*number);
         if model.set_outage(route_in_destination, outage, world.now()) {
             drop(destinations);
-            world.observe(Seen::Outage { line: route, began: outage });
+            world.observe(Observation::Outage { route, began: outage });
         }
     }
     world.endpoint_changed.notify_waiters();
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of the senders: their processes, machines, disks, and the links between them.
 use super::endpoint_faults;
 use crate::history::What;
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, FolderKept, How};
 use crate::world::World;
@@ -142,7 +142,7 @@
 /// Suspends the processes of senders until `until`.
 pub(super) async fn pause(world: &World, fault: &PlannedFault, until: At) {
     for sender in &fault.senders {
-        world.observe(Seen::Paused { sender: *sender, until });
+        world.observe(Observation::Paused { sender: *sender, until });
     }
     set_paused(world, fault, true);
     world.wait_until(until).await;
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::history::{History, What};
 use crate::link_faults::LinkFaults;
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::plan::{Class, Plan};
 use crate::service_metrics::Recorder;
 use crate::test_network::{Host, TestNetwork};
@@ -173,8 +173,8 @@
     }
 
     /// Records an observation of a stand-in.
-    pub fn observe(&self, seen: Seen) {
-        self.recorder.borrow_mut().see(self.now(), &seen);
+    pub fn observe(&self, observation: Observation) {
+        self.recorder.borrow_mut().see(self.now(), &observation);
     }
 
     /// Records what happened to the process of a sender.
--- a/crates/micadrum-testkit/src/world/platform/agent.rs
+++ b/crates/micadrum-testkit/src/world/platform/agent.rs
@@ -1,5 +1,5 @@
 //! The state of the discovery agent on one sender's machine.
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::test_network::{Host, TestListener, TestNetwork};
 use crate::world::World;
 use serde_json::{Value, json};
@@ -163,9 +163,9 @@
         endpoints.iter().filter(is_serving).map(|endpoint| endpoint.id.clone()).collect();
     let before = agent.serving.replace(serving.clone());
     for endpoint in before.difference(&serving) {
-        world.observe(Seen::Listed { sender, endpoint: endpoint.clone(), serving: false });
+        world.observe(Observation::Listed { sender, endpoint: endpoint.clone(), serving: false });
     }
     for endpoint in serving {
-        world.observe(Seen::Listed { sender, endpoint, serving: true });
+        world.observe(Observation::Listed { sender, endpoint, serving: true });
     }
 }
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -7,7 +7,7 @@
 use super::World;
 use super::messages::MessageOutcome;
 use crate::http::{Conversation, Message, answer};
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::plan::{MUST_ASK_IN, SeededRng};
 use crate::scenario::Discovery;
 use crate::test_network::{Host, TestConnection};
@@ -284,7 +284,7 @@
         Some(message) if message.sender == sender => notification.id.clone(),
         _ => format!("{} (not its own)", notification.id),
     };
-    world.observe(Seen::Noticed { id, returned });
+    world.observe(Observation::Notified { id, returned });
     let retry_after = notification.after_ms.map(Duration::from_millis);
     let outcome = if returned { MessageOutcome::Returned(retry_after) } else { MessageOutcome::Failed };
     messages.complete(&notification.id, outcome);
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -7,7 +7,7 @@
 use super::{World, platform};
 use crate::history::What;
 use crate::http::Conversation;
-use crate::observation::{At, Seen};
+use crate::observation::{At, Observation};
 use crate::plan::SeededRng;
 use crate::scenario::{FolderKept, How, Where};
 use crate::test_network::Host;
@@ -125,7 +125,7 @@
     state.address.set(Some(address));
     state.is_accepting.set(true);
     state.down_since.set(None);
-    world.observe(Seen::Ready { sender });
+    world.observe(Observation::Ready { sender });
     if restarts == 0 {
         world.fleet.save_state_folder(sender);
     }
--- a/crates/micadrum-testkit/src/world/senders/supervisor.rs
+++ b/crates/micadrum-testkit/src/world/senders/supervisor.rs
@@ -1,7 +1,7 @@
 //! The supervisor of one sender: carries out restarts, kills and power losses, one after another.
 use super::{PowerRecovery, start};
 use crate::history::What;
-use crate::observation::Seen;
+use crate::observation::Observation;
 use crate::plan::SeededRng;
 use crate::scenario::{FolderKept, How, Where};
 use crate::world::World;
@@ -78,7 +78,7 @@
         let sender = self.sender;
         let expected = self.pending_kill.is_some();
         if expected {
-            self.world.observe(Seen::Ending { sender, killed: true });
+            self.world.observe(Observation::ShutdownRequested { sender, killed: true });
         } else {
             eprintln!("sender {sender} ended by itself{}", if clean { "" } else { ", in disorder" });
         }
@@ -119,7 +119,7 @@
         let fleet = self.world.fleet.clone();
         self.world.senders[sender as usize].is_accepting.set(false);
         let killed = how == How::Kill;
-        self.world.observe(Seen::Ending { sender, killed });
+        self.world.observe(Observation::ShutdownRequested { sender, killed });
         if !killed {
             fleet.terminate(sender);
             if let Ok(clean) = timeout(TERM_TO_KILL_DELAY, fleet.wait_for_exit(sender)).await {
@@ -149,7 +149,7 @@
         state.is_accepting.set(false);
         state.down_since.set(Some(world.now()));
         world.agents[sender as usize].reset_for_process(world.now());
-        world.observe(Seen::Exited { sender, asked: expected });
+        world.observe(Observation::Exited { sender, expected });
         world.record(sender, What::Ended);
         if world.plan.forgetful {
             world.fleet.wipe_state_folder(sender);
@@ -181,7 +181,7 @@
     fn record_machine_lost(&self) {
         let state = &self.world.senders[self.sender as usize];
         state.lost_machines.set(state.lost_machines.get() + 1);
-        self.world.observe(Seen::MachineLost { sender: self.sender });
+        self.world.observe(Observation::MachineLost { sender: self.sender });
         self.world.messages.borrow_mut().complete_lost(self.sender);
     }
 }
