--- a/crates/micadrum-testkit/src/invariants/calls.rs
+++ b/crates/micadrum-testkit/src/invariants/calls.rs
@@ -4,7 +4,7 @@
 use super::sent_after_end::check_sent_after_end;
 use super::state::{Call, CallStart, Finding};
 use super::{Invariant, InvariantChecker, seconds};
-use crate::observation::{At, MessageEnd};
+use crate::observation::{At, AttemptResult};
 
 impl InvariantChecker {
     /// A call has arrived at an endpoint.
@@ -46,10 +46,12 @@
     }
 
     /// An endpoint has answered a call.
-    pub(super) fn replied(&mut self, at: At, call: u64, ends: &[(String, MessageEnd)]) {
+    pub(super) fn replied(&mut self, at: At, call: u64, ends: &[(String, AttemptResult)]) {
         let Some(known) = self.calls.get(&call) else { return };
         let (sender, route, sent_at) = (known.sender, known.route, known.sent_at);
-        if self.receives_answer(sender, sent_at) && ends.iter().any(|(_, end)| *end != MessageEnd::Ok) {
+        if self.receives_answer(sender, sent_at)
+            && ends.iter().any(|(_, end)| *end != AttemptResult::Delivered)
+        {
             self.witness_failure(route, sender);
         }
         let mut delivered = Vec::new();
@@ -57,10 +59,10 @@
             let Some(message) = self.messages.get_mut(id) else { continue };
             message.record(at, format!("call {call} answered: {end:?}"));
             message.calls.retain(|other| *other != call);
-            if *end != MessageEnd::Full {
+            if *end != AttemptResult::Overloaded {
                 message.first_uncertain_attempt.get_or_insert(sent_at);
             }
-            if *end == MessageEnd::Ok {
+            if *end == AttemptResult::Delivered {
                 delivered.push(id);
             }
         }
--- a/crates/micadrum-testkit/src/invariants/messages.rs
+++ b/crates/micadrum-testkit/src/invariants/messages.rs
@@ -1,7 +1,7 @@
 //! Messages, from their first submission until they are forgotten.
 use super::state::{Acceptance, Message, UnansweredSubmission};
 use super::{Invariant, InvariantChecker};
-use crate::observation::{At, Observation, Told};
+use crate::observation::{At, Observation, SubmissionAnswer};
 
 impl InvariantChecker {
     /// A client submits a message.
@@ -38,7 +38,7 @@
     }
 
     /// A client got an answer to its submission, or gave up on it.
-    pub(super) fn answered(&mut self, at: At, id: &str, answer: Told) {
+    pub(super) fn answered(&mut self, at: At, id: &str, answer: SubmissionAnswer) {
         let Some(message) = self.messages.get_mut(id) else { return };
         message.record(at, format!("its client heard {answer:?}"));
         // If the id was submitted again, the first answer counts.
@@ -46,18 +46,20 @@
             return;
         }
         message.acceptance = match answer {
-            Told::TakenOn => Acceptance::Accepted,
-            Told::Refused => Acceptance::Rejected,
-            Told::Failed | Told::Nothing | Told::Cut => Acceptance::Unknown,
+            SubmissionAnswer::Accepted => Acceptance::Accepted,
+            SubmissionAnswer::Rejected => Acceptance::Rejected,
+            SubmissionAnswer::Failed | SubmissionAnswer::TimedOut | SubmissionAnswer::ConnectionClosed => {
+                Acceptance::Unknown
+            }
         };
         let (sender, is_sent) = (message.sender, message.attempts > 0);
         match answer {
-            Told::Cut => {
+            SubmissionAnswer::ConnectionClosed => {
                 let submission = UnansweredSubmission { at, sender, id: id.to_owned() };
                 self.unanswered_submissions.push_back(submission);
             }
-            Told::TakenOn => self.verdict.accepted += 1,
-            Told::Refused if is_sent => {
+            SubmissionAnswer::Accepted => self.verdict.accepted += 1,
+            SubmissionAnswer::Rejected if is_sent => {
                 self.report(Invariant::SentAfterEnd, at, Some(id), "it was sent and refused".to_owned());
             }
             _ => {}
--- a/crates/micadrum-testkit/src/invariants/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/tests.rs
@@ -1,6 +1,6 @@
 //! A fault for each rule planted into the observations.
 use super::*;
-use crate::observation::{MessageEnd, Told};
+use crate::observation::{AttemptResult, SubmissionAnswer};
 use crate::plan::{Class, MAX_ATTEMPTS};
 
 const S: At = 1_000_000;
@@ -30,7 +30,7 @@
         let id = id.to_owned();
         let operation = 0;
         self.see(Observation::Submitted { id: id.clone(), operation, sender: 0, class, vehicle, deadline });
-        self.see(Observation::Answered { id, answer: Told::TakenOn })
+        self.see(Observation::Answered { id, answer: SubmissionAnswer::Accepted })
     }
 
     fn began(&mut self, ids: &[&str]) -> u64 {
@@ -45,7 +45,7 @@
         call
     }
 
-    fn replied(&mut self, call: u64, id: &str, end: MessageEnd) -> &mut Self {
+    fn replied(&mut self, call: u64, id: &str, end: AttemptResult) -> &mut Self {
         self.replied_with_wait(call, id, end, None)
     }
 
@@ -53,7 +53,7 @@
         &mut self,
         call: u64,
         id: &str,
-        end: MessageEnd,
+        end: AttemptResult,
         retry_after: Option<At>,
     ) -> &mut Self {
         let (received_at, in_flight_until) = (self.now, self.now);
@@ -88,8 +88,8 @@
     }
 }
 
+use AttemptResult::{Delivered, Failed, Overloaded};
 use Class::{Charge, TripRecord};
-use MessageEnd::{Error, Full, Ok as Delivered};
 
 /// Guards against a judge that convicts a sender which keeps all rules, also at their edges.
 #[test]
@@ -98,7 +98,7 @@
     day.taken("a", Charge, None).taken("k1", TripRecord, Some(7)).taken("k2", TripRecord, Some(7));
     let (a, k1) = (day.began(&["a"]), day.began(&["k1"]));
     // Turned away it never ran: a charge may go again, after the wait.
-    day.at(S).replied_with_wait(a, "a", Full, Some(2 * S)).replied(k1, "k1", Error);
+    day.at(S).replied_with_wait(a, "a", Overloaded, Some(2 * S)).replied(k1, "k1", Failed);
     let (a, k1) = (day.at(2 * S).began(&["a"]), day.began(&["k1"]));
     day.at(3 * S).closed(k1).see(Observation::TookEffect { id: "a".to_owned() }).replied(a, "a", Delivered);
     // In the window, and with the first call closed.
@@ -109,10 +109,10 @@
     // Overdue only once the restart is over; the process that was told the wait has gone.
     day.taken("late", Charge, None);
     let call = day.began(&["late"]);
-    day.replied_with_wait(call, "late", Full, Some(60 * S));
+    day.replied_with_wait(call, "late", Overloaded, Some(60 * S));
     day.restart(20 * S, 23 * S);
     let call = day.began(&["late"]);
-    day.at(24 * S).replied(call, "late", Error).noticed("late", false);
+    day.at(24 * S).replied(call, "late", Failed).noticed("late", false);
     assert_eq!(day.broken(), []);
 }
 
@@ -149,7 +149,7 @@
             vehicle: None,
             deadline,
         });
-        day.at(S).see(Observation::Answered { id, answer: Told::Cut });
+        day.at(S).see(Observation::Answered { id, answer: SubmissionAnswer::ConnectionClosed });
         if let Some(at) = ended {
             day.restart(at, at + S);
         }
@@ -178,7 +178,7 @@
     day.began(&["nobody's"]);
     assert_eq!(day.broken(), [Invariant::SentAfterEnd]);
     let mut day = Day::default();
-    let (id, answer) = ("a".to_owned(), Told::Refused);
+    let (id, answer) = ("a".to_owned(), SubmissionAnswer::Rejected);
     let (class, deadline) = (Charge, 16 * S);
     day.see(Observation::Submitted {
         id: id.clone(),
@@ -198,7 +198,7 @@
     let mut day = Day::default();
     day.taken("a", Charge, None);
     let call = day.began(&["a"]);
-    day.at(S).replied(call, "a", Error).at(2 * S).began(&["a"]);
+    day.at(S).replied(call, "a", Failed).at(2 * S).began(&["a"]);
     day.noticed("a", false);
     assert_eq!(day.broken(), [Invariant::Duplicated], "a charge that may have run");
     let mut day = Day::default();
@@ -250,7 +250,7 @@
         day.taken("a", Charge, None);
         for n in 0..attempts {
             let call = day.at(u64::from(n) * S).began(&["a"]);
-            day.replied(call, "a", Full);
+            day.replied(call, "a", Overloaded);
         }
         day.noticed("a", true);
         assert_eq!(day.broken(), broken);
@@ -359,7 +359,7 @@
         .at(2 * S)
         .see(Observation::Ready { sender: 0 });
     let call = day.began(&["tried"]);
-    day.replied(call, "tried", Full).noticed("tried", true);
+    day.replied(call, "tried", Overloaded).noticed("tried", true);
     day.at(3 * S).noticed("given-up", true).noticed("out", true);
     let verdict = std::mem::take(&mut day.judge).verdict(100 * S);
     assert_eq!((verdict.left_untried, verdict.ended_untried), (2, 1));
@@ -372,7 +372,7 @@
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None);
         let call = day.began(&["a"]);
-        day.at(S).replied_with_wait(call, "a", Full, Some(3 * S));
+        day.at(S).replied_with_wait(call, "a", Overloaded, Some(3 * S));
         let call = day.at(at).began(&["b"]);
         day.replied(call, "b", Delivered).noticed("a", true);
         assert_eq!(day.broken(), broken, "at {at}");
@@ -389,10 +389,10 @@
         let mut day = Day::default();
         day.taken("a", Charge, None).taken("b", Charge, None).taken("c", Charge, None);
         let (one, two) = (day.began(&["a"]), day.began(&["c"]));
-        day.at(S).replied_with_wait(one, "a", Full, Some(3 * S)).replied_with_wait(
+        day.at(S).replied_with_wait(one, "a", Overloaded, Some(3 * S)).replied_with_wait(
             two,
             "c",
-            Full,
+            Overloaded,
             Some(3 * S),
         );
         for call in [one, two].into_iter().take(unheard) {
--- a/crates/micadrum-testkit/src/observation.rs
+++ b/crates/micadrum-testkit/src/observation.rs
@@ -6,30 +6,30 @@
 
 /// How a call ended for one of its messages, as the endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MessageEnd {
+pub enum AttemptResult {
     /// The message was delivered.
-    Ok,
+    Delivered,
     /// The call failed: the message may have taken effect.
-    Error,
+    Failed,
     /// The call was rejected as over capacity: the message has not taken effect.
-    Full,
+    Overloaded,
     /// The answer was corrupted or the endpoint broke the connection: the message may have taken effect.
-    Spoilt,
+    Corrupted,
 }
 
 /// The answer to a client that submitted a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum SubmissionAnswer {
     /// The message was accepted: status 202 or 200.
-    TakenOn,
+    Accepted,
     /// The message was rejected: status 429 or 503, or no connection.
-    Refused,
+    Rejected,
     /// Any other status.
     Failed,
     /// No answer within the client's timeout.
-    Nothing,
+    TimedOut,
     /// The connection ended, or was refused, before an answer came.
-    Cut,
+    ConnectionClosed,
 }
 
 /// One observation.
@@ -79,7 +79,7 @@
         /// Id of the message.
         id: String,
         /// The answer.
-        answer: Told,
+        answer: SubmissionAnswer,
     },
     /// Discovery told a sender the state of an endpoint.
     Listed {
@@ -116,7 +116,7 @@
         /// Number of the call.
         call: u64,
         /// The end of each message.
-        ends: Vec<(String, MessageEnd)>,
+        ends: Vec<(String, AttemptResult)>,
         /// The time that a Retry-After in the answer names.
         retry_after: Option<At>,
         /// When the sender receives the answer.
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -1,7 +1,7 @@
 //! Processes the observations of a run: checks the invariants, and measures the service that clients got.
 use crate::history::History;
 use crate::invariants::{InvariantChecker, Verdict, look_at_views};
-use crate::observation::{At, MessageEnd, Observation, Told};
+use crate::observation::{At, AttemptResult, Observation, SubmissionAnswer};
 use crate::plan::{AIM, Arrival, Class, LATE_WORTH, PlannedFault, TENANTS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -189,25 +189,25 @@
         }
     }
 
-    fn answered(&mut self, id: &str, answer: Told) {
+    fn answered(&mut self, id: &str, answer: SubmissionAnswer) {
         match answer {
-            Told::TakenOn => return,
-            Told::Refused | Told::Failed => self.counts.rejected += 1,
-            Told::Nothing | Told::Cut => self.counts.unanswered += 1,
+            SubmissionAnswer::Accepted => return,
+            SubmissionAnswer::Rejected | SubmissionAnswer::Failed => self.counts.rejected += 1,
+            SubmissionAnswer::TimedOut | SubmissionAnswer::ConnectionClosed => self.counts.unanswered += 1,
         }
         self.operation_of_message.remove(id);
     }
 
-    fn replied(&mut self, at: At, ends: &[(String, MessageEnd)]) {
-        let has = |wanted: MessageEnd| ends.iter().any(|(_, end)| *end == wanted);
-        if has(MessageEnd::Ok) {
+    fn replied(&mut self, at: At, ends: &[(String, AttemptResult)]) {
+        let has = |wanted: AttemptResult| ends.iter().any(|(_, end)| *end == wanted);
+        if has(AttemptResult::Delivered) {
             self.counts.useful += 1;
-        } else if has(MessageEnd::Full) {
+        } else if has(AttemptResult::Overloaded) {
             self.counts.calls_rejected += 1;
         } else {
             self.counts.calls_failed += 1;
         }
-        for (id, _) in ends.iter().filter(|(_, end)| *end == MessageEnd::Ok) {
+        for (id, _) in ends.iter().filter(|(_, end)| *end == AttemptResult::Delivered) {
             self.delivered(at, id);
         }
     }
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -2,7 +2,7 @@
 use super::World;
 use super::messages::{MessageOutcome, SubmittedMessage};
 use crate::http::Conversation;
-use crate::observation::{At, Observation, Told};
+use crate::observation::{At, Observation, SubmissionAnswer};
 use crate::plan::{Arrival, SeededRng, TENANTS};
 use crate::test_network::Host;
 use std::cell::RefCell;
@@ -71,7 +71,7 @@
 
 /// The response to a submission, and the channel on which the outcome of the message follows.
 struct Submission {
-    response: Told,
+    response: SubmissionAnswer,
     outcome: oneshot::Receiver<MessageOutcome>,
 }
 
@@ -134,16 +134,16 @@
     /// Waits until the operation may be submitted again; `None` where it is not.
     async fn wait_for_retry(&mut self, submission: Submission) -> Option<Resubmission> {
         match submission.response {
-            Told::TakenOn => self.wait_for_outcome(submission.outcome).await,
-            Told::Refused => {
+            SubmissionAnswer::Accepted => self.wait_for_outcome(submission.outcome).await,
+            SubmissionAnswer::Rejected => {
                 sleep(self.retry_delay()).await;
                 Some(Resubmission::NotExecuted)
             }
-            Told::Nothing | Told::Cut => {
+            SubmissionAnswer::TimedOut | SubmissionAnswer::ConnectionClosed => {
                 sleep(self.retry_delay()).await;
                 Some(Resubmission::Uncertain)
             }
-            Told::Failed => None,
+            SubmissionAnswer::Failed => None,
         }
     }
 
@@ -176,19 +176,19 @@
         let (listener, outcome) = oneshot::channel();
         let number = self.arrival.vehicle.map_or(number, u64::from);
         let Some(sender) = self.world.select_sender(number) else {
-            return Submission { response: Told::Refused, outcome };
+            return Submission { response: SubmissionAnswer::Rejected, outcome };
         };
         let request = self.request_bytes(&id, remaining, resubmission);
         let now = self.world.now();
         self.world.messages.borrow_mut().add(now, id.clone(), self.message(sender, listener));
         let Some(connection) = self.clients.connection(self.world, sender).await else {
-            return Submission { response: Told::Refused, outcome };
+            return Submission { response: SubmissionAnswer::Rejected, outcome };
         };
         let submitted = || self.submitted(&id, sender, now + remaining);
         self.world.observe(submitted());
         let response = self.send_with_retry(sender, connection, &request).await;
         self.world.observe(Observation::Answered { id: id.clone(), answer: response });
-        if has_duplicate && response == Told::TakenOn {
+        if has_duplicate && response == SubmissionAnswer::Accepted {
             let delay = Duration::from_secs_f64(duplicate_delay);
             schedule_duplicate(self.world.clone(), sender, delay, request, submitted());
         }
@@ -243,9 +243,14 @@
     }
 
     /// Sends a request, and once more on a new connection where a reused one was closed between two requests.
-    async fn send_with_retry(&self, sender: u32, mut connection: ClientConnection, request: &[u8]) -> Told {
+    async fn send_with_retry(
+        &self,
+        sender: u32,
+        mut connection: ClientConnection,
+        request: &[u8],
+    ) -> SubmissionAnswer {
         let mut response = self.send(sender, &mut connection, request).await;
-        if response == Told::Cut
+        if response == SubmissionAnswer::ConnectionClosed
             && connection.is_reused
             && let Some(new) = self.clients.new_connection(self.world, sender).await
         {
@@ -256,7 +261,7 @@
         response
     }
 
-    async fn send(&self, sender: u32, connection: &mut ClientConnection, request: &[u8]) -> Told {
+    async fn send(&self, sender: u32, connection: &mut ClientConnection, request: &[u8]) -> SubmissionAnswer {
         let conversation = &mut connection.conversation;
         let exchange = async {
             conversation.write(request).await.ok()?;
@@ -266,15 +271,15 @@
         connection.is_reusable = false;
         let answer = match answer {
             Ok(Some(answer)) => answer,
-            Ok(None) => return Told::Cut,
-            Err(_) => return Told::Nothing,
+            Ok(None) => return SubmissionAnswer::ConnectionClosed,
+            Err(_) => return SubmissionAnswer::TimedOut,
         };
         let is_accepting = self.world.senders[sender as usize].is_accepting();
         connection.is_reusable = answer.field("connection") != Some("close") && is_accepting;
         match answer.status {
-            200 | 202 => Told::TakenOn,
-            429 | 503 => Told::Refused,
-            _ => Told::Failed,
+            200 | 202 => SubmissionAnswer::Accepted,
+            429 | 503 => SubmissionAnswer::Rejected,
+            _ => SubmissionAnswer::Failed,
         }
     }
 }
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -6,7 +6,7 @@
 pub use condition::{Condition, Stall};
 pub use route::{Collapse, LoadReport};
 
-use crate::observation::{At, MessageEnd};
+use crate::observation::{At, AttemptResult};
 use crate::plan::{Class, Destination, KEY_WINDOW, Kind, Limit, SeededRng};
 use route::{LIMIT_WINDOW_US, Route};
 use std::collections::{BTreeMap, VecDeque};
@@ -55,7 +55,7 @@
     /// When the answer is written.
     pub answer_at: At,
     /// The result of each message.
-    pub ends: Vec<MessageEnd>,
+    pub ends: Vec<AttemptResult>,
     /// Whether each message takes effect when the answer is due.
     pub effects: Vec<bool>,
     /// The Retry-After of the answer.
@@ -92,7 +92,7 @@
 
 impl IncomingCall<'_> {
     /// The outcome in which all messages end with `end` and none takes effect.
-    fn without_effect(&self, end: MessageEnd) -> CallOutcome {
+    fn without_effect(&self, end: AttemptResult) -> CallOutcome {
         CallOutcome {
             answer_at: self.received_at,
             ends: vec![end; self.messages.len()],
@@ -104,7 +104,7 @@
     }
 
     fn rejected(&self, retry_after: Option<At>) -> CallOutcome {
-        CallOutcome { retry_after, ..self.without_effect(MessageEnd::Full) }
+        CallOutcome { retry_after, ..self.without_effect(AttemptResult::Overloaded) }
     }
 }
 
@@ -231,7 +231,7 @@
         CallOutcome {
             answer_at: call.received_at + ERROR_LATENCY_US,
             effects: self.take_effect(runs, call),
-            ..call.without_effect(MessageEnd::Error)
+            ..call.without_effect(AttemptResult::Failed)
         }
     }
 
@@ -256,9 +256,9 @@
         // A call that hangs has often run all the same.
         let runs = delivery != Delivery::Never || self.random.chance(EFFECT_WITHOUT_SUCCESS_SHARE);
         let end = match delivery {
-            Delivery::Complete => MessageEnd::Ok,
-            Delivery::FirstLine if call.messages.len() == 1 => MessageEnd::Ok,
-            _ => MessageEnd::Spoilt,
+            Delivery::Complete => AttemptResult::Delivered,
+            Delivery::FirstLine if call.messages.len() == 1 => AttemptResult::Delivered,
+            _ => AttemptResult::Corrupted,
         };
         let effects = self.take_effect(runs, call);
         CallOutcome { answer_at, effects, delivery, ..call.without_effect(end) }
--- a/crates/micadrum-testkit/src/world/destination_model/tests.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/tests.rs
@@ -35,13 +35,14 @@
 fn limits_hold_for_all_calls_together() {
     let mut model = destination(Limit::Window(3), 100.0);
     let ends: Vec<_> = (0..5).map(|n| call(&mut model, 2 * S + n, &n.to_string()).ends[0]).collect();
-    assert_eq!(ends[..3], [MessageEnd::Ok; 3]);
-    assert_eq!(ends[3..], [MessageEnd::Full; 2]);
+    assert_eq!(ends[..3], [AttemptResult::Delivered; 3]);
+    assert_eq!(ends[3..], [AttemptResult::Overloaded; 2]);
     let refused = call(&mut model, 3 * S, "x");
     assert_eq!(refused.retry_after, Some(S), "to the end of the span");
-    assert_eq!(call(&mut model, 4 * S, "y").ends, [MessageEnd::Ok]);
+    assert_eq!(call(&mut model, 4 * S, "y").ends, [AttemptResult::Delivered]);
     let mut model = destination(Limit::Rate(10.0), 100.0);
-    let through = (0..100).filter(|n| call(&mut model, n * 50_000, "k").ends[0] == MessageEnd::Ok).count();
+    let through =
+        (0..100).filter(|n| call(&mut model, n * 50_000, "k").ends[0] == AttemptResult::Delivered).count();
     assert!((25..=60).contains(&through), "{through} of 100 calls in 5 s at 10 a second");
 }
 
@@ -51,7 +52,7 @@
     let mut model = destination(Limit::Rate(20.0), 100.0);
     let taken = |model: &mut DestinationModel, from: At| {
         let calls = (0..100).map(|n| call(model, from + n * S / 50, &format!("{from} {n}")));
-        calls.filter(|outcome| outcome.ends == [MessageEnd::Ok]).count()
+        calls.filter(|outcome| outcome.ends == [AttemptResult::Delivered]).count()
     };
     let before = taken(&mut model, 0);
     model.set_limit_share(0, 0.5);
@@ -95,6 +96,7 @@
 #[test]
 fn a_full_queue_turns_away() {
     let mut model = destination(Limit::None, 100.0);
-    let full = (0..200).filter(|n| call(&mut model, 0, &n.to_string()).ends[0] == MessageEnd::Full).count();
+    let full =
+        (0..200).filter(|n| call(&mut model, 0, &n.to_string()).ends[0] == AttemptResult::Overloaded).count();
     assert!((150..199).contains(&full), "{full} of 200");
 }
--- a/crates/micadrum-testkit/src/world/endpoints/call.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -1,7 +1,7 @@
 //! A call to an endpoint: read, decided by the destination's model, and answered.
 use super::{is_mute, wait_for_state};
 use crate::http::{Conversation, Message, answer};
-use crate::observation::{At, MessageEnd, Observation};
+use crate::observation::{At, AttemptResult, Observation};
 use crate::plan::Class;
 use crate::world::destination_model::{CallMessage, CallOutcome, Collapse, Delivery, IncomingCall};
 use crate::world::messages::MessageOutcome;
@@ -139,7 +139,7 @@
                 None
             }
             CallEvent::ProcessDown => {
-                let ends = self.ids.iter().map(|id| (id.clone(), MessageEnd::Spoilt)).collect();
+                let ends = self.ids.iter().map(|id| (id.clone(), AttemptResult::Corrupted)).collect();
                 self.observe_reply(world, &conversation, ends, None);
                 None
             }
@@ -169,7 +169,7 @@
         let retry_after = self.outcome.retry_after.filter(|_| conversation.arrives()).map(|wait| now + wait);
         let received_at = self.observe_reply(world, &conversation, ends.clone(), retry_after);
         for (id, end) in ends {
-            if end == MessageEnd::Ok {
+            if end == AttemptResult::Delivered {
                 world.messages.borrow_mut().complete(&id, MessageOutcome::Delivered);
             }
         }
@@ -191,7 +191,7 @@
         &self,
         world: &World,
         conversation: &Conversation,
-        ends: Vec<(String, MessageEnd)>,
+        ends: Vec<(String, AttemptResult)>,
         retry_after: Option<At>,
     ) -> At {
         let now = world.now();
@@ -238,11 +238,11 @@
     fn answer_text(&self, world: &World) -> Vec<u8> {
         let fields = self.answer_fields(world);
         match self.outcome.ends.first() {
-            Some(MessageEnd::Full) if self.outcome.retry_after.is_some() => {
+            Some(AttemptResult::Overloaded) if self.outcome.retry_after.is_some() => {
                 answer("429 Too Many Requests", &fields, "")
             }
-            Some(MessageEnd::Full) => answer("503 Service Unavailable", &fields, ""),
-            Some(MessageEnd::Error) => answer("500 Internal Server Error", &fields, ""),
+            Some(AttemptResult::Overloaded) => answer("503 Service Unavailable", &fields, ""),
+            Some(AttemptResult::Failed) => answer("500 Internal Server Error", &fields, ""),
             _ if self.is_batch => {
                 let states: Vec<_> = self.ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
                 answer("200 OK", &fields, &json!(states).to_string())
