--- a/crates/micadrum-testkit/src/history/mod.rs
+++ b/crates/micadrum-testkit/src/history/mod.rs
@@ -13,7 +13,7 @@
 
 /// What a record is about.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum HistoryEvent {
     /// A process of the sender was started.
     Started,
     /// The sender's process has ended.
@@ -33,7 +33,7 @@
     },
 }
 
-impl What {
+impl HistoryEvent {
     /// Returns whether the fleet changed: a process started or ended, or a fault of its links began or ended.
     fn is_change(&self) -> bool {
         matches!(self, Self::Started | Self::Ended | Self::Struck(_))
@@ -48,7 +48,7 @@
     /// Number of the sender.
     pub sender: u32,
     /// What the record is about.
-    pub what: What,
+    pub event: HistoryEvent,
 }
 
 /// The history of a run.
@@ -92,8 +92,8 @@
     }
 
     /// Adds a record; records are added in their order.
-    pub fn add(&mut self, at: At, sender: u32, what: What) {
-        self.records.push(Record { at, sender, what });
+    pub fn add(&mut self, at: At, sender: u32, event: HistoryEvent) {
+        self.records.push(Record { at, sender, event });
     }
 
     /// Adds a line of a sender's log if it traces a membership or recovery event; returns whether it does.
@@ -107,13 +107,13 @@
     }
 
     /// Adds the views of all members, as a sender's admin endpoint returned them in JSON.
-    pub fn add_look(&mut self, at: At, sender: u32, text: &str) {
+    pub fn add_admin_snapshot(&mut self, at: At, sender: u32, text: &str) {
         let views: BTreeMap<String, serde_json::Value> = serde_json::from_str(text).unwrap_or_default();
         let members_with = |field: &str| {
             let names = views.iter().filter(|(_, view)| view.get(field).is_some()).map(|(name, _)| name);
             names.filter_map(|name| self.names.get(name).copied()).collect()
         };
-        let looked = What::Looked { came: members_with("view"), silent: members_with("silent") };
+        let looked = HistoryEvent::Looked { came: members_with("view"), silent: members_with("silent") };
         self.add(at, sender, looked);
     }
 
@@ -125,8 +125,10 @@
 
     /// Returns the admin snapshots from `from` on.
     pub fn admin_snapshots(&self, from: At) -> impl Iterator<Item = AdminSnapshot<'_>> {
-        self.records.iter().filter(move |record| record.at >= from).filter_map(|record| match &record.what {
-            What::Looked { came, silent } => Some(AdminSnapshot { at: record.at, answered: came, silent }),
+        self.records.iter().filter(move |record| record.at >= from).filter_map(|record| match &record.event {
+            HistoryEvent::Looked { came, silent } => {
+                Some(AdminSnapshot { at: record.at, answered: came, silent })
+            }
             _ => None,
         })
     }
@@ -134,8 +136,8 @@
     /// Returns the membership events that a sender traced from `from` on.
     pub fn events(&self, sender: u32, from: At) -> impl Iterator<Item = (At, &Event)> {
         let records = self.records.iter().filter(move |record| record.sender == sender && record.at >= from);
-        records.filter_map(|record| match &record.what {
-            What::Peers(event) => Some((record.at, event)),
+        records.filter_map(|record| match &record.event {
+            HistoryEvent::Peers(event) => Some((record.at, event)),
             _ => None,
         })
     }
@@ -145,13 +147,13 @@
     pub fn returns(&self) -> Vec<Return> {
         let mut returns: Vec<Return> = Vec::new();
         let mut latest: BTreeMap<u32, usize> = BTreeMap::new();
-        for Record { at, sender, what } in &self.records {
-            match what {
-                What::Started => {
+        for Record { at, sender, event } in &self.records {
+            match event {
+                HistoryEvent::Started => {
                     latest.insert(*sender, returns.len());
                     returns.push(Return { sender: *sender, started: *at, trust: None, steps: Vec::new() });
                 }
-                What::Recovery(record) => {
+                HistoryEvent::Recovery(record) => {
                     if let Some(index) = latest.get(sender) {
                         returns[*index].add(*at, record);
                     }
@@ -166,8 +168,8 @@
     #[must_use]
     pub fn text(&self) -> String {
         let line = |record: &Record| {
-            let Record { at, sender, what } = record;
-            format!("{:.6} n{sender} {what:?}\n", *at as f64 / 1e6)
+            let Record { at, sender, event } = record;
+            format!("{:.6} n{sender} {event:?}\n", *at as f64 / 1e6)
         };
         self.records.iter().map(line).collect()
     }
@@ -183,12 +185,12 @@
 }
 
 /// Parses a line of a sender's log that traces a membership or recovery event.
-fn parse_trace(line: &str) -> Option<What> {
+fn parse_trace(line: &str) -> Option<HistoryEvent> {
     if let Some(record) = line.strip_prefix("trace recovery ") {
-        return serde_json::from_str(record).ok().map(What::Recovery);
+        return serde_json::from_str(record).ok().map(HistoryEvent::Recovery);
     }
     let (_, event) = line.strip_prefix("trace peers at=")?.split_once(' ')?;
-    serde_json::from_str(event).ok().map(What::Peers)
+    serde_json::from_str(event).ok().map(HistoryEvent::Peers)
 }
 
 #[cfg(test)]
--- a/crates/micadrum-testkit/src/history/tests.rs
+++ b/crates/micadrum-testkit/src/history/tests.rs
@@ -5,7 +5,7 @@
 fn history() -> History {
     let text = "title = \"t\"\nlength = \"60 s\"\nsenders = 2\ntraffic = \"20/s\"\n";
     let mut history = History::new(&Plan::new(Scenario::parse("t", text).unwrap(), 1));
-    (0..2).for_each(|sender| history.add(0, sender, What::Started));
+    (0..2).for_each(|sender| history.add(0, sender, HistoryEvent::Started));
     history
 }
 
@@ -32,7 +32,7 @@
     );
     changed(&mut history, 30, 1, 0, Status::Live);
     assert_eq!(history.right_after(0, 100), Ok(30));
-    history.add(50, 1, What::Ended);
+    history.add(50, 1, HistoryEvent::Ended);
     assert_eq!(
         history.right_after(50, 60),
         Err(vec![WrongView { observer: 0, subject: 1, status: Status::Live }])
@@ -46,9 +46,9 @@
 #[test]
 fn a_death_without_a_cause_is_found() {
     let mut history = history();
-    history.add(1000, 1, What::Struck(true));
+    history.add(1000, 1, HistoryEvent::Struck(true));
     changed(&mut history, 1500, 0, 1, Status::Dead);
-    history.add(2000, 1, What::Struck(false));
+    history.add(2000, 1, HistoryEvent::Struck(false));
     changed(&mut history, 2100, 0, 1, Status::Dead);
     assert_eq!(history.false_deaths(500), []);
     changed(&mut history, 2600, 0, 1, Status::Dead);
--- a/crates/micadrum-testkit/src/history/views.rs
+++ b/crates/micadrum-testkit/src/history/views.rs
@@ -1,5 +1,5 @@
 //! Checks of the senders' membership views: when they converged, and which deaths were declared without a cause.
-use super::{History, Record, What};
+use super::{History, HistoryEvent, Record};
 use crate::observation::At;
 use micadrum_membership::{Event, Status};
 use std::collections::{BTreeMap, BTreeSet};
@@ -53,7 +53,7 @@
         let mut is_open = false;
         for record in &self.records {
             views.apply(record);
-            if record.what.is_change() {
+            if record.event.is_change() {
                 if settled.last() != Some(&(record.at, None)) {
                     settled.push((record.at, None));
                 }
@@ -73,7 +73,8 @@
     /// Returns when the fleet last changed, or a process traced a recovery event.
     #[must_use]
     pub fn last_happening(&self) -> Option<At> {
-        let is_happening = |record: &&Record| !matches!(record.what, What::Peers(_) | What::Looked { .. });
+        let is_happening =
+            |record: &&Record| !matches!(record.event, HistoryEvent::Peers(_) | HistoryEvent::Looked { .. });
         self.records.iter().rev().find(is_happening).map(|record| record.at)
     }
 
@@ -86,15 +87,15 @@
         let mut last_change = 0;
         let mut running = BTreeSet::new();
         for record in &self.records {
-            if record.what.is_change() {
+            if record.event.is_change() {
                 last_change = record.at;
             }
-            match &record.what {
-                What::Struck(true) => active_faults += 1,
-                What::Struck(false) => active_faults = active_faults.saturating_sub(1),
-                What::Started => drop(running.insert(record.sender)),
-                What::Ended => drop(running.remove(&record.sender)),
-                What::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) => {
+            match &record.event {
+                HistoryEvent::Struck(true) => active_faults += 1,
+                HistoryEvent::Struck(false) => active_faults = active_faults.saturating_sub(1),
+                HistoryEvent::Started => drop(running.insert(record.sender)),
+                HistoryEvent::Ended => drop(running.remove(&record.sender)),
+                HistoryEvent::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) => {
                     let subject = self.names.get(name).copied().unwrap_or(u32::MAX);
                     // The death of a sender that has ended is true, however late it is declared.
                     if active_faults == 0 && record.at > last_change + grace && running.contains(&subject) {
@@ -102,7 +103,7 @@
                         false_deaths.push(FalseDeath { at: record.at, observer, subject });
                     }
                 }
-                What::Peers(_) | What::Recovery(_) | What::Looked { .. } => {}
+                HistoryEvent::Peers(_) | HistoryEvent::Recovery(_) | HistoryEvent::Looked { .. } => {}
             }
         }
         false_deaths
@@ -147,23 +148,26 @@
 
     fn apply(&mut self, record: &Record) {
         let sender = record.sender as usize;
-        match &record.what {
-            What::Started | What::Ended => {
-                self.is_running[sender] = record.what == What::Started;
+        match &record.event {
+            HistoryEvent::Started | HistoryEvent::Ended => {
+                self.is_running[sender] = record.event == HistoryEvent::Started;
                 self.statuses[sender].fill(Status::Unknown);
                 for other in 0..self.is_running.len() {
                     self.check(sender, other);
                     self.check(other, sender);
                 }
             }
-            What::Peers(Event::StatusChanged { name, current, .. }) => {
+            HistoryEvent::Peers(Event::StatusChanged { name, current, .. }) => {
                 if let Some(subject) = self.names.get(name) {
                     let subject = *subject as usize;
                     self.statuses[sender][subject] = *current;
                     self.check(sender, subject);
                 }
             }
-            What::Peers(_) | What::Recovery(_) | What::Struck(_) | What::Looked { .. } => {}
+            HistoryEvent::Peers(_)
+            | HistoryEvent::Recovery(_)
+            | HistoryEvent::Struck(_)
+            | HistoryEvent::Looked { .. } => {}
         }
     }
 
--- a/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::history::What;
+use crate::history::HistoryEvent;
 use crate::plan::Plan;
 use crate::scenario::Scenario;
 use micadrum_membership::{Event, Status};
@@ -9,7 +9,7 @@
 
 fn broken(changes: &[(At, u32, u32, Status)], end: At) -> Vec<Invariant> {
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
-    (0..2).for_each(|sender| history.add(0, sender, What::Started));
+    (0..2).for_each(|sender| history.add(0, sender, HistoryEvent::Started));
     for (at, by, of, is) in changes {
         let event = Event::StatusChanged {
             name: format!("n{of}"),
@@ -17,7 +17,7 @@
             current: *is,
             incarnation: 1,
         };
-        history.add(*at, *by, What::Peers(event));
+        history.add(*at, *by, HistoryEvent::Peers(event));
     }
     let mut verdict = Verdict::default();
     look_at_views(&history, end, &mut verdict);
@@ -37,9 +37,9 @@
     assert_eq!(broken(&accused, 20 * S), [Invariant::WrongView, Invariant::FalseDeath]);
     // One that has ended is rightly held for dead, however late that is found.
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
-    (0..2).for_each(|sender| history.add(0, sender, What::Started));
-    history.add(S, 0, What::Ended);
+    (0..2).for_each(|sender| history.add(0, sender, HistoryEvent::Started));
+    history.add(S, 0, HistoryEvent::Ended);
     let dead = Event::StatusChanged { name: "n0".to_owned(), previous: Live, current: Dead, incarnation: 1 };
-    history.add(9 * S, 1, What::Peers(dead));
+    history.add(9 * S, 1, HistoryEvent::Peers(dead));
     assert_eq!(history.false_deaths(4 * S), []);
 }
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the senders: their processes, machines, disks, and the links between them.
 use super::endpoint_faults;
-use crate::history::What;
+use crate::history::HistoryEvent;
 use crate::observation::{At, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, FolderKept, How};
@@ -136,7 +136,7 @@
 
 /// Writes into the history of each sender that a fault begins or ends.
 fn record(world: &World, fault: &PlannedFault, began: bool) {
-    fault.senders.iter().for_each(|sender| world.record(*sender, What::Struck(began)));
+    fault.senders.iter().for_each(|sender| world.record(*sender, HistoryEvent::Struck(began)));
 }
 
 /// Suspends the processes of senders until `until`.
@@ -152,6 +152,6 @@
 fn set_paused(world: &World, fault: &PlannedFault, paused: bool) {
     for sender in &fault.senders {
         world.fleet.pause(*sender, paused);
-        world.record(*sender, What::Struck(paused));
+        world.record(*sender, HistoryEvent::Struck(paused));
     }
 }
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -9,7 +9,7 @@
 mod sender_config;
 pub mod senders;
 
-use crate::history::{History, What};
+use crate::history::{History, HistoryEvent};
 use crate::link_faults::LinkFaults;
 use crate::observation::{At, Observation};
 use crate::plan::{Class, Plan};
@@ -178,9 +178,9 @@
     }
 
     /// Records what happened to the process of a sender.
-    pub fn record(&self, sender: u32, what: What) {
+    pub fn record(&self, sender: u32, event: HistoryEvent) {
         let now = self.now();
-        self.recorder().history.add(now, sender, what);
+        self.recorder().history.add(now, sender, event);
     }
 
     /// Takes in a line of a sender's log, which may be a trace record.
@@ -299,7 +299,7 @@
             world.wait_until(started_at + look.at.get_ref().0).await;
             if let Some(status) = world.fleet.admin_status(look.sender).await {
                 let now = world.now();
-                world.recorder().history.add_look(now, look.sender, &status);
+                world.recorder().history.add_admin_snapshot(now, look.sender, &status);
             }
         });
     }
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -5,7 +5,7 @@
 pub use fleet::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
 
 use super::{World, platform};
-use crate::history::What;
+use crate::history::HistoryEvent;
 use crate::http::Conversation;
 use crate::observation::{At, Observation};
 use crate::plan::SeededRng;
@@ -141,7 +141,7 @@
     let operator = world.operator_file(sender);
     let recorder = world.clone();
     let log: LogSink = Rc::new(move |line| recorder.record_log_line(sender, line));
-    world.record(sender, What::Started);
+    world.record(sender, HistoryEvent::Started);
     let address = world.fleet.start(sender, config, operator, log).await?;
     let ready = async {
         while !is_ready(world, sender, address).await {
--- a/crates/micadrum-testkit/src/world/senders/supervisor.rs
+++ b/crates/micadrum-testkit/src/world/senders/supervisor.rs
@@ -1,6 +1,6 @@
 //! The supervisor of one sender: carries out restarts, kills and power losses, one after another.
 use super::{PowerRecovery, start};
-use crate::history::What;
+use crate::history::HistoryEvent;
 use crate::observation::Observation;
 use crate::plan::SeededRng;
 use crate::scenario::{FolderKept, How, Where};
@@ -150,7 +150,7 @@
         state.down_since.set(Some(world.now()));
         world.agents[sender as usize].reset_for_process(world.now());
         world.observe(Observation::Exited { sender, expected });
-        world.record(sender, What::Ended);
+        world.record(sender, HistoryEvent::Ended);
         if world.plan.forgetful {
             world.fleet.wipe_state_folder(sender);
         }
--- a/crates/micadrum-testkit/tests/peers.rs
+++ b/crates/micadrum-testkit/tests/peers.rs
@@ -3,7 +3,7 @@
 
 use common::daemon;
 use micadrum_membership::{Event, LocalStatus};
-use micadrum_testkit::history::{AdminSnapshot, History, What};
+use micadrum_testkit::history::{AdminSnapshot, History, HistoryEvent};
 use micadrum_testkit::live;
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::report::Report;
@@ -29,7 +29,7 @@
     history
         .records()
         .iter()
-        .filter(|r| r.what == What::Started)
+        .filter(|r| r.event == HistoryEvent::Started)
         .map(|r| r.at)
         .nth(senders(history) - 1)
         .unwrap()
@@ -99,7 +99,7 @@
     right(report, at(37) + slack, at(41), "a restart within the time of detection");
     let deaths_of_4 = history.records().iter().filter(|r| {
         r.at >= at(37) && r.at < at(41)
-            && matches!(&r.what, What::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name == "n4")
+            && matches!(&r.event, HistoryEvent::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name == "n4")
     });
     assert_eq!(deaths_of_4.count(), 0, "{}", history.text());
     let forgot = history
@@ -197,7 +197,7 @@
     right(report, at(29), at(32), "after loss");
     let deaths = history.records().iter().filter(|r| {
         r.at > at(11)
-            && matches!(&r.what, What::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name != "n2")
+            && matches!(&r.event, HistoryEvent::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name != "n2")
     });
     assert_eq!(deaths.count(), 0, "loss kills nobody: {}", history.text());
     assert!(report.verdict.kept, "{}", report.text());
