--- a/crates/micadrum-testkit/src/invariants/mod.rs
+++ b/crates/micadrum-testkit/src/invariants/mod.rs
@@ -58,7 +58,7 @@
 
 impl InvariantChecker {
     /// Checks one observation.
-    pub fn see(&mut self, at: At, observation: &Observation) {
+    pub fn observe(&mut self, at: At, observation: &Observation) {
         self.run_due_checks(at);
         match observation {
             Observation::Submitted { .. } => self.submitted(at, observation),
@@ -77,12 +77,12 @@
             // No call that the wait would bind can have come yet: it binds those sent after the answer is heard.
             Observation::AnswerLost { call } => self.forget_retry_after(*call),
             Observation::CallClosed { call, closed_at } => self.closed(at, *call, *closed_at),
-            _ => self.see_environment(at, observation),
+            _ => self.observe_environment(at, observation),
         }
     }
 
     /// Checks an observation of processes, discovery or destinations.
-    fn see_environment(&mut self, at: At, observation: &Observation) {
+    fn observe_environment(&mut self, at: At, observation: &Observation) {
         match observation {
             Observation::Ready { sender } => self.ready(at, *sender),
             Observation::ShutdownRequested { sender, .. } => self.shutdown_requested(at, *sender),
--- a/crates/micadrum-testkit/src/invariants/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/tests.rs
@@ -21,7 +21,7 @@
     }
 
     fn see(&mut self, observation: Observation) -> &mut Self {
-        self.judge.see(self.now, &observation);
+        self.judge.observe(self.now, &observation);
         self
     }
 
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -107,12 +107,12 @@
 impl Recorder {
     /// Creates a recorder with an empty history of the senders of a plan.
     #[must_use]
-    pub fn with(history: History) -> Self {
+    pub fn with_history(history: History) -> Self {
         Self { history, ..Self::default() }
     }
 
     /// A client submits the message of an operation for the first time.
-    pub fn offered(&mut self, arrival: &Arrival, at: At) {
+    pub fn operation_submitted(&mut self, arrival: &Arrival, at: At) {
         self.operation_count += 1;
         self.started_at.get_or_insert(at.saturating_sub(arrival.at.0));
         let Arrival { class, tenant, number, .. } = *arrival;
@@ -172,8 +172,8 @@
     }
 
     /// Processes one observation.
-    pub fn see(&mut self, at: At, observation: &Observation) {
-        self.checker.see(at, observation);
+    pub fn observe(&mut self, at: At, observation: &Observation) {
+        self.checker.observe(at, observation);
         match observation {
             Observation::Submitted { id, operation, .. } => {
                 self.counts.submitted += 1;
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -91,7 +91,7 @@
         let mut body = format!("{:016x}", arrival.number).into_bytes();
         body.resize(arrival.body, b'.');
         let started_at = world.now();
-        world.recorder().offered(&arrival, started_at);
+        world.recorder().operation_submitted(&arrival, started_at);
         Self { world, clients, arrival, random, started_at, body: body.into() }
     }
 
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -125,7 +125,7 @@
             network,
             fleet,
             start: Instant::now(),
-            recorder: RefCell::new(Recorder::with(History::new(&plan))),
+            recorder: RefCell::new(Recorder::with_history(History::new(&plan))),
             link_faults,
             endpoints: RefCell::new(endpoints),
             endpoint_changed: Notify::new(),
@@ -174,7 +174,7 @@
 
     /// Records an observation of a stand-in.
     pub fn observe(&self, observation: Observation) {
-        self.recorder.borrow_mut().see(self.now(), &observation);
+        self.recorder.borrow_mut().observe(self.now(), &observation);
     }
 
     /// Records what happened to the process of a sender.
