--- a/crates/micadrum-testkit/src/http.rs
+++ b/crates/micadrum-testkit/src/http.rs
@@ -11,7 +11,7 @@
 const MAX_FIELDS: usize = 32;
 
 /// A connection that reads messages one after another.
-pub struct Conversation {
+pub struct HttpConnection {
     connection: Box<dyn TestConnection>,
     buffer: Vec<u8>,
 }
@@ -27,7 +27,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// When its first byte was sent, as far as that can be known.
-    pub first_sent: Instant,
+    pub first_sent_at: Instant,
 }
 
 impl Message {
@@ -41,7 +41,7 @@
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
-impl Conversation {
+impl HttpConnection {
     /// Starts a conversation on an open connection.
     pub fn new(connection: Box<dyn TestConnection>) -> Self {
         Self { connection, buffer: Vec::new() }
@@ -54,8 +54,8 @@
         Ok(self.connection.read_buf(&mut self.buffer).await? > 0)
     }
 
-    fn last_sent(&self) -> Instant {
-        self.connection.sent().unwrap_or_else(Instant::now)
+    fn last_sent_at(&self) -> Instant {
+        self.connection.sent_at().unwrap_or_else(Instant::now)
     }
 
     /// Reads one request or answer; `None` where the other side ended the connection before it.
@@ -63,10 +63,10 @@
     /// # Errors
     /// Returns an error where the connection breaks, or what arrives is not HTTP/1.1.
     pub async fn read(&mut self, answer: bool) -> io::Result<Option<Message>> {
-        let mut first_sent = None;
+        let mut first_sent_at = None;
         let (mut message, head) = loop {
             if !self.buffer.is_empty() {
-                first_sent.get_or_insert_with(|| self.last_sent());
+                first_sent_at.get_or_insert_with(|| self.last_sent_at());
                 if let Some(parsed) = parse(&self.buffer, answer)? {
                     break parsed;
                 }
@@ -90,16 +90,16 @@
         }
         message.body = self.buffer[head..head + length].to_vec();
         self.buffer.drain(..head + length);
-        message.first_sent = first_sent.unwrap_or_else(Instant::now);
+        message.first_sent_at = first_sent_at.unwrap_or_else(Instant::now);
         Ok(Some(message))
     }
 
     /// Waits until the other side ends the connection or sends something unexpected, and returns when it did.
-    pub async fn ended(&mut self) -> Instant {
+    pub async fn wait_for_close(&mut self) -> Instant {
         let mut discarded = [0; 512];
         let _ = self.connection.read(&mut discarded).await;
         // The network knows it where the end itself was lost on the way.
-        self.connection.ended_at().unwrap_or_else(|| self.last_sent())
+        self.connection.closed_at().unwrap_or_else(|| self.last_sent_at())
     }
 
     /// Writes all bytes.
@@ -112,8 +112,8 @@
     }
 
     /// Returns when the other side ended the connection, also where that is still on its way and can be known.
-    pub fn ended_at(&self) -> Option<Instant> {
-        self.connection.ended_at()
+    pub fn closed_at(&self) -> Option<Instant> {
+        self.connection.closed_at()
     }
 
     /// Returns how long bytes that are written now take to the other side.
@@ -122,12 +122,12 @@
     }
 
     /// Returns whether bytes that are written now reach the other side at all, as far as can be known.
-    pub fn arrives(&self) -> bool {
-        self.connection.arrives()
+    pub fn reaches_peer(&self) -> bool {
+        self.connection.reaches_peer()
     }
 
     /// Returns whether the other side has ended the connection.
-    pub async fn is_over(&mut self) -> bool {
+    pub async fn is_closed(&mut self) -> bool {
         let mut reading = pin!(self.read_more());
         std::future::poll_fn(|cx| std::task::Poll::Ready(reading.as_mut().poll(cx).is_ready())).await
     }
@@ -147,14 +147,20 @@
         let status_code = parsed.code.unwrap_or(0);
         (
             status,
-            Message { path: String::new(), status: status_code, fields, body: Vec::new(), first_sent: now },
+            Message {
+                path: String::new(),
+                status: status_code,
+                fields,
+                body: Vec::new(),
+                first_sent_at: now,
+            },
         )
     } else {
         let mut parsed = httparse::Request::new(&mut fields);
         let status = parsed.parse(bytes).map_err(malformed)?;
         let fields = collect(parsed.headers);
         let path = parsed.path.unwrap_or("").to_owned();
-        (status, Message { path, status: 0, fields, body: Vec::new(), first_sent: now })
+        (status, Message { path, status: 0, fields, body: Vec::new(), first_sent_at: now })
     };
     Ok(match status {
         httparse::Status::Complete(head) => Some((parsed, head)),
--- a/crates/micadrum-testkit/src/live/loopback.rs
+++ b/crates/micadrum-testkit/src/live/loopback.rs
@@ -46,11 +46,11 @@
 
 /// A real connection shows nothing but what has arrived.
 impl TestConnection for Box<dyn Stream> {
-    fn sent(&self) -> Option<Instant> {
+    fn sent_at(&self) -> Option<Instant> {
         None
     }
 
-    fn ended_at(&self) -> Option<Instant> {
+    fn closed_at(&self) -> Option<Instant> {
         None
     }
 
@@ -58,7 +58,7 @@
         Duration::ZERO
     }
 
-    fn arrives(&self) -> bool {
+    fn reaches_peer(&self) -> bool {
         true
     }
 }
--- a/crates/micadrum-testkit/src/sim/network/stream.rs
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -213,11 +213,11 @@
 }
 
 impl TestConnection for SimStream {
-    fn sent(&self) -> Option<Instant> {
+    fn sent_at(&self) -> Option<Instant> {
         self.last_sent
     }
 
-    fn ended_at(&self) -> Option<Instant> {
+    fn closed_at(&self) -> Option<Instant> {
         self.connection.ended[1 - self.side].get()
     }
 
@@ -226,7 +226,7 @@
         self.network.upgrade().map_or(Duration::ZERO, |network| network.delay(me, peer))
     }
 
-    fn arrives(&self) -> bool {
+    fn reaches_peer(&self) -> bool {
         let (me, peer) = self.ends();
         !self.connection.broken.get()
             && self.network.upgrade().is_some_and(|network| network.is_reachable(me, peer))
--- a/crates/micadrum-testkit/src/sim/network/tests.rs
+++ b/crates/micadrum-testkit/src/sim/network/tests.rs
@@ -86,7 +86,7 @@
         mine.write_all(b"hello").await.unwrap();
         let sent = Instant::now();
         assert_eq!(read(&mut *theirs).await.unwrap(), b"hello");
-        assert_eq!((sent.elapsed(), theirs.sent()), (ZONE_DELAY, Some(sent)));
+        assert_eq!((sent.elapsed(), theirs.sent_at()), (ZONE_DELAY, Some(sent)));
         drop(mine);
         assert_eq!(read(&mut *theirs).await.unwrap(), b"");
     });
@@ -111,14 +111,14 @@
 fn a_cut_host_is_silent_and_reset_when_it_is_back() {
     play(async |net| {
         let (mut mine, mut theirs) = pair(&net, NEAR).await;
-        assert!(theirs.arrives());
+        assert!(theirs.reaches_peer());
         net.set_cut(NEAR, true);
-        assert!(!theirs.arrives());
+        assert!(!theirs.reaches_peer());
         theirs.write_all(b"lost").await.unwrap();
         let silent = tokio::time::timeout(Duration::from_secs(60), read(&mut *mine)).await;
         assert!(silent.is_err());
         net.set_cut(NEAR, false);
-        assert!(!theirs.arrives(), "it has lost something");
+        assert!(!theirs.reaches_peer(), "it has lost something");
         assert_eq!(read(&mut *mine).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     });
 }
--- a/crates/micadrum-testkit/src/test_network.rs
+++ b/crates/micadrum-testkit/src/test_network.rs
@@ -9,17 +9,17 @@
 pub trait TestConnection: AsyncRead + AsyncWrite + Unpin {
     /// Returns when the other side sent what was read last, or ended the connection; `None` where only the time of
     /// reading is known.
-    fn sent(&self) -> Option<Instant>;
+    fn sent_at(&self) -> Option<Instant>;
 
     /// Returns when the other side ended the connection, also where that is still on its way; `None` where only what has
     /// arrived can be known.
-    fn ended_at(&self) -> Option<Instant>;
+    fn closed_at(&self) -> Option<Instant>;
 
     /// Returns how long bytes that are written now take to the other side.
     fn delay(&self) -> std::time::Duration;
 
     /// Returns whether bytes that are written now reach the other side at all, as far as can be known.
-    fn arrives(&self) -> bool;
+    fn reaches_peer(&self) -> bool;
 }
 
 /// Accepts connections.
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! The clients: gantry, billing and account programs that submit messages as the protocol describes.
 use super::World;
 use super::messages::{MessageOutcome, SubmittedMessage};
-use crate::http::Conversation;
+use crate::http::HttpConnection;
 use crate::observation::{At, Observation, SubmissionAnswer};
 use crate::plan::{Arrival, SeededRng, TENANTS};
 use crate::test_network::Host;
@@ -35,7 +35,7 @@
 /// The state that the clients share.
 struct Clients {
     /// Open connections that are not in use, by sender.
-    idle: RefCell<BTreeMap<u32, Vec<Conversation>>>,
+    idle: RefCell<BTreeMap<u32, Vec<HttpConnection>>>,
     /// Held while a message of a vehicle is being submitted.
     vehicle_locks: RefCell<BTreeMap<u32, Rc<Mutex<()>>>>,
 }
@@ -262,10 +262,10 @@
     }
 
     async fn send(&self, sender: u32, connection: &mut ClientConnection, request: &[u8]) -> SubmissionAnswer {
-        let conversation = &mut connection.conversation;
+        let http = &mut connection.http;
         let exchange = async {
-            conversation.write(request).await.ok()?;
-            conversation.read(true).await.ok().flatten()
+            http.write(request).await.ok()?;
+            http.read(true).await.ok().flatten()
         };
         let answer = timeout(REQUEST_TIMEOUT, exchange).await;
         connection.is_reusable = false;
@@ -310,16 +310,16 @@
     }
     let connected = timeout(REQUEST_TIMEOUT, world.network.connect(Host::Sender(sender), address)).await;
     let Ok(Ok(connection)) = connected else { return };
-    let mut conversation = Conversation::new(connection);
+    let mut http = HttpConnection::new(connection);
     world.observe(submitted);
-    if conversation.write(request).await.is_ok() {
-        let _ = timeout(REQUEST_TIMEOUT, conversation.read(true)).await;
+    if http.write(request).await.is_ok() {
+        let _ = timeout(REQUEST_TIMEOUT, http.read(true)).await;
     }
 }
 
 /// A client's connection to a sender.
 struct ClientConnection {
-    conversation: Conversation,
+    http: HttpConnection,
     is_reused: bool,
     is_reusable: bool,
 }
@@ -341,9 +341,9 @@
     async fn connection(&self, world: &World, sender: u32) -> Option<ClientConnection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&sender).and_then(Vec::pop);
-            let Some(mut conversation) = idle else { return self.new_connection(world, sender).await };
-            if !conversation.is_over().await {
-                return Some(ClientConnection { conversation, is_reused: true, is_reusable: false });
+            let Some(mut http) = idle else { return self.new_connection(world, sender).await };
+            if !http.is_closed().await {
+                return Some(ClientConnection { http, is_reused: true, is_reusable: false });
             }
         }
     }
@@ -352,8 +352,8 @@
         let address = world.senders[sender as usize].address()?;
         let connecting = world.network.connect(Host::Sender(sender), address);
         let connection = timeout(REQUEST_TIMEOUT, connecting).await.ok()?.ok()?;
-        let conversation = Conversation::new(connection);
-        Some(ClientConnection { conversation, is_reused: false, is_reusable: false })
+        let http = HttpConnection::new(connection);
+        Some(ClientConnection { http, is_reused: false, is_reusable: false })
     }
 
     /// Returns a connection to the idle ones, if it can be used again and there are not too many.
@@ -361,7 +361,7 @@
         let mut idle = self.idle.borrow_mut();
         let of_sender = idle.entry(sender).or_default();
         if connection.is_reusable && of_sender.len() < MAX_IDLE_CONNECTIONS {
-            of_sender.push(connection.conversation);
+            of_sender.push(connection.http);
         }
     }
 }
--- a/crates/micadrum-testkit/src/world/endpoints/call.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -1,6 +1,6 @@
 //! A call to an endpoint: read, decided by the destination's model, and answered.
 use super::{is_mute, wait_for_state};
-use crate::http::{Conversation, Message, answer};
+use crate::http::{HttpConnection, Message, answer};
 use crate::observation::{At, AttemptResult, Observation};
 use crate::plan::Class;
 use crate::world::destination_model::{CallMessage, CallOutcome, Collapse, Delivery, IncomingCall};
@@ -98,7 +98,7 @@
         let state = &world.endpoints.borrow()[endpoint];
         let identified: Vec<_> =
             received.into_iter().map(|received| received.identify(world, state.destination)).collect();
-        let sent_at = world.timestamp(message.first_sent);
+        let sent_at = world.timestamp(message.first_sent_at);
         let outcome = decide(world, state, sender, sent_at, &identified);
         let EndpointIdentity { id, route } = identity_for(world, state, sender, sent_at);
         let ids: Vec<_> = identified.into_iter().map(|message| message.id).collect();
@@ -118,21 +118,17 @@
     }
 
     /// Processes the call and answers it as the model decided. Returns the connection, if it can carry another call.
-    pub(super) async fn serve(
-        self,
-        world: &Rc<World>,
-        mut conversation: Conversation,
-    ) -> Option<Conversation> {
+    pub(super) async fn serve(self, world: &Rc<World>, mut http: HttpConnection) -> Option<HttpConnection> {
         let event = tokio::select! {
             biased;
             () = wait_for_state(world, self.endpoint, |endpoint| endpoint.condition.process_down) => {
                 CallEvent::ProcessDown
             }
             () = world.wait_until(self.outcome.answer_at) => CallEvent::AnswerDue,
-            closed = conversation.ended() => CallEvent::ConnectionClosed { closed_at: world.timestamp(closed) },
+            closed = http.wait_for_close() => CallEvent::ConnectionClosed { closed_at: world.timestamp(closed) },
         };
         match event {
-            CallEvent::AnswerDue => self.answer(world, conversation).await,
+            CallEvent::AnswerDue => self.answer(world, http).await,
             CallEvent::ConnectionClosed { closed_at } => {
                 world.observe(Observation::CallClosed { call: self.number, closed_at });
                 self.run_on(world.clone());
@@ -140,7 +136,7 @@
             }
             CallEvent::ProcessDown => {
                 let ends = self.ids.iter().map(|id| (id.clone(), AttemptResult::Corrupted)).collect();
-                self.observe_reply(world, &conversation, ends, None);
+                self.observe_reply(world, &http, ends, None);
                 None
             }
         }
@@ -155,34 +151,34 @@
     }
 
     /// Answers the call. Returns the connection, if it can carry another call.
-    async fn answer(self, world: &Rc<World>, mut conversation: Conversation) -> Option<Conversation> {
+    async fn answer(self, world: &Rc<World>, mut http: HttpConnection) -> Option<HttpConnection> {
         self.take_effect(world);
         let is_mute = is_mute(world, &world.endpoints.borrow()[self.endpoint]);
         if is_mute || self.outcome.delivery == Delivery::Never {
-            let closed_at = world.timestamp(conversation.ended().await);
+            let closed_at = world.timestamp(http.wait_for_close().await);
             world.observe(Observation::CallClosed { call: self.number, closed_at });
             return None;
         }
         let now = world.now();
         let ends: Vec<_> = self.ids.iter().cloned().zip(self.outcome.ends.iter().copied()).collect();
         // A Retry-After that is written while the link is cut reaches nobody.
-        let retry_after = self.outcome.retry_after.filter(|_| conversation.arrives()).map(|wait| now + wait);
-        let received_at = self.observe_reply(world, &conversation, ends.clone(), retry_after);
+        let retry_after = self.outcome.retry_after.filter(|_| http.reaches_peer()).map(|wait| now + wait);
+        let received_at = self.observe_reply(world, &http, ends.clone(), retry_after);
         for (id, end) in ends {
             if end == AttemptResult::Delivered {
                 world.messages.borrow_mut().complete(&id, MessageOutcome::Delivered);
             }
         }
         let bytes = self.answer_bytes(world)?;
-        conversation.write(&bytes).await.ok()?;
+        http.write(&bytes).await.ok()?;
         if retry_after.is_some() {
-            self.watch_delivery(world, &conversation, received_at).await;
+            self.watch_delivery(world, &http, received_at).await;
         }
         if self.outcome.delivery == Delivery::Complete {
-            return Some(conversation);
+            return Some(http);
         }
         // The connection is of no further use, and stays open until the sender ends it.
-        conversation.ended().await;
+        http.wait_for_close().await;
         None
     }
 
@@ -190,14 +186,14 @@
     fn observe_reply(
         &self,
         world: &World,
-        conversation: &Conversation,
+        http: &HttpConnection,
         ends: Vec<(String, AttemptResult)>,
         retry_after: Option<At>,
     ) -> At {
         let now = world.now();
-        let received_at = now + conversation.delay().as_micros() as At;
+        let received_at = now + http.delay().as_micros() as At;
         // The sender may have ended the call before, with that still on its way.
-        let in_flight_until = conversation.ended_at().map_or(now, |ended| world.timestamp(ended).min(now));
+        let in_flight_until = http.closed_at().map_or(now, |ended| world.timestamp(ended).min(now));
         world.observe(Observation::CallAnswered {
             call: self.number,
             ends,
@@ -210,9 +206,9 @@
 
     /// Waits until a Retry-After has arrived, and records where the sender did not receive it. Nothing else comes on
     /// this connection before that.
-    async fn watch_delivery(&self, world: &World, conversation: &Conversation, received_at: At) {
+    async fn watch_delivery(&self, world: &World, http: &HttpConnection, received_at: At) {
         world.wait_until(received_at).await;
-        if conversation.ended_at().is_some_and(|ended| world.timestamp(ended) < received_at) {
+        if http.closed_at().is_some_and(|ended| world.timestamp(ended) < received_at) {
             world.observe(Observation::AnswerLost { call: self.number });
         }
     }
--- a/crates/micadrum-testkit/src/world/endpoints/mod.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/mod.rs
@@ -2,7 +2,7 @@
 mod call;
 
 use super::{EndpointState, World};
-use crate::http::{Conversation, answer};
+use crate::http::{HttpConnection, answer};
 use crate::test_network::TestListener;
 use call::Call;
 use std::io;
@@ -97,7 +97,7 @@
             match accepted {
                 Some(Ok(connection)) => {
                     let server = self.clone();
-                    spawn_local(async move { server.serve(Conversation::new(connection)).await });
+                    spawn_local(async move { server.serve(HttpConnection::new(connection)).await });
                 }
                 Some(Err(_)) => sleep(ACCEPT_RETRY_DELAY).await,
                 None if self.has_moved(&self.world.endpoints.borrow()[self.endpoint]) => return,
@@ -120,7 +120,7 @@
     }
 
     /// Serves the calls on one connection, one after another.
-    async fn serve(&self, mut conversation: Conversation) {
+    async fn serve(&self, mut http: HttpConnection) {
         let closed = |endpoint: &EndpointState| {
             endpoint.condition.process_down || endpoint.address_generation > self.generation + 1
         };
@@ -133,15 +133,15 @@
                     self.wait_for_state(|endpoint| !is_mute(&self.world, endpoint)).await;
                     return;
                 }
-                next = timeout(Duration::from_micros(IDLE_TIMEOUT_US), conversation.read(false)) => next,
+                next = timeout(Duration::from_micros(IDLE_TIMEOUT_US), http.read(false)) => next,
             };
             let Ok(Ok(Some(message))) = next else { return };
             let Some(call) = Call::read(&self.world, self.endpoint, self.sender, &message) else {
-                let _ = conversation.write(&answer("400 Bad Request", "", "")).await;
+                let _ = http.write(&answer("400 Bad Request", "", "")).await;
                 return;
             };
-            let Some(reusable) = call.serve(&self.world, conversation).await else { return };
-            conversation = reusable;
+            let Some(reusable) = call.serve(&self.world, http).await else { return };
+            http = reusable;
         }
     }
 }
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -6,7 +6,7 @@
 
 use super::World;
 use super::messages::MessageOutcome;
-use crate::http::{Conversation, Message, answer};
+use crate::http::{HttpConnection, Message, answer};
 use crate::observation::{At, Observation};
 use crate::plan::{MUST_ASK_IN, SeededRng};
 use crate::scenario::Discovery;
@@ -136,12 +136,12 @@
     connection: Box<dyn TestConnection>,
 ) {
     let agent = &world.agents[sender as usize];
-    let mut conversation = Conversation::new(connection);
-    while let Ok(Some(message)) = conversation.read(false).await {
+    let mut http = HttpConnection::new(connection);
+    while let Ok(Some(message)) = http.read(false).await {
         let answer = answer_request(&world, sender, &message).await;
         let is_current = agent.address_generation.get() == generation;
         let Some(text) = answer.filter(|_| is_current) else { return };
-        if conversation.write(&text).await.is_err() {
+        if http.write(&text).await.is_err() {
             return;
         }
     }
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -6,7 +6,7 @@
 
 use super::{World, platform};
 use crate::history::HistoryEvent;
-use crate::http::Conversation;
+use crate::http::HttpConnection;
 use crate::observation::{At, Observation};
 use crate::plan::SeededRng;
 use crate::scenario::{FolderKept, How, Where};
@@ -158,10 +158,10 @@
 async fn is_ready(world: &World, sender: u32, address: SocketAddr) -> bool {
     let poll = async {
         let connection = world.network.connect(Host::Sender(sender), address).await.ok()?;
-        let mut conversation = Conversation::new(connection);
+        let mut http = HttpConnection::new(connection);
         let request = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-        conversation.write(request).await.ok()?;
-        conversation.read(true).await.ok().flatten()
+        http.write(request).await.ok()?;
+        http.read(true).await.ok().flatten()
     };
     matches!(timeout(READINESS_TIMEOUT, poll).await, Ok(Some(answer)) if answer.status == 200)
 }
