--- a/crates/micadrum-testkit/src/history/mod.rs
+++ b/crates/micadrum-testkit/src/history/mod.rs
@@ -5,7 +5,7 @@
 
 pub use views::{FalseDeath, WrongView};
 
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::Plan;
 use micadrum_membership::Event;
 use micadrum_recovery::phases::PhaseRecord;
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// When, on the test kit's clock, in microseconds from the start of the run.
-    pub at: At,
+    pub at: Micros,
     /// Number of the sender.
     pub sender: u32,
     /// What the record is about.
@@ -65,18 +65,18 @@
     /// Number of the sender.
     pub sender: u32,
     /// When the process was started.
-    pub started: At,
+    pub started: Micros,
     /// What the process found in its state folder; none if recovery is off, or the process ended before.
     pub trust: Option<micadrum_recovery::Trust>,
     /// The phases that the process completed, each with its end.
-    pub steps: Vec<(At, PhaseRecord)>,
+    pub steps: Vec<(Micros, PhaseRecord)>,
 }
 
 /// The answer to a request for the views of all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdminSnapshot<'a> {
     /// When the answer came.
-    pub at: At,
+    pub at: Micros,
     /// Members that answered.
     pub answered: &'a [u32],
     /// Members that did not.
@@ -92,12 +92,12 @@
     }
 
     /// Adds a record; records are added in their order.
-    pub fn add(&mut self, at: At, sender: u32, event: HistoryEvent) {
+    pub fn add(&mut self, at: Micros, sender: u32, event: HistoryEvent) {
         self.records.push(Record { at, sender, event });
     }
 
     /// Adds a line of a sender's log if it traces a membership or recovery event; returns whether it does.
-    pub fn add_line(&mut self, at: At, sender: u32, line: &str) -> bool {
+    pub fn add_line(&mut self, at: Micros, sender: u32, line: &str) -> bool {
         let event = parse_trace(line);
         let is_trace = event.is_some();
         if let Some(event) = event {
@@ -107,7 +107,7 @@
     }
 
     /// Adds the views of all members, as a sender's admin endpoint returned them in JSON.
-    pub fn add_admin_snapshot(&mut self, at: At, sender: u32, text: &str) {
+    pub fn add_admin_snapshot(&mut self, at: Micros, sender: u32, text: &str) {
         let views: BTreeMap<String, serde_json::Value> = serde_json::from_str(text).unwrap_or_default();
         let members_with = |field: &str| {
             let names = views.iter().filter(|(_, view)| view.get(field).is_some()).map(|(name, _)| name);
@@ -124,7 +124,7 @@
     }
 
     /// Returns the admin snapshots from `from` on.
-    pub fn admin_snapshots(&self, from: At) -> impl Iterator<Item = AdminSnapshot<'_>> {
+    pub fn admin_snapshots(&self, from: Micros) -> impl Iterator<Item = AdminSnapshot<'_>> {
         self.records.iter().filter(move |record| record.at >= from).filter_map(|record| match &record.event {
             HistoryEvent::Looked { came, silent } => {
                 Some(AdminSnapshot { at: record.at, answered: came, silent })
@@ -134,7 +134,7 @@
     }
 
     /// Returns the membership events that a sender traced from `from` on.
-    pub fn events(&self, sender: u32, from: At) -> impl Iterator<Item = (At, &Event)> {
+    pub fn events(&self, sender: u32, from: Micros) -> impl Iterator<Item = (Micros, &Event)> {
         let records = self.records.iter().filter(move |record| record.sender == sender && record.at >= from);
         records.filter_map(|record| match &record.event {
             HistoryEvent::Peers(event) => Some((record.at, event)),
@@ -176,7 +176,7 @@
 }
 
 impl Return {
-    fn add(&mut self, at: At, record: &micadrum_recovery::Record) {
+    fn add(&mut self, at: Micros, record: &micadrum_recovery::Record) {
         match record {
             micadrum_recovery::Record::Trust(trust) => self.trust = Some(trust.clone()),
             micadrum_recovery::Record::PhaseEnded(phase) => self.steps.push((at, *phase)),
--- a/crates/micadrum-testkit/src/history/tests.rs
+++ b/crates/micadrum-testkit/src/history/tests.rs
@@ -9,7 +9,7 @@
     history
 }
 
-fn changed(history: &mut History, at: At, by: u32, of: u32, is: Status) {
+fn changed(history: &mut History, at: Micros, by: u32, of: u32, is: Status) {
     let event = Event::StatusChanged {
         name: format!("n{of}"),
         previous: Status::Unknown,
--- a/crates/micadrum-testkit/src/history/views.rs
+++ b/crates/micadrum-testkit/src/history/views.rs
@@ -1,6 +1,6 @@
 //! Checks of the senders' membership views: when they converged, and which deaths were declared without a cause.
 use super::{History, HistoryEvent, Record};
-use crate::observation::At;
+use crate::observation::Micros;
 use micadrum_membership::{Event, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FalseDeath {
     /// When the death was declared.
-    pub at: At,
+    pub at: Micros,
     /// Number of the sender that declared it.
     pub observer: u32,
     /// Number of the sender that was declared dead.
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// The views that are wrong at `until`.
-    pub fn right_after(&self, from: At, until: At) -> Result<At, Vec<WrongView>> {
+    pub fn right_after(&self, from: Micros, until: Micros) -> Result<Micros, Vec<WrongView>> {
         let mut views = Views::new(self);
         let mut last_wrong = from;
         for record in self.records.iter().take_while(|record| record.at < until) {
@@ -47,9 +47,9 @@
     /// Returns each time at which the fleet changed, with the time from it until no view was wrong; none if the fleet
     /// changed again before that.
     #[must_use]
-    pub fn settled(&self) -> Vec<(At, Option<At>)> {
+    pub fn settled(&self) -> Vec<(Micros, Option<Micros>)> {
         let mut views = Views::new(self);
-        let mut settled: Vec<(At, Option<At>)> = Vec::new();
+        let mut settled: Vec<(Micros, Option<Micros>)> = Vec::new();
         let mut is_open = false;
         for record in &self.records {
             views.apply(record);
@@ -72,7 +72,7 @@
 
     /// Returns when the fleet last changed, or a process traced a recovery event.
     #[must_use]
-    pub fn last_happening(&self) -> Option<At> {
+    pub fn last_happening(&self) -> Option<Micros> {
         let is_happening =
             |record: &&Record| !matches!(record.event, HistoryEvent::Peers(_) | HistoryEvent::Looked { .. });
         self.records.iter().rev().find(is_happening).map(|record| record.at)
@@ -81,7 +81,7 @@
     /// Returns the deaths that were declared of senders that ran, at a time when no fault was active, and more than `grace`
     /// after the last change of the fleet.
     #[must_use]
-    pub fn false_deaths(&self, grace: At) -> Vec<FalseDeath> {
+    pub fn false_deaths(&self, grace: Micros) -> Vec<FalseDeath> {
         let mut false_deaths = Vec::new();
         let mut active_faults = 0u32;
         let mut last_change = 0;
--- a/crates/micadrum-testkit/src/invariants/calls.rs
+++ b/crates/micadrum-testkit/src/invariants/calls.rs
@@ -4,7 +4,7 @@
 use super::sent_after_end::check_sent_after_end;
 use super::state::{Call, CallStart, Finding};
 use super::{Invariant, InvariantChecker, seconds};
-use crate::observation::{At, AttemptResult};
+use crate::observation::{AttemptResult, Micros};
 
 impl InvariantChecker {
     /// A call has arrived at an endpoint.
@@ -46,7 +46,7 @@
     }
 
     /// An endpoint has answered a call.
-    pub(super) fn replied(&mut self, at: At, call: u64, ends: &[(String, AttemptResult)]) {
+    pub(super) fn replied(&mut self, at: Micros, call: u64, ends: &[(String, AttemptResult)]) {
         let Some(known) = self.calls.get(&call) else { return };
         let (sender, route, sent_at) = (known.sender, known.route, known.sent_at);
         if self.receives_answer(sender, sent_at)
@@ -72,19 +72,19 @@
     }
 
     /// Returns whether the process that sent a call at `sent` still runs, and hears the answer.
-    pub(super) fn receives_answer(&self, sender: u32, sent_at: At) -> bool {
+    pub(super) fn receives_answer(&self, sender: u32, sent_at: Micros) -> bool {
         let exited_at = self.senders.get(&sender).and_then(|sender| sender.exited_at);
         exited_at.is_none_or(|exited_at| exited_at < sent_at)
     }
 
     /// The sender has closed the connection of a call that has no answer.
-    pub(super) fn closed(&mut self, at: At, call: u64, closed_at: At) {
+    pub(super) fn closed(&mut self, at: Micros, call: u64, closed_at: Micros) {
         self.unanswered(at, call, closed_at);
         self.call_ended(at, call, closed_at);
     }
 
     /// A call gets no answer any more: its messages may have taken effect.
-    pub(super) fn unanswered(&mut self, at: At, call: u64, closed_at: At) {
+    pub(super) fn unanswered(&mut self, at: Micros, call: u64, closed_at: Micros) {
         let Some(known) = self.calls.get(&call) else { return };
         let (route, sender, sent_at, ids) = (known.route, known.sender, known.sent_at, known.ids.clone());
         self.witness_failure(route, sender);
--- a/crates/micadrum-testkit/src/invariants/completion.rs
+++ b/crates/micadrum-testkit/src/invariants/completion.rs
@@ -5,36 +5,36 @@
 use super::{
     COMPLETION_SLACK_MICROS, Invariant, InvariantChecker, READY_SLACK_MICROS, TOLERANCE_MICROS, seconds,
 };
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// A message is observed for this long after it must have ended, in microseconds.
-const RETENTION_MICROS: At = 60_000_000;
+const RETENTION_MICROS: Micros = 60_000_000;
 /// The end of a process is seen within this time of its effects on connections, in microseconds.
-const MAX_EXIT_DELAY_MICROS: At = 1_000_000;
+const MAX_EXIT_DELAY_MICROS: Micros = 1_000_000;
 
 /// Returns when a message with this deadline must have ended.
-fn completion_limit(deadline: At) -> At {
+fn completion_limit(deadline: Micros) -> Micros {
     deadline + COMPLETION_SLACK_MICROS + TOLERANCE_MICROS
 }
 
 impl InvariantChecker {
-    pub(super) fn schedule_first_check(&mut self, id: &str, deadline: At) {
+    pub(super) fn schedule_first_check(&mut self, id: &str, deadline: Micros) {
         self.completion_checks.insert((completion_limit(deadline), id.to_owned()));
     }
 
     /// Checks the messages that must have ended by now.
-    pub(super) fn check_due_messages(&mut self, now: At) {
+    pub(super) fn check_due_messages(&mut self, now: Micros) {
         while let Some((due, id)) = self.completion_checks.first().filter(|(due, _)| *due < now).cloned() {
             self.completion_checks.remove(&(due, id.clone()));
             self.check_completion(now, due, id);
         }
     }
 
-    fn check_completion(&mut self, now: At, due: At, id: String) {
+    fn check_completion(&mut self, now: Micros, due: Micros, id: String) {
         let Some(message) = self.messages.get(&id) else { return };
         let limit = completion_limit(message.deadline);
         let is_missing = message.is_accepted() && message.ended_at.is_none();
-        if due > limit + RETENTION_MICROS || now == At::MAX {
+        if due > limit + RETENTION_MICROS || now == Micros::MAX {
             if is_missing {
                 self.report(Invariant::Lost, due, Some(&id), "it has no end".to_owned());
             }
@@ -58,7 +58,7 @@
     }
 
     /// Returns until when no message of a sender is overdue.
-    fn excused_until(&self, now: At, sender: u32) -> At {
+    fn excused_until(&self, now: Micros, sender: u32) -> Micros {
         let Some(sender) = self.senders.get(&sender) else { return 0 };
         if sender.restarting_since.is_some() {
             now.saturating_add(READY_SLACK_MICROS)
@@ -68,7 +68,7 @@
     }
 
     /// A message has ended; if it is overdue, it is late.
-    pub(super) fn message_ended(&mut self, at: At, id: &str) {
+    pub(super) fn message_ended(&mut self, at: Micros, id: &str) {
         let Some(message) = self.messages.get_mut(id) else { return };
         if message.ended_at.is_some() {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    fn report_late(&mut self, ended_at: At, id: &str) {
+    fn report_late(&mut self, ended_at: Micros, id: &str) {
         let Some(message) = self.messages.get(id) else { return };
         let delay = ended_at.saturating_sub(message.deadline);
         let what = format!("its end came {} s after its time was up", seconds(delay));
@@ -87,7 +87,7 @@
     }
 
     /// Checks that a client's connection ended without an answer only because the sender's process ended.
-    pub(super) fn check_unanswered_submissions(&mut self, now: At) {
+    pub(super) fn check_unanswered_submissions(&mut self, now: Micros) {
         while let Some(submission) = self.unanswered_submissions.front().cloned()
             && submission.at + MAX_EXIT_DELAY_MICROS < now
         {
--- a/crates/micadrum-testkit/src/invariants/concurrency.rs
+++ b/crates/micadrum-testkit/src/invariants/concurrency.rs
@@ -4,11 +4,11 @@
 //! and checked when the end of the earlier call is known.
 use super::state::{Call, CallStart, Conflict};
 use super::{Invariant, InvariantChecker, seconds};
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// Data on a connection may be held back on a link for this long after its process ended. If by then no end of a call
 /// has been seen, the call ended with the process.
-const MAX_LINK_HOLD_MICROS: At = 60_000_000;
+const MAX_LINK_HOLD_MICROS: Micros = 60_000_000;
 
 impl InvariantChecker {
     /// Notes that the attempt to send `id` must not overlap with the calls `others`.
@@ -38,7 +38,7 @@
     }
 
     /// Ends calls of processes that ended long ago: those whose own end has not been seen since.
-    pub(super) fn end_orphaned_calls(&mut self, now: At) {
+    pub(super) fn end_orphaned_calls(&mut self, now: Micros) {
         while let Some((exited_at, call)) = self.orphaned_calls.front().copied()
             && exited_at + MAX_LINK_HOLD_MICROS < now
         {
@@ -48,7 +48,7 @@
     }
 
     /// A call was in flight until `until`: attempts in conflict with it must not have been sent before.
-    pub(super) fn call_ended(&mut self, at: At, number: u64, until: At) {
+    pub(super) fn call_ended(&mut self, at: Micros, number: u64, until: Micros) {
         let Some(call) = self.calls.remove(&number) else { return };
         for Conflict { invariant, id, sent_at } in call.conflicts {
             if sent_at >= until {
--- a/crates/micadrum-testkit/src/invariants/draining.rs
+++ b/crates/micadrum-testkit/src/invariants/draining.rs
@@ -1,12 +1,12 @@
 //! Checks [`Invariant::SentToDraining`].
 use super::state::CallStart;
 use super::{Invariant, InvariantChecker, TOLERANCE_MICROS, seconds};
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::DRAIN_GRACE;
 
 impl InvariantChecker {
     /// Discovery has told a sender whether an endpoint is in service.
-    pub(super) fn listed(&mut self, at: At, sender: u32, endpoint: &str, is_serving: bool) {
+    pub(super) fn listed(&mut self, at: Micros, sender: u32, endpoint: &str, is_serving: bool) {
         let key = (sender, endpoint.to_owned());
         if is_serving {
             self.unlisted_since.remove(&key);
--- a/crates/micadrum-testkit/src/invariants/duplicates.rs
+++ b/crates/micadrum-testkit/src/invariants/duplicates.rs
@@ -1,11 +1,11 @@
 //! Checks [`Invariant::Duplicated`].
 use super::state::{Finding, Message};
 use super::{Invariant, InvariantChecker, TOLERANCE_MICROS, seconds};
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::{Class, KEY_WINDOW};
 
 /// Checks an attempt that was sent at `sent`.
-pub(super) fn check_duplicate(message: &Message, sent_at: At) -> Option<Finding> {
+pub(super) fn check_duplicate(message: &Message, sent_at: Micros) -> Option<Finding> {
     let first_attempt = message.first_uncertain_attempt?;
     let what = match message.class {
         Class::Charge => "it was sent again though it may have run".to_owned(),
@@ -19,7 +19,7 @@
 
 impl InvariantChecker {
     /// A message has taken effect at a destination.
-    pub(super) fn took_effect(&mut self, at: At, id: &str) {
+    pub(super) fn took_effect(&mut self, at: Micros, id: &str) {
         let Some(message) = self.messages.get_mut(id) else { return };
         message.effects += 1;
         message.record(at, "took effect".to_owned());
@@ -29,7 +29,7 @@
     }
 
     /// Checks a charge that was returned to its client, who may submit it again.
-    pub(super) fn check_returned(&mut self, at: At, id: &str) {
+    pub(super) fn check_returned(&mut self, at: Micros, id: &str) {
         let Some(message) = self.messages.get(id) else { return };
         let may_have_run = message.first_uncertain_attempt.is_some() || !message.calls.is_empty();
         if message.class == Class::Charge && may_have_run && message.counts() {
--- a/crates/micadrum-testkit/src/invariants/membership_views.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views.rs
@@ -1,15 +1,15 @@
 //! Checks [`Invariant::WrongView`] and [`Invariant::FalseDeath`].
 use super::{Invariant, Verdict, Violation, seconds};
 use crate::history::{FalseDeath, History, WrongView};
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// Views must be right this long after the last change of the fleet, in microseconds.
-const MAX_CONVERGENCE_MICROS: At = 5_000_000;
+const MAX_CONVERGENCE_MICROS: Micros = 5_000_000;
 /// No sender may be declared dead later than this after the last change of the fleet, in microseconds.
-const MAX_DETECTION_MICROS: At = 4_000_000;
+const MAX_DETECTION_MICROS: Micros = 4_000_000;
 
 /// Checks the history of a membership, which ends at `end`, and adds the violations to the verdict.
-pub fn look_at_views(history: &History, end: At, verdict: &mut Verdict) {
+pub fn look_at_views(history: &History, end: Micros, verdict: &mut Verdict) {
     let mut report = |rule, at, what| {
         verdict.add(Violation { rule, at, id: None, what, history: Vec::new() });
     };
--- a/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
@@ -4,10 +4,10 @@
 use crate::scenario::Scenario;
 use micadrum_membership::{Event, Status};
 
-const S: At = 1_000_000;
+const S: Micros = 1_000_000;
 const TEXT: &str = "title = \"t\"\nlength = \"60 s\"\nsenders = 2\ntraffic = \"20/s\"\n";
 
-fn broken(changes: &[(At, u32, u32, Status)], end: At) -> Vec<Invariant> {
+fn broken(changes: &[(Micros, u32, u32, Status)], end: Micros) -> Vec<Invariant> {
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
     (0..2).for_each(|sender| history.add(0, sender, HistoryEvent::Started));
     for (at, by, of, is) in changes {
--- a/crates/micadrum-testkit/src/invariants/messages.rs
+++ b/crates/micadrum-testkit/src/invariants/messages.rs
@@ -1,11 +1,11 @@
 //! Messages, from their first submission until they are forgotten.
 use super::state::{Acceptance, Message, UnansweredSubmission};
 use super::{Invariant, InvariantChecker};
-use crate::observation::{At, Observation, SubmissionAnswer};
+use crate::observation::{Micros, Observation, SubmissionAnswer};
 
 impl InvariantChecker {
     /// A client submits a message.
-    pub(super) fn submitted(&mut self, at: At, observation: &Observation) {
+    pub(super) fn submitted(&mut self, at: Micros, observation: &Observation) {
         let Observation::Submitted { id, operation, sender, class, vehicle, deadline } = observation else {
             return;
         };
@@ -38,7 +38,7 @@
     }
 
     /// A client got an answer to its submission, or gave up on it.
-    pub(super) fn answered(&mut self, at: At, id: &str, answer: SubmissionAnswer) {
+    pub(super) fn answered(&mut self, at: Micros, id: &str, answer: SubmissionAnswer) {
         let Some(message) = self.messages.get_mut(id) else { return };
         message.record(at, format!("its client heard {answer:?}"));
         // If the id was submitted again, the first answer counts.
@@ -67,7 +67,7 @@
     }
 
     /// The platform has acknowledged the notification that a message failed, or is returned.
-    pub(super) fn notified(&mut self, at: At, id: &str, is_returned: bool) {
+    pub(super) fn notified(&mut self, at: Micros, id: &str, is_returned: bool) {
         let Some(message) = self.messages.get_mut(id) else { return };
         let outcome = if is_returned { "returned" } else { "failed" };
         message.record(at, format!("noticed as {outcome}"));
--- a/crates/micadrum-testkit/src/invariants/mod.rs
+++ b/crates/micadrum-testkit/src/invariants/mod.rs
@@ -22,29 +22,29 @@
 pub use membership_views::look_at_views;
 pub use violation::{Invariant, Verdict, Violation};
 
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use state::{Call, CallStart, Message, Outage, RetryAfter, Sender, UnansweredSubmission};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Tolerance of time limits in live runs, in microseconds.
-const TOLERANCE_MICROS: At = 50_000;
+const TOLERANCE_MICROS: Micros = 50_000;
 /// A message may end this long after its deadline, in microseconds.
-const COMPLETION_SLACK_MICROS: At = 300_000;
+const COMPLETION_SLACK_MICROS: Micros = 300_000;
 /// After a restart, no message is overdue until this long after the sender is ready again, in microseconds.
-const READY_SLACK_MICROS: At = 1_500_000;
+const READY_SLACK_MICROS: Micros = 1_500_000;
 
 /// Checks the observations of one run.
 #[derive(Default)]
 pub struct InvariantChecker {
     messages: BTreeMap<String, Message>,
     /// When messages are to be checked for their end, with their ids.
-    completion_checks: BTreeSet<(At, String)>,
+    completion_checks: BTreeSet<(Micros, String)>,
     calls: BTreeMap<u64, Call>,
     /// Ids of the messages of each sender and ordering key, in the order of their submission.
     ordering_keys: BTreeMap<(u32, u32), VecDeque<String>>,
     senders: BTreeMap<u32, Sender>,
     /// When a sender was told that an endpoint is not in service.
-    unlisted_since: BTreeMap<(u32, String), At>,
+    unlisted_since: BTreeMap<(u32, String), Micros>,
     /// By sender and route.
     retry_after: BTreeMap<(u32, u32), Vec<RetryAfter>>,
     /// By route.
@@ -52,13 +52,13 @@
     /// Those whose sender's process may still be seen to have ended.
     unanswered_submissions: VecDeque<UnansweredSubmission>,
     /// Calls whose process has ended, with the time at which it did.
-    orphaned_calls: VecDeque<(At, u64)>,
+    orphaned_calls: VecDeque<(Micros, u64)>,
     verdict: Verdict,
 }
 
 impl InvariantChecker {
     /// Checks one observation.
-    pub fn observe(&mut self, at: At, observation: &Observation) {
+    pub fn observe(&mut self, at: Micros, observation: &Observation) {
         self.run_due_checks(at);
         match observation {
             Observation::Submitted { .. } => self.submitted(at, observation),
@@ -82,7 +82,7 @@
     }
 
     /// Checks an observation of processes, discovery or destinations.
-    fn observe_environment(&mut self, at: At, observation: &Observation) {
+    fn observe_environment(&mut self, at: Micros, observation: &Observation) {
         match observation {
             Observation::Ready { sender } => self.ready(at, *sender),
             Observation::ShutdownRequested { sender, .. } => self.shutdown_requested(at, *sender),
@@ -101,8 +101,8 @@
     }
 
     /// Returns the verdict once the run is over: all accepted messages must have ended by now.
-    pub fn verdict(mut self, at: At) -> Verdict {
-        self.run_due_checks(At::MAX);
+    pub fn verdict(mut self, at: Micros) -> Verdict {
+        self.run_due_checks(Micros::MAX);
         let open: Vec<u64> = self.calls.keys().copied().collect();
         for call in open {
             self.closed(at, call, at);
@@ -110,26 +110,26 @@
         self.verdict
     }
 
-    fn run_due_checks(&mut self, now: At) {
+    fn run_due_checks(&mut self, now: Micros) {
         self.check_due_messages(now);
         self.check_unanswered_submissions(now);
         self.end_orphaned_calls(now);
     }
 
     /// Records a violation of an invariant, with the history of the message that it is about.
-    fn report(&mut self, rule: Invariant, at: At, id: Option<&str>, what: String) {
+    fn report(&mut self, rule: Invariant, at: Micros, id: Option<&str>, what: String) {
         let history = id.map_or(Vec::new(), |id| self.history(id));
         self.verdict.add(Violation { rule, at, id: id.map(str::to_owned), what, history });
     }
 
     fn history(&self, id: &str) -> Vec<String> {
-        let line = |(at, text): &(At, String)| format!("{} {text}", seconds(*at));
+        let line = |(at, text): &(Micros, String)| format!("{} {text}", seconds(*at));
         self.messages.get(id).map_or(Vec::new(), |message| message.history.iter().map(line).collect())
     }
 }
 
 /// Formats a time in seconds, to the millisecond.
-pub fn seconds(at: At) -> String {
+pub fn seconds(at: Micros) -> String {
     format!("{}.{:03}", at / 1_000_000, at / 1_000 % 1_000)
 }
 
--- a/crates/micadrum-testkit/src/invariants/ordering.rs
+++ b/crates/micadrum-testkit/src/invariants/ordering.rs
@@ -1,7 +1,7 @@
 //! Checks [`Invariant::OutOfOrder`].
 use super::state::Finding;
 use super::{Invariant, InvariantChecker};
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// What an attempt shows about the order of its key.
 #[derive(Default)]
@@ -13,7 +13,7 @@
 
 impl InvariantChecker {
     /// Checks an attempt to send the message `id` at `sent` against the earlier messages of its ordering key.
-    pub(super) fn check_order(&self, id: &str, sent_at: At) -> OrderCheck {
+    pub(super) fn check_order(&self, id: &str, sent_at: Micros) -> OrderCheck {
         let mut check = OrderCheck::default();
         for earlier in self.earlier_messages(id) {
             let Some(message) = self.messages.get(earlier).filter(|message| message.is_accepted()) else {
--- a/crates/micadrum-testkit/src/invariants/overload.rs
+++ b/crates/micadrum-testkit/src/invariants/overload.rs
@@ -6,7 +6,7 @@
 //! as well. A destination fails at the first call beyond its bound, so the reported calls are the fewest that violate the
 //! invariant, not the load that would have come.
 use super::{Invariant, InvariantChecker, seconds};
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// Number of calls that the standing test allows beyond the bound of the wire's page.
 const STANDING_TEST_MARGIN_CALLS: f64 = 3.0;
@@ -29,7 +29,14 @@
     }
 
     /// A line in slow start failed by calls of `senders`, one entry for each call.
-    pub(super) fn overloaded(&mut self, at: At, route: u32, senders: &[u32], budget: f64, endpoint: &str) {
+    pub(super) fn overloaded(
+        &mut self,
+        at: Micros,
+        route: u32,
+        senders: &[u32],
+        budget: f64,
+        endpoint: &str,
+    ) {
         let calls = senders.len();
         let knowing = self
             .outages
--- a/crates/micadrum-testkit/src/invariants/retry_after.rs
+++ b/crates/micadrum-testkit/src/invariants/retry_after.rs
@@ -1,16 +1,16 @@
 //! Checks [`Invariant::RetryAfterIgnored`].
 use super::state::{CallStart, RetryAfter};
 use super::{Invariant, InvariantChecker, seconds};
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// Calls that are sent this soon after the Retry-After is heard are let through, in microseconds.
-const REACTION_MICROS: At = 100_000;
+const REACTION_MICROS: Micros = 100_000;
 /// A Retry-After is kept this long after its time, as calls are seen later than they are sent; in microseconds.
-const RETENTION_MICROS: At = 1_000_000;
+const RETENTION_MICROS: Micros = 1_000_000;
 
 impl InvariantChecker {
     /// Notes the Retry-After that the answer to a call carries, unless the sender's process has ended before.
-    pub(super) fn note_retry_after(&mut self, at: At, call: u64, until: Option<At>, heard: At) {
+    pub(super) fn note_retry_after(&mut self, at: Micros, call: u64, until: Option<Micros>, heard: Micros) {
         let (Some(known), Some(until)) = (self.calls.get(&call), until) else { return };
         let (sender, route) = (known.sender, known.route);
         if !self.receives_answer(sender, known.sent_at) {
--- a/crates/micadrum-testkit/src/invariants/state.rs
+++ b/crates/micadrum-testkit/src/invariants/state.rs
@@ -1,6 +1,6 @@
 //! What the checker knows of messages, calls, senders and destinations from the observations so far.
 use super::Invariant;
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::Class;
 use std::collections::BTreeSet;
 
@@ -22,22 +22,22 @@
     pub(super) class: Class,
     pub(super) sender: u32,
     pub(super) vehicle: Option<u32>,
-    pub(super) deadline: At,
+    pub(super) deadline: Micros,
     pub(super) acceptance: Acceptance,
     /// When the message ended: it was delivered, or a notification was acknowledged.
-    pub(super) ended_at: Option<At>,
+    pub(super) ended_at: Option<Micros>,
     /// Whether the message had not ended when it should have.
     pub(super) is_overdue: bool,
-    pub(super) notified_at: Option<At>,
+    pub(super) notified_at: Option<Micros>,
     pub(super) attempts: u32,
     /// Whether a process of its sender ended while the message was accepted, not ended and not tried.
     pub(super) was_left_untried: bool,
     /// When the first attempt that may have taken effect was sent.
-    pub(super) first_uncertain_attempt: Option<At>,
+    pub(super) first_uncertain_attempt: Option<Micros>,
     pub(super) effects: u32,
     /// The calls with the message that are in flight, the latest first.
     pub(super) calls: Vec<u64>,
-    pub(super) history: Vec<(At, String)>,
+    pub(super) history: Vec<(Micros, String)>,
 }
 
 impl Message {
@@ -55,7 +55,7 @@
         self.acceptance != Acceptance::Unknown
     }
 
-    pub(super) fn record(&mut self, at: At, text: String) {
+    pub(super) fn record(&mut self, at: Micros, text: String) {
         self.history.push((at, text));
     }
 }
@@ -64,7 +64,7 @@
 pub(super) struct Call {
     pub(super) sender: u32,
     pub(super) route: u32,
-    pub(super) sent_at: At,
+    pub(super) sent_at: Micros,
     /// Ids of its messages.
     pub(super) ids: Vec<String>,
     /// Attempts that must not have been sent before the end of this call.
@@ -77,18 +77,18 @@
     /// Id of the message that was sent.
     pub(super) id: String,
     /// When the attempt was sent.
-    pub(super) sent_at: At,
+    pub(super) sent_at: Micros,
 }
 
 /// A call that begins, as the endpoint sees it.
 pub(super) struct CallStart<'a> {
-    pub(super) at: At,
+    pub(super) at: Micros,
     pub(super) call: u64,
     pub(super) sender: u32,
     pub(super) endpoint: &'a str,
     pub(super) route: u32,
     pub(super) ids: &'a [String],
-    pub(super) sent_at: At,
+    pub(super) sent_at: Micros,
 }
 
 impl CallStart<'_> {
@@ -101,11 +101,11 @@
 #[derive(Default)]
 pub(super) struct Sender {
     /// When its latest restart began, until it is ready again.
-    pub(super) restarting_since: Option<At>,
+    pub(super) restarting_since: Option<Micros>,
     /// Until this time none of its messages is overdue.
-    pub(super) excused_until: At,
+    pub(super) excused_until: Micros,
     /// When its latest process ended.
-    pub(super) exited_at: Option<At>,
+    pub(super) exited_at: Option<Micros>,
     /// Whether its process was told to end.
     pub(super) is_shutdown_requested: bool,
 }
@@ -123,15 +123,15 @@
     /// The call that was answered with it.
     pub(super) call: u64,
     /// When it begins to bind.
-    pub(super) from: At,
+    pub(super) from: Micros,
     /// The time that it names.
-    pub(super) until: At,
+    pub(super) until: Micros,
 }
 
 /// A client's connection that ended without an answer.
 #[derive(Clone)]
 pub(super) struct UnansweredSubmission {
-    pub(super) at: At,
+    pub(super) at: Micros,
     pub(super) sender: u32,
     pub(super) id: String,
 }
--- a/crates/micadrum-testkit/src/invariants/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/tests.rs
@@ -3,18 +3,18 @@
 use crate::observation::{AttemptResult, SubmissionAnswer};
 use crate::plan::{Class, MAX_ATTEMPTS};
 
-const S: At = 1_000_000;
+const S: Micros = 1_000_000;
 
 /// What was seen of one day; each planted fault adds to it.
 #[derive(Default)]
 struct Day {
     judge: InvariantChecker,
-    now: At,
+    now: Micros,
     next_call: u64,
 }
 
 impl Day {
-    fn at(&mut self, at: At) -> &mut Self {
+    fn at(&mut self, at: Micros) -> &mut Self {
         assert!(at >= self.now, "observations come in order");
         self.now = at;
         self
@@ -37,7 +37,7 @@
         self.began_at(ids, 0, self.now)
     }
 
-    fn began_at(&mut self, ids: &[&str], sender: u32, sent_at: At) -> u64 {
+    fn began_at(&mut self, ids: &[&str], sender: u32, sent_at: Micros) -> u64 {
         let call = self.next_call;
         self.next_call += 1;
         let ids = ids.iter().map(|id| (*id).to_owned()).collect();
@@ -54,7 +54,7 @@
         call: u64,
         id: &str,
         end: AttemptResult,
-        retry_after: Option<At>,
+        retry_after: Option<Micros>,
     ) -> &mut Self {
         let (received_at, in_flight_until) = (self.now, self.now);
         self.see(Observation::CallAnswered {
@@ -75,7 +75,7 @@
         self.see(Observation::Notified { id: id.to_owned(), returned })
     }
 
-    fn restart(&mut self, from: At, ready: At) -> &mut Self {
+    fn restart(&mut self, from: Micros, ready: Micros) -> &mut Self {
         self.at(from)
             .see(Observation::ShutdownRequested { sender: 0, killed: true })
             .see(Observation::Exited { sender: 0, expected: true });
--- a/crates/micadrum-testkit/src/invariants/violation.rs
+++ b/crates/micadrum-testkit/src/invariants/violation.rs
@@ -1,5 +1,5 @@
 //! The invariants, and the verdict on a run.
-use crate::observation::At;
+use crate::observation::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -73,7 +73,7 @@
     /// The invariant.
     pub rule: Invariant,
     /// When it was violated, in microseconds from the start of the run.
-    pub at: At,
+    pub at: Micros,
     /// Id of the message, if the violation is about one.
     pub id: Option<String>,
     /// What happened.
--- a/crates/micadrum-testkit/src/observation.rs
+++ b/crates/micadrum-testkit/src/observation.rs
@@ -1,8 +1,8 @@
 //! What destinations, platform, clients and machines observe: all that the invariant checker goes by.
 use crate::plan::Class;
 
-/// A time in microseconds from the start of the run.
-pub type At = u64;
+/// Microseconds: a time since the start of the run, or a duration.
+pub type Micros = u64;
 
 /// How a call ended for one of its messages, as the endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
         /// The vehicle, if the class is delivered in order.
         vehicle: Option<u32>,
         /// Until when the message may be delivered.
-        deadline: At,
+        deadline: Micros,
     },
     /// A client got an answer to its submission, or gave up on it.
     Answered {
@@ -104,7 +104,7 @@
         /// Ids of the call's messages.
         ids: Vec<String>,
         /// When the sender sent the first byte.
-        sent_at: At,
+        sent_at: Micros,
     },
     /// A message took effect at a destination. A repeat that the destination dropped does not.
     TookEffect {
@@ -118,11 +118,11 @@
         /// The end of each message.
         ends: Vec<(String, AttemptResult)>,
         /// The time that a Retry-After in the answer names.
-        retry_after: Option<At>,
+        retry_after: Option<Micros>,
         /// When the sender receives the answer.
-        received_at: At,
+        received_at: Micros,
         /// Until when the call was in flight: until the answer arrived, or the sender closed the connection.
-        in_flight_until: At,
+        in_flight_until: Micros,
     },
     /// A sender had closed the connection of a call before the answer reached it, so it cannot know the answer.
     AnswerLost {
@@ -134,7 +134,7 @@
         /// Number of the call.
         call: u64,
         /// When the sender closed the connection.
-        closed_at: At,
+        closed_at: Micros,
     },
     /// The platform acknowledged the notification of a message's end.
     Notified {
@@ -148,14 +148,14 @@
         /// Number of the sender.
         sender: u32,
         /// When it resumes.
-        until: At,
+        until: Micros,
     },
     /// The platform acknowledges no notifications of a sender.
     NotificationsBlocked {
         /// Number of the sender.
         sender: u32,
         /// When the platform acknowledges notifications again.
-        until: At,
+        until: Micros,
     },
     /// An outage of a route began or ended.
     Outage {
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a run, as text and as JSON.
 use crate::history::History;
 use crate::invariants::{Invariant, Verdict, Violation, seconds};
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::{Arrival, Class, Plan, TENANTS};
 use crate::scenario::FaultKind;
 use crate::service_metrics::{Counts, Recorder, Service, WINDOW_MICROS};
@@ -64,7 +64,7 @@
     pub service_by_tenant: BTreeMap<&'static str, f64>,
     /// For each time at which power came back, in microseconds, how many seconds later service recovered.
     #[serde(rename = "well_after")]
-    pub recovery_after_power_loss: Vec<(At, Option<u64>)>,
+    pub recovery_after_power_loss: Vec<(Micros, Option<u64>)>,
     /// Service by window of 10 s.
     #[serde(rename = "by_10_s")]
     pub service_by_window: Vec<f64>,
@@ -87,7 +87,7 @@
     /// If senders form a membership: each time at which the fleet changed, and how long after it all views were right, in
     /// microseconds; none if the fleet changed again before that.
     #[serde(rename = "views_right", skip_serializing_if = "Vec::is_empty")]
-    pub convergence: Vec<(At, Option<At>)>,
+    pub convergence: Vec<(Micros, Option<Micros>)>,
 }
 
 /// The whole report.
@@ -213,7 +213,7 @@
     }
 
     fn convergence_line(&self) -> Option<String> {
-        let mut delays: Vec<At> = self.convergence.iter().filter_map(|(_, delay)| *delay).collect();
+        let mut delays: Vec<Micros> = self.convergence.iter().filter_map(|(_, delay)| *delay).collect();
         delays.sort_unstable();
         let (median, longest) = (delays.get(delays.len() / 2)?, delays.last()?);
         Some(format!(
@@ -260,7 +260,7 @@
     services.map(|(name, service)| (name, rounded(service.share()))).collect()
 }
 
-fn recovery_after_power_loss(plan: &Plan, recorder: &Recorder) -> Vec<(At, Option<u64>)> {
+fn recovery_after_power_loss(plan: &Plan, recorder: &Recorder) -> Vec<(Micros, Option<u64>)> {
     let power_losses = plan.faults.iter().filter(|fault| fault.kind == FaultKind::PowerLoss);
     power_losses.map(|fault| (fault.until.0, recorder.recovery_seconds(fault.until.0))).collect()
 }
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -1,13 +1,13 @@
 //! Processes the observations of a run: checks the invariants, and measures the service that clients got.
 use crate::history::History;
 use crate::invariants::{InvariantChecker, Verdict, look_at_views};
-use crate::observation::{At, AttemptResult, Observation, SubmissionAnswer};
+use crate::observation::{AttemptResult, Micros, Observation, SubmissionAnswer};
 use crate::plan::{AIM, Arrival, Class, LATE_WORTH, PlannedFault, TENANTS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
 /// Length of the windows by which service is reported, in microseconds.
-pub const WINDOW_MICROS: At = 10_000_000;
+pub const WINDOW_MICROS: Micros = 10_000_000;
 /// Maximum latency that is distinguished, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Significant digits of recorded latencies.
@@ -18,7 +18,7 @@
 const RECOVERED_SHARE: f64 = 0.9;
 /// ... in this many seconds in a row.
 const RECOVERED_SECONDS: usize = 2;
-const MICROS_PER_SECOND: At = 1_000_000;
+const MICROS_PER_SECOND: Micros = 1_000_000;
 
 /// The worth of messages that was submitted and delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -44,7 +44,7 @@
 struct Operation {
     class: Class,
     tenant: usize,
-    first_submitted: At,
+    first_submitted: Micros,
 }
 
 /// Counts of a run.
@@ -83,7 +83,7 @@
     operation_of_message: BTreeMap<String, u64>,
     operation_count: usize,
     /// When the run began.
-    started_at: Option<At>,
+    started_at: Option<Micros>,
     /// Service of the whole run.
     pub total: Service,
     /// Service by message class.
@@ -112,7 +112,7 @@
     }
 
     /// A client submits the message of an operation for the first time.
-    pub fn operation_submitted(&mut self, arrival: &Arrival, at: At) {
+    pub fn operation_submitted(&mut self, arrival: &Arrival, at: Micros) {
         self.operation_count += 1;
         self.started_at.get_or_insert(at.saturating_sub(arrival.at.0));
         let Arrival { class, tenant, number, .. } = *arrival;
@@ -123,7 +123,7 @@
     }
 
     /// Makes room for the window and the second of `at`.
-    fn grow_windows(&mut self, at: At) {
+    fn grow_windows(&mut self, at: Micros) {
         let windows = self.index(at, WINDOW_MICROS) + 1;
         if self.windows.len() < windows {
             self.windows.resize(windows, Service::default());
@@ -135,7 +135,7 @@
     }
 
     /// Returns the index of the period of the run that contains `at`.
-    fn index(&self, at: At, period: At) -> usize {
+    fn index(&self, at: Micros, period: Micros) -> usize {
         ((at - self.started_at.unwrap_or(0)) / period) as usize
     }
 
@@ -154,7 +154,7 @@
 
     /// Returns how many seconds after `at` service had recovered: messages first submitted in each of two seconds in a
     /// row got nine tenths of their worth. None if it did not recover.
-    pub fn recovery_seconds(&self, at: At) -> Option<u64> {
+    pub fn recovery_seconds(&self, at: Micros) -> Option<u64> {
         let first_second = at.div_ceil(MICROS_PER_SECOND) as usize;
         let seconds = self.seconds.get(first_second..)?;
         let delay = seconds.windows(RECOVERED_SECONDS).position(|row| row.iter().all(Service::has_recovered));
@@ -172,7 +172,7 @@
     }
 
     /// Processes one observation.
-    pub fn observe(&mut self, at: At, observation: &Observation) {
+    pub fn observe(&mut self, at: Micros, observation: &Observation) {
         self.checker.observe(at, observation);
         match observation {
             Observation::Submitted { id, operation, .. } => {
@@ -198,7 +198,7 @@
         self.operation_of_message.remove(id);
     }
 
-    fn replied(&mut self, at: At, ends: &[(String, AttemptResult)]) {
+    fn replied(&mut self, at: Micros, ends: &[(String, AttemptResult)]) {
         let has = |wanted: AttemptResult| ends.iter().any(|(_, end)| *end == wanted);
         if has(AttemptResult::Delivered) {
             self.counts.useful += 1;
@@ -221,7 +221,7 @@
         self.operation_of_message.remove(id);
     }
 
-    fn delivered(&mut self, at: At, id: &str) {
+    fn delivered(&mut self, at: Micros, id: &str) {
         let Some(number) = self.operation_of_message.remove(id) else { return };
         let Some(operation) = self.operations.remove(&number) else { return };
         let latency = at.saturating_sub(operation.first_submitted);
@@ -235,7 +235,7 @@
     }
 
     /// Returns the verdict once the run is over, including that on membership if `has_peers`.
-    pub fn verdict(&mut self, at: At, has_peers: bool) -> Verdict {
+    pub fn verdict(&mut self, at: Micros, has_peers: bool) -> Verdict {
         let mut verdict = std::mem::take(&mut self.checker).verdict(at);
         if has_peers {
             look_at_views(&self.history, at, &mut verdict);
@@ -245,7 +245,7 @@
 }
 
 /// Returns what a delivery is worth: 1 up to the latency objective, and linearly less up to the deadline.
-fn worth(class: Class, latency: At) -> f64 {
+fn worth(class: Class, latency: Micros) -> f64 {
     let late = latency.saturating_sub(AIM.0) as f64 / (class.deadline().0 - AIM.0) as f64;
     1.0 - (1.0 - LATE_WORTH) * late.min(1.0)
 }
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -2,7 +2,7 @@
 use super::World;
 use super::messages::{MessageOutcome, SubmittedMessage};
 use crate::http::HttpConnection;
-use crate::observation::{At, Observation, SubmissionAnswer};
+use crate::observation::{Micros, Observation, SubmissionAnswer};
 use crate::plan::{Arrival, SeededRng, TENANTS};
 use crate::test_network::Host;
 use std::cell::RefCell;
@@ -17,7 +17,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_RETRIES: usize = 2;
 /// A client does not submit a message that has less time left.
-const MIN_REMAINING_US: At = 500_000;
+const MIN_REMAINING_US: Micros = 500_000;
 /// Bounds of the delay before a retry.
 const MIN_RETRY_DELAY_SECONDS: f64 = 0.1;
 const MAX_RETRY_DELAY_SECONDS: f64 = 0.6;
@@ -41,7 +41,7 @@
 }
 
 /// Submits all messages of the plan, each at its time.
-pub(super) async fn submit_all(world: &Rc<World>, started_at: At) {
+pub(super) async fn submit_all(world: &Rc<World>, started_at: Micros) {
     let clients = Rc::new(Clients { idle: RefCell::default(), vehicle_locks: RefCell::default() });
     let plan = world.plan.clone();
     for arrival in plan.arrivals() {
@@ -81,7 +81,7 @@
     clients: &'a Clients,
     arrival: Arrival,
     random: SeededRng,
-    started_at: At,
+    started_at: Micros,
     body: Rc<[u8]>,
 }
 
@@ -168,7 +168,7 @@
     }
 
     /// Submits the operation once, as a message with a new id.
-    async fn submit(&mut self, remaining: At, resubmission: Option<Resubmission>) -> Submission {
+    async fn submit(&mut self, remaining: Micros, resubmission: Option<Resubmission>) -> Submission {
         let id = self.random.id();
         let has_duplicate = self.random.chance(DUPLICATE_SHARE);
         let duplicate_delay = self.random.between(MIN_DUPLICATE_DELAY_SECONDS, MAX_DUPLICATE_DELAY_SECONDS);
@@ -207,7 +207,7 @@
         }
     }
 
-    fn submitted(&self, id: &str, sender: u32, deadline: At) -> Observation {
+    fn submitted(&self, id: &str, sender: u32, deadline: Micros) -> Observation {
         Observation::Submitted {
             id: id.to_owned(),
             operation: self.arrival.number,
@@ -218,7 +218,7 @@
         }
     }
 
-    fn request_bytes(&self, id: &str, remaining: At, resubmission: Option<Resubmission>) -> Vec<u8> {
+    fn request_bytes(&self, id: &str, remaining: Micros, resubmission: Option<Resubmission>) -> Vec<u8> {
         let arrival = &self.arrival;
         let mut head = format!(
             "POST /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {id}\r\nX-Lane: {}\r\nX-Org: {}\r\n\
--- a/crates/micadrum-testkit/src/world/destination_model/condition.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/condition.rs
@@ -1,5 +1,5 @@
 //! The condition of an endpoint: what is wrong with it at a moment.
-use crate::observation::At;
+use crate::observation::Micros;
 
 /// A destination that fails a larger share of its calls counts as out of service, and cools down.
 const OUTAGE_ERROR_SHARE: f64 = 0.8;
@@ -10,11 +10,11 @@
     /// The endpoint takes calls and answers none.
     pub hangs: bool,
     /// Each answer comes this much later, in microseconds.
-    pub added_latency: At,
+    pub added_latency: Micros,
     /// The endpoint stands still from time to time.
     pub stall: Option<Stall>,
     /// The endpoint rejects all calls until this time.
-    pub unavailable_until: Option<At>,
+    pub unavailable_until: Option<Micros>,
     /// Share of the calls that are rejected.
     pub rejected_share: f64,
     /// Share of the calls that fail quickly.
@@ -35,11 +35,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
     /// Length of a pause.
-    pub pause: At,
+    pub pause: Micros,
     /// From the start of a pause to the start of the next.
-    pub period: At,
+    pub period: Micros,
     /// Start of the first pause.
-    pub from: At,
+    pub from: Micros,
 }
 
 impl Condition {
@@ -53,7 +53,7 @@
     }
 
     /// Returns when work that could start at `start` does start, given the pauses.
-    pub(super) fn after_stall(&self, start: At) -> At {
+    pub(super) fn after_stall(&self, start: Micros) -> Micros {
         let Some(stall) = self.stall else { return start };
         let Some(elapsed) = start.checked_sub(stall.from) else { return start };
         let into_period = elapsed % stall.period;
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -6,7 +6,7 @@
 pub use condition::{Condition, Stall};
 pub use route::{Collapse, LoadReport};
 
-use crate::observation::{At, AttemptResult};
+use crate::observation::{AttemptResult, Micros};
 use crate::plan::{Class, Destination, KEY_WINDOW, Kind, Limit, SeededRng};
 use route::{LIMIT_WINDOW_US, Route};
 use std::collections::{BTreeMap, VecDeque};
@@ -17,9 +17,9 @@
 const MIN_RETRY_AFTER_US: f64 = 250e3;
 const MAX_RETRY_AFTER_US: f64 = 750e3;
 /// A Retry-After is given in whole milliseconds.
-const RETRY_AFTER_STEP_US: At = 1_000;
+const RETRY_AFTER_STEP_US: Micros = 1_000;
 /// A call that fails quickly does so after this.
-const ERROR_LATENCY_US: At = 2_000;
+const ERROR_LATENCY_US: Micros = 2_000;
 /// Share of the calls without an answer of success that take effect all the same.
 const EFFECT_WITHOUT_SUCCESS_SHARE: f64 = 0.5;
 /// Share of the corrupted answers that are noise from the first byte.
@@ -32,7 +32,7 @@
 /// A cold route works at least at this share of its speed.
 const MIN_SPEED: f64 = 0.05;
 /// Keys are remembered for this long after their window has closed.
-const KEY_RETENTION_US: At = 60_000_000;
+const KEY_RETENTION_US: Micros = 60_000_000;
 
 /// How an answer reaches the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,13 +53,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallOutcome {
     /// When the answer is written.
-    pub answer_at: At,
+    pub answer_at: Micros,
     /// The result of each message.
     pub ends: Vec<AttemptResult>,
     /// Whether each message takes effect when the answer is due.
     pub effects: Vec<bool>,
     /// The Retry-After of the answer.
-    pub retry_after: Option<At>,
+    pub retry_after: Option<Micros>,
     /// How the answer is delivered.
     pub delivery: Delivery,
     /// The collapse of the route, if this call caused it.
@@ -77,9 +77,9 @@
 /// A call whose last byte has arrived at an endpoint.
 pub struct IncomingCall<'a> {
     /// When the last byte arrived.
-    pub received_at: At,
+    pub received_at: Micros,
     /// When the sender began to send: the deduplication window runs from there, the only time that the sender knows.
-    pub sent_at: At,
+    pub sent_at: Micros,
     /// The sender's number.
     pub sender: u32,
     /// The endpoint's number.
@@ -103,7 +103,7 @@
         }
     }
 
-    fn rejected(&self, retry_after: Option<At>) -> CallOutcome {
+    fn rejected(&self, retry_after: Option<Micros>) -> CallOutcome {
         CallOutcome { retry_after, ..self.without_effect(AttemptResult::Overloaded) }
     }
 }
@@ -111,12 +111,12 @@
 struct EndpointSlots {
     route: usize,
     /// When each slot is free again.
-    free_at: Vec<At>,
+    free_at: Vec<Micros>,
 }
 
 /// An idempotency key that took effect, and when its deduplication window closes.
 struct KeyExpiry {
-    closes_at: At,
+    closes_at: Micros,
     key: String,
 }
 
@@ -129,7 +129,7 @@
     routes: Vec<Route>,
     endpoints: BTreeMap<u32, EndpointSlots>,
     /// Keys that took effect, and until when a repeated message is dropped.
-    keys: BTreeMap<String, At>,
+    keys: BTreeMap<String, Micros>,
     key_expiries: VecDeque<KeyExpiry>,
     random: SeededRng,
 }
@@ -164,7 +164,7 @@
     }
 
     /// Records the beginning or end of a route's outage, and returns whether that is a change.
-    pub fn set_outage(&mut self, route: usize, outage: bool, now: At) -> bool {
+    pub fn set_outage(&mut self, route: usize, outage: bool, now: Micros) -> bool {
         self.routes[route].set_outage(outage, now)
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Returns what an answer of this endpoint reports of its limit.
-    pub fn load_report(&mut self, endpoint: u32, now: At) -> LoadReport {
+    pub fn load_report(&mut self, endpoint: u32, now: Micros) -> LoadReport {
         let route = self.route_of(endpoint);
         self.routes[route].load_report(now)
     }
@@ -217,11 +217,11 @@
     }
 
     /// Draws a Retry-After: to the end of the limit's window, or by chance where the limit has none.
-    fn draw_retry_after(&mut self, now: At) -> At {
+    fn draw_retry_after(&mut self, now: Micros) -> Micros {
         let wait = if self.has_window_limit {
             LIMIT_WINDOW_US - now % LIMIT_WINDOW_US
         } else {
-            self.random.between(MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US) as At
+            self.random.between(MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US) as Micros
         };
         wait.next_multiple_of(RETRY_AFTER_STEP_US)
     }
@@ -236,14 +236,14 @@
     }
 
     /// Assigns the call to a slot of its endpoint, and returns when its answer is due.
-    fn schedule(&mut self, route: usize, call: &IncomingCall<'_>) -> Result<At, Unscheduled> {
+    fn schedule(&mut self, route: usize, call: &IncomingCall<'_>) -> Result<Micros, Unscheduled> {
         let now = call.received_at;
         let speed = self.routes[route].warmth(now).max(MIN_SPEED);
         let further_messages = call.messages.len() as f64 - 1.0;
         let factor = self.random.between(MIN_SERVICE_FACTOR, MAX_SERVICE_FACTOR)
             * (1.0 + SERVICE_PER_FURTHER_MESSAGE * further_messages);
-        let work = (self.service_time_us * factor / speed) as At;
-        let max_start = now + (QUEUED_PER_SERVED as f64 * self.service_time_us / speed) as At;
+        let work = (self.service_time_us * factor / speed) as Micros;
+        let max_start = now + (QUEUED_PER_SERVED as f64 * self.service_time_us / speed) as Micros;
         let endpoint = self.endpoints.get_mut(&call.endpoint).ok_or(Unscheduled::UnknownEndpoint)?;
         let first_free = endpoint.free_at.iter_mut().min().filter(|free_at| **free_at <= max_start);
         let slot = first_free.ok_or(Unscheduled::QueueFull)?;
@@ -251,7 +251,7 @@
         Ok(*slot + call.condition.added_latency)
     }
 
-    fn answer(&mut self, answer_at: At, call: &IncomingCall<'_>) -> CallOutcome {
+    fn answer(&mut self, answer_at: Micros, call: &IncomingCall<'_>) -> CallOutcome {
         let delivery = self.draw_delivery(call.condition);
         // A call that hangs has often run all the same.
         let runs = delivery != Delivery::Never || self.random.chance(EFFECT_WITHOUT_SUCCESS_SHARE);
@@ -284,7 +284,7 @@
     }
 
     /// Remembers the key of a message, and returns false where the message is a duplicate that is dropped.
-    fn record_unless_duplicate(&mut self, sent_at: At, message: &CallMessage<'_>) -> bool {
+    fn record_unless_duplicate(&mut self, sent_at: Micros, message: &CallMessage<'_>) -> bool {
         while let Some(expiry) = self.key_expiries.front()
             && expiry.closes_at + KEY_RETENTION_US < sent_at
         {
--- a/crates/micadrum-testkit/src/world/destination_model/route.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/route.rs
@@ -1,17 +1,17 @@
 //! A route of a destination: its limit, and its capacity while it is warming up after an outage.
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::{COLD_SHARE, FALL, Limit, OVERLOAD_FACTOR, RAMP};
 use std::collections::VecDeque;
 
 /// Length of the window of a limit that counts calls.
-pub(super) const LIMIT_WINDOW_US: At = 2_000_000;
+pub(super) const LIMIT_WINDOW_US: Micros = 2_000_000;
 /// Standard deviations that chance is allowed beyond the overload factor before a cold route collapses, for arrivals that
 /// come independently at the highest rate that the route sustains: sustained overload exceeds that, a burst does not.
 const COLLAPSE_TOLERANCE_SIGMAS: f64 = 3.0;
 /// A route that was out for less does not cool down; the shortest outage on record lasted 6.3 s.
-const MIN_COOLING_OUTAGE_US: At = 6_000_000;
+const MIN_COOLING_OUTAGE_US: Micros = 6_000_000;
 /// Load reports are computed anew at this interval.
-const REPORT_INTERVAL_US: At = 300_000;
+const REPORT_INTERVAL_US: Micros = 300_000;
 /// Tokens that a rate limit can accumulate at least.
 const MIN_BURST: f64 = 2.0;
 
@@ -34,20 +34,20 @@
 }
 
 struct RecentCall {
-    at: At,
+    at: Micros,
     sender: u32,
 }
 
 /// Calls that were counted in one window of a limit.
 #[derive(Default)]
 struct WindowCount {
-    window: At,
+    window: Micros,
     calls: u32,
 }
 
 /// The share of the limit that was left when a load report was last computed.
 struct ReportedShare {
-    at: At,
+    at: Micros,
     remaining_share: f64,
 }
 
@@ -59,11 +59,11 @@
     /// Share of the limit that applies at present.
     limit_share: f64,
     tokens: f64,
-    tokens_updated_at: At,
+    tokens_updated_at: Micros,
     window: WindowCount,
-    outage_since: Option<At>,
+    outage_since: Option<Micros>,
     /// When the route last came back cold.
-    slow_start_since: Option<At>,
+    slow_start_since: Option<Micros>,
     collapsed: bool,
     recent_calls: VecDeque<RecentCall>,
     last_report: ReportedShare,
@@ -96,7 +96,7 @@
     }
 
     /// Records the beginning or end of an outage, and returns whether that is a change.
-    pub(super) fn set_outage(&mut self, outage: bool, now: At) -> bool {
+    pub(super) fn set_outage(&mut self, outage: bool, now: Micros) -> bool {
         if outage {
             let began = self.outage_since.is_none();
             self.outage_since.get_or_insert(now);
@@ -117,7 +117,7 @@
     }
 
     /// Returns the share of its capacity that the route has: less than 1 while it is cold.
-    pub(super) fn warmth(&self, now: At) -> f64 {
+    pub(super) fn warmth(&self, now: Micros) -> f64 {
         let Some(slow_start_since) = self.slow_start_since else { return 1.0 };
         let ramp_share = now.saturating_sub(slow_start_since) as f64 / RAMP.0 as f64;
         (COLD_SHARE + (1.0 - COLD_SHARE) * ramp_share).min(1.0)
@@ -132,7 +132,7 @@
     }
 
     /// Counts one more call at `now`, and returns whether it is within the limit.
-    pub(super) fn admits(&mut self, now: At) -> bool {
+    pub(super) fn admits(&mut self, now: Micros) -> bool {
         match self.current_limit() {
             Limit::None => true,
             Limit::Rate(rate) => self.take_token(now, rate),
@@ -147,7 +147,7 @@
         }
     }
 
-    fn take_token(&mut self, now: At, rate: f64) -> bool {
+    fn take_token(&mut self, now: Micros, rate: f64) -> bool {
         let elapsed_seconds = now.saturating_sub(self.tokens_updated_at) as f64 / 1e6;
         self.tokens = (self.tokens + elapsed_seconds * rate).min(rate.max(MIN_BURST));
         self.tokens_updated_at = now;
@@ -159,7 +159,7 @@
     }
 
     /// Returns what an answer written at `now` reports of the limit.
-    pub(super) fn load_report(&mut self, now: At) -> LoadReport {
+    pub(super) fn load_report(&mut self, now: Micros) -> LoadReport {
         let current = self.current_load(now);
         if now >= self.last_report.at + REPORT_INTERVAL_US {
             self.last_report = ReportedShare { at: now, remaining_share: current.remaining_share };
@@ -167,7 +167,7 @@
         LoadReport { remaining_share: self.last_report.remaining_share, ..current }
     }
 
-    fn current_load(&self, now: At) -> LoadReport {
+    fn current_load(&self, now: Micros) -> LoadReport {
         match self.current_limit() {
             Limit::None => LoadReport { remaining_share: 1.0, limit_per_second: 0.0 },
             Limit::Rate(rate) => LoadReport {
@@ -186,7 +186,7 @@
     }
 
     /// Records a call of a sender. Returns the collapse of the route, if this call caused it.
-    pub(super) fn record_call(&mut self, now: At, sender: u32) -> Option<Collapse> {
+    pub(super) fn record_call(&mut self, now: Micros, sender: u32) -> Option<Collapse> {
         self.recent_calls.push_back(RecentCall { at: now, sender });
         while self.recent_calls.front().is_some_and(|call| call.at + FALL.0 < now) {
             self.recent_calls.pop_front();
--- a/crates/micadrum-testkit/src/world/destination_model/tests.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::plan::EndpointPlan;
 
-const S: At = 1_000_000;
+const S: Micros = 1_000_000;
 
 fn destination(limit: Limit, capacity: f64) -> DestinationModel {
     let endpoint = EndpointPlan { number: 3, id: "s-3".to_owned(), building: 0, slots: 4 };
@@ -18,7 +18,7 @@
     DestinationModel::new(&destination, 7)
 }
 
-fn call(model: &mut DestinationModel, at: At, key: &str) -> CallOutcome {
+fn call(model: &mut DestinationModel, at: Micros, key: &str) -> CallOutcome {
     let messages = [CallMessage { class: Class::TripRecord, key }];
     model.call(&IncomingCall {
         received_at: at,
@@ -50,7 +50,7 @@
 #[test]
 fn a_limit_that_falls_is_told_and_kept_to() {
     let mut model = destination(Limit::Rate(20.0), 100.0);
-    let taken = |model: &mut DestinationModel, from: At| {
+    let taken = |model: &mut DestinationModel, from: Micros| {
         let calls = (0..100).map(|n| call(model, from + n * S / 50, &format!("{from} {n}")));
         calls.filter(|outcome| outcome.ends == [AttemptResult::Delivered]).count()
     };
@@ -77,7 +77,7 @@
 /// Guards against a cold partner that bears anything, or that chance alone pushes over.
 #[test]
 fn a_cold_partner_falls_when_pushed() {
-    let pushed = |rate: u64, outage: At| {
+    let pushed = |rate: u64, outage: Micros| {
         let mut model = destination(Limit::None, 100.0);
         assert!(model.set_outage(0, true, 10 * S) && !model.set_outage(0, true, 10 * S));
         assert!(model.set_outage(0, false, 10 * S + outage));
--- a/crates/micadrum-testkit/src/world/endpoints/call.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -1,7 +1,7 @@
 //! A call to an endpoint: read, decided by the destination's model, and answered.
 use super::{is_mute, wait_for_state};
 use crate::http::{HttpConnection, Message, answer};
-use crate::observation::{At, AttemptResult, Observation};
+use crate::observation::{AttemptResult, Micros, Observation};
 use crate::plan::Class;
 use crate::world::destination_model::{CallMessage, CallOutcome, Collapse, Delivery, IncomingCall};
 use crate::world::messages::MessageOutcome;
@@ -84,7 +84,7 @@
 /// What happens first to a call that is being processed.
 enum CallEvent {
     AnswerDue,
-    ConnectionClosed { closed_at: At },
+    ConnectionClosed { closed_at: Micros },
     ProcessDown,
 }
 
@@ -188,10 +188,10 @@
         world: &World,
         http: &HttpConnection,
         ends: Vec<(String, AttemptResult)>,
-        retry_after: Option<At>,
-    ) -> At {
+        retry_after: Option<Micros>,
+    ) -> Micros {
         let now = world.now();
-        let received_at = now + http.delay().as_micros() as At;
+        let received_at = now + http.delay().as_micros() as Micros;
         // The sender may have ended the call before, with that still on its way.
         let in_flight_until = http.closed_at().map_or(now, |ended| world.timestamp(ended).min(now));
         world.observe(Observation::CallAnswered {
@@ -206,7 +206,7 @@
 
     /// Waits until a Retry-After has arrived, and records where the sender did not receive it. Nothing else comes on
     /// this connection before that.
-    async fn watch_delivery(&self, world: &World, http: &HttpConnection, received_at: At) {
+    async fn watch_delivery(&self, world: &World, http: &HttpConnection, received_at: Micros) {
         world.wait_until(received_at).await;
         if http.closed_at().is_some_and(|ended| world.timestamp(ended) < received_at) {
             world.observe(Observation::AnswerLost { call: self.number });
@@ -265,7 +265,7 @@
     world: &World,
     endpoint: &EndpointState,
     sender: u32,
-    sent_at: At,
+    sent_at: Micros,
     identified: &[IdentifiedMessage],
 ) -> CallOutcome {
     let messages: Vec<_> =
@@ -282,7 +282,7 @@
 
 /// Returns the identity of the endpoint that the sender meant: the previous one, if it was not informed of the present
 /// one when it sent the call.
-fn identity_for(world: &World, endpoint: &EndpointState, sender: u32, sent: At) -> EndpointIdentity {
+fn identity_for(world: &World, endpoint: &EndpointState, sender: u32, sent: Micros) -> EndpointIdentity {
     match &endpoint.previous {
         Some(previous) if !world.agents[sender as usize].is_informed(&endpoint.id, sent) => previous.clone(),
         _ => EndpointIdentity { id: endpoint.id.clone(), route: endpoint.route },
--- a/crates/micadrum-testkit/src/world/faults/discovery_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/discovery_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the platform: the endpoint list lags, stays silent, moves or names endpoints that do not exist, and
 //! notifications are not acknowledged.
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::world::{NonexistentEndpoint, World, platform};
 use std::cell::Cell;
@@ -11,7 +11,7 @@
 const ID_DIGITS: usize = 8;
 
 /// Leaves the notifications of senders unacknowledged until `until`.
-pub(super) fn ignore_notifications(world: &World, fault: &PlannedFault, until: At) {
+pub(super) fn ignore_notifications(world: &World, fault: &PlannedFault, until: Micros) {
     for sender in &fault.senders {
         extend(&world.agents[*sender as usize].notifications_ignored_until, until);
         world.observe(Observation::NotificationsBlocked { sender: *sender, until });
@@ -19,18 +19,18 @@
 }
 
 /// Lets discovery answer nothing until `until`.
-pub(super) fn silence(world: &World, fault: &PlannedFault, until: At) {
+pub(super) fn silence(world: &World, fault: &PlannedFault, until: Micros) {
     for sender in &fault.senders {
         extend(&world.agents[*sender as usize].silent_until, until);
     }
 }
 
-fn extend(end: &Cell<At>, until: At) {
+fn extend(end: &Cell<Micros>, until: Micros) {
     end.set(end.get().max(until));
 }
 
 /// Delays each new endpoint list.
-pub(super) async fn lag(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn lag(world: &World, fault: &PlannedFault, until: Micros) {
     let lag = Duration::from_micros(fault.delay.0);
     world.list_lag.set(world.list_lag.get() + lag);
     world.wait_until(until).await;
@@ -38,7 +38,7 @@
 }
 
 /// Lists endpoints that do not exist, one for each endpoint of the fault.
-pub(super) async fn list_nonexistent_endpoints(world: &Rc<World>, fault: &PlannedFault, until: At) {
+pub(super) async fn list_nonexistent_endpoints(world: &Rc<World>, fault: &PlannedFault, until: Micros) {
     let mut random = SeededRng::new(world.plan.seed, &format!("ghosts {}", fault.from));
     let mut nonexistent = |endpoint: &u32| NonexistentEndpoint {
         destination: world.endpoints.borrow()[*endpoint as usize].destination,
--- a/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
@@ -1,5 +1,5 @@
 //! Faults of the destinations' endpoints: degraded service, lower limits, new addresses and ids, and drains.
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::FaultKind;
 use crate::world::destination_model::{Condition, Stall};
@@ -14,13 +14,13 @@
 const ID_DIGITS: usize = 8;
 
 /// Degrades the service of endpoints from now to the fault's end.
-pub(super) async fn degrade(world: &World, fault: &PlannedFault, started_at: At) {
+pub(super) async fn degrade(world: &World, fault: &PlannedFault, started_at: Micros) {
     change_condition(world, fault, |condition| apply(condition, fault, started_at));
     world.wait_until(started_at + fault.until.0).await;
     change_condition(world, fault, |condition| clear(condition, fault));
 }
 
-fn apply(condition: &mut Condition, fault: &PlannedFault, started_at: At) {
+fn apply(condition: &mut Condition, fault: &PlannedFault, started_at: Micros) {
     match fault.kind {
         FaultKind::Hang => condition.hangs = true,
         FaultKind::Late => condition.added_latency = fault.delay.0,
@@ -83,7 +83,7 @@
 }
 
 /// Lowers the limits of endpoints until `until`.
-pub(super) async fn lower_limit(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn lower_limit(world: &World, fault: &PlannedFault, until: Micros) {
     set_limit_share(world, fault, fault.calls);
     world.wait_until(until).await;
     set_limit_share(world, fault, 1.0);
--- a/crates/micadrum-testkit/src/world/faults/mod.rs
+++ b/crates/micadrum-testkit/src/world/faults/mod.rs
@@ -4,7 +4,7 @@
 mod sender_faults;
 
 use super::World;
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::PlannedFault;
 use crate::scenario::FaultKind;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 
 /// Schedules all faults of the plan, each at its time after `started_at`.
-pub(super) fn schedule(world: &Rc<World>, started_at: At) {
+pub(super) fn schedule(world: &Rc<World>, started_at: Micros) {
     for fault in world.plan.faults.clone() {
         let world = world.clone();
         spawn_local(async move {
@@ -23,7 +23,7 @@
 }
 
 /// Injects one fault, and returns once it is over.
-async fn inject(world: &Rc<World>, fault: &PlannedFault, started_at: At) {
+async fn inject(world: &Rc<World>, fault: &PlannedFault, started_at: Micros) {
     let until = started_at + fault.until.0;
     match fault.kind {
         FaultKind::Restart => sender_faults::restart(world, fault).await,
@@ -67,7 +67,7 @@
 
 /// Slows, holds or drops what passes between zones. Without control of the links the report says that the fault was
 /// not played.
-async fn zone_links(world: &World, fault: &PlannedFault, until: At) {
+async fn zone_links(world: &World, fault: &PlannedFault, until: Micros) {
     let Some(links) = world.fleet.links() else {
         world.recorder().not_played(fault);
         return;
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of the senders: their processes, machines, disks, and the links between them.
 use super::endpoint_faults;
 use crate::history::HistoryEvent;
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, FolderKept, How};
 use crate::world::World;
@@ -23,7 +23,7 @@
 }
 
 /// Cuts the power of senders, and of the destinations' machines in the same zone.
-pub(super) async fn power_loss(world: &World, fault: &PlannedFault, started_at: At) {
+pub(super) async fn power_loss(world: &World, fault: &PlannedFault, started_at: Micros) {
     let mut random = SeededRng::new(world.plan.seed, &format!("power back after {}", fault.from));
     for sender in &fault.senders {
         let recovery = draw_recovery(&mut random, fault, *sender);
@@ -59,7 +59,7 @@
 }
 
 /// Fills the disks of senders until `until`.
-pub(super) async fn disk_full(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn disk_full(world: &World, fault: &PlannedFault, until: Micros) {
     for sender in &fault.senders {
         if !world.fleet.fill_disk(*sender, true) {
             world.recorder().not_played(fault);
@@ -73,7 +73,7 @@
 }
 
 /// Lets syncs of the senders' disks fail, hang or do nothing until `until`.
-pub(super) async fn disk_sync(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn disk_sync(world: &World, fault: &PlannedFault, until: Micros) {
     let behavior = match fault.kind {
         FaultKind::SyncFails => SyncBehavior::Fail,
         FaultKind::SyncHangs => SyncBehavior::Hang,
@@ -90,7 +90,7 @@
 }
 
 /// Makes system calls of senders fail until `until`.
-pub(super) async fn system_calls(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn system_calls(world: &World, fault: &PlannedFault, until: Micros) {
     let set_all =
         |fails| fault.senders.iter().all(|sender| world.fleet.set_system_fault(*sender, fault, fails));
     if !set_all(true) {
@@ -112,7 +112,7 @@
 }
 
 /// Applies a fault to the links between senders, and cuts their links to destinations where the fault says so.
-pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: Micros) {
     world.link_faults.borrow_mut().begin_fault(fault);
     record(world, fault, true);
     if fault.from_partners {
@@ -140,7 +140,7 @@
 }
 
 /// Suspends the processes of senders until `until`.
-pub(super) async fn pause(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn pause(world: &World, fault: &PlannedFault, until: Micros) {
     for sender in &fault.senders {
         world.observe(Observation::Paused { sender: *sender, until });
     }
--- a/crates/micadrum-testkit/src/world/messages.rs
+++ b/crates/micadrum-testkit/src/world/messages.rs
@@ -1,5 +1,5 @@
 //! The messages that clients have submitted, as destinations and clients know them.
-use crate::observation::At;
+use crate::observation::Micros;
 use crate::plan::Class;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 /// A message is remembered for this long after its deadline.
-const RETENTION_AFTER_DEADLINE_US: At = 70_000_000;
+const RETENTION_AFTER_DEADLINE_US: Micros = 70_000_000;
 
 /// The outcome of a message, as its client learns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 }
 
 struct Expiry {
-    at: At,
+    at: Micros,
     id: String,
 }
 
@@ -54,7 +54,7 @@
 
 impl SubmittedMessages {
     /// Adds a message, and forgets those that have expired.
-    pub(super) fn add(&mut self, now: At, id: String, message: SubmittedMessage) {
+    pub(super) fn add(&mut self, now: Micros, id: String, message: SubmittedMessage) {
         while let Some(expiry) = self.expiries.front()
             && expiry.at < now
         {
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::history::{History, HistoryEvent};
 use crate::link_faults::LinkFaults;
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::plan::{Class, Plan};
 use crate::service_metrics::Recorder;
 use crate::test_network::{Host, TestNetwork};
@@ -27,9 +27,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-const MINUTE_US: At = 60_000_000;
+const MINUTE_US: Micros = 60_000_000;
 /// A run goes on for this long after the longest deadline, as a restart may still be under way.
-const MARGIN_AFTER_DEADLINE_US: At = 5_000_000;
+const MARGIN_AFTER_DEADLINE_US: Micros = 5_000_000;
 
 /// An endpoint in its present state.
 pub struct EndpointState {
@@ -97,7 +97,7 @@
     revision: Cell<u64>,
     list_lag: Cell<Duration>,
     /// When discovery will have answered all requests that are queued.
-    discovery_idle_at: Cell<At>,
+    discovery_idle_at: Cell<Micros>,
     next_call: Cell<u64>,
     next_route: Cell<u32>,
 }
@@ -160,15 +160,15 @@
     }
 
     /// Returns the time since the start of the world, in microseconds.
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Micros {
         self.timestamp(Instant::now())
     }
 
-    fn timestamp(&self, instant: Instant) -> At {
-        instant.saturating_duration_since(self.start).as_micros() as At
+    fn timestamp(&self, instant: Instant) -> Micros {
+        instant.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    async fn wait_until(&self, time: At) {
+    async fn wait_until(&self, time: Micros) {
         sleep_until(self.start + Duration::from_micros(time)).await;
     }
 
@@ -292,7 +292,7 @@
 }
 
 /// Reads the status of senders at the times that the scenario names.
-fn schedule_admin_snapshots(world: &Rc<World>, started_at: At) {
+fn schedule_admin_snapshots(world: &Rc<World>, started_at: Micros) {
     for look in world.plan.scenario.look.clone() {
         let world = world.clone();
         spawn_local(async move {
--- a/crates/micadrum-testkit/src/world/platform/agent.rs
+++ b/crates/micadrum-testkit/src/world/platform/agent.rs
@@ -1,5 +1,5 @@
 //! The state of the discovery agent on one sender's machine.
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::test_network::{Host, TestListener, TestNetwork};
 use crate::world::World;
 use serde_json::{Value, json};
@@ -55,25 +55,25 @@
     pub(super) revision_base: Cell<u64>,
     /// The latest revision that the sender was given.
     pub(super) delivered_revision: Cell<u64>,
-    pub(super) last_request_at: Cell<At>,
+    pub(super) last_request_at: Cell<Micros>,
     pub(super) last_request_failed: Cell<bool>,
-    pub(super) last_answer_at: Cell<At>,
+    pub(super) last_answer_at: Cell<Micros>,
     /// Counts the processes of the sender: the answers to an earlier one are dropped.
     pub(super) process_generation: Cell<u32>,
     /// Requests of the sender that wait for a new revision.
     pub(super) pending_watches: Cell<usize>,
     /// The sender does not count as informed before this time.
-    pub(super) not_informed_before: Cell<At>,
+    pub(super) not_informed_before: Cell<Micros>,
     pub(super) received: RefCell<ReceivedList>,
     pub(super) changed: Notify,
     /// The ids that the sender was informed of, and since when.
-    informed_since: RefCell<BTreeMap<String, At>>,
+    informed_since: RefCell<BTreeMap<String, Micros>>,
     /// The endpoints that were in service by the latest list that the sender was given.
     serving: RefCell<BTreeSet<String>>,
     /// Discovery answers nothing until this time.
-    pub(in crate::world) silent_until: Cell<At>,
+    pub(in crate::world) silent_until: Cell<Micros>,
     /// No notification is acknowledged until this time.
-    pub(in crate::world) notifications_ignored_until: Cell<At>,
+    pub(in crate::world) notifications_ignored_until: Cell<Micros>,
 }
 
 impl Agent {
@@ -106,7 +106,7 @@
     }
 
     /// Resets what depends on the sender's process, as one has ended or begins: it has sent no request yet.
-    pub(in crate::world) fn reset_for_process(&self, now: At) {
+    pub(in crate::world) fn reset_for_process(&self, now: Micros) {
         self.process_generation.set(self.process_generation.get() + 1);
         self.last_request_at.set(now);
         self.last_answer_at.set(0);
@@ -122,7 +122,7 @@
     }
 
     /// Returns whether the sender was informed of an endpoint's id when it sent something.
-    pub(in crate::world) fn is_informed(&self, id: &str, sent_at: At) -> bool {
+    pub(in crate::world) fn is_informed(&self, id: &str, sent_at: Micros) -> bool {
         self.informed_since.borrow().get(id).is_some_and(|since| *since <= sent_at)
     }
 
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -7,7 +7,7 @@
 use super::World;
 use super::messages::MessageOutcome;
 use crate::http::{HttpConnection, Message, answer};
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::plan::{MUST_ASK_IN, SeededRng};
 use crate::scenario::Discovery;
 use crate::test_network::{Host, TestConnection};
@@ -21,15 +21,15 @@
 use tokio::time::{sleep, timeout};
 
 /// A watch goes on if the next request arrives within this after the last answer.
-const WATCH_GAP_US: At = 200_000;
+const WATCH_GAP_US: Micros = 200_000;
 /// A sender that watches counts as informed this long after its agent has received a list.
 const WATCH_DELIVERY_DELAY: Duration = Duration::from_millis(250);
 /// A sender counts as informed by its new agent this long after it was given the agent's address.
-const AGENT_MOVE_GRACE_US: At = 4_000_000;
+const AGENT_MOVE_GRACE_US: Micros = 4_000_000;
 /// Discovery rejects a request whose answer would take longer.
-const MAX_DISCOVERY_QUEUE_US: At = 2_000_000;
+const MAX_DISCOVERY_QUEUE_US: Micros = 2_000_000;
 /// A sender that polls may take this many times as long after a failed request.
-const FAILED_POLL_FACTOR: At = 4;
+const FAILED_POLL_FACTOR: Micros = 4;
 
 #[derive(Deserialize)]
 struct Notification {
@@ -197,7 +197,7 @@
     let (Some(requests_per_second), false) = (world.plan.scenario.discovery_bears, continues) else {
         return QueueExit::Served;
     };
-    let service_us = (1e6 / requests_per_second.0) as At;
+    let service_us = (1e6 / requests_per_second.0) as Micros;
     let served_at = world.discovery_idle_at.get().max(world.now()) + service_us;
     if served_at > world.now() + MAX_DISCOVERY_QUEUE_US {
         agent.last_request_failed.set(true);
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -7,7 +7,7 @@
 use super::{World, platform};
 use crate::history::HistoryEvent;
 use crate::http::HttpConnection;
-use crate::observation::{At, Observation};
+use crate::observation::{Micros, Observation};
 use crate::plan::SeededRng;
 use crate::scenario::{FolderKept, How, Where};
 use crate::test_network::Host;
@@ -42,7 +42,7 @@
     lost_machines: Cell<u32>,
     is_accepting: Cell<bool>,
     /// Since when the sender has been down.
-    down_since: Cell<Option<At>>,
+    down_since: Cell<Option<Micros>>,
     commands: RefCell<Option<UnboundedSender<SenderCommand>>>,
 }
 
