--- a/crates/micadrum-testkit/src/invariants/messages.rs
+++ b/crates/micadrum-testkit/src/invariants/messages.rs
@@ -1,12 +1,14 @@
 //! Messages, from their first submission until they are forgotten.
 use super::state::{Acceptance, Message, UnansweredSubmission};
 use super::{Invariant, InvariantChecker};
-use crate::observation::{At, Seen, Told};
+use crate::observation::{Micros, Observation, SubmissionAnswer};
 
 impl InvariantChecker {
     /// A client submits a message.
-    pub(super) fn submitted(&mut self, at: At, seen: &Seen) {
-        let Seen::HandedIn { id, operation, sender, class, vehicle, deadline } = seen else { return };
+    pub(super) fn submitted(&mut self, at: Micros, observation: &Observation) {
+        let Observation::Submitted { id, operation, sender, class, vehicle, deadline } = observation else {
+            return;
+        };
         let text = format!("handed in to sender {sender} (operation {operation}, {})", class.name());
         if let Some(known) = self.messages.get_mut(id) {
             // The same id once more: the first submission counts.
@@ -36,26 +38,28 @@
     }
 
     /// A client got an answer to its submission, or gave up on it.
-    pub(super) fn answered(&mut self, at: At, id: &str, told: Told) {
+    pub(super) fn answered(&mut self, at: Micros, id: &str, answer: SubmissionAnswer) {
         let Some(message) = self.messages.get_mut(id) else { return };
-        message.record(at, format!("its client heard {told:?}"));
+        message.record(at, format!("its client heard {answer:?}"));
         // If the id was submitted again, the first answer counts.
         if message.acceptance != Acceptance::Pending {
             return;
         }
-        message.acceptance = match told {
-            Told::TakenOn => Acceptance::Accepted,
-            Told::Refused => Acceptance::Rejected,
-            Told::Failed | Told::Nothing | Told::Cut => Acceptance::Unknown,
+        message.acceptance = match answer {
+            SubmissionAnswer::Accepted => Acceptance::Accepted,
+            SubmissionAnswer::Rejected => Acceptance::Rejected,
+            SubmissionAnswer::Failed | SubmissionAnswer::TimedOut | SubmissionAnswer::ConnectionClosed => {
+                Acceptance::Unknown
+            }
         };
         let (sender, is_sent) = (message.sender, message.attempts > 0);
-        match told {
-            Told::Cut => {
+        match answer {
+            SubmissionAnswer::ConnectionClosed => {
                 let submission = UnansweredSubmission { at, sender, id: id.to_owned() };
                 self.unanswered_submissions.push_back(submission);
             }
-            Told::TakenOn => self.verdict.accepted += 1,
-            Told::Refused if is_sent => {
+            SubmissionAnswer::Accepted => self.verdict.accepted += 1,
+            SubmissionAnswer::Rejected if is_sent => {
                 self.report(Invariant::SentAfterEnd, at, Some(id), "it was sent and refused".to_owned());
             }
             _ => {}
@@ -63,7 +67,7 @@
     }
 
     /// The platform has acknowledged the notification that a message failed, or is returned.
-    pub(super) fn notified(&mut self, at: At, id: &str, is_returned: bool) {
+    pub(super) fn notified(&mut self, at: Micros, id: &str, is_returned: bool) {
         let Some(message) = self.messages.get_mut(id) else { return };
         let outcome = if is_returned { "returned" } else { "failed" };
         message.record(at, format!("noticed as {outcome}"));
--- a/crates/micadrum-testkit/src/invariants/mod.rs
+++ b/crates/micadrum-testkit/src/invariants/mod.rs
@@ -22,85 +22,87 @@
 pub use membership_views::look_at_views;
 pub use violation::{Invariant, Verdict, Violation};
 
-use crate::observation::{At, Seen};
+use crate::observation::{Micros, Observation};
 use state::{Call, CallStart, Message, Outage, RetryAfter, Sender, UnansweredSubmission};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Tolerance of time limits in live runs, in microseconds.
-const TOLERANCE_MICROS: At = 50_000;
+const TOLERANCE_MICROS: Micros = 50_000;
 /// A message may end this long after its deadline, in microseconds.
-const COMPLETION_SLACK_MICROS: At = 300_000;
+const COMPLETION_SLACK_MICROS: Micros = 300_000;
 /// After a restart, no message is overdue until this long after the sender is ready again, in microseconds.
-const READY_SLACK_MICROS: At = 1_500_000;
+const READY_SLACK_MICROS: Micros = 1_500_000;
 
 /// Checks the observations of one run.
 #[derive(Default)]
 pub struct InvariantChecker {
     messages: BTreeMap<String, Message>,
     /// When messages are to be checked for their end, with their ids.
-    completion_checks: BTreeSet<(At, String)>,
+    completion_checks: BTreeSet<(Micros, String)>,
     calls: BTreeMap<u64, Call>,
     /// Ids of the messages of each sender and ordering key, in the order of their submission.
     ordering_keys: BTreeMap<(u32, u32), VecDeque<String>>,
     senders: BTreeMap<u32, Sender>,
     /// When a sender was told that an endpoint is not in service.
-    unlisted_since: BTreeMap<(u32, String), At>,
-    /// By sender and line.
+    unlisted_since: BTreeMap<(u32, String), Micros>,
+    /// By sender and route.
     retry_after: BTreeMap<(u32, u32), Vec<RetryAfter>>,
-    /// By line.
+    /// By route.
     outages: BTreeMap<u32, Outage>,
     /// Those whose sender's process may still be seen to have ended.
     unanswered_submissions: VecDeque<UnansweredSubmission>,
     /// Calls whose process has ended, with the time at which it did.
-    orphaned_calls: VecDeque<(At, u64)>,
+    orphaned_calls: VecDeque<(Micros, u64)>,
     verdict: Verdict,
 }
 
 impl InvariantChecker {
     /// Checks one observation.
-    pub fn see(&mut self, at: At, seen: &Seen) {
+    pub fn observe(&mut self, at: Micros, observation: &Observation) {
         self.run_due_checks(at);
-        match seen {
-            Seen::HandedIn { .. } => self.submitted(at, seen),
-            Seen::Answered { id, told } => self.answered(at, id, *told),
-            Seen::Ran { id } => self.took_effect(at, id),
-            Seen::Noticed { id, returned } => self.notified(at, id, *returned),
-            Seen::Began { call, sender, endpoint, line, ids, sent } => {
-                let (call, sender, line, sent) = (*call, *sender, *line, *sent);
-                self.call_began(&CallStart { at, call, sender, endpoint, line, ids, sent });
+        match observation {
+            Observation::Submitted { .. } => self.submitted(at, observation),
+            Observation::Answered { id, answer } => self.answered(at, id, *answer),
+            Observation::TookEffect { id } => self.took_effect(at, id),
+            Observation::Notified { id, returned } => self.notified(at, id, *returned),
+            Observation::CallBegan { call, sender, endpoint, route, ids, sent_at } => {
+                let (call, sender, route, sent_at) = (*call, *sender, *route, *sent_at);
+                self.call_began(&CallStart { at, call, sender, endpoint, route, ids, sent_at });
             }
-            Seen::Replied { call, ends, wait, heard, out_until } => {
+            Observation::CallAnswered { call, ends, retry_after, received_at, in_flight_until } => {
                 self.replied(at, *call, ends);
-                self.note_retry_after(at, *call, *wait, *heard);
-                self.call_ended(at, *call, *out_until);
+                self.note_retry_after(at, *call, *retry_after, *received_at);
+                self.call_ended(at, *call, *in_flight_until);
             }
             // No call that the wait would bind can have come yet: it binds those sent after the answer is heard.
-            Seen::Unheard { call } => self.forget_retry_after(*call),
-            Seen::Closed { call, sent } => self.closed(at, *call, *sent),
-            _ => self.see_environment(at, seen),
+            Observation::AnswerLost { call } => self.forget_retry_after(*call),
+            Observation::CallClosed { call, closed_at } => self.closed(at, *call, *closed_at),
+            _ => self.observe_environment(at, observation),
         }
     }
 
     /// Checks an observation of processes, discovery or destinations.
-    fn see_environment(&mut self, at: At, seen: &Seen) {
-        match seen {
-            Seen::Ready { sender } => self.ready(at, *sender),
-            Seen::Ending { sender, .. } => self.shutdown_requested(at, *sender),
-            Seen::Exited { sender, asked } => self.exited(at, *sender, *asked),
-            Seen::MachineLost { sender } => self.machine_lost(at, *sender),
-            Seen::Deaf { sender, until } | Seen::Paused { sender, until } => self.excuse(*sender, *until),
-            Seen::Listed { sender, endpoint, serving } => self.listed(at, *sender, endpoint, *serving),
-            Seen::Outage { line, began } => self.outage(*line, *began),
-            Seen::Fell { line, senders, budget, endpoint } => {
-                self.overloaded(at, *line, senders, *budget, endpoint);
+    fn observe_environment(&mut self, at: Micros, observation: &Observation) {
+        match observation {
+            Observation::Ready { sender } => self.ready(at, *sender),
+            Observation::ShutdownRequested { sender, .. } => self.shutdown_requested(at, *sender),
+            Observation::Exited { sender, expected } => self.exited(at, *sender, *expected),
+            Observation::MachineLost { sender } => self.machine_lost(at, *sender),
+            Observation::NotificationsBlocked { sender, until } | Observation::Paused { sender, until } => {
+                self.excuse(*sender, *until)
+            }
+            Observation::Listed { sender, endpoint, serving } => self.listed(at, *sender, endpoint, *serving),
+            Observation::Outage { route, began } => self.outage(*route, *began),
+            Observation::Overloaded { route, senders, budget, endpoint } => {
+                self.overloaded(at, *route, senders, *budget, endpoint);
             }
             _ => {}
         }
     }
 
     /// Returns the verdict once the run is over: all accepted messages must have ended by now.
-    pub fn verdict(mut self, at: At) -> Verdict {
-        self.run_due_checks(At::MAX);
+    pub fn verdict(mut self, at: Micros) -> Verdict {
+        self.run_due_checks(Micros::MAX);
         let open: Vec<u64> = self.calls.keys().copied().collect();
         for call in open {
             self.closed(at, call, at);
@@ -108,26 +110,26 @@
         self.verdict
     }
 
-    fn run_due_checks(&mut self, now: At) {
+    fn run_due_checks(&mut self, now: Micros) {
         self.check_due_messages(now);
         self.check_unanswered_submissions(now);
         self.end_orphaned_calls(now);
     }
 
     /// Records a violation of an invariant, with the history of the message that it is about.
-    fn report(&mut self, rule: Invariant, at: At, id: Option<&str>, what: String) {
+    fn report(&mut self, rule: Invariant, at: Micros, id: Option<&str>, what: String) {
         let history = id.map_or(Vec::new(), |id| self.history(id));
         self.verdict.add(Violation { rule, at, id: id.map(str::to_owned), what, history });
     }
 
     fn history(&self, id: &str) -> Vec<String> {
-        let line = |(at, text): &(At, String)| format!("{} {text}", seconds(*at));
+        let line = |(at, text): &(Micros, String)| format!("{} {text}", seconds(*at));
         self.messages.get(id).map_or(Vec::new(), |message| message.history.iter().map(line).collect())
     }
 }
 
 /// Formats a time in seconds, to the millisecond.
-pub fn seconds(at: At) -> String {
+pub fn seconds(at: Micros) -> String {
     format!("{}.{:03}", at / 1_000_000, at / 1_000 % 1_000)
 }
 
--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -1,8 +1,8 @@
 //! The clients: gantry, billing and account programs that submit messages as the protocol describes.
 use super::World;
 use super::messages::{MessageOutcome, SubmittedMessage};
-use crate::http::Conversation;
-use crate::observation::{At, Seen, Told};
+use crate::http::HttpConnection;
+use crate::observation::{Micros, Observation, SubmissionAnswer};
 use crate::plan::{Arrival, SeededRng, TENANTS};
 use crate::test_network::Host;
 use std::cell::RefCell;
@@ -17,7 +17,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_RETRIES: usize = 2;
 /// A client does not submit a message that has less time left.
-const MIN_REMAINING_US: At = 500_000;
+const MIN_REMAINING_US: Micros = 500_000;
 /// Bounds of the delay before a retry.
 const MIN_RETRY_DELAY_SECONDS: f64 = 0.1;
 const MAX_RETRY_DELAY_SECONDS: f64 = 0.6;
@@ -35,13 +35,13 @@
 /// The state that the clients share.
 struct Clients {
     /// Open connections that are not in use, by sender.
-    idle: RefCell<BTreeMap<u32, Vec<Conversation>>>,
+    idle: RefCell<BTreeMap<u32, Vec<HttpConnection>>>,
     /// Held while a message of a vehicle is being submitted.
     vehicle_locks: RefCell<BTreeMap<u32, Rc<Mutex<()>>>>,
 }
 
 /// Submits all messages of the plan, each at its time.
-pub(super) async fn submit_all(world: &Rc<World>, started_at: At) {
+pub(super) async fn submit_all(world: &Rc<World>, started_at: Micros) {
     let clients = Rc::new(Clients { idle: RefCell::default(), vehicle_locks: RefCell::default() });
     let plan = world.plan.clone();
     for arrival in plan.arrivals() {
@@ -71,7 +71,7 @@
 
 /// The response to a submission, and the channel on which the outcome of the message follows.
 struct Submission {
-    response: Told,
+    response: SubmissionAnswer,
     outcome: oneshot::Receiver<MessageOutcome>,
 }
 
@@ -81,7 +81,7 @@
     clients: &'a Clients,
     arrival: Arrival,
     random: SeededRng,
-    started_at: At,
+    started_at: Micros,
     body: Rc<[u8]>,
 }
 
@@ -91,7 +91,7 @@
         let mut body = format!("{:016x}", arrival.number).into_bytes();
         body.resize(arrival.body, b'.');
         let started_at = world.now();
-        world.recorder().offered(&arrival, started_at);
+        world.recorder().operation_submitted(&arrival, started_at);
         Self { world, clients, arrival, random, started_at, body: body.into() }
     }
 
@@ -134,16 +134,16 @@
     /// Waits until the operation may be submitted again; `None` where it is not.
     async fn wait_for_retry(&mut self, submission: Submission) -> Option<Resubmission> {
         match submission.response {
-            Told::TakenOn => self.wait_for_outcome(submission.outcome).await,
-            Told::Refused => {
+            SubmissionAnswer::Accepted => self.wait_for_outcome(submission.outcome).await,
+            SubmissionAnswer::Rejected => {
                 sleep(self.retry_delay()).await;
                 Some(Resubmission::NotExecuted)
             }
-            Told::Nothing | Told::Cut => {
+            SubmissionAnswer::TimedOut | SubmissionAnswer::ConnectionClosed => {
                 sleep(self.retry_delay()).await;
                 Some(Resubmission::Uncertain)
             }
-            Told::Failed => None,
+            SubmissionAnswer::Failed => None,
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Submits the operation once, as a message with a new id.
-    async fn submit(&mut self, remaining: At, resubmission: Option<Resubmission>) -> Submission {
+    async fn submit(&mut self, remaining: Micros, resubmission: Option<Resubmission>) -> Submission {
         let id = self.random.id();
         let has_duplicate = self.random.chance(DUPLICATE_SHARE);
         let duplicate_delay = self.random.between(MIN_DUPLICATE_DELAY_SECONDS, MAX_DUPLICATE_DELAY_SECONDS);
@@ -176,19 +176,19 @@
         let (listener, outcome) = oneshot::channel();
         let number = self.arrival.vehicle.map_or(number, u64::from);
         let Some(sender) = self.world.select_sender(number) else {
-            return Submission { response: Told::Refused, outcome };
+            return Submission { response: SubmissionAnswer::Rejected, outcome };
         };
         let request = self.request_bytes(&id, remaining, resubmission);
         let now = self.world.now();
         self.world.messages.borrow_mut().add(now, id.clone(), self.message(sender, listener));
         let Some(connection) = self.clients.connection(self.world, sender).await else {
-            return Submission { response: Told::Refused, outcome };
+            return Submission { response: SubmissionAnswer::Rejected, outcome };
         };
         let submitted = || self.submitted(&id, sender, now + remaining);
         self.world.observe(submitted());
         let response = self.send_with_retry(sender, connection, &request).await;
-        self.world.observe(Seen::Answered { id: id.clone(), told: response });
-        if has_duplicate && response == Told::TakenOn {
+        self.world.observe(Observation::Answered { id: id.clone(), answer: response });
+        if has_duplicate && response == SubmissionAnswer::Accepted {
             let delay = Duration::from_secs_f64(duplicate_delay);
             schedule_duplicate(self.world.clone(), sender, delay, request, submitted());
         }
@@ -207,8 +207,8 @@
         }
     }
 
-    fn submitted(&self, id: &str, sender: u32, deadline: At) -> Seen {
-        Seen::HandedIn {
+    fn submitted(&self, id: &str, sender: u32, deadline: Micros) -> Observation {
+        Observation::Submitted {
             id: id.to_owned(),
             operation: self.arrival.number,
             sender,
@@ -218,7 +218,7 @@
         }
     }
 
-    fn request_bytes(&self, id: &str, remaining: At, resubmission: Option<Resubmission>) -> Vec<u8> {
+    fn request_bytes(&self, id: &str, remaining: Micros, resubmission: Option<Resubmission>) -> Vec<u8> {
         let arrival = &self.arrival;
         let mut head = format!(
             "POST /api HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {id}\r\nX-Lane: {}\r\nX-Org: {}\r\n\
@@ -243,9 +243,14 @@
     }
 
     /// Sends a request, and once more on a new connection where a reused one was closed between two requests.
-    async fn send_with_retry(&self, sender: u32, mut connection: ClientConnection, request: &[u8]) -> Told {
+    async fn send_with_retry(
+        &self,
+        sender: u32,
+        mut connection: ClientConnection,
+        request: &[u8],
+    ) -> SubmissionAnswer {
         let mut response = self.send(sender, &mut connection, request).await;
-        if response == Told::Cut
+        if response == SubmissionAnswer::ConnectionClosed
             && connection.is_reused
             && let Some(new) = self.clients.new_connection(self.world, sender).await
         {
@@ -256,32 +261,38 @@
         response
     }
 
-    async fn send(&self, sender: u32, connection: &mut ClientConnection, request: &[u8]) -> Told {
-        let conversation = &mut connection.conversation;
+    async fn send(&self, sender: u32, connection: &mut ClientConnection, request: &[u8]) -> SubmissionAnswer {
+        let http = &mut connection.http;
         let exchange = async {
-            conversation.write(request).await.ok()?;
-            conversation.read(true).await.ok().flatten()
+            http.write(request).await.ok()?;
+            http.read(true).await.ok().flatten()
         };
         let answer = timeout(REQUEST_TIMEOUT, exchange).await;
         connection.is_reusable = false;
         let answer = match answer {
             Ok(Some(answer)) => answer,
-            Ok(None) => return Told::Cut,
-            Err(_) => return Told::Nothing,
+            Ok(None) => return SubmissionAnswer::ConnectionClosed,
+            Err(_) => return SubmissionAnswer::TimedOut,
         };
         let is_accepting = self.world.senders[sender as usize].is_accepting();
         connection.is_reusable = answer.field("connection") != Some("close") && is_accepting;
         match answer.status {
-            200 | 202 => Told::TakenOn,
-            429 | 503 => Told::Refused,
-            _ => Told::Failed,
+            200 | 202 => SubmissionAnswer::Accepted,
+            429 | 503 => SubmissionAnswer::Rejected,
+            _ => SubmissionAnswer::Failed,
         }
     }
 }
 
 /// Submits the same message under the same id once more after a delay, as a client that was restarted does, unless the
 /// machine of the sender is lost before. The sender owes nothing new for it.
-fn schedule_duplicate(world: Rc<World>, sender: u32, delay: Duration, request: Vec<u8>, submitted: Seen) {
+fn schedule_duplicate(
+    world: Rc<World>,
+    sender: u32,
+    delay: Duration,
+    request: Vec<u8>,
+    submitted: Observation,
+) {
     let lost_machines = world.senders[sender as usize].lost_machines();
     spawn_local(async move {
         sleep(delay).await;
@@ -291,24 +302,24 @@
     });
 }
 
-async fn submit_duplicate(world: &Rc<World>, sender: u32, request: &[u8], submitted: Seen) {
-    let Seen::HandedIn { deadline, .. } = submitted else { return };
+async fn submit_duplicate(world: &Rc<World>, sender: u32, request: &[u8], submitted: Observation) {
+    let Observation::Submitted { deadline, .. } = submitted else { return };
     let Some(address) = world.senders[sender as usize].address() else { return };
     if world.now() + MIN_REMAINING_US > deadline {
         return;
     }
     let connected = timeout(REQUEST_TIMEOUT, world.network.connect(Host::Sender(sender), address)).await;
     let Ok(Ok(connection)) = connected else { return };
-    let mut conversation = Conversation::new(connection);
+    let mut http = HttpConnection::new(connection);
     world.observe(submitted);
-    if conversation.write(request).await.is_ok() {
-        let _ = timeout(REQUEST_TIMEOUT, conversation.read(true)).await;
+    if http.write(request).await.is_ok() {
+        let _ = timeout(REQUEST_TIMEOUT, http.read(true)).await;
     }
 }
 
 /// A client's connection to a sender.
 struct ClientConnection {
-    conversation: Conversation,
+    http: HttpConnection,
     is_reused: bool,
     is_reusable: bool,
 }
@@ -330,9 +341,9 @@
     async fn connection(&self, world: &World, sender: u32) -> Option<ClientConnection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&sender).and_then(Vec::pop);
-            let Some(mut conversation) = idle else { return self.new_connection(world, sender).await };
-            if !conversation.is_over().await {
-                return Some(ClientConnection { conversation, is_reused: true, is_reusable: false });
+            let Some(mut http) = idle else { return self.new_connection(world, sender).await };
+            if !http.is_closed().await {
+                return Some(ClientConnection { http, is_reused: true, is_reusable: false });
             }
         }
     }
@@ -341,8 +352,8 @@
         let address = world.senders[sender as usize].address()?;
         let connecting = world.network.connect(Host::Sender(sender), address);
         let connection = timeout(REQUEST_TIMEOUT, connecting).await.ok()?.ok()?;
-        let conversation = Conversation::new(connection);
-        Some(ClientConnection { conversation, is_reused: false, is_reusable: false })
+        let http = HttpConnection::new(connection);
+        Some(ClientConnection { http, is_reused: false, is_reusable: false })
     }
 
     /// Returns a connection to the idle ones, if it can be used again and there are not too many.
@@ -350,7 +361,7 @@
         let mut idle = self.idle.borrow_mut();
         let of_sender = idle.entry(sender).or_default();
         if connection.is_reusable && of_sender.len() < MAX_IDLE_CONNECTIONS {
-            of_sender.push(connection.conversation);
+            of_sender.push(connection.http);
         }
     }
 }
--- a/crates/micadrum-testkit/src/world/endpoints/call.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -1,7 +1,7 @@
 //! A call to an endpoint: read, decided by the destination's model, and answered.
 use super::{is_mute, wait_for_state};
-use crate::http::{Conversation, Message, answer};
-use crate::observation::{At, MessageEnd, Seen};
+use crate::http::{HttpConnection, Message, answer};
+use crate::observation::{AttemptResult, Micros, Observation};
 use crate::plan::Class;
 use crate::world::destination_model::{CallMessage, CallOutcome, Collapse, Delivery, IncomingCall};
 use crate::world::messages::MessageOutcome;
@@ -84,7 +84,7 @@
 /// What happens first to a call that is being processed.
 enum CallEvent {
     AnswerDue,
-    ConnectionClosed { sent: At },
+    ConnectionClosed { closed_at: Micros },
     ProcessDown,
 }
 
@@ -98,43 +98,45 @@
         let state = &world.endpoints.borrow()[endpoint];
         let identified: Vec<_> =
             received.into_iter().map(|received| received.identify(world, state.destination)).collect();
-        let sent = world.timestamp(message.first_sent);
-        let outcome = decide(world, state, sender, sent, &identified);
-        let EndpointIdentity { id, route } = identity_for(world, state, sender, sent);
+        let sent_at = world.timestamp(message.first_sent_at);
+        let outcome = decide(world, state, sender, sent_at, &identified);
+        let EndpointIdentity { id, route } = identity_for(world, state, sender, sent_at);
         let ids: Vec<_> = identified.into_iter().map(|message| message.id).collect();
-        let began =
-            Seen::Began { call: number, sender, endpoint: id.clone(), line: route, ids: ids.clone(), sent };
+        let began = Observation::CallBegan {
+            call: number,
+            sender,
+            endpoint: id.clone(),
+            route,
+            ids: ids.clone(),
+            sent_at,
+        };
         world.observe(began);
         if let Some(Collapse { senders, budget }) = outcome.collapse.clone() {
-            world.observe(Seen::Fell { line: route, senders, budget, endpoint: id });
+            world.observe(Observation::Overloaded { route, senders, budget, endpoint: id });
         }
         Some(Self { number, endpoint, ids, is_batch, outcome })
     }
 
     /// Processes the call and answers it as the model decided. Returns the connection, if it can carry another call.
-    pub(super) async fn serve(
-        self,
-        world: &Rc<World>,
-        mut conversation: Conversation,
-    ) -> Option<Conversation> {
+    pub(super) async fn serve(self, world: &Rc<World>, mut http: HttpConnection) -> Option<HttpConnection> {
         let event = tokio::select! {
             biased;
             () = wait_for_state(world, self.endpoint, |endpoint| endpoint.condition.process_down) => {
                 CallEvent::ProcessDown
             }
             () = world.wait_until(self.outcome.answer_at) => CallEvent::AnswerDue,
-            closed = conversation.ended() => CallEvent::ConnectionClosed { sent: world.timestamp(closed) },
+            closed = http.wait_for_close() => CallEvent::ConnectionClosed { closed_at: world.timestamp(closed) },
         };
         match event {
-            CallEvent::AnswerDue => self.answer(world, conversation).await,
-            CallEvent::ConnectionClosed { sent } => {
-                world.observe(Seen::Closed { call: self.number, sent });
+            CallEvent::AnswerDue => self.answer(world, http).await,
+            CallEvent::ConnectionClosed { closed_at } => {
+                world.observe(Observation::CallClosed { call: self.number, closed_at });
                 self.run_on(world.clone());
                 None
             }
             CallEvent::ProcessDown => {
-                let ends = self.ids.iter().map(|id| (id.clone(), MessageEnd::Spoilt)).collect();
-                self.observe_reply(world, &conversation, ends, None);
+                let ends = self.ids.iter().map(|id| (id.clone(), AttemptResult::Corrupted)).collect();
+                self.observe_reply(world, &http, ends, None);
                 None
             }
         }
@@ -149,34 +151,34 @@
     }
 
     /// Answers the call. Returns the connection, if it can carry another call.
-    async fn answer(self, world: &Rc<World>, mut conversation: Conversation) -> Option<Conversation> {
+    async fn answer(self, world: &Rc<World>, mut http: HttpConnection) -> Option<HttpConnection> {
         self.take_effect(world);
         let is_mute = is_mute(world, &world.endpoints.borrow()[self.endpoint]);
         if is_mute || self.outcome.delivery == Delivery::Never {
-            let sent = world.timestamp(conversation.ended().await);
-            world.observe(Seen::Closed { call: self.number, sent });
+            let closed_at = world.timestamp(http.wait_for_close().await);
+            world.observe(Observation::CallClosed { call: self.number, closed_at });
             return None;
         }
         let now = world.now();
         let ends: Vec<_> = self.ids.iter().cloned().zip(self.outcome.ends.iter().copied()).collect();
         // A Retry-After that is written while the link is cut reaches nobody.
-        let retry_after = self.outcome.retry_after.filter(|_| conversation.arrives()).map(|wait| now + wait);
-        let heard = self.observe_reply(world, &conversation, ends.clone(), retry_after);
+        let retry_after = self.outcome.retry_after.filter(|_| http.reaches_peer()).map(|wait| now + wait);
+        let received_at = self.observe_reply(world, &http, ends.clone(), retry_after);
         for (id, end) in ends {
-            if end == MessageEnd::Ok {
+            if end == AttemptResult::Delivered {
                 world.messages.borrow_mut().complete(&id, MessageOutcome::Delivered);
             }
         }
         let bytes = self.answer_bytes(world)?;
-        conversation.write(&bytes).await.ok()?;
+        http.write(&bytes).await.ok()?;
         if retry_after.is_some() {
-            self.watch_delivery(world, &conversation, heard).await;
+            self.watch_delivery(world, &http, received_at).await;
         }
         if self.outcome.delivery == Delivery::Complete {
-            return Some(conversation);
+            return Some(http);
         }
         // The connection is of no further use, and stays open until the sender ends it.
-        conversation.ended().await;
+        http.wait_for_close().await;
         None
     }
 
@@ -184,31 +186,37 @@
     fn observe_reply(
         &self,
         world: &World,
-        conversation: &Conversation,
-        ends: Vec<(String, MessageEnd)>,
-        retry_after: Option<At>,
-    ) -> At {
+        http: &HttpConnection,
+        ends: Vec<(String, AttemptResult)>,
+        retry_after: Option<Micros>,
+    ) -> Micros {
         let now = world.now();
-        let heard = now + conversation.delay().as_micros() as At;
+        let received_at = now + http.delay().as_micros() as Micros;
         // The sender may have ended the call before, with that still on its way.
-        let out_until = conversation.ended_at().map_or(now, |ended| world.timestamp(ended).min(now));
-        world.observe(Seen::Replied { call: self.number, ends, wait: retry_after, heard, out_until });
-        heard
+        let in_flight_until = http.closed_at().map_or(now, |ended| world.timestamp(ended).min(now));
+        world.observe(Observation::CallAnswered {
+            call: self.number,
+            ends,
+            retry_after,
+            received_at,
+            in_flight_until,
+        });
+        received_at
     }
 
     /// Waits until a Retry-After has arrived, and records where the sender did not receive it. Nothing else comes on
     /// this connection before that.
-    async fn watch_delivery(&self, world: &World, conversation: &Conversation, heard: At) {
-        world.wait_until(heard).await;
-        if conversation.ended_at().is_some_and(|ended| world.timestamp(ended) < heard) {
-            world.observe(Seen::Unheard { call: self.number });
+    async fn watch_delivery(&self, world: &World, http: &HttpConnection, received_at: Micros) {
+        world.wait_until(received_at).await;
+        if http.closed_at().is_some_and(|ended| world.timestamp(ended) < received_at) {
+            world.observe(Observation::AnswerLost { call: self.number });
         }
     }
 
     fn take_effect(&self, world: &World) {
         for (id, effect) in self.ids.iter().zip(&self.outcome.effects) {
             if *effect {
-                world.observe(Seen::Ran { id: id.clone() });
+                world.observe(Observation::TookEffect { id: id.clone() });
             }
         }
     }
@@ -226,11 +234,11 @@
     fn answer_text(&self, world: &World) -> Vec<u8> {
         let fields = self.answer_fields(world);
         match self.outcome.ends.first() {
-            Some(MessageEnd::Full) if self.outcome.retry_after.is_some() => {
+            Some(AttemptResult::Overloaded) if self.outcome.retry_after.is_some() => {
                 answer("429 Too Many Requests", &fields, "")
             }
-            Some(MessageEnd::Full) => answer("503 Service Unavailable", &fields, ""),
-            Some(MessageEnd::Error) => answer("500 Internal Server Error", &fields, ""),
+            Some(AttemptResult::Overloaded) => answer("503 Service Unavailable", &fields, ""),
+            Some(AttemptResult::Failed) => answer("500 Internal Server Error", &fields, ""),
             _ if self.is_batch => {
                 let states: Vec<_> = self.ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
                 answer("200 OK", &fields, &json!(states).to_string())
@@ -257,7 +265,7 @@
     world: &World,
     endpoint: &EndpointState,
     sender: u32,
-    sent_at: At,
+    sent_at: Micros,
     identified: &[IdentifiedMessage],
 ) -> CallOutcome {
     let messages: Vec<_> =
@@ -274,7 +282,7 @@
 
 /// Returns the identity of the endpoint that the sender meant: the previous one, if it was not informed of the present
 /// one when it sent the call.
-fn identity_for(world: &World, endpoint: &EndpointState, sender: u32, sent: At) -> EndpointIdentity {
+fn identity_for(world: &World, endpoint: &EndpointState, sender: u32, sent: Micros) -> EndpointIdentity {
     match &endpoint.previous {
         Some(previous) if !world.agents[sender as usize].is_informed(&endpoint.id, sent) => previous.clone(),
         _ => EndpointIdentity { id: endpoint.id.clone(), route: endpoint.route },
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of the senders: their processes, machines, disks, and the links between them.
 use super::endpoint_faults;
-use crate::history::What;
-use crate::observation::{At, Seen};
+use crate::history::HistoryEvent;
+use crate::observation::{Micros, Observation};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::{FaultKind, FolderContent, StopMethod};
 use crate::world::World;
@@ -23,7 +23,7 @@
 }
 
 /// Cuts the power of senders, and of the destinations' machines in the same zone.
-pub(super) async fn power_loss(world: &World, fault: &PlannedFault, started_at: At) {
+pub(super) async fn power_loss(world: &World, fault: &PlannedFault, started_at: Micros) {
     let mut random = SeededRng::new(world.plan.seed, &format!("power back after {}", fault.from));
     for sender in &fault.senders {
         let recovery = draw_recovery(&mut random, fault, *sender);
@@ -64,7 +64,7 @@
 }
 
 /// Fills the disks of senders until `until`.
-pub(super) async fn disk_full(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn disk_full(world: &World, fault: &PlannedFault, until: Micros) {
     for sender in &fault.senders {
         if !world.fleet.fill_disk(*sender, true) {
             world.recorder().not_played(fault);
@@ -78,7 +78,7 @@
 }
 
 /// Lets syncs of the senders' disks fail, hang or do nothing until `until`.
-pub(super) async fn disk_sync(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn disk_sync(world: &World, fault: &PlannedFault, until: Micros) {
     let behavior = match fault.kind {
         FaultKind::SyncFails => SyncBehavior::Fail,
         FaultKind::SyncHangs => SyncBehavior::Hang,
@@ -95,7 +95,7 @@
 }
 
 /// Makes system calls of senders fail until `until`.
-pub(super) async fn system_calls(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn system_calls(world: &World, fault: &PlannedFault, until: Micros) {
     let set_all =
         |fails| fault.senders.iter().all(|sender| world.fleet.set_system_fault(*sender, fault, fails));
     if !set_all(true) {
@@ -117,7 +117,7 @@
 }
 
 /// Applies a fault to the links between senders, and cuts their links to destinations where the fault says so.
-pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: Micros) {
     world.link_faults.borrow_mut().begin_fault(fault);
     record(world, fault, true);
     if fault.cuts_destinations {
@@ -141,13 +141,13 @@
 
 /// Writes into the history of each sender that a fault begins or ends.
 fn record(world: &World, fault: &PlannedFault, began: bool) {
-    fault.senders.iter().for_each(|sender| world.record(*sender, What::Struck(began)));
+    fault.senders.iter().for_each(|sender| world.record(*sender, HistoryEvent::Struck(began)));
 }
 
 /// Suspends the processes of senders until `until`.
-pub(super) async fn pause(world: &World, fault: &PlannedFault, until: At) {
+pub(super) async fn pause(world: &World, fault: &PlannedFault, until: Micros) {
     for sender in &fault.senders {
-        world.observe(Seen::Paused { sender: *sender, until });
+        world.observe(Observation::Paused { sender: *sender, until });
     }
     set_paused(world, fault, true);
     world.wait_until(until).await;
@@ -157,6 +157,6 @@
 fn set_paused(world: &World, fault: &PlannedFault, paused: bool) {
     for sender in &fault.senders {
         world.fleet.pause(*sender, paused);
-        world.record(*sender, What::Struck(paused));
+        world.record(*sender, HistoryEvent::Struck(paused));
     }
 }
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -9,9 +9,9 @@
 mod sender_config;
 pub mod senders;
 
-use crate::history::{History, What};
+use crate::history::{History, HistoryEvent};
 use crate::link_faults::LinkFaults;
-use crate::observation::{At, Seen};
+use crate::observation::{Micros, Observation};
 use crate::plan::{Class, Plan};
 use crate::service_metrics::Recorder;
 use crate::test_network::{Host, TestNetwork};
@@ -27,9 +27,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-const MINUTE_US: At = 60_000_000;
+const MINUTE_US: Micros = 60_000_000;
 /// A run goes on for this long after the longest deadline, as a restart may still be under way.
-const MARGIN_AFTER_DEADLINE_US: At = 5_000_000;
+const MARGIN_AFTER_DEADLINE_US: Micros = 5_000_000;
 
 /// An endpoint in its present state.
 pub struct EndpointState {
@@ -97,7 +97,7 @@
     revision: Cell<u64>,
     list_lag: Cell<Duration>,
     /// When discovery will have answered all requests that are queued.
-    discovery_idle_at: Cell<At>,
+    discovery_idle_at: Cell<Micros>,
     next_call: Cell<u64>,
     next_route: Cell<u32>,
 }
@@ -125,7 +125,7 @@
             network,
             fleet,
             start: Instant::now(),
-            recorder: RefCell::new(Recorder::with(History::new(&plan))),
+            recorder: RefCell::new(Recorder::with_history(History::new(&plan))),
             link_faults,
             endpoints: RefCell::new(endpoints),
             endpoint_changed: Notify::new(),
@@ -160,27 +160,27 @@
     }
 
     /// Returns the time since the start of the world, in microseconds.
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Micros {
         self.timestamp(Instant::now())
     }
 
-    fn timestamp(&self, instant: Instant) -> At {
-        instant.saturating_duration_since(self.start).as_micros() as At
+    fn timestamp(&self, instant: Instant) -> Micros {
+        instant.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    async fn wait_until(&self, time: At) {
+    async fn wait_until(&self, time: Micros) {
         sleep_until(self.start + Duration::from_micros(time)).await;
     }
 
     /// Records an observation of a stand-in.
-    pub fn observe(&self, seen: Seen) {
-        self.recorder.borrow_mut().see(self.now(), &seen);
+    pub fn observe(&self, observation: Observation) {
+        self.recorder.borrow_mut().observe(self.now(), &observation);
     }
 
     /// Records what happened to the process of a sender.
-    pub fn record(&self, sender: u32, what: What) {
+    pub fn record(&self, sender: u32, event: HistoryEvent) {
         let now = self.now();
-        self.recorder().history.add(now, sender, what);
+        self.recorder().history.add(now, sender, event);
     }
 
     /// Takes in a line of a sender's log, which may be a trace record.
@@ -293,14 +293,14 @@
 }
 
 /// Reads the status of senders at the times that the scenario names.
-fn schedule_admin_snapshots(world: &Rc<World>, started_at: At) {
+fn schedule_admin_snapshots(world: &Rc<World>, started_at: Micros) {
     for look in world.plan.scenario.admin_snapshots.clone() {
         let world = world.clone();
         spawn_local(async move {
             world.wait_until(started_at + look.at.get_ref().0).await;
             if let Some(status) = world.fleet.admin_status(look.sender).await {
                 let now = world.now();
-                world.recorder().history.add_look(now, look.sender, &status);
+                world.recorder().history.add_admin_snapshot(now, look.sender, &status);
             }
         });
     }
--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -5,9 +5,9 @@
 pub use fleet::{Fleet, Links, LogSink, OperatorFile, ProcessExit, SyncBehavior};
 
 use super::{World, platform};
-use crate::history::What;
-use crate::http::Conversation;
-use crate::observation::{At, Seen};
+use crate::history::HistoryEvent;
+use crate::http::HttpConnection;
+use crate::observation::{Micros, Observation};
 use crate::plan::SeededRng;
 use crate::scenario::{FolderContent, StopMethod, WritePoint};
 use crate::test_network::Host;
@@ -42,7 +42,7 @@
     lost_machines: Cell<u32>,
     is_accepting: Cell<bool>,
     /// Since when the sender has been down.
-    down_since: Cell<Option<At>>,
+    down_since: Cell<Option<Micros>>,
     commands: RefCell<Option<UnboundedSender<SenderCommand>>>,
 }
 
@@ -125,7 +125,7 @@
     state.address.set(Some(address));
     state.is_accepting.set(true);
     state.down_since.set(None);
-    world.observe(Seen::Ready { sender });
+    world.observe(Observation::Ready { sender });
     if restarts == 0 {
         world.fleet.save_state_folder(sender);
     }
@@ -141,7 +141,7 @@
     let operator = world.operator_file(sender);
     let recorder = world.clone();
     let log: LogSink = Rc::new(move |line| recorder.record_log_line(sender, line));
-    world.record(sender, What::Started);
+    world.record(sender, HistoryEvent::Started);
     let address = world.fleet.start(sender, config, operator, log).await?;
     let ready = async {
         while !is_ready(world, sender, address).await {
@@ -158,10 +158,10 @@
 async fn is_ready(world: &World, sender: u32, address: SocketAddr) -> bool {
     let poll = async {
         let connection = world.network.connect(Host::Sender(sender), address).await.ok()?;
-        let mut conversation = Conversation::new(connection);
+        let mut http = HttpConnection::new(connection);
         let request = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-        conversation.write(request).await.ok()?;
-        conversation.read(true).await.ok().flatten()
+        http.write(request).await.ok()?;
+        http.read(true).await.ok().flatten()
     };
     matches!(timeout(READINESS_TIMEOUT, poll).await, Ok(Some(answer)) if answer.status == 200)
 }
