--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -35,9 +35,9 @@
                 self.has_lost_sync = true;
                 return Err(io::ErrorKind::Other.into());
             }
-            SyncBehavior::Lie => {}
-            SyncBehavior::Work | SyncBehavior::Hang if self.has_lost_sync => {}
-            SyncBehavior::Work | SyncBehavior::Hang => {
+            SyncBehavior::Ignore => {}
+            SyncBehavior::Succeed | SyncBehavior::Hang if self.has_lost_sync => {}
+            SyncBehavior::Succeed | SyncBehavior::Hang => {
                 self.synced = self.synced.max(length.min(self.bytes.len()))
             }
         }
@@ -206,8 +206,8 @@
         let mut disk = self.disk.borrow_mut();
         match disk.sync_behavior {
             SyncBehavior::Fail => return Err(io::ErrorKind::Other.into()),
-            SyncBehavior::Lie => {}
-            SyncBehavior::Work | SyncBehavior::Hang => disk.synced_names = disk.files.clone(),
+            SyncBehavior::Ignore => {}
+            SyncBehavior::Succeed | SyncBehavior::Hang => disk.synced_names = disk.files.clone(),
         }
         Ok(())
     }
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -77,7 +77,7 @@
     let behavior = match fault.kind {
         FaultKind::SyncFails => SyncBehavior::Fail,
         FaultKind::SyncHangs => SyncBehavior::Hang,
-        _ => SyncBehavior::Lie,
+        _ => SyncBehavior::Ignore,
     };
     let set_all =
         |behavior| fault.senders.iter().all(|sender| world.fleet.set_sync_behavior(*sender, behavior));
@@ -86,7 +86,7 @@
         return;
     }
     world.wait_until(until).await;
-    set_all(SyncBehavior::Work);
+    set_all(SyncBehavior::Succeed);
 }
 
 /// Makes system calls of senders fail until `until`.
--- a/crates/micadrum-testkit/src/world/senders/fleet.rs
+++ b/crates/micadrum-testkit/src/world/senders/fleet.rs
@@ -26,13 +26,13 @@
 pub enum SyncBehavior {
     /// Syncs work.
     #[default]
-    Work,
+    Succeed,
     /// Syncs fail, and later ones do not write either what was to be synced.
     Fail,
     /// Syncs do not end.
     Hang,
     /// Syncs report success, and do nothing.
-    Lie,
+    Ignore,
 }
 
 /// The processes of the senders: simulated, or real.
