--- a/crates/micadrum-testkit/src/world/destination_model/condition.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/condition.rs
@@ -1,44 +1,44 @@
-//! The condition of an endpoint: what is wrong with it at a moment.
+//! The degradation of an endpoint at a given time.
 use crate::observation::At;
 
-/// A destination that fails a larger share of its calls counts as out of service, and cools down.
+/// An endpoint that fails a larger share of its calls than this counts as out of service.
 const OUTAGE_ERROR_SHARE: f64 = 0.8;
 
-/// What is wrong with an endpoint at a moment.
+/// The degradation of an endpoint at a given time; the default is a healthy endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Condition {
-    /// The endpoint takes calls and answers none.
+    /// Whether the endpoint accepts calls without ever answering them.
     pub hangs: bool,
-    /// Each answer comes this much later, in microseconds.
+    /// The latency added to each answer, in microseconds.
     pub added_latency: At,
-    /// The endpoint stands still from time to time.
+    /// The periodic pauses of the endpoint, or `None` if it does not pause.
     pub stall: Option<Stall>,
-    /// The endpoint rejects all calls until this time.
+    /// The time until which the endpoint rejects all calls.
     pub unavailable_until: Option<At>,
-    /// Share of the calls that are rejected.
+    /// The share of calls that are rejected.
     pub rejected_share: f64,
-    /// Share of the calls that fail quickly.
+    /// The share of calls that fail quickly.
     pub error_share: f64,
-    /// Share of the answers that are corrupted.
+    /// The share of answers that are corrupted.
     pub corrupted_share: f64,
-    /// Share of the calls whose connection breaks after they ran.
+    /// The share of calls whose connection is reset after the call has run.
     pub reset_share: f64,
-    /// The machine neither receives nor sends anything.
+    /// Whether the machine is cut off from the network.
     pub unreachable: bool,
-    /// The process does not run, so connections are refused.
+    /// Whether the process is down, so that connections are refused.
     pub process_down: bool,
-    /// The endpoint has drained and another is to replace it, which is no outage.
+    /// Whether the endpoint has been drained for replacement, which does not count as an outage.
     pub drained: bool,
 }
 
-/// Pauses that come back at a regular interval; all times are in microseconds.
+/// Pauses that recur at a regular interval; all times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// Length of a pause.
+    /// The length of each pause.
     pub pause: At,
-    /// From the start of a pause to the start of the next.
+    /// The time from the start of one pause to the start of the next.
     pub period: At,
-    /// Start of the first pause.
+    /// The start of the first pause.
     pub from: At,
 }
 
@@ -52,7 +52,7 @@
             || self.error_share > OUTAGE_ERROR_SHARE
     }
 
-    /// Returns when work that could start at `start` does start, given the pauses.
+    /// Returns `start`, or the end of the pause that contains it.
     pub(super) fn after_stall(&self, start: At) -> At {
         let Some(stall) = self.stall else { return start };
         let Some(elapsed) = start.checked_sub(stall.from) else { return start };
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -1,5 +1,6 @@
-//! The model of a destination: what it does with a call, given its limits, queues, speed, outages, cold starts and
-//! the idempotency keys that it remembers. Free of I/O and clocks; times are microseconds from the start of the run.
+//! A model of a destination, which decides the outcome of each call from the rate limits, queues, service
+//! times, outages, slow starts and remembered idempotency keys. The model performs no I/O and reads no clock;
+//! times are microseconds since the start of the run.
 mod condition;
 mod route;
 
@@ -11,27 +12,27 @@
 use route::{LIMIT_WINDOW_US, Route};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Calls that wait at an endpoint for each that it serves; more are rejected.
-const QUEUED_PER_SERVED: usize = 4;
-/// Bounds of a Retry-After that chance draws.
+/// The number of calls that may wait for each slot of an endpoint; further calls are rejected.
+const MAX_QUEUED_PER_SLOT: usize = 4;
+/// Bounds of a random Retry-After.
 const MIN_RETRY_AFTER_US: f64 = 250e3;
 const MAX_RETRY_AFTER_US: f64 = 750e3;
-/// A Retry-After is given in whole milliseconds.
+/// The resolution of a Retry-After.
 const RETRY_AFTER_STEP_US: At = 1_000;
-/// A call that fails quickly does so after this.
+/// The latency of a call that fails quickly.
 const ERROR_LATENCY_US: At = 2_000;
-/// Share of the calls without an answer of success that take effect all the same.
+/// The share of calls without a successful answer that nevertheless take effect.
 const EFFECT_WITHOUT_SUCCESS_SHARE: f64 = 0.5;
-/// Share of the corrupted answers that are noise from the first byte.
+/// The share of corrupted answers that are invalid from the first byte.
 const NOISE_SHARE: f64 = 0.5;
-/// A call takes a share between these of the mean service time.
+/// Bounds of a call's service time, as a multiple of the mean.
 const MIN_SERVICE_FACTOR: f64 = 0.7;
 const MAX_SERVICE_FACTOR: f64 = 1.3;
-/// Each further message of a batch adds this share of the service time.
+/// The share of the service time that each message of a batch after the first adds.
 const SERVICE_PER_FURTHER_MESSAGE: f64 = 0.15;
-/// A cold route works at least at this share of its speed.
+/// The lowest speed of a route in slow start, as a share of its full speed.
 const MIN_SPEED: f64 = 0.05;
-/// Keys are remembered for this long after their window has closed.
+/// How long a key is retained after its deduplication window has closed.
 const KEY_RETENTION_US: At = 60_000_000;
 
 /// How an answer reaches the sender.
@@ -39,59 +40,60 @@
 pub enum Delivery {
     /// The answer arrives intact.
     Complete,
-    /// Noise arrives in its place; the connection stays open.
+    /// Invalid bytes arrive instead of the answer; the connection stays open.
     Noise,
-    /// Its first line arrives, followed by noise.
+    /// The status line arrives, followed by invalid bytes.
     FirstLine,
-    /// The connection breaks without an answer.
+    /// The connection is closed without an answer.
     Broken,
-    /// Nothing arrives: the connection stays open and silent.
+    /// Nothing arrives, and the connection stays open.
     Never,
 }
 
-/// What the destination does with a call.
+/// The outcome of a call, as the destination decides it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallOutcome {
-    /// When the answer is written.
+    /// The time at which the answer is written.
     pub answer_at: At,
     /// The result of each message.
     pub ends: Vec<MessageEnd>,
     /// Whether each message takes effect when the answer is due.
     pub effects: Vec<bool>,
-    /// The Retry-After of the answer.
+    /// The Retry-After of the answer, in microseconds; `None` if the answer has none.
     pub retry_after: Option<At>,
     /// How the answer is delivered.
     pub delivery: Delivery,
-    /// The collapse of the route, if this call caused it.
+    /// The collapse of the route, if this call caused one.
     pub collapse: Option<Collapse>,
 }
 
 /// One message of a call.
 pub struct CallMessage<'a> {
-    /// Its class.
+    /// The message's class.
     pub class: Class,
-    /// Its idempotency key.
+    /// The message's idempotency key.
     pub key: &'a str,
 }
 
 /// A call whose last byte has arrived at an endpoint.
 pub struct IncomingCall<'a> {
-    /// When the last byte arrived.
+    /// The time at which the last byte arrived.
     pub received_at: At,
-    /// When the sender began to send: the deduplication window runs from there, the only time that the sender knows.
+    /// The time at which the sender began to send. The deduplication window starts here, as the sender does
+    /// not know the time of arrival.
     pub sent_at: At,
-    /// The sender's number.
+    /// The number of the sender in the plan.
     pub sender: u32,
-    /// The endpoint's number.
+    /// The number of the endpoint in the plan.
     pub endpoint: u32,
-    /// The endpoint's condition.
+    /// The present condition of the endpoint.
     pub condition: &'a Condition,
     /// The messages of the call.
     pub messages: &'a [CallMessage<'a>],
 }
 
 impl IncomingCall<'_> {
-    /// The outcome in which all messages end with `end` and none takes effect.
+    /// Returns the outcome in which all messages end with `end` and none takes effect.
     fn without_effect(&self, end: MessageEnd) -> CallOutcome {
         CallOutcome {
             answer_at: self.received_at,
@@ -110,11 +112,11 @@
 
 struct EndpointSlots {
     route: usize,
-    /// When each slot is free again.
+    /// The time at which each slot becomes free.
     free_at: Vec<At>,
 }
 
-/// An idempotency key that took effect, and when its deduplication window closes.
+/// An idempotency key and the time at which its deduplication window closes.
 struct KeyExpiry {
     closes_at: At,
     key: String,
@@ -124,18 +126,18 @@
 pub struct DestinationModel {
     has_window_limit: bool,
     service_time_us: f64,
-    /// Share of the rejections that carry a Retry-After.
+    /// The share of rejections that carry a Retry-After.
     retry_after_share: f64,
     routes: Vec<Route>,
     endpoints: BTreeMap<u32, EndpointSlots>,
-    /// Keys that took effect, and until when a repeated message is dropped.
+    /// The end of the deduplication window of each key that took effect.
     keys: BTreeMap<String, At>,
     key_expiries: VecDeque<KeyExpiry>,
     random: SeededRng,
 }
 
 impl DestinationModel {
-    /// Creates the model of a destination of the plan.
+    /// Creates the model of a destination, with random streams derived from `seed`.
     pub fn new(destination: &Destination, seed: u64) -> Self {
         let separate = destination.kind.routes_apart();
         let route_count = if separate { destination.endpoints.len() } else { 1 };
@@ -158,33 +160,33 @@
         }
     }
 
-    /// Returns the route of an endpoint, counted within the destination.
+    /// Returns the index of an endpoint's route within the destination, or 0 if the endpoint is unknown.
     pub fn route_of(&self, endpoint: u32) -> usize {
         self.endpoints.get(&endpoint).map_or(0, |slots| slots.route)
     }
 
-    /// Records the beginning or end of a route's outage, and returns whether that is a change.
+    /// Starts or ends the outage of a route. Returns whether this changed the route's state.
     pub fn set_outage(&mut self, route: usize, outage: bool, now: At) -> bool {
         self.routes[route].set_outage(outage, now)
     }
 
-    /// Sets the share of a route's limit that applies from now on.
+    /// Sets the share of a route's configured limit that applies from now on.
     pub fn set_limit_share(&mut self, route: usize, share: f64) {
         self.routes[route].set_limit_share(share);
     }
 
-    /// Forgets the outage of a route whose endpoints have all been replaced.
+    /// Clears the outage and slow start of a route whose endpoints have all been replaced.
     pub fn reset_outage(&mut self, route: usize) {
         self.routes[route].reset_outage();
     }
 
-    /// Returns what an answer of this endpoint reports of its limit.
+    /// Returns the load that an answer of this endpoint reports.
     pub fn load_report(&mut self, endpoint: u32, now: At) -> LoadReport {
         let route = self.route_of(endpoint);
         self.routes[route].load_report(now)
     }
 
-    /// Decides the outcome of a call.
+    /// Records a call and decides its outcome.
     pub fn call(&mut self, call: &IncomingCall<'_>) -> CallOutcome {
         let route = self.route_of(call.endpoint);
         let collapse = self.routes[route].record_call(call.received_at, call.sender);
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Draws a Retry-After: to the end of the limit's window, or by chance where the limit has none.
+    /// Returns the time to the end of the limit's window, or a random wait if the limit has no window.
     fn draw_retry_after(&mut self, now: At) -> At {
         let wait = if self.has_window_limit {
             LIMIT_WINDOW_US - now % LIMIT_WINDOW_US
@@ -235,15 +237,15 @@
         }
     }
 
-    /// Assigns the call to a slot of its endpoint, and returns when its answer is due.
+    /// Assigns the call to a slot of its endpoint. Returns the time at which the answer is due.
     fn schedule(&mut self, route: usize, call: &IncomingCall<'_>) -> Result<At, Unscheduled> {
         let now = call.received_at;
-        let speed = self.routes[route].warmth(now).max(MIN_SPEED);
+        let speed = self.routes[route].capacity_share(now).max(MIN_SPEED);
         let further_messages = call.messages.len() as f64 - 1.0;
         let factor = self.random.between(MIN_SERVICE_FACTOR, MAX_SERVICE_FACTOR)
             * (1.0 + SERVICE_PER_FURTHER_MESSAGE * further_messages);
         let work = (self.service_time_us * factor / speed) as At;
-        let max_start = now + (QUEUED_PER_SERVED as f64 * self.service_time_us / speed) as At;
+        let max_start = now + (MAX_QUEUED_PER_SLOT as f64 * self.service_time_us / speed) as At;
         let endpoint = self.endpoints.get_mut(&call.endpoint).ok_or(Unscheduled::UnknownEndpoint)?;
         let first_free = endpoint.free_at.iter_mut().min().filter(|free_at| **free_at <= max_start);
         let slot = first_free.ok_or(Unscheduled::QueueFull)?;
@@ -253,7 +255,7 @@
 
     fn answer(&mut self, answer_at: At, call: &IncomingCall<'_>) -> CallOutcome {
         let delivery = self.draw_delivery(call.condition);
-        // A call that hangs has often run all the same.
+        // A call without an answer may still have run.
         let runs = delivery != Delivery::Never || self.random.chance(EFFECT_WITHOUT_SUCCESS_SHARE);
         let end = match delivery {
             Delivery::Complete => MessageEnd::Ok,
@@ -276,14 +278,14 @@
         }
     }
 
-    /// Returns which messages of a call that runs, or does not, take effect.
+    /// Returns whether each message of a call takes effect; none does unless the call runs.
     fn take_effect(&mut self, runs: bool, call: &IncomingCall<'_>) -> Vec<bool> {
         let takes_effect =
             |message: &CallMessage<'_>| runs && self.record_unless_duplicate(call.sent_at, message);
         call.messages.iter().map(takes_effect).collect()
     }
 
-    /// Remembers the key of a message, and returns false where the message is a duplicate that is dropped.
+    /// Records the key of a message. Returns false if the message is a duplicate, which is dropped.
     fn record_unless_duplicate(&mut self, sent_at: At, message: &CallMessage<'_>) -> bool {
         while let Some(expiry) = self.key_expiries.front()
             && expiry.closes_at + KEY_RETENTION_US < sent_at
@@ -304,7 +306,7 @@
     }
 }
 
-/// Why a call gets no slot of its endpoint.
+/// The reason that a call gets no slot of its endpoint.
 enum Unscheduled {
     QueueFull,
     UnknownEndpoint,
--- a/crates/micadrum-testkit/src/world/destination_model/route.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/route.rs
@@ -1,35 +1,36 @@
-//! A route of a destination: its limit, and its capacity while it is warming up after an outage.
+//! A route of a destination, with its rate limit and its reduced capacity during the slow start after an
+//! outage.
 use crate::observation::At;
 use crate::plan::{COLD_SHARE, FALL, Limit, OVERLOAD_FACTOR, RAMP};
 use std::collections::VecDeque;
 
-/// Length of the window of a limit that counts calls.
+/// The length of the window in which a window limit counts calls.
 pub(super) const LIMIT_WINDOW_US: At = 2_000_000;
-/// Standard deviations that chance is allowed beyond the overload factor before a cold route collapses, for arrivals that
-/// come independently at the highest rate that the route sustains: sustained overload exceeds that, a burst does not.
+/// The number of standard deviations by which arrivals may exceed the overload factor before a route in slow
+/// start collapses. Sustained overload exceeds this bound; a random burst of independent arrivals does not.
 const COLLAPSE_TOLERANCE_SIGMAS: f64 = 3.0;
-/// A route that was out for less does not cool down; the shortest outage on record lasted 6.3 s.
-const MIN_COOLING_OUTAGE_US: At = 6_000_000;
-/// Load reports are computed anew at this interval.
+/// A route enters slow start only after an outage of at least this length.
+const MIN_SLOW_START_OUTAGE_US: At = 6_000_000;
+/// The interval at which a route's load report is refreshed.
 const REPORT_INTERVAL_US: At = 300_000;
-/// Tokens that a rate limit can accumulate at least.
+/// The smallest capacity of a rate limit's token bucket.
 const MIN_BURST: f64 = 2.0;
 
-/// A cold route received more calls than it could sustain.
+/// The overload of a route in slow start, which received more calls than it could sustain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Collapse {
-    /// The sender of each call, one entry a call.
+    /// The sender of each call in the overload window, with one entry per call.
     pub senders: Vec<u32>,
-    /// Number of calls that the route would have sustained.
+    /// The number of calls that the route would have sustained.
     pub budget: f64,
 }
 
-/// What an answer reports of a route's limit.
+/// The load of a route, as its answers report it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Share of the limit that is left.
+    /// The share of the limit that is left.
     pub remaining_share: f64,
-    /// The limit in calls a second; 0 without a limit.
+    /// The limit in calls per second, or 0 if there is no limit.
     pub limit_per_second: f64,
 }
 
@@ -38,31 +39,32 @@
     sender: u32,
 }
 
-/// Calls that were counted in one window of a limit.
+/// The number of calls counted in one window of a limit.
 #[derive(Default)]
 struct WindowCount {
     window: At,
     calls: u32,
 }
 
-/// The share of the limit that was left when a load report was last computed.
+/// The share of the limit that was left when the load report was last refreshed.
 struct ReportedShare {
     at: At,
     remaining_share: f64,
 }
 
-/// One endpoint, or a destination whose endpoints share a limit.
+/// The unit to which a limit and an outage apply: one endpoint, or all endpoints of a destination that share
+/// a limit.
 pub(super) struct Route {
     capacity: f64,
     limit: Limit,
     rejections_consume_rate: bool,
-    /// Share of the limit that applies at present.
+    /// The share of the configured limit that applies at present.
     limit_share: f64,
     tokens: f64,
     tokens_updated_at: At,
     window: WindowCount,
     outage_since: Option<At>,
-    /// When the route last came back cold.
+    /// The start of the last slow start, if there was one.
     slow_start_since: Option<At>,
     collapsed: bool,
     recent_calls: VecDeque<RecentCall>,
@@ -95,7 +97,7 @@
         self.limit_share = share;
     }
 
-    /// Records the beginning or end of an outage, and returns whether that is a change.
+    /// Starts or ends an outage. Returns whether this changed the route's state.
     pub(super) fn set_outage(&mut self, outage: bool, now: At) -> bool {
         if outage {
             let began = self.outage_since.is_none();
@@ -103,21 +105,21 @@
             return began;
         }
         let Some(since) = self.outage_since.take() else { return false };
-        if now >= since + MIN_COOLING_OUTAGE_US {
+        if now >= since + MIN_SLOW_START_OUTAGE_US {
             self.slow_start_since = Some(now);
             self.recent_calls.clear();
         }
         true
     }
 
-    /// Forgets the outage, as all endpoints have been replaced.
+    /// Clears the outage and slow start, as all endpoints have been replaced.
     pub(super) fn reset_outage(&mut self) {
         self.outage_since = None;
         self.slow_start_since = None;
     }
 
-    /// Returns the share of its capacity that the route has: less than 1 while it is cold.
-    pub(super) fn warmth(&self, now: At) -> f64 {
+    /// Returns the share of the route's full capacity that is available, which is below 1 during slow start.
+    pub(super) fn capacity_share(&self, now: At) -> f64 {
         let Some(slow_start_since) = self.slow_start_since else { return 1.0 };
         let ramp_share = now.saturating_sub(slow_start_since) as f64 / RAMP.0 as f64;
         (COLD_SHARE + (1.0 - COLD_SHARE) * ramp_share).min(1.0)
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Counts one more call at `now`, and returns whether it is within the limit.
+    /// Counts a call at `now` against the limit. Returns whether the call is within the limit.
     pub(super) fn admits(&mut self, now: At) -> bool {
         match self.current_limit() {
             Limit::None => true,
@@ -158,7 +160,7 @@
         admitted
     }
 
-    /// Returns what an answer written at `now` reports of the limit.
+    /// Returns the load that an answer written at `now` reports, refreshing it if it is outdated.
     pub(super) fn load_report(&mut self, now: At) -> LoadReport {
         let current = self.current_load(now);
         if now >= self.last_report.at + REPORT_INTERVAL_US {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Records a call of a sender. Returns the collapse of the route, if this call caused it.
+    /// Records a call of a sender. Returns the collapse of the route, if this call caused one.
     pub(super) fn record_call(&mut self, now: At, sender: u32) -> Option<Collapse> {
         self.recent_calls.push_back(RecentCall { at: now, sender });
         while self.recent_calls.front().is_some_and(|call| call.at + FALL.0 < now) {
@@ -196,8 +198,8 @@
             return None;
         }
         let from = now.saturating_sub(FALL.0).max(slow_start_since);
-        let mean_warmth = (self.warmth(from) + self.warmth(now)) / 2.0;
-        let sustainable = OVERLOAD_FACTOR * self.capacity * mean_warmth * FALL.0 as f64 / 1e6;
+        let mean_capacity_share = (self.capacity_share(from) + self.capacity_share(now)) / 2.0;
+        let sustainable = OVERLOAD_FACTOR * self.capacity * mean_capacity_share * FALL.0 as f64 / 1e6;
         let budget = sustainable + COLLAPSE_TOLERANCE_SIGMAS * sustainable.sqrt();
         let in_window = self.recent_calls.iter().filter(|call| call.at >= from);
         let senders: Vec<u32> = in_window.map(|call| call.sender).collect();
--- a/crates/micadrum-testkit/src/world/destination_model/tests.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/tests.rs
@@ -30,42 +30,44 @@
     })
 }
 
-/// Guards against a limit that lets more through than it says, or does not count what it refuses.
+/// Guards against a limit that admits more calls than configured, or does not count the calls that it
+/// rejects.
 #[test]
-fn limits_hold_for_all_calls_together() {
+fn admits_calls_up_to_the_window_and_rate_limits() {
     let mut model = destination(Limit::Window(3), 100.0);
     let ends: Vec<_> = (0..5).map(|n| call(&mut model, 2 * S + n, &n.to_string()).ends[0]).collect();
     assert_eq!(ends[..3], [MessageEnd::Ok; 3]);
     assert_eq!(ends[3..], [MessageEnd::Full; 2]);
-    let refused = call(&mut model, 3 * S, "x");
-    assert_eq!(refused.retry_after, Some(S), "to the end of the span");
+    let rejected = call(&mut model, 3 * S, "x");
+    assert_eq!(rejected.retry_after, Some(S), "the Retry-After lasts to the end of the window");
     assert_eq!(call(&mut model, 4 * S, "y").ends, [MessageEnd::Ok]);
     let mut model = destination(Limit::Rate(10.0), 100.0);
-    let through = (0..100).filter(|n| call(&mut model, n * 50_000, "k").ends[0] == MessageEnd::Ok).count();
-    assert!((25..=60).contains(&through), "{through} of 100 calls in 5 s at 10 a second");
+    let admitted = (0..100).filter(|n| call(&mut model, n * 50_000, "k").ends[0] == MessageEnd::Ok).count();
+    assert!((25..=60).contains(&admitted), "admitted {admitted} of 100 calls in 5 s at 10 calls per second");
 }
 
-/// Guards against a limit that falls only in what is reported, or does not come back.
+/// Guards against a reduced limit that is reported but not enforced, or that is not restored.
 #[test]
-fn a_limit_that_falls_is_told_and_kept_to() {
+fn reports_and_enforces_a_reduced_limit_until_it_is_restored() {
     let mut model = destination(Limit::Rate(20.0), 100.0);
-    let taken = |model: &mut DestinationModel, from: At| {
+    let count_admitted = |model: &mut DestinationModel, from: At| {
         let calls = (0..100).map(|n| call(model, from + n * S / 50, &format!("{from} {n}")));
         calls.filter(|outcome| outcome.ends == [MessageEnd::Ok]).count()
     };
-    let before = taken(&mut model, 0);
+    let before = count_admitted(&mut model, 0);
     model.set_limit_share(0, 0.5);
     assert_eq!(model.load_report(3, 10 * S).limit_per_second, 10.0);
-    let during = taken(&mut model, 10 * S);
+    let during = count_admitted(&mut model, 10 * S);
     model.set_limit_share(0, 1.0);
-    let after = taken(&mut model, 20 * S);
-    // 2 s of it, and what of it was left over.
-    assert!(during <= 30 && after >= before, "{before} {during} {after}");
+    let after = count_admitted(&mut model, 20 * S);
+    // The reduced limit admits 20 calls in 2 s, and up to 10 more from the tokens that had accumulated.
+    assert!(during <= 30 && after >= before, "admitted {before} before, {during} during, {after} after");
 }
 
-/// Guards against a key that is forgotten before its window, counted from its sending, is over, or kept on.
+/// Guards against a key that expires before its deduplication window, measured from the send time, has
+/// closed, or that is retained after it.
 #[test]
-fn a_repeat_is_dropped_in_its_window() {
+fn drops_a_duplicate_only_within_the_deduplication_window() {
     let mut model = destination(Limit::None, 100.0);
     assert_eq!(call(&mut model, 0, "k").effects, [true]);
     assert_eq!(call(&mut model, 4 * S + 999_000, "k").effects, [false]);
@@ -73,28 +75,30 @@
     assert_eq!(call(&mut model, 5 * S, "other").effects, [true]);
 }
 
-/// Guards against a cold partner that bears anything, or that chance alone pushes over.
+/// Guards against a route in slow start that tolerates any load, or that collapses under random bursts alone.
 #[test]
-fn a_cold_partner_falls_when_pushed() {
-    let pushed = |rate: u64, outage: At| {
+fn a_route_in_slow_start_collapses_only_under_sustained_overload() {
+    let collapses = |rate: u64, outage: At| {
         let mut model = destination(Limit::None, 100.0);
         assert!(model.set_outage(0, true, 10 * S) && !model.set_outage(0, true, 10 * S));
         assert!(model.set_outage(0, false, 10 * S + outage));
         (0..rate * 2).any(|n| call(&mut model, 10 * S + outage + n * S / rate, "k").collapse.is_some())
     };
-    // At 19% and rising it bears some 45 calls a second, and chance's part.
-    assert!(!pushed(30, 8 * S));
-    assert!(pushed(100, 8 * S));
-    assert!(!pushed(100, S), "so short an outage cools nothing");
+    // A route at the start of its slow start sustains about 45 calls per second, plus the tolerance for
+    // bursts.
+    assert!(!collapses(30, 8 * S));
+    assert!(collapses(100, 8 * S));
+    assert!(!collapses(100, S), "a short outage must not cause a slow start");
     let mut model = destination(Limit::None, 100.0);
-    let fell = (0..400).any(|n| call(&mut model, n * S / 200, "k").collapse.is_some());
-    assert!(!fell, "a warm one does not fall");
+    let collapsed = (0..400).any(|n| call(&mut model, n * S / 200, "k").collapse.is_some());
+    assert!(!collapsed, "a route outside slow start must not collapse");
 }
 
-/// Guards against a queue without end.
+/// Guards against an unbounded queue.
 #[test]
-fn a_full_queue_turns_away() {
+fn rejects_calls_when_the_queue_is_full() {
     let mut model = destination(Limit::None, 100.0);
-    let full = (0..200).filter(|n| call(&mut model, 0, &n.to_string()).ends[0] == MessageEnd::Full).count();
-    assert!((150..199).contains(&full), "{full} of 200");
+    let rejected =
+        (0..200).filter(|n| call(&mut model, 0, &n.to_string()).ends[0] == MessageEnd::Full).count();
+    assert!((150..199).contains(&rejected), "rejected {rejected} of 200 calls");
 }
