--- a/crates/micadrum-testkit/src/world/endpoints/call.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/call.rs
@@ -1,5 +1,5 @@
-//! A call to an endpoint: read, decided by the destination's model, and answered.
-use super::{is_mute, wait_for_state};
+//! The processing of a call to an endpoint: reads it, has the destination's model decide it, and answers it.
+use super::{must_stay_silent, wait_for_state};
 use crate::http::{Conversation, Message, answer};
 use crate::observation::{At, MessageEnd, Seen};
 use crate::plan::Class;
@@ -20,7 +20,7 @@
     body: String,
 }
 
-/// A message as a call carries it.
+/// A message as received in a call.
 struct ReceivedMessage {
     id: String,
     key: Option<String>,
@@ -28,7 +28,7 @@
 }
 
 impl ReceivedMessage {
-    /// Reads the messages of a call, or `None` where the call is malformed.
+    /// Parses the messages of a call. Returns `None` if the call is malformed.
     fn read_all(message: &Message, is_batch: bool) -> Option<Vec<Self>> {
         if is_batch {
             let items: Vec<BatchItem> = serde_json::from_slice(&message.body).ok()?;
@@ -43,7 +43,7 @@
         Some(Self { id: item.id, key: item.key, body: BASE64.decode(item.body).ok()? })
     }
 
-    /// Marks the message as attempted, if it arrives as a client submitted it to this destination.
+    /// Marks the message as attempted if it matches the message that a client submitted to this destination.
     fn identify(self, world: &World, destination: u32) -> IdentifiedMessage {
         let mut messages = world.messages.borrow_mut();
         match messages.get(&self.id) {
@@ -55,9 +55,9 @@
                 submitted.attempted = true;
                 IdentifiedMessage { id: self.id, class: submitted.class, key: submitted.key.clone() }
             }
-            // The invariant checker does not know this id either, and reports it.
+            // The invariant checker reports this id as unknown.
             _ => IdentifiedMessage {
-                id: format!("{} (not as it was handed in)", self.id),
+                id: format!("{} (differs from the submitted message)", self.id),
                 class: Class::Charge,
                 key: String::new(),
             },
@@ -65,7 +65,7 @@
     }
 }
 
-/// A message of a call with what the world knows about it.
+/// A received message with the class and key under which it was submitted.
 struct IdentifiedMessage {
     id: String,
     class: Class,
@@ -81,7 +81,7 @@
     outcome: CallOutcome,
 }
 
-/// What happens first to a call that is being processed.
+/// The event that ends the processing of a call.
 enum CallEvent {
     AnswerDue,
     ConnectionClosed { sent: At },
@@ -89,7 +89,7 @@
 }
 
 impl Call {
-    /// Reads a call and has the model decide its outcome; `None` where the call is malformed.
+    /// Parses a call and has the model decide its outcome. Returns `None` if the call is malformed.
     pub(super) fn read(world: &World, endpoint: usize, sender: u32, message: &Message) -> Option<Self> {
         let is_batch = message.path == "/hook/batch";
         let received = ReceivedMessage::read_all(message, is_batch)?;
@@ -111,7 +111,8 @@
         Some(Self { number, endpoint, ids, is_batch, outcome })
     }
 
-    /// Processes the call and answers it as the model decided. Returns the connection, if it can carry another call.
+    /// Processes the call and answers it as the model decided. Returns the connection, if it can carry
+    /// another call.
     pub(super) async fn serve(
         self,
         world: &Rc<World>,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Lets an accepted call take effect in time although its connection is closed.
+    /// Applies the effects of an accepted call when its answer is due, although its connection is closed.
     fn run_on(self, world: Rc<World>) {
         spawn_local(async move {
             world.wait_until(self.outcome.answer_at).await;
@@ -148,18 +149,18 @@
         });
     }
 
-    /// Answers the call. Returns the connection, if it can carry another call.
+    /// Answers the call. Returns the connection if it can carry another call.
     async fn answer(self, world: &Rc<World>, mut conversation: Conversation) -> Option<Conversation> {
         self.take_effect(world);
-        let is_mute = is_mute(world, &world.endpoints.borrow()[self.endpoint]);
-        if is_mute || self.outcome.delivery == Delivery::Never {
+        let must_stay_silent = must_stay_silent(world, &world.endpoints.borrow()[self.endpoint]);
+        if must_stay_silent || self.outcome.delivery == Delivery::Never {
             let sent = world.timestamp(conversation.ended().await);
             world.observe(Seen::Closed { call: self.number, sent });
             return None;
         }
         let now = world.now();
         let ends: Vec<_> = self.ids.iter().cloned().zip(self.outcome.ends.iter().copied()).collect();
-        // A Retry-After that is written while the link is cut reaches nobody.
+        // A Retry-After that is written while the link is cut does not reach the sender.
         let retry_after = self.outcome.retry_after.filter(|_| conversation.arrives()).map(|wait| now + wait);
         let heard = self.observe_reply(world, &conversation, ends.clone(), retry_after);
         for (id, end) in ends {
@@ -175,12 +176,12 @@
         if self.outcome.delivery == Delivery::Complete {
             return Some(conversation);
         }
-        // The connection is of no further use, and stays open until the sender ends it.
+        // The connection cannot carry another call, but stays open until the sender closes it.
         conversation.ended().await;
         None
     }
 
-    /// Records the answer to the call, and returns when it reaches the sender.
+    /// Records the answer to the call. Returns the time at which it reaches the sender.
     fn observe_reply(
         &self,
         world: &World,
@@ -190,14 +191,14 @@
     ) -> At {
         let now = world.now();
         let heard = now + conversation.delay().as_micros() as At;
-        // The sender may have ended the call before, with that still on its way.
+        // The sender may have closed the connection already, without the endpoint having seen the close yet.
         let out_until = conversation.ended_at().map_or(now, |ended| world.timestamp(ended).min(now));
         world.observe(Seen::Replied { call: self.number, ends, wait: retry_after, heard, out_until });
         heard
     }
 
-    /// Waits until a Retry-After has arrived, and records where the sender did not receive it. Nothing else comes on
-    /// this connection before that.
+    /// Waits until the Retry-After is due at the sender, and records whether the sender closed the connection
+    /// before receiving it. The sender sends nothing else on this connection meanwhile.
     async fn watch_delivery(&self, world: &World, conversation: &Conversation, heard: At) {
         world.wait_until(heard).await;
         if conversation.ended_at().is_some_and(|ended| world.timestamp(ended) < heard) {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Returns the bytes to write, or `None` where the connection breaks without an answer.
+    /// Returns the bytes to write, or `None` if the connection is closed without an answer.
     fn answer_bytes(&self, world: &World) -> Option<Vec<u8>> {
         match self.outcome.delivery {
             Delivery::Complete => Some(self.answer_text(world)),
@@ -252,7 +253,7 @@
     }
 }
 
-/// Has the model of the destination decide the outcome of a call.
+/// Returns the outcome of a call, as the destination's model decides it.
 fn decide(
     world: &World,
     endpoint: &EndpointState,
@@ -272,8 +273,8 @@
     })
 }
 
-/// Returns the identity of the endpoint that the sender meant: the previous one, if it was not informed of the present
-/// one when it sent the call.
+/// Returns the identity of the endpoint that the sender called: the previous one, if the sender was not yet
+/// informed of the present one when it sent the call.
 fn identity_for(world: &World, endpoint: &EndpointState, sender: u32, sent: At) -> EndpointIdentity {
     match &endpoint.previous {
         Some(previous) if !world.agents[sender as usize].is_informed(&endpoint.id, sent) => previous.clone(),
--- a/crates/micadrum-testkit/src/world/endpoints/mod.rs
+++ b/crates/micadrum-testkit/src/world/endpoints/mod.rs
@@ -1,4 +1,5 @@
-//! The destinations' endpoints on the network: they accept calls and write the answers that the model decides.
+//! The network side of the destinations' endpoints, which accept calls and write the answers that the model
+//! decides.
 mod call;
 
 use super::{EndpointState, World};
@@ -11,29 +12,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// An endpoint closes a connection that was idle for this long, in microseconds.
+/// The time after which an endpoint closes an idle connection, in microseconds.
 pub const IDLE_TIMEOUT_US: u64 = 5_000_000;
-/// Connections to a machine that was unreachable show within this.
+/// How long to wait for connections that were queued while the machine was unreachable.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(20);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The first port of an endpoint; each sender has its own.
+/// The first listening port of an endpoint, which has one port for each sender.
 const FIRST_PORT: u16 = 5000;
-/// Ports from one address of an endpoint to the next, after a move.
+/// The difference between the ports of successive addresses of an endpoint.
 const PORTS_PER_GENERATION: u16 = 1000;
 
-/// One of the listeners of an endpoint.
+/// A listener of an endpoint, which serves one sender.
 #[derive(Clone)]
 struct EndpointListener {
     world: Rc<World>,
     endpoint: usize,
-    /// The sender that connects here.
+    /// The sender that connects to the listener.
     sender: u32,
-    /// The endpoint's address generation to which this listener belongs.
+    /// The value of `EndpointState::address_generation` for which the listener was opened.
     generation: u16,
 }
 
-/// Opens the listeners of an endpoint, one for each sender, and runs them as the endpoint's condition requires.
+/// Opens a listener of an endpoint for each sender, and spawns the tasks that accept connections.
+///
+/// # Errors
+/// Returns an error if a listener cannot be opened.
 pub(super) async fn open(world: &Rc<World>, endpoint: usize) -> io::Result<()> {
     let generation = world.endpoints.borrow()[endpoint].address_generation;
     let mut addresses = Vec::new();
@@ -48,9 +52,9 @@
     Ok(())
 }
 
-/// Returns whether the endpoint has to stay silent by itself, as its machine is unreachable and the network cannot be
-/// cut.
-fn is_mute(world: &World, endpoint: &EndpointState) -> bool {
+/// Returns whether the endpoint has to stop answering itself because its machine is unreachable and the
+/// network cannot drop its traffic.
+fn must_stay_silent(world: &World, endpoint: &EndpointState) -> bool {
     endpoint.condition.unreachable && world.fleet.links().is_none()
 }
 
@@ -70,27 +74,28 @@
         wait_for_state(&self.world, self.endpoint, condition).await;
     }
 
-    fn is_mute(&self) -> bool {
-        is_mute(&self.world, &self.world.endpoints.borrow()[self.endpoint])
+    fn must_stay_silent(&self) -> bool {
+        must_stay_silent(&self.world, &self.world.endpoints.borrow()[self.endpoint])
     }
 
     fn has_moved(&self, endpoint: &EndpointState) -> bool {
         endpoint.address_generation != self.generation
     }
 
-    /// Accepts connections until the endpoint has moved to another address.
+    /// Accepts connections until the endpoint moves to another address.
     async fn accept_connections(self, mut listener: Box<dyn TestListener>) {
         loop {
-            if self.is_mute() {
-                self.wait_for_state(|endpoint| !is_mute(&self.world, endpoint)).await;
-                // Connections that the system accepted meanwhile never reached an unreachable machine.
+            if self.must_stay_silent() {
+                self.wait_for_state(|endpoint| !must_stay_silent(&self.world, endpoint)).await;
+                // Discards the connections that the operating system accepted while the machine was
+                // unreachable.
                 while timeout(STALE_CONNECTION_WINDOW, listener.accept()).await.is_ok() {}
             }
             let stopped =
                 |endpoint: &EndpointState| endpoint.condition.process_down || self.has_moved(endpoint);
             let accepted = tokio::select! {
                 biased;
-                () = self.wait_for_state(|endpoint| is_mute(&self.world, endpoint)) => continue,
+                () = self.wait_for_state(|endpoint| must_stay_silent(&self.world, endpoint)) => continue,
                 () = self.wait_for_state(stopped) => None,
                 accepted = listener.accept() => Some(accepted),
             };
@@ -106,7 +111,8 @@
         }
     }
 
-    /// Closes the listener, so that connections are refused, until the endpoint's process runs again.
+    /// Closes the listener while the endpoint's process is down, so that connections are refused, and opens
+    /// it again.
     async fn restart(&self, listener: Box<dyn TestListener>) -> Box<dyn TestListener> {
         let port = listener.address().port();
         drop(listener);
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Serves the calls on one connection, one after another.
+    /// Serves the calls on a connection sequentially.
     async fn serve(&self, mut conversation: Conversation) {
         let closed = |endpoint: &EndpointState| {
             endpoint.condition.process_down || endpoint.address_generation > self.generation + 1
@@ -128,9 +134,9 @@
             let next = tokio::select! {
                 biased;
                 () = self.wait_for_state(closed) => return,
-                () = self.wait_for_state(|endpoint| is_mute(&self.world, endpoint)) => {
-                    // The connection is gone when the machine is reachable again.
-                    self.wait_for_state(|endpoint| !is_mute(&self.world, endpoint)).await;
+                () = self.wait_for_state(|endpoint| must_stay_silent(&self.world, endpoint)) => {
+                    // The connection does not survive the machine being unreachable.
+                    self.wait_for_state(|endpoint| !must_stay_silent(&self.world, endpoint)).await;
                     return;
                 }
                 next = timeout(Duration::from_micros(IDLE_TIMEOUT_US), conversation.read(false)) => next,
