--- a/crates/micadrum-testkit/src/world/faults/discovery_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the platform: the endpoint list lags, stays silent, moves or names endpoints that do not exist, and
-//! notifications are not acknowledged.
+//! Faults of the platform: delayed or withheld endpoint lists, lists with nonexistent endpoints, moved agents
+//! and unacknowledged notifications.
 use crate::observation::{At, Seen};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::world::{NonexistentEndpoint, World, platform};
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Digits of the id of a listed endpoint that does not exist.
+/// The number of hexadecimal digits in the id of a nonexistent endpoint.
 const ID_DIGITS: usize = 8;
 
-/// Leaves the notifications of senders unacknowledged until `until`.
+/// Makes the agents of senders leave notifications unacknowledged until `until`.
 pub(super) fn ignore_notifications(world: &World, fault: &PlannedFault, until: At) {
     for sender in &fault.senders {
         extend(&world.agents[*sender as usize].notifications_ignored_until, until);
@@ -18,7 +18,7 @@
     }
 }
 
-/// Lets discovery answer nothing until `until`.
+/// Makes the agents of senders stop answering discovery requests until `until`.
 pub(super) fn silence(world: &World, fault: &PlannedFault, until: At) {
     for sender in &fault.senders {
         extend(&world.agents[*sender as usize].silent_until, until);
@@ -29,7 +29,7 @@
     end.set(end.get().max(until));
 }
 
-/// Delays each new endpoint list.
+/// Delays the publication of endpoint lists until `until`.
 pub(super) async fn lag(world: &World, fault: &PlannedFault, until: At) {
     let lag = Duration::from_micros(fault.delay.0);
     world.list_lag.set(world.list_lag.get() + lag);
@@ -37,7 +37,7 @@
     world.list_lag.set(world.list_lag.get().saturating_sub(lag));
 }
 
-/// Lists endpoints that do not exist, one for each endpoint of the fault.
+/// Adds a nonexistent endpoint to the list for each endpoint of the fault, and removes them at `until`.
 pub(super) async fn list_nonexistent_endpoints(world: &Rc<World>, fault: &PlannedFault, until: At) {
     let mut random = SeededRng::new(world.plan.seed, &format!("ghosts {}", fault.from));
     let mut nonexistent = |endpoint: &u32| NonexistentEndpoint {
@@ -56,7 +56,7 @@
 pub(super) async fn move_agents(world: &Rc<World>, fault: &PlannedFault) {
     for sender in &fault.senders {
         if let Err(error) = platform::move_agent(world, *sender).await {
-            eprintln!("agent of sender {sender}: {error}");
+            eprintln!("discovery agent move failed: sender={sender} error={error}");
         }
     }
 }
--- a/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/endpoint_faults.rs
@@ -1,4 +1,5 @@
-//! Faults of the destinations' endpoints: degraded service, lower limits, new addresses and ids, and drains.
+//! Faults of the destinations' endpoints: degraded service, reduced limits, changes of address or id, and
+//! drains.
 use crate::observation::{At, Seen};
 use crate::plan::{PlannedFault, SeededRng};
 use crate::scenario::FaultKind;
@@ -8,12 +9,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A draining endpoint is gone after this, and another replaces it after as long again.
+/// The time from the start of a drain to the endpoint's removal, and from its removal to its replacement.
 const DRAIN_STEP: Duration = Duration::from_secs(6);
-/// Digits of an endpoint's id.
+/// The number of hexadecimal digits in an endpoint's id.
 const ID_DIGITS: usize = 8;
 
-/// Degrades the service of endpoints from now to the fault's end.
+/// Degrades the service of endpoints from now until the fault ends.
 pub(super) async fn degrade(world: &World, fault: &PlannedFault, started_at: At) {
     change_condition(world, fault, |condition| apply(condition, fault, started_at));
     world.wait_until(started_at + fault.until.0).await;
@@ -56,7 +57,8 @@
     }
 }
 
-/// Changes the condition of all endpoints of a fault, and records the routes whose outage begins or ends by it.
+/// Changes the condition of all endpoints of a fault, and records each route whose outage begins or ends as a
+/// result.
 fn change_condition(world: &World, fault: &PlannedFault, change: impl Fn(&mut Condition)) {
     for number in &fault.endpoints {
         let mut endpoints = world.endpoints.borrow_mut();
@@ -64,9 +66,9 @@
         change(&mut endpoint.condition);
         let (route, destination) = (endpoint.route, endpoint.destination as usize);
         let unreachable = endpoint.condition.unreachable;
-        // A route is out while all of its endpoints are.
-        let mut of_route = endpoints.iter().filter(|endpoint| endpoint.route == route);
-        let outage = of_route.all(|endpoint| endpoint.condition.is_outage());
+        // A route is in an outage while all of its endpoints are.
+        let mut route_endpoints = endpoints.iter().filter(|endpoint| endpoint.route == route);
+        let outage = route_endpoints.all(|endpoint| endpoint.condition.is_outage());
         drop(endpoints);
         if let Some(links) = world.fleet.links() {
             links.set_endpoint_cut(*number, unreachable);
@@ -82,8 +84,8 @@
     world.endpoint_changed.notify_waiters();
 }
 
-/// Lowers the limits of endpoints until `until`.
-pub(super) async fn lower_limit(world: &World, fault: &PlannedFault, until: At) {
+/// Reduces the limits of endpoints' routes until `until`.
+pub(super) async fn reduce_limit(world: &World, fault: &PlannedFault, until: At) {
     set_limit_share(world, fault, fault.calls);
     world.wait_until(until).await;
     set_limit_share(world, fault, 1.0);
@@ -98,19 +100,19 @@
     }
 }
 
-/// Moves endpoints to other addresses under their ids.
+/// Moves endpoints to new addresses while they keep their ids.
 pub(super) async fn change_addresses(world: &Rc<World>, fault: &PlannedFault) {
     for endpoint in &fault.endpoints {
         world.endpoints.borrow_mut()[*endpoint as usize].address_generation += 1;
         if let Err(error) = endpoints::open(world, *endpoint as usize).await {
-            eprintln!("endpoint {endpoint}: {error}");
+            eprintln!("endpoint move failed: endpoint={endpoint} error={error}");
         }
     }
     world.endpoint_changed.notify_waiters();
     platform::publish(world);
 }
 
-/// Gives endpoints other ids at their addresses.
+/// Gives endpoints new ids while they keep their addresses.
 pub(super) fn change_ids(world: &Rc<World>, fault: &PlannedFault) {
     for endpoint in &fault.endpoints {
         change_id(world, *endpoint);
@@ -125,13 +127,13 @@
     endpoint.previous = Some(EndpointIdentity { id: endpoint.id.clone(), route: endpoint.route });
     endpoint.id = format!("s-{}", &random.id()[..ID_DIGITS]);
     if world.plan.partners[endpoint.destination as usize].kind.routes_apart() {
-        // A new route: a Retry-After of the previous one does not apply to it.
+        // The new id starts a new route, to which a Retry-After of the previous one does not apply.
         endpoint.route = world.next_route.get();
         world.next_route.set(endpoint.route + 1);
     }
 }
 
-/// Drains endpoints, removes them, and starts others at their addresses.
+/// Drains endpoints, removes them, and starts replacements at the same addresses.
 pub(super) async fn drain(world: &Rc<World>, fault: &PlannedFault) {
     set_phase(world, fault, "DRAINING");
     platform::publish(world);
@@ -167,8 +169,8 @@
     let is_replaced = |endpoint: &EndpointState| fault.endpoints.contains(&endpoint.number);
     for number in &fault.endpoints {
         let endpoint = &endpoints[*number as usize];
-        let mut of_route = endpoints.iter().filter(|other| other.route == endpoint.route);
-        if of_route.all(is_replaced) {
+        let mut route_endpoints = endpoints.iter().filter(|other| other.route == endpoint.route);
+        if route_endpoints.all(is_replaced) {
             let mut destinations = world.destinations.borrow_mut();
             let route = destinations[endpoint.destination as usize].route_of(*number);
             destinations[endpoint.destination as usize].reset_outage(route);
--- a/crates/micadrum-testkit/src/world/faults/mod.rs
+++ b/crates/micadrum-testkit/src/world/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults of the plan: each one begins and ends at its time.
+//! The injection of the plan's faults, each at its scheduled time.
 mod discovery_faults;
 mod endpoint_faults;
 mod sender_faults;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Schedules all faults of the plan, each at its time after `started_at`.
+/// Spawns a task for each fault of the plan, which injects it at its offset from `started_at`.
 pub(super) fn schedule(world: &Rc<World>, started_at: At) {
     for fault in world.plan.faults.clone() {
         let world = world.clone();
@@ -22,7 +22,7 @@
     }
 }
 
-/// Injects one fault, and returns once it is over.
+/// Injects a fault, and ends it at its end time if it has one.
 async fn inject(world: &Rc<World>, fault: &PlannedFault, started_at: At) {
     let until = started_at + fault.until.0;
     match fault.kind {
@@ -51,7 +51,7 @@
         FaultKind::Move => endpoint_faults::change_addresses(world, fault).await,
         FaultKind::Rename => endpoint_faults::change_ids(world, fault),
         FaultKind::Drain => endpoint_faults::drain(world, fault).await,
-        FaultKind::LimitFalls => endpoint_faults::lower_limit(world, fault, until).await,
+        FaultKind::LimitFalls => endpoint_faults::reduce_limit(world, fault, until).await,
         FaultKind::Hang
         | FaultKind::Late
         | FaultKind::Stall
@@ -65,8 +65,8 @@
     }
 }
 
-/// Slows, holds or drops what passes between zones. Without control of the links the report says that the fault was
-/// not played.
+/// Delays, holds or drops the traffic between zones until `until`. If the fleet has no control of its links,
+/// the report lists the fault as not injected.
 async fn zone_links(world: &World, fault: &PlannedFault, until: At) {
     let Some(links) = world.fleet.links() else {
         world.recorder().not_played(fault);
--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the senders: their processes, machines, disks, and the links between them.
+//! Faults of the senders' processes, machines and disks, and of the links between senders.
 use super::endpoint_faults;
 use crate::history::What;
 use crate::observation::{At, Seen};
@@ -22,18 +22,18 @@
     }
 }
 
-/// Cuts the power of senders, and of the destinations' machines in the same zone.
+/// Cuts the power of the senders and endpoints that the fault selects.
 pub(super) async fn power_loss(world: &World, fault: &PlannedFault, started_at: At) {
     let mut random = SeededRng::new(world.plan.seed, &format!("power back after {}", fault.from));
     for sender in &fault.senders {
         let recovery = draw_recovery(&mut random, fault, *sender);
         world.lose_power(*sender, recovery, fault.folder);
     }
-    let of_endpoints = PlannedFault { kind: FaultKind::Die, ..fault.clone() };
-    endpoint_faults::degrade(world, &of_endpoints, started_at).await;
+    let endpoint_fault = PlannedFault { kind: FaultKind::Die, ..fault.clone() };
+    endpoint_faults::degrade(world, &endpoint_fault, started_at).await;
 }
 
-/// Draws when a sender comes back, and how far its clock is off then.
+/// Returns a random downtime and clock offset for a sender, within the bounds of the fault.
 fn draw_recovery(random: &mut SeededRng, fault: &PlannedFault, sender: u32) -> PowerRecovery {
     let delay = (random.unit() * fault.back.0 as f64) as u64;
     let downtime = Duration::from_micros(fault.until.0 - fault.from.0 + delay);
@@ -44,14 +44,14 @@
     PowerRecovery { downtime: (!fault.never.contains(&sender)).then_some(downtime), clock_offset_us }
 }
 
-/// Replaces the machines of senders: their state folders are lost.
+/// Replaces the machines of senders, so that their state folders are lost.
 pub(super) fn machine_lost(world: &World, fault: &PlannedFault) {
     for sender in &fault.senders {
         world.restart(*sender, How::Kill, Duration::from_micros(fault.down.0), FolderKept::Lost);
     }
 }
 
-/// Kills senders in the midst of a write to the journal.
+/// Kills senders during a write to their journals.
 pub(super) fn kill_at_write(world: &World, fault: &PlannedFault) {
     for sender in &fault.senders {
         world.kill_at_write(*sender, fault.nth, fault.place, Duration::from_micros(fault.down.0));
@@ -72,7 +72,7 @@
     }
 }
 
-/// Lets syncs of the senders' disks fail, hang or do nothing until `until`.
+/// Makes syncs of the senders' disks fail, hang or have no effect until `until`.
 pub(super) async fn disk_sync(world: &World, fault: &PlannedFault, until: At) {
     let behavior = match fault.kind {
         FaultKind::SyncFails => SyncBehavior::Fail,
@@ -111,7 +111,8 @@
     }
 }
 
-/// Applies a fault to the links between senders, and cuts their links to destinations where the fault says so.
+/// Applies a fault to the links between senders until `until`. Also cuts the senders' links to destinations
+/// if the fault says so.
 pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: At) {
     world.link_faults.borrow_mut().begin_fault(fault);
     record(world, fault, true);
@@ -134,7 +135,7 @@
     }
 }
 
-/// Writes into the history of each sender that a fault begins or ends.
+/// Records the beginning or end of a fault in the history of each affected sender.
 fn record(world: &World, fault: &PlannedFault, began: bool) {
     fault.senders.iter().for_each(|sender| world.record(*sender, What::Struck(began)));
 }
--- a/crates/micadrum-testkit/src/world/messages.rs
+++ b/crates/micadrum-testkit/src/world/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that clients have submitted, as destinations and clients know them.
+//! The registry of submitted messages, which links the outcome of each message to its client.
 use crate::observation::At;
 use crate::plan::Class;
 use std::collections::{BTreeMap, VecDeque};
@@ -6,37 +6,38 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A message is remembered for this long after its deadline.
+/// How long a message is retained after its deadline.
 const RETENTION_AFTER_DEADLINE_US: At = 70_000_000;
 
-/// The outcome of a message, as its client learns it.
+/// The outcome of a message, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageOutcome {
     /// A destination accepted the message.
     Delivered,
-    /// The message failed; whether it took effect is not known.
+    /// The message failed, and may or may not have taken effect.
     Failed,
-    /// The message may be submitted again, after the Retry-After if there is one.
+    /// The sender returned the message unexecuted. It may be submitted again after the Retry-After, if there
+    /// is one.
     Returned(Option<Duration>),
-    /// The machine of its sender is lost, and the message was not attempted.
+    /// The sender's machine was lost before the message was attempted.
     Lost,
 }
 
 /// A message that a client submitted.
 pub struct SubmittedMessage {
-    /// Its class.
+    /// The message's class.
     pub class: Class,
-    /// Its idempotency key.
+    /// The message's idempotency key.
     pub key: String,
-    /// Its destination.
+    /// The number of the message's destination.
     pub destination: u32,
-    /// Its body.
+    /// The message's body.
     pub body: Rc<[u8]>,
-    /// The sender that it was submitted to.
+    /// The number of the sender to which the message was submitted.
     pub sender: u32,
     /// Whether a call with this message has arrived at an endpoint.
     pub attempted: bool,
-    /// The client that waits for the outcome.
+    /// The channel to the client, until the outcome has been reported.
     pub outcome_listener: Option<oneshot::Sender<MessageOutcome>>,
 }
 
@@ -45,7 +46,7 @@
     id: String,
 }
 
-/// The messages that were submitted recently.
+/// The submitted messages that have not expired, by id.
 #[derive(Default)]
 pub struct SubmittedMessages {
     by_id: BTreeMap<String, SubmittedMessage>,
@@ -53,7 +54,7 @@
 }
 
 impl SubmittedMessages {
-    /// Adds a message, and forgets those that have expired.
+    /// Adds a message, and removes those that have expired.
     pub(super) fn add(&mut self, now: At, id: String, message: SubmittedMessage) {
         while let Some(expiry) = self.expiries.front()
             && expiry.at < now
@@ -66,12 +67,12 @@
         self.by_id.insert(id, message);
     }
 
-    /// Returns the message with an id.
+    /// Returns the message with the given id, or `None` if it is unknown or has expired.
     pub fn get(&mut self, id: &str) -> Option<&mut SubmittedMessage> {
         self.by_id.get_mut(id)
     }
 
-    /// Reports the outcome of a message to its client, unless that has an outcome already.
+    /// Reports the outcome of a message to its client, unless an outcome has been reported already.
     pub fn complete(&mut self, id: &str, outcome: MessageOutcome) {
         let message = self.by_id.get_mut(id);
         if let Some(listener) = message.and_then(|message| message.outcome_listener.take()) {
@@ -79,11 +80,11 @@
         }
     }
 
-    /// Completes the messages that a lost machine held. Those that may have taken effect fail, as a person has to
-    /// examine them; clients submit the others again.
+    /// Completes the messages of a sender whose machine was lost. Attempted messages may have taken effect
+    /// and fail; clients submit the others again.
     pub(super) fn complete_lost(&mut self, sender: u32) {
-        let of_sender = self.by_id.values_mut().filter(|message| message.sender == sender);
-        for message in of_sender {
+        let sender_messages = self.by_id.values_mut().filter(|message| message.sender == sender);
+        for message in sender_messages {
             let Some(listener) = message.outcome_listener.take() else { continue };
             let outcome = if message.attempted { MessageOutcome::Failed } else { MessageOutcome::Lost };
             let _ = listener.send(outcome);
