--- a/crates/micadrum-testkit/src/world/platform/agent.rs
+++ b/crates/micadrum-testkit/src/world/platform/agent.rs
@@ -9,23 +9,23 @@
 use std::net::SocketAddr;
 use tokio::sync::Notify;
 
-/// The port of a sender's first agent; each move takes the next one.
+/// The port of a sender's agent before its first move; each move takes the next port.
 pub(super) const AGENT_PORT: u16 = 8500;
 
-/// An entry of the endpoint list; the address differs from sender to sender.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// The endpoint's id.
+    /// The id of the endpoint.
     pub id: String,
-    /// The address for each sender.
+    /// The address of the endpoint for each sender, by sender number.
     pub addresses: Vec<SocketAddr>,
-    /// Its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// The kind of its destination.
+    /// The kind of the endpoint's destination.
     pub kind: &'static str,
-    /// Its destination.
+    /// The number of the endpoint's destination.
     pub destination: u32,
-    /// Its state.
+    /// The endpoint's phase: `SERVING`, `DRAINING` or `DELETED`.
     pub phase: &'static str,
 }
 
@@ -37,42 +37,42 @@
     }
 }
 
-/// A revision of the endpoint list that an agent has received.
+/// An endpoint list as an agent has received it, with its revision.
 #[derive(Clone, Default)]
 pub(super) struct ReceivedList {
     pub(super) revision: u64,
     pub(super) endpoints: Vec<ListedEndpoint>,
 }
 
-/// The agent on one sender's machine.
+/// The discovery agent on one sender's machine.
 pub struct Agent {
-    /// The listener that is not served yet.
+    /// The listener, until a task serves it.
     pub(super) listener: RefCell<Option<Box<dyn TestListener>>>,
     pub(super) address: Cell<SocketAddr>,
-    /// Counts the moves of the agent.
+    /// The number of times that the agent has moved.
     pub(super) address_generation: Cell<u16>,
-    /// Revisions before the ones that the agent counts.
+    /// The number that is subtracted from a revision to get the agent's own revision.
     pub(super) revision_base: Cell<u64>,
-    /// The latest revision that the sender was given.
+    /// The latest revision that was delivered to the sender.
     pub(super) delivered_revision: Cell<u64>,
     pub(super) last_request_at: Cell<At>,
     pub(super) last_request_failed: Cell<bool>,
     pub(super) last_answer_at: Cell<At>,
-    /// Counts the processes of the sender: the answers to an earlier one are dropped.
+    /// Incremented when a process of the sender starts or ends; answers to an earlier process are dropped.
     pub(super) process_generation: Cell<u32>,
-    /// Requests of the sender that wait for a new revision.
+    /// The number of requests of the sender that wait for a new revision.
     pub(super) pending_watches: Cell<usize>,
-    /// The sender does not count as informed before this time.
+    /// The earliest time at which the sender counts as informed of a new list.
     pub(super) not_informed_before: Cell<At>,
     pub(super) received: RefCell<ReceivedList>,
     pub(super) changed: Notify,
-    /// The ids that the sender was informed of, and since when.
+    /// The time at which the sender was first informed of each endpoint id.
     informed_since: RefCell<BTreeMap<String, At>>,
-    /// The endpoints that were in service by the latest list that the sender was given.
+    /// The ids of the endpoints that are serving in the latest list that was delivered to the sender.
     serving: RefCell<BTreeSet<String>>,
-    /// Discovery answers nothing until this time.
+    /// The time until which the agent answers no discovery request.
     pub(in crate::world) silent_until: Cell<At>,
-    /// No notification is acknowledged until this time.
+    /// The time until which the agent acknowledges no notification.
     pub(in crate::world) notifications_ignored_until: Cell<At>,
 }
 
@@ -105,7 +105,7 @@
         self.address.get()
     }
 
-    /// Resets what depends on the sender's process, as one has ended or begins: it has sent no request yet.
+    /// Resets the state that belongs to a process of the sender, as one has started or ended.
     pub(in crate::world) fn reset_for_process(&self, now: At) {
         self.process_generation.set(self.process_generation.get() + 1);
         self.last_request_at.set(now);
@@ -114,19 +114,19 @@
         self.pending_watches.set(0);
     }
 
-    /// Returns the list that the agent has received, in discovery's format.
+    /// Returns the list that the agent has received, in the JSON format of discovery.
     pub(in crate::world) fn snapshot(&self, sender: u32) -> Value {
         let received = self.received.borrow();
         let members: Vec<_> = received.endpoints.iter().map(|endpoint| endpoint.json(sender)).collect();
         json!({"revision": received.revision - self.revision_base.get(), "complete": true, "members": members})
     }
 
-    /// Returns whether the sender was informed of an endpoint's id when it sent something.
+    /// Returns whether the sender was informed of an endpoint's id at `sent_at`.
     pub(in crate::world) fn is_informed(&self, id: &str, sent_at: At) -> bool {
         self.informed_since.borrow().get(id).is_some_and(|since| *since <= sent_at)
     }
 
-    /// Takes a revision of the list, unless the agent has a later one.
+    /// Stores a revision of the list, unless the agent has the same or a later one.
     pub(in crate::world) fn receive(&self, revision: u64, endpoints: Vec<ListedEndpoint>) {
         let mut received = self.received.borrow_mut();
         if received.revision < revision {
@@ -136,19 +136,21 @@
         }
     }
 
-    /// Returns whether the agent has a later revision than `revision`, by its own count.
+    /// Returns whether the agent has a later revision than `revision`, which is one of the agent's own
+    /// revisions.
     pub(super) fn has_later_revision(&self, revision: u64) -> bool {
         self.received.borrow().revision - self.revision_base.get() > revision
     }
 }
 
-/// Records that the sender was given the whole list that its agent has: an endpoint that is not on it is gone.
+/// Records that the agent's complete list was delivered to the sender. An endpoint that is missing from it no
+/// longer serves.
 pub(in crate::world) fn deliver_current_list(world: &World, sender: u32) {
     let ReceivedList { revision, endpoints } = world.agents[sender as usize].received.borrow().clone();
     record_delivered_list(world, sender, revision, &endpoints);
 }
 
-/// Records that the sender was given a revision of the list, unless it was given a later one already.
+/// Records that a revision of the list was delivered to the sender, unless a later one was delivered before.
 pub(super) fn record_delivered_list(world: &World, sender: u32, revision: u64, endpoints: &[ListedEndpoint]) {
     let agent = &world.agents[sender as usize];
     if revision < agent.delivered_revision.get() {
--- a/crates/micadrum-testkit/src/world/platform/mod.rs
+++ b/crates/micadrum-testkit/src/world/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: a discovery agent on each sender's machine, which also accepts notifications.
+//! The platform, which has an agent on each sender's machine that serves discovery and accepts notifications.
 mod agent;
 
 pub(super) use agent::deliver_current_list;
@@ -20,15 +20,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A watch goes on if the next request arrives within this after the last answer.
+/// The longest time from an answer to the next request within which a watch counts as uninterrupted.
 const WATCH_GAP_US: At = 200_000;
-/// A sender that watches counts as informed this long after its agent has received a list.
+/// The time after which a watching sender counts as informed of a list that its agent has received.
 const WATCH_DELIVERY_DELAY: Duration = Duration::from_millis(250);
-/// A sender counts as informed by its new agent this long after it was given the agent's address.
+/// The time after which a sender counts as informed by an agent that has moved.
 const AGENT_MOVE_GRACE_US: At = 4_000_000;
-/// Discovery rejects a request whose answer would take longer.
+/// The longest time that a request may wait in the queue of discovery; longer waits are rejected.
 const MAX_DISCOVERY_QUEUE_US: At = 2_000_000;
-/// A sender that polls may take this many times as long after a failed request.
+/// The factor by which a sender may lengthen its polling interval after a failed request.
 const FAILED_POLL_FACTOR: At = 4;
 
 #[derive(Deserialize)]
@@ -38,7 +38,7 @@
     after_ms: Option<u64>,
 }
 
-/// Sends the present endpoint list to all agents; each receives it after a delay of its own.
+/// Sends the present endpoint list to all agents, to each after a random delay.
 pub(super) fn publish(world: &Rc<World>) {
     let revision = world.revision.get() + 1;
     world.revision.set(revision);
@@ -60,7 +60,7 @@
 ) {
     let agent = &world.agents[sender as usize];
     sleep(delay).await;
-    // Another silence may begin before one ends.
+    // `silent_until` may be extended during the wait.
     while agent.silent_until.get() > world.now() {
         world.wait_until(agent.silent_until.get()).await;
     }
@@ -69,7 +69,8 @@
     record_delivered_list(&world, sender, revision, &list);
 }
 
-/// Waits until the sender counts as informed of what its agent has received, whether or not it has requested it.
+/// Waits until the sender counts as informed of a revision that its agent has received, which depends on the
+/// discovery mode of the scenario.
 async fn wait_until_informed(world: &World, sender: u32, revision: u64) {
     let agent = &world.agents[sender as usize];
     match world.plan.scenario.discovery {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Waits until the sender has been given a revision, or could have polled for it.
+/// Waits until a revision has been delivered to the sender, or until the sender's next poll is overdue.
 async fn wait_until_poll_due(world: &World, agent: &Agent, revision: u64) {
     let listed_at = world.now();
     while agent.delivered_revision.get() < revision {
@@ -96,8 +97,11 @@
     }
 }
 
-/// Moves a sender's agent to another address, where it counts its revisions anew, and reloads the sender's
+/// Moves a sender's agent to another address, where its revisions start again at 1, and reloads the sender's
 /// configuration with that address.
+///
+/// # Errors
+/// Returns an error if the agent cannot listen at the new address.
 pub(super) async fn move_agent(world: &Rc<World>, sender: u32) -> io::Result<()> {
     let agent = &world.agents[sender as usize];
     let generation = agent.address_generation.get() + 1;
@@ -108,7 +112,7 @@
     agent.address.set(listener.address());
     *agent.listener.borrow_mut() = Some(listener);
     serve(world, sender);
-    // Requests that wait at the old address end.
+    // Ends the requests that wait at the old address.
     agent.changed.notify_waiters();
     let seed_text = format!("sender {sender} at agent {generation}");
     let seed = SeededRng::new(world.plan.seed, &seed_text).number();
@@ -116,7 +120,7 @@
     Ok(())
 }
 
-/// Serves a sender's agent at its present address.
+/// Spawns a task that serves a sender's agent at its present address.
 pub(super) fn serve(world: &Rc<World>, sender: u32) {
     let agent = &world.agents[sender as usize];
     let Some(listener) = agent.listener.borrow_mut().take() else { return };
@@ -147,7 +151,7 @@
     }
 }
 
-/// Answers a request to the agent; `None` where the agent breaks the connection.
+/// Returns the answer to a request to the agent, or `None` if the agent closes the connection instead.
 async fn answer_request(world: &Rc<World>, sender: u32, message: &Message) -> Option<Vec<u8>> {
     let agent = &world.agents[sender as usize];
     if message.path == "/v1/notices" {
@@ -174,14 +178,14 @@
             WatchEnd::Abandoned => return None,
         }
     }
-    // The answer contains the whole list each time: an endpoint that is not on it is gone.
+    // The answer contains the complete list, so an endpoint that is missing from it no longer serves.
     agent.last_answer_at.set(world.now());
     let list = agent.snapshot(sender);
     deliver_current_list(world, sender);
     Some(answer("200 OK", "", &list.to_string()))
 }
 
-/// How a request leaves the queue of discovery.
+/// The result of waiting in the queue of discovery.
 enum QueueExit {
     Served,
     Rejected,
@@ -189,8 +193,8 @@
     Abandoned,
 }
 
-/// Waits until discovery, whose requests a second may be limited, serves a request. A watch that goes on is served at
-/// once.
+/// Waits until discovery serves a request. The scenario may limit its requests per second, but the next
+/// request of an uninterrupted watch is served at once.
 async fn wait_in_discovery_queue(world: &World, agent: &Agent, process: u32) -> QueueExit {
     let last_answer_at = agent.last_answer_at.get();
     let continues = last_answer_at > 0 && world.now() < last_answer_at + WATCH_GAP_US;
@@ -209,7 +213,7 @@
     if agent.process_generation.get() == process { QueueExit::Served } else { QueueExit::Abandoned }
 }
 
-/// The query of a request that waits for a later revision.
+/// The parameters of a request that waits for a later revision.
 struct Watch {
     revision: u64,
     max_wait: Duration,
@@ -225,7 +229,7 @@
     }
 }
 
-/// How a watch ends.
+/// The result of a watch.
 enum WatchEnd {
     Changed,
     TimedOut,
@@ -279,10 +283,10 @@
 fn accept_notification(world: &World, sender: u32, notification: &Notification) {
     let returned = notification.state == "returned";
     let mut messages = world.messages.borrow_mut();
-    // A sender reports on the messages that were submitted to it, and on no others.
+    // A sender may only send notifications of messages that were submitted to it.
     let id = match messages.get(&notification.id) {
         Some(message) if message.sender == sender => notification.id.clone(),
-        _ => format!("{} (not its own)", notification.id),
+        _ => format!("{} (not submitted to this sender)", notification.id),
     };
     world.observe(Seen::Noticed { id, returned });
     let retry_after = notification.after_ms.map(Duration::from_millis);
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the world gives to each sender.
+//! The configuration of each sender, derived from the plan.
 use super::senders::OperatorFile;
 use super::{World, endpoints};
 use crate::link_faults::{self, Named};
@@ -10,23 +10,24 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Call slots of a sender, as a multiple of the calls that run at a time under full load.
+/// The call slots of a sender, as a multiple of its average number of concurrent calls under full load.
 const CALL_SLOT_FACTOR: f64 = 2.2;
 const MIN_CALL_SLOTS: usize = 4;
-/// Seconds of a sender's share of the full load that it may have pending.
+/// The messages that a sender may have pending, in seconds of its share of the full load.
 const PENDING_SECONDS: f64 = 8.0;
 const MIN_PENDING_MESSAGES: usize = 12;
 /// The quotas of all tenants together, as a multiple of the traffic.
 const QUOTA_FACTOR: f64 = 1.2;
 
-/// Limits of a sender that follow from the plan's load.
+/// The limits of a sender, derived from the plan's load.
 struct SenderCapacity {
     max_calls: usize,
     max_pending: usize,
 }
 
 impl World {
-    /// Returns the configuration of a sender; `listen` is the address for clients.
+    /// Returns the configuration of a sender that accepts clients at `listen`, including the plan's
+    /// deliberate errors.
     pub fn config(&self, sender: u32, listen: SocketAddr, seed: u64) -> Value {
         let plan = &self.plan;
         let agent = &self.agents[sender as usize];
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Returns the operator's file of a sender and the secret that it names, where the scenario has one.
+    /// Returns the operator's file of a sender and the secret that it names, or `None` if the scenario has
+    /// none.
     pub(super) fn operator_file(&self, sender: u32) -> Option<OperatorFile> {
         let plan = &self.plan;
         let table = plan.scenario.operator.as_ref()?.get_ref();
@@ -99,7 +101,7 @@
             zone: zones[other.building].clone(),
             secret: link_faults::secret(plan.seed, other.number),
         });
-        // The scenario was checked when it was read.
+        // The operator's table was validated with the scenario, so this does not fail.
         let text = link_faults::operator_file(table, &members.collect::<Vec<_>>()).unwrap_or_default();
         Some(OperatorFile { text, secret: link_faults::secret(plan.seed, sender) })
     }
