--- a/crates/micadrum-testkit/src/world/senders/mod.rs
+++ b/crates/micadrum-testkit/src/world/senders/mod.rs
@@ -1,4 +1,5 @@
-//! The senders under test: started, supervised and restarted, and selected by the front for each client.
+//! The senders under test: starts and supervises their processes, and selects the sender of each client
+//! request as a load balancer does.
 mod fleet;
 mod supervisor;
 
@@ -21,43 +22,43 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A process that is not ready after this does not start.
+/// The longest time for a process to become ready; a slower start counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(25);
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How a machine that lost power comes back.
+/// How a machine recovers from a power loss.
 #[derive(Clone, Copy)]
 pub(super) struct PowerRecovery {
-    /// How long the machine stays off; `None` where it never comes back.
+    /// How long the machine stays off, or `None` if it never comes back.
     pub downtime: Option<Duration>,
-    /// How far its clock is off afterwards.
+    /// The offset of the machine's clock afterwards, in microseconds.
     pub clock_offset_us: i64,
 }
 
-/// A sender as clients and the front see it.
+/// The state of a sender as the clients and the load balancer see it.
 #[derive(Default)]
 pub struct SenderState {
     address: Cell<Option<SocketAddr>>,
     lost_machines: Cell<u32>,
     is_accepting: Cell<bool>,
-    /// Since when the sender has been down.
+    /// The time since which the sender has been down, or `None` while it runs.
     down_since: Cell<Option<At>>,
     commands: RefCell<Option<UnboundedSender<SenderCommand>>>,
 }
 
 impl SenderState {
-    /// Returns whether the sender runs and is not shutting down.
+    /// Returns whether the sender is ready and not shutting down.
     pub(super) fn is_accepting(&self) -> bool {
         self.is_accepting.get()
     }
 
-    /// Returns the number of machines that the sender has lost so far, with the messages that each held.
+    /// Returns the number of times that the sender has lost its machine and the messages on it.
     pub(super) fn lost_machines(&self) -> u32 {
         self.lost_machines.get()
     }
 
-    /// Returns the address for clients, since the sender was first started.
+    /// Returns the sender's address for clients, or `None` before it was first ready.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
@@ -70,7 +71,8 @@
 }
 
 impl World {
-    /// Returns the sender that the front selects for a client: by number, without those that it knows to be down.
+    /// Returns the sender that the load balancer selects for a client, or `None` if all are known to be down.
+    /// The first choice is `number` modulo the number of senders, followed by the senders after it.
     pub(super) fn select_sender(&self, number: u64) -> Option<u32> {
         let detection_delay = self.plan.scenario.front_notice.0;
         let count = self.senders.len() as u64;
@@ -80,26 +82,26 @@
         })
     }
 
-    /// Restarts a sender after `down`, with `folder` as its state folder.
+    /// Stops a sender and starts it again after `down`, with its state folder as `folder` specifies.
     pub(super) fn restart(&self, sender: u32, how: How, down: Duration, folder: FolderKept) {
         self.senders[sender as usize].send(SenderCommand::Restart { how, down, folder });
     }
 
-    /// Cuts the power of a sender's machine.
+    /// Cuts the power of a sender's machine, which then recovers as `recovery` specifies.
     pub(super) fn lose_power(&self, sender: u32, recovery: PowerRecovery, folder: FolderKept) {
         self.senders[sender as usize].send(SenderCommand::LosePower { recovery, folder });
     }
 
-    /// Kills a sender at a write to its journal.
+    /// Kills a sender at the `nth` write to its journal, and starts it again after `down`.
     pub(super) fn kill_at_write(&self, sender: u32, nth: u64, place: Where, down: Duration) {
         self.senders[sender as usize].send(SenderCommand::KillAtWrite { nth, place, down });
     }
 }
 
-/// Starts all senders, and waits until each is ready.
+/// Starts all senders one after another, each once the previous one is ready, and spawns their supervisors.
 ///
 /// # Errors
-/// Returns an error where one does not start.
+/// Returns an error if a sender does not start.
 pub(super) async fn start_all(world: &Rc<World>) -> io::Result<()> {
     for sender in 0..world.senders.len() as u32 {
         start(world, sender, 0).await?;
@@ -110,16 +112,17 @@
     Ok(())
 }
 
-/// Starts a sender that was started `restarts` times before.
+/// Starts a sender that has been restarted `restarts` times, this start included.
 async fn start(world: &Rc<World>, sender: u32, restarts: u64) -> io::Result<()> {
     let seed = SeededRng::new(world.plan.seed, &format!("sender {sender} {restarts}")).number();
     let config = world.config(sender, world.fleet.listen_address(sender), seed);
-    // The configuration contains the list that the agent has.
+    // The configuration contains the agent's present endpoint list.
     platform::deliver_current_list(world, sender);
     world.agents[sender as usize].reset_for_process(world.now());
     let started = timeout(START_TIMEOUT, start_until_ready(world, sender, config)).await;
-    let address = started.map_err(|_| io::Error::other(format!("sender {sender} does not get ready")))??;
-    // A process that ended before it was ready is left to its supervisor.
+    let address = started
+        .map_err(|_| io::Error::other(format!("sender {sender} was not ready within {START_TIMEOUT:?}")))??;
+    // The supervisor handles a process that exited before it was ready.
     let Some(address) = address else { return Ok(()) };
     let state = &world.senders[sender as usize];
     state.address.set(Some(address));
@@ -132,7 +135,7 @@
     Ok(())
 }
 
-/// Starts a process and waits until it is ready. Returns its address, or `None` where the process ended before.
+/// Starts a process and waits until it is ready. Returns its address, or `None` if the process exits before.
 async fn start_until_ready(
     world: &Rc<World>,
     sender: u32,
--- a/crates/micadrum-testkit/src/world/senders/supervisor.rs
+++ b/crates/micadrum-testkit/src/world/senders/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor of one sender: carries out restarts, kills and power losses, one after another.
+//! The supervisor of a sender, which executes restarts, kills and power losses sequentially.
 use super::{PowerRecovery, start};
 use crate::history::What;
 use crate::observation::Seen;
@@ -10,31 +10,31 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep, timeout};
 
-/// SIGKILL follows SIGTERM after this.
+/// The time after SIGTERM at which a process that still runs gets SIGKILL.
 const TERM_TO_KILL_DELAY: Duration = Duration::from_millis(3700);
-/// A process that exited by itself is started again after this.
+/// The time after an unexpected exit at which the process is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
 
-/// What the supervisor is to do with its sender.
+/// A command to the supervisor of a sender.
 pub(super) enum SenderCommand {
     Restart { how: How, down: Duration, folder: FolderKept },
     LosePower { recovery: PowerRecovery, folder: FolderKept },
     KillAtWrite { nth: u64, place: Where, down: Duration },
 }
 
-/// How a sender is to be stopped, and what follows.
+/// How to stop a sender and restart it.
 struct StopPlan {
     how: How,
-    /// How long the sender stays down; `None` where it never comes back.
+    /// How long the sender stays down, or `None` if it never comes back.
     down: Option<Duration>,
     folder: FolderKept,
-    /// How far its clock is off after a power loss.
+    /// The clock offset after a power loss, or `None` if the machine keeps running.
     clock_offset_us: Option<i64>,
 }
 
 impl StopPlan {
     fn power_loss(recovery: PowerRecovery, folder: FolderKept) -> Self {
-        // A machine that never comes back takes what it held with it.
+        // The state folder of a machine that never comes back is lost.
         let folder = if recovery.downtime.is_none() { FolderKept::Lost } else { folder };
         let clock_offset_us = Some(recovery.clock_offset_us);
         Self { how: How::Kill, down: recovery.downtime, folder, clock_offset_us }
@@ -50,45 +50,46 @@
     world: Rc<World>,
     sender: u32,
     restarts: u64,
-    /// How long the sender stays down after the kill at a write that is pending.
+    /// How long the sender stays down after a pending kill at a write, or `None` if none is pending.
     pending_kill: Option<Duration>,
 }
 
-/// Supervises a sender until the world ends or the sender does not come back.
+/// Supervises a sender until its command channel is closed or the sender does not come back.
 pub(super) async fn supervise(world: Rc<World>, sender: u32, mut commands: UnboundedReceiver<SenderCommand>) {
     let mut supervisor = Supervisor { world: world.clone(), sender, restarts: 0, pending_kill: None };
     loop {
-        let goes_on = tokio::select! {
+        let is_running = tokio::select! {
             biased;
             command = commands.recv() => match command {
-                Some(command) => supervisor.carry_out(command).await,
+                Some(command) => supervisor.execute(command).await,
                 None => return,
             },
             clean = world.fleet.wait_for_exit(sender) => supervisor.handle_exit(clean).await,
         };
-        if !goes_on {
+        if !is_running {
             return;
         }
     }
 }
 
 impl Supervisor {
-    /// Handles the exit of a process that nobody stopped, and returns whether the sender goes on.
+    /// Handles the exit of a process that was not stopped by a command. Returns whether the sender runs
+    /// again.
     async fn handle_exit(&mut self, clean: bool) -> bool {
         let sender = self.sender;
         let expected = self.pending_kill.is_some();
         if expected {
             self.world.observe(Seen::Ending { sender, killed: true });
         } else {
-            eprintln!("sender {sender} ended by itself{}", if clean { "" } else { ", in disorder" });
+            eprintln!("sender exited unexpectedly: sender={sender} clean={clean}");
         }
         self.record_exit(expected, FolderKept::Kept);
         let down = self.pending_kill.take().unwrap_or(RESTART_DELAY);
         self.restart_after(down).await
     }
 
-    /// Carries out a command, and returns whether the sender goes on.
-    async fn carry_out(&mut self, command: SenderCommand) -> bool {
+    /// Executes a command. Returns whether the sender runs afterwards.
+    async fn execute(&mut self, command: SenderCommand) -> bool {
         let plan = match command {
             SenderCommand::Restart { how, down, folder } => StopPlan::restart(how, down, folder),
             SenderCommand::LosePower { recovery, folder } => StopPlan::power_loss(recovery, folder),
@@ -97,7 +98,7 @@
                     self.pending_kill = Some(down);
                     return true;
                 }
-                // Where writes cannot be counted the sender is killed at once.
+                // A fleet that cannot count writes has the sender killed at once.
                 StopPlan::restart(How::Kill, down, FolderKept::Kept)
             }
         };
@@ -106,14 +107,14 @@
         if let Some(offset) = plan.clock_offset_us
             && !self.world.fleet.reboot(self.sender, offset)
         {
-            let not_played = format!("the clock of sender {}, off by {offset} us", self.sender);
+            let not_played = format!("clock offset of {offset} us for sender {}", self.sender);
             self.world.recorder().not_played.push(not_played);
         }
         let Some(down) = plan.down else { return false };
         self.restart_after(down).await
     }
 
-    /// Stops the process, and returns whether it ended as expected.
+    /// Stops the process. Returns whether it exited as expected.
     async fn stop(&mut self, how: How) -> bool {
         let sender = self.sender;
         let fleet = self.world.fleet.clone();
@@ -131,18 +132,18 @@
         true
     }
 
-    /// Starts the sender again after `down`, and returns whether that succeeds.
+    /// Starts the sender again after `down`. Returns whether the start succeeded.
     async fn restart_after(&mut self, down: Duration) -> bool {
         sleep(down).await;
         self.restarts += 1;
         let started = start(&self.world, self.sender, self.restarts).await;
         if let Err(error) = &started {
-            eprintln!("{error}");
+            eprintln!("sender restart failed: sender={} error={error}", self.sender);
         }
         started.is_ok()
     }
 
-    /// Records the exit of the process, and puts the state folder into the condition that follows.
+    /// Records the exit of the process, and prepares the state folder for the next one.
     fn record_exit(&self, expected: bool, folder: FolderKept) {
         let (world, sender) = (&*self.world, self.sender);
         let state = &world.senders[sender as usize];
