--- a/crates/micadrum-testkit/src/world/clients.rs
+++ b/crates/micadrum-testkit/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: gantry, billing and account programs that submit messages as the protocol describes.
+//! The clients: gantry, billing and account programs that submit messages to the senders over HTTP.
 use super::World;
 use super::messages::{MessageOutcome, SubmittedMessage};
 use crate::http::Conversation;
@@ -13,34 +13,34 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A client waits this long for a connection or an answer.
+/// The longest time that a client waits for a connection or an answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_RETRIES: usize = 2;
-/// A client does not submit a message that has less time left.
+/// The shortest time to its deadline with which a client submits a message.
 const MIN_REMAINING_US: At = 500_000;
 /// Bounds of the delay before a retry.
 const MIN_RETRY_DELAY_SECONDS: f64 = 0.1;
 const MAX_RETRY_DELAY_SECONDS: f64 = 0.6;
-/// Bounds of the delay before a message is submitted again whose machine was lost.
+/// Bounds of the delay before a client resubmits a message after its sender's machine was lost.
 const MIN_LOSS_DETECTION_SECONDS: f64 = 0.36;
 const MAX_LOSS_DETECTION_SECONDS: f64 = 1.9;
-/// Share of the messages that are submitted a second time under the same id, whatever their outcome.
+/// The share of messages that are submitted a second time under the same id, regardless of their outcome.
 const DUPLICATE_SHARE: f64 = 0.01;
-/// Bounds of the delay before such a duplicate.
+/// Bounds of the delay before a duplicate is submitted.
 const MIN_DUPLICATE_DELAY_SECONDS: f64 = 0.05;
 const MAX_DUPLICATE_DELAY_SECONDS: f64 = 12.0;
-/// Idle connections that the clients beside one sender keep open.
+/// The number of idle connections that the clients keep open to each sender.
 const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// The state that the clients share.
+/// The state that all clients share.
 struct Clients {
-    /// Open connections that are not in use, by sender.
+    /// The idle connections, by sender.
     idle: RefCell<BTreeMap<u32, Vec<Conversation>>>,
-    /// Held while a message of a vehicle is being submitted.
+    /// Locks that allow one submission at a time for each vehicle, by vehicle.
     vehicle_locks: RefCell<BTreeMap<u32, Rc<Mutex<()>>>>,
 }
 
-/// Submits all messages of the plan, each at its time.
+/// Submits all messages of the plan, each at its scheduled time.
 pub(super) async fn submit_all(world: &Rc<World>, started_at: At) {
     let clients = Rc::new(Clients { idle: RefCell::default(), vehicle_locks: RefCell::default() });
     let plan = world.plan.clone();
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a client states when it submits an operation again.
+/// What a client declares in `X-Resent` about the earlier message when it submits an operation again.
 #[derive(Clone, Copy)]
 enum Resubmission {
     /// The earlier message was not executed.
@@ -69,13 +69,13 @@
     }
 }
 
-/// The response to a submission, and the channel on which the outcome of the message follows.
+/// The response to a submission, and the channel that receives the outcome of the message.
 struct Submission {
     response: Told,
     outcome: oneshot::Receiver<MessageOutcome>,
 }
 
-/// One operation, from its first submission on.
+/// An operation of a client, which may be submitted several times.
 struct Operation<'a> {
     world: &'a Rc<World>,
     clients: &'a Clients,
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Submits the operation while no other one of its vehicle is submitted; `None` where too little time is left.
+    /// Submits the operation while no other operation of its vehicle is being submitted. Returns `None` if
+    /// too little time is left.
     async fn submit_in_order(
         &mut self,
         vehicle_lock: Option<&Mutex<()>>,
@@ -131,7 +132,7 @@
         Some(self.submit(remaining, resubmission).await)
     }
 
-    /// Waits until the operation may be submitted again; `None` where it is not.
+    /// Waits until the operation may be submitted again. Returns `None` if it must not be.
     async fn wait_for_retry(&mut self, submission: Submission) -> Option<Resubmission> {
         match submission.response {
             Told::TakenOn => self.wait_for_outcome(submission.outcome).await,
@@ -167,7 +168,7 @@
         Duration::from_secs_f64(delay)
     }
 
-    /// Submits the operation once, as a message with a new id.
+    /// Submits the operation once, as a message with a new random id.
     async fn submit(&mut self, remaining: At, resubmission: Option<Resubmission>) -> Submission {
         let id = self.random.id();
         let has_duplicate = self.random.chance(DUPLICATE_SHARE);
@@ -242,7 +243,8 @@
         request
     }
 
-    /// Sends a request, and once more on a new connection where a reused one was closed between two requests.
+    /// Sends a request, and retries it on a new connection if a reused connection was closed without an
+    /// answer.
     async fn send_with_retry(&self, sender: u32, mut connection: ClientConnection, request: &[u8]) -> Told {
         let mut response = self.send(sender, &mut connection, request).await;
         if response == Told::Cut
@@ -279,8 +281,8 @@
     }
 }
 
-/// Submits the same message under the same id once more after a delay, as a client that was restarted does, unless the
-/// machine of the sender is lost before. The sender owes nothing new for it.
+/// Submits the same message under the same id once more after a delay, as a restarted client does, unless the
+/// sender's machine is lost first. The sender does not have to deliver the message again for it.
 fn schedule_duplicate(world: Rc<World>, sender: u32, delay: Duration, request: Vec<u8>, submitted: Seen) {
     let lost_machines = world.senders[sender as usize].lost_machines();
     spawn_local(async move {
@@ -318,7 +320,7 @@
         self.vehicle_locks.borrow_mut().entry(vehicle).or_default().clone()
     }
 
-    /// Forgets the lock of a vehicle that no operation uses any more.
+    /// Removes the lock of a vehicle if no operation uses it.
     fn release_vehicle_lock(&self, vehicle: u32) {
         let mut locks = self.vehicle_locks.borrow_mut();
         if locks.get(&vehicle).is_some_and(|lock| Rc::strong_count(lock) == 1) {
@@ -345,12 +347,13 @@
         Some(ClientConnection { conversation, is_reused: false, is_reusable: false })
     }
 
-    /// Returns a connection to the idle ones, if it can be used again and there are not too many.
+    /// Keeps a connection for reuse, if it is reusable and the sender has fewer than the maximum of idle
+    /// connections.
     fn release(&self, sender: u32, connection: ClientConnection) {
         let mut idle = self.idle.borrow_mut();
-        let of_sender = idle.entry(sender).or_default();
-        if connection.is_reusable && of_sender.len() < MAX_IDLE_CONNECTIONS {
-            of_sender.push(connection.conversation);
+        let connections = idle.entry(sender).or_default();
+        if connection.is_reusable && connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(connection.conversation);
         }
     }
 }
--- a/crates/micadrum-testkit/src/world/destination_model/condition.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/condition.rs
@@ -56,7 +56,7 @@
     pub(super) fn after_stall(&self, start: At) -> At {
         let Some(stall) = self.stall else { return start };
         let Some(elapsed) = start.checked_sub(stall.from) else { return start };
-        let into_period = elapsed % stall.period;
-        if into_period < stall.pause { start + stall.pause - into_period } else { start }
+        let offset_in_period = elapsed % stall.period;
+        if offset_in_period < stall.pause { start + stall.pause - offset_in_period } else { start }
     }
 }
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -195,13 +195,13 @@
 
     fn decide(&mut self, route: usize, call: &IncomingCall<'_>) -> CallOutcome {
         let now = call.received_at;
-        let states_retry_after = self.random.chance(self.retry_after_share);
+        let sends_retry_after = self.random.chance(self.retry_after_share);
         if let Some(available_at) = call.condition.unavailable_until {
             let wait = available_at.saturating_sub(now).next_multiple_of(RETRY_AFTER_STEP_US);
-            return call.rejected(Some(wait).filter(|wait| states_retry_after && *wait > 0));
+            return call.rejected(Some(wait).filter(|wait| sends_retry_after && *wait > 0));
         }
         let within_limit = self.routes[route].admits(now);
-        let retry_after = Some(self.draw_retry_after(now)).filter(|_| states_retry_after);
+        let retry_after = Some(self.draw_retry_after(now)).filter(|_| sends_retry_after);
         if !within_limit
             || self.routes[route].is_collapsed()
             || self.random.chance(call.condition.rejected_share)
--- a/crates/micadrum-testkit/src/world/mod.rs
+++ b/crates/micadrum-testkit/src/world/mod.rs
@@ -1,5 +1,5 @@
-//! The world around the senders: destinations, platform, clients, and the faults that strike them. The same code runs on
-//! a simulated network and on loopback.
+//! The environment of the senders under test: emulated destinations, platform and clients, and injected
+//! faults. The same code runs on a simulated network and on loopback.
 pub mod clients;
 pub mod destination_model;
 pub mod endpoints;
@@ -28,64 +28,64 @@
 use tokio::time::{Instant, sleep_until};
 
 const MINUTE_US: At = 60_000_000;
-/// A run goes on for this long after the longest deadline, as a restart may still be under way.
+/// The time that a run continues after the last deadline, so that a pending restart can finish.
 const MARGIN_AFTER_DEADLINE_US: At = 5_000_000;
 
-/// An endpoint in its present state.
+/// The present state of an endpoint.
 pub struct EndpointState {
-    /// Its number in the plan.
+    /// The endpoint's number in the plan.
     pub number: u32,
-    /// Its destination.
+    /// The number of the endpoint's destination.
     pub destination: u32,
-    /// Its route, counted over all destinations.
+    /// The number of the endpoint's route among the routes of all destinations.
     pub route: u32,
-    /// Its zone.
+    /// The index of the endpoint's zone in the scenario.
     pub zone: usize,
-    /// Its id in the endpoint list; changes when it is replaced.
+    /// The endpoint's id in the endpoint list, which changes when the endpoint is replaced.
     pub id: String,
-    /// The identity before the present one, by which senders know it that have not received the new list.
+    /// The endpoint's previous identity, by which senders know it until they receive the new list.
     pub previous: Option<EndpointIdentity>,
-    /// Its state in the endpoint list.
+    /// The endpoint's phase in the endpoint list: `SERVING`, `DRAINING` or `DELETED`.
     pub phase: &'static str,
-    /// The address for each sender.
+    /// The address for each sender, by sender number.
     pub addresses: Vec<SocketAddr>,
-    /// Counts its changes of address.
+    /// The number of times that the endpoint has changed its address.
     pub address_generation: u16,
-    /// What is wrong with it.
+    /// The faults that apply to the endpoint at present.
     pub condition: Condition,
 }
 
 /// The identity under which senders know an endpoint.
 #[derive(Clone)]
 pub struct EndpointIdentity {
-    /// Its id in the endpoint list.
+    /// The endpoint's id in the endpoint list.
     pub id: String,
-    /// Its route, counted over all destinations.
+    /// The number of the endpoint's route among the routes of all destinations.
     pub route: u32,
 }
 
-/// An endpoint that is listed and does not exist.
+/// An endpoint that does not exist, and is listed nevertheless.
 #[derive(Clone, PartialEq, Eq)]
 pub struct NonexistentEndpoint {
-    /// The destination under which it is listed.
+    /// The number of the destination under which the endpoint is listed.
     pub destination: u32,
-    /// Its id in the endpoint list.
+    /// The endpoint's id in the endpoint list.
     pub id: String,
 }
 
-/// The state that all stand-ins share.
+/// The state that the emulated destinations, platform and clients share.
 pub struct World {
-    /// The plan.
+    /// The plan of the run.
     pub plan: Rc<Plan>,
-    /// The network.
+    /// The network that connects the emulated hosts with the senders.
     pub network: Rc<dyn TestNetwork>,
-    /// The senders' processes.
+    /// The processes and machines of the senders.
     pub fleet: Rc<dyn Fleet>,
     /// The faults of the links between senders.
     pub link_faults: Rc<RefCell<LinkFaults>>,
     start: Instant,
     recorder: RefCell<Recorder>,
-    /// The endpoints, by number.
+    /// The state of each endpoint, by number.
     pub endpoints: RefCell<Vec<EndpointState>>,
     /// Notified whenever the condition or the address of an endpoint changes.
     pub endpoint_changed: Notify,
@@ -96,17 +96,18 @@
     nonexistent_endpoints: RefCell<Vec<NonexistentEndpoint>>,
     revision: Cell<u64>,
     list_lag: Cell<Duration>,
-    /// When discovery will have answered all requests that are queued.
+    /// The time at which discovery will have served all queued requests.
     discovery_idle_at: Cell<At>,
     next_call: Cell<u64>,
     next_route: Cell<u32>,
 }
 
 impl World {
-    /// Creates the world of a plan, with all stand-ins listening; senders are not started yet.
+    /// Creates the environment of a plan, with all endpoints and agents listening. Does not start the
+    /// senders.
     ///
     /// # Errors
-    /// Returns an error where a stand-in cannot listen.
+    /// Returns an error if an endpoint or agent cannot listen.
     pub async fn new(
         plan: Rc<Plan>,
         network: Rc<dyn TestNetwork>,
@@ -145,7 +146,7 @@
         Ok(world)
     }
 
-    /// Lets all endpoints listen and all agents serve the first endpoint list.
+    /// Opens the listeners of all endpoints, and has all agents serve the first endpoint list.
     async fn start_listening(self: &Rc<Self>) -> std::io::Result<()> {
         let count = self.endpoints.borrow().len();
         for endpoint in 0..count {
@@ -159,7 +160,7 @@
         Ok(())
     }
 
-    /// Returns the time since the start of the world, in microseconds.
+    /// Returns the time since the creation of the world, in microseconds.
     pub fn now(&self) -> At {
         self.timestamp(Instant::now())
     }
@@ -172,18 +173,18 @@
         sleep_until(self.start + Duration::from_micros(time)).await;
     }
 
-    /// Records an observation of a stand-in.
+    /// Records an observation at the present time, for the metrics and the invariant checks.
     pub fn observe(&self, seen: Seen) {
         self.recorder.borrow_mut().see(self.now(), &seen);
     }
 
-    /// Records what happened to the process of a sender.
+    /// Records an event of a sender in the history, at the present time.
     pub fn record(&self, sender: u32, what: What) {
         let now = self.now();
         self.recorder().history.add(now, sender, what);
     }
 
-    /// Takes in a line of a sender's log, which may be a trace record.
+    /// Records a line of a sender's log in the history, if it traces a membership or recovery event.
     pub fn record_log_line(&self, sender: u32, line: &str) {
         let now = self.now();
         self.recorder().history.add_line(now, sender, line);
@@ -193,12 +194,12 @@
         self.recorder.borrow_mut()
     }
 
-    /// Returns the recorder, once the run is over.
+    /// Takes the recorder out of the world at the end of a run.
     pub fn into_recorder(self: Rc<Self>) -> Recorder {
         self.recorder.replace(Recorder::default())
     }
 
-    /// Returns the endpoint list as it is now.
+    /// Returns the present endpoint list.
     fn endpoint_list(&self) -> Vec<ListedEndpoint> {
         let listed = |endpoint: &EndpointState| self.listed(endpoint);
         let mut list: Vec<_> = self.endpoints.borrow().iter().map(listed).collect();
@@ -221,7 +222,7 @@
     }
 
     fn listed_nonexistent(&self, index: usize, endpoint: &NonexistentEndpoint) -> ListedEndpoint {
-        // In a simulation no host has this address and connections time out; on loopback they are refused.
+        // In a simulation no host has this address, so connections time out. On loopback they are refused.
         let unknown_host = SocketAddr::from(([10, 9, 0, (index % 250) as u8], 9));
         let address = self.fleet.unused_address().unwrap_or(unknown_host);
         ListedEndpoint {
@@ -240,7 +241,7 @@
     }
 }
 
-/// Returns the endpoints of a plan as they are at the start, and the number of routes.
+/// Returns the initial state of a plan's endpoints, and the number of their routes.
 fn initial_endpoints(plan: &Plan, models: &[DestinationModel]) -> (Vec<EndpointState>, u32) {
     let mut endpoints = Vec::new();
     let mut route_count = 0;
@@ -264,11 +265,12 @@
     (endpoints, route_count)
 }
 
-/// Runs a whole scenario: starts the senders, lets clients submit messages and faults strike, and waits until all
-/// accepted messages are due. `progress` is called with each minute that has passed and the number of operations.
+/// Runs a whole scenario: starts the senders, injects faults, has the clients submit their messages, and
+/// waits until the deadlines of all accepted messages have passed. After each minute, calls `progress` with
+/// the number of minutes and of operations so far.
 ///
 /// # Errors
-/// Returns an error where a sender does not start.
+/// Returns an error if a sender does not start.
 pub async fn run_scenario(world: &Rc<World>, progress: impl Fn(u64, usize) + 'static) -> std::io::Result<()> {
     senders::start_all(world).await?;
     let started_at = world.now();
@@ -282,7 +284,7 @@
         }
     });
     clients::submit_all(world, started_at).await;
-    // The last message may be delivered until its deadline.
+    // A message may be delivered until its deadline.
     let longest = Class::ALL.iter().map(|class| class.deadline().0).max().unwrap_or(0);
     let tail = world.plan.scenario.tail.map_or(longest + MARGIN_AFTER_DEADLINE_US, |tail| tail.0);
     let end = (started_at + world.plan.length().0).max(world.now()) + tail;
@@ -291,7 +293,7 @@
     Ok(())
 }
 
-/// Reads the status of senders at the times that the scenario names.
+/// Records the status of senders from their admin endpoints, at the times that the scenario specifies.
 fn schedule_admin_snapshots(world: &Rc<World>, started_at: At) {
     for look in world.plan.scenario.look.clone() {
         let world = world.clone();
