--- a/crates/micadrum-testkit/src/link_faults/operator_file.rs
+++ b/crates/micadrum-testkit/src/link_faults/operator_file.rs
@@ -1,43 +1,44 @@
-//! The operator's file of each sender, with the members and their keys filled in.
+//! Generates the operator's file of each sender from a scenario's `[operator]` table, the members and their
+//! keys.
 use crate::plan::SeededRng;
 use micadrum_config::OperatorConfig;
 use micadrum_membership::Secret;
 use std::net::SocketAddr;
 use toml::{Table, Value};
 
-/// Keys of `[peers]` that are filled in here.
+/// Keys of `[peers]` that the test kit sets, so that scenarios must not.
 const FILLED_IN_KEYS: [&str; 3] = ["member", "secret", "listen"];
 
-/// Why the `[operator]` of a scenario is no operator's file.
+/// An `[operator]` table that cannot be made into an operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// The table cannot be written as TOML.
+    /// The table cannot be serialized as TOML.
     #[error(transparent)]
     Toml(#[from] toml::ser::Error),
-    /// The daemon's check of the file found a fault.
+    /// The daemon's parser rejects the file.
     #[error("{0}")]
     Rejected(String),
-    /// `peers` is something else than a table.
-    #[error("`peers` is a table")]
+    /// `peers` is not a table.
+    #[error("`peers` must be a table")]
     PeersNotTable,
-    /// The scenario sets a key that is filled in here.
-    #[error("`{0}` is filled in by the kit")]
+    /// The scenario sets a key that the test kit sets.
+    #[error("`peers.{0}` must not be given: the test kit sets it")]
     FilledIn(&'static str),
 }
 
-/// A sender as a member of the operator's file.
+/// A member in an operator's file.
 pub struct MemberEntry {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// The address at which the sender whose file this is reaches it.
+    /// The address at which the reader of the file reaches the member.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: String,
-    /// Its secret.
+    /// The secret key of the member; the file contains the public key.
     pub secret: [u8; 32],
 }
 
-/// Returns the secret of a sender.
+/// Returns the secret key of a sender, which depends on the seed of the run and the sender alone.
 #[must_use]
 pub fn secret(seed: u64, sender: u32) -> [u8; 32] {
     let mut random = SeededRng::new(seed, &format!("secret of sender {sender}"));
@@ -48,21 +49,24 @@
     secret
 }
 
-/// Returns bytes in hexadecimal digits.
+/// Encodes bytes in lowercase hexadecimal digits.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns the operator's file of one sender, with its members filled in; without members, with two that stand for them.
+/// Returns the operator's file of one sender.
+///
+/// If `members` is empty, the file gets two placeholder members, and the daemon's parser validates it.
 ///
 /// # Errors
-/// Returns what is wrong with the scenario's `[operator]`.
+/// Returns an error if the table sets a key that the test kit sets, cannot be serialized, or is rejected by
+/// the daemon's parser.
 pub fn operator_file(table: &Table, members: &[MemberEntry]) -> Result<String, OperatorFileError> {
     let mut table = table.clone();
     let Some(peers) = table.get_mut("peers") else {
         let text = toml::to_string(&table)?;
-        check(&text)?;
+        validate(&text)?;
         return Ok(text);
     };
     let Value::Table(peers) = peers else { return Err(OperatorFileError::PeersNotTable) };
@@ -70,22 +74,25 @@
         return Err(OperatorFileError::FilledIn(key));
     }
     let placeholders = [placeholder(0), placeholder(1)];
-    let named = if members.is_empty() { &placeholders } else { members };
+    let members_or_placeholders = if members.is_empty() { &placeholders } else { members };
     peers.insert("secret".to_owned(), Value::from("peers.secret"));
-    peers.insert("member".to_owned(), Value::Array(named.iter().map(member).collect()));
+    peers.insert(
+        "member".to_owned(),
+        Value::Array(members_or_placeholders.iter().map(member_table).collect()),
+    );
     let text = toml::to_string(&table)?;
     if members.is_empty() {
-        check(&text)?;
+        validate(&text)?;
     }
     Ok(text)
 }
 
-fn check(text: &str) -> Result<(), OperatorFileError> {
+fn validate(text: &str) -> Result<(), OperatorFileError> {
     OperatorConfig::parse("", text, "n0").map_err(|error| OperatorFileError::Rejected(error.message))?;
     Ok(())
 }
 
-/// Returns a member for a file that is only checked.
+/// Returns a placeholder member for a file that is validated and not used.
 fn placeholder(number: u8) -> MemberEntry {
     MemberEntry {
         name: format!("n{number}"),
@@ -95,13 +102,13 @@
     }
 }
 
-/// Returns the entry of a member in the file.
-fn member(named: &MemberEntry) -> Value {
+/// Returns the `[[peers.member]]` table of a member.
+fn member_table(member: &MemberEntry) -> Value {
     let fields = [
-        ("name", named.name.clone()),
-        ("address", named.address.to_string()),
-        ("building", named.zone.clone()),
-        ("key", hex(&Secret::new(named.secret).public_key())),
+        ("name", member.name.clone()),
+        ("address", member.address.to_string()),
+        ("building", member.zone.clone()),
+        ("key", hex(&Secret::new(member.secret).public_key())),
     ];
     Value::Table(fields.into_iter().map(|(field, text)| (field.to_owned(), Value::from(text))).collect())
 }
