--- a/crates/micadrum-testkit/src/plan/arrivals.rs
+++ b/crates/micadrum-testkit/src/plan/arrivals.rs
@@ -1,11 +1,12 @@
-//! Draws the operations of all clients, one after another.
+//! Draws the operations of all clients lazily, in the order in which they begin.
 use super::model::{Arrival, Class};
 use super::parameters::TENANTS;
 use super::{Plan, SeededRng};
 use crate::scenario::Peak;
 use crate::units::Span;
 
-/// Mean number of messages in a burst, by which bursts are weighted so that the overall rate stays as configured.
+/// Mean number of messages in a burst. Bursts are rarer by this factor, which keeps the message rate as
+/// configured.
 const MEAN_BURST_MESSAGES: f64 = 20.0;
 const MIN_BURST_MESSAGES: usize = 10;
 /// Number of distinct burst sizes, from [`MIN_BURST_MESSAGES`] on.
@@ -29,7 +30,8 @@
     now: f64,
     /// Number of the next operation.
     number: u64,
-    /// What is left of the current burst; its operations share one time, and the one drawn last comes first.
+    /// The remaining operations of the current burst, which all begin at the same time; the last element is
+    /// next.
     burst: Vec<Arrival>,
 }
 
@@ -39,7 +41,7 @@
         Self { plan, rng, now: 0.0, number: 0, burst: Vec::new() }
     }
 
-    /// Returns the traffic at the current time as a multiple of the usual one.
+    /// Returns the traffic at the current time as a multiple of the scenario's `traffic`.
     fn traffic_factor(&self) -> f64 {
         let is_active = |peak: &&Peak| {
             let from = peak.at.get_ref().as_secs();
@@ -61,7 +63,7 @@
         self.now >= self.plan.length().as_secs()
     }
 
-    /// Draws a burst of messages for one destination, and returns the one drawn last.
+    /// Draws a burst of messages for one destination, and returns its first operation.
     fn draw_burst(&mut self) -> Option<Arrival> {
         let destination = self.rng.below(self.plan.destinations.len()) as u32;
         let size = MIN_BURST_MESSAGES + self.rng.below(BURST_SIZES);
@@ -69,7 +71,7 @@
         self.burst.pop()
     }
 
-    /// Draws an operation at the current time, and its destination if none is given.
+    /// Draws an operation at the current time; its destination is drawn too if none is given.
     fn draw(&mut self, destination: Option<u32>) -> Arrival {
         let destination = destination.unwrap_or_else(|| self.draw_destination());
         let tenant = self.rng.weighted_index(TENANTS.iter().map(|(_, share)| *share)).unwrap_or(0);
--- a/crates/micadrum-testkit/src/plan/description.rs
+++ b/crates/micadrum-testkit/src/plan/description.rs
@@ -1,10 +1,10 @@
-//! Describes planned faults in reports.
+//! Descriptions of planned faults for reports.
 use super::model::PlannedFault;
 use crate::scenario::{FaultKind, FolderContent};
 use crate::units::Span;
 
 impl PlannedFault {
-    /// Describes the fault with all its targets and parameters in one line.
+    /// Returns a line that describes the fault with its targets and parameters.
     pub fn describe(&self) -> String {
         let mut parts = vec![format!("{:?} at {}", self.kind, self.from)];
         if self.until > self.from {
@@ -20,32 +20,34 @@
         parts.join(", ")
     }
 
-    /// Describes the parameters that matter for this kind of fault.
+    /// Returns descriptions of the parameters that this kind of fault uses.
     fn parameters(&self) -> Vec<String> {
         match self.kind {
-            FaultKind::LimitFalls => vec![format!("{:.0}% of the limit stays", self.call_share * 100.0)],
+            FaultKind::LimitFalls => vec![format!("limit reduced to {:.0}%", self.call_share * 100.0)],
             FaultKind::Full | FaultKind::Errors | FaultKind::Spoil | FaultKind::Reset => {
                 vec![format!("{:.0}% of the calls", self.call_share * 100.0)]
             }
-            FaultKind::Late | FaultKind::ListLag | FaultKind::LinkDelay => vec![format!("by {}", self.delay)],
-            FaultKind::Stall => vec![format!("{} every {}", self.pause, self.interval)],
+            FaultKind::Late | FaultKind::ListLag | FaultKind::LinkDelay => {
+                vec![format!("delay {}", self.delay)]
+            }
+            FaultKind::Stall => vec![format!("a pause of {} every {}", self.pause, self.interval)],
             FaultKind::Restart => self.restart_parameters(),
             FaultKind::PowerLoss => self.power_loss_parameters(),
-            FaultKind::KillAtWrite => vec![format!("{:?} write {}", self.write_point, self.nth)],
+            FaultKind::KillAtWrite => vec![format!("{:?} write number {}", self.write_point, self.nth)],
             FaultKind::Cut => vec![self.cut_parameters()],
-            FaultKind::Slow => vec![format!("by {} and up to {}", self.delay, self.jitter)],
-            FaultKind::Break => vec![format!("one every {}", self.interval)],
+            FaultKind::Slow => vec![format!("delay {}, jitter up to {}", self.delay, self.jitter)],
+            FaultKind::Break => vec![format!("one break every {}", self.interval)],
             FaultKind::SystemCalls => {
                 vec![format!("{:?}, {:.2}% of the calls", self.system.call, self.call_share * 100.0)]
             }
-            FaultKind::WallClock => vec![format!("by {} us", self.system.step_us)],
+            FaultKind::WallClock => vec![format!("step {} us", self.system.step_us)],
             FaultKind::Folder => vec![format!(
                 "error {:?}, torn: {}, {:.2}% of the calls",
                 self.system.error,
                 self.system.is_torn,
                 self.call_share * 100.0
             )],
-            FaultKind::Lose => vec![format!("{:.0}% lost", self.call_share * 100.0)],
+            FaultKind::Lose => vec![format!("{:.0}% of the datagrams", self.call_share * 100.0)],
             _ => Vec::new(),
         }
     }
@@ -61,18 +63,19 @@
     }
 
     fn power_loss_parameters(&self) -> Vec<String> {
-        let mut parts = vec![format!("back over {}, folder {:?}", self.return_period, self.folder)];
+        let mut parts =
+            vec![format!("restarts spread over {}, folder {:?}", self.return_period, self.folder)];
         if !self.lost_senders.is_empty() {
-            parts.push(format!("never {:?}", self.lost_senders));
+            parts.push(format!("lost senders {:?}", self.lost_senders));
         }
         if self.max_clock_error > Span(0) {
-            parts.push(format!("clocks off by up to {}", self.max_clock_error));
+            parts.push(format!("clock errors up to {}", self.max_clock_error));
         }
         parts
     }
 
     fn cut_parameters(&self) -> String {
-        let between = self.cut_peers.as_ref().map_or(String::new(), |senders| format!(" from {senders:?}"));
-        format!("ways {:?}{between}, partners too: {}", self.direction, self.cuts_destinations)
+        let peers = self.cut_peers.as_ref().map_or(String::new(), |senders| format!(", peers {senders:?}"));
+        format!("direction {:?}{peers}, cuts destinations: {}", self.direction, self.cuts_destinations)
     }
 }
--- a/crates/micadrum-testkit/src/plan/destinations.rs
+++ b/crates/micadrum-testkit/src/plan/destinations.rs
@@ -5,9 +5,9 @@
 
 /// Exponent of the Zipf distribution of the traffic over the destinations.
 const ZIPF_EXPONENT: f64 = 0.8;
-/// Destinations with a larger share of the traffic have more endpoints.
+/// Destinations with a larger share of the traffic have three or four endpoints, the others one to three.
 const LARGE_DESTINATION_SHARE: f64 = 0.15;
-/// Minimum of a drawn rate limit, in calls per second.
+/// Minimum of a rate limit, in calls per second.
 const MIN_RATE_LIMIT: f64 = 2.5;
 /// Minimum capacity of a destination without a limit, in calls per second.
 const MIN_CAPACITY: f64 = 4.0;
@@ -28,12 +28,12 @@
     (0..count).map(|number| draw.destination(number, weights[number as usize] / total_weight)).collect()
 }
 
-/// The state of drawing one destination after another.
+/// Draws the destinations one by one.
 struct DestinationDraw {
     rng: SeededRng,
     zones: usize,
     total_capacity: f64,
-    /// Number of endpoints drawn so far.
+    /// Number of endpoints of the destinations drawn so far.
     endpoints: u32,
 }
 
@@ -46,9 +46,10 @@
         let routes = if kind.has_endpoint_limits() { size as f64 } else { 1.0 };
         let rate = (self.total_capacity * share / routes * self.rng.between(1.2, 2.2)).max(MIN_RATE_LIMIT);
         let limit = self.limit(kind, rate);
-        let usual = self.total_capacity * share * self.rng.between(1.1, 1.5);
-        // A destination can serve whatever its limit admits.
-        let capacity = if limit == Limit::None { usual.max(MIN_CAPACITY) } else { usual.max(rate * routes) };
+        let demand = self.total_capacity * share * self.rng.between(1.1, 1.5);
+        // The capacity covers at least the calls that the limit admits.
+        let capacity =
+            if limit == Limit::None { demand.max(MIN_CAPACITY) } else { demand.max(rate * routes) };
         let slots = (capacity * mean_service_us / 1e6 / size as f64).ceil() as usize + 1;
         let endpoints = (0..size).map(|index| self.endpoint(index, slots)).collect();
         let retry_after_share = self.retry_after_share(kind);
@@ -79,7 +80,8 @@
     }
 }
 
-/// Returns the kind of a destination: a sixth are banks, the largest among them; a third fleets, mostly small.
+/// Returns the kind of a destination. Of every six, one is a bank, two are fleets and three are leasing
+/// companies; the destination with the most traffic is a bank.
 fn kind(number: u32) -> Kind {
     match number % 6 {
         0 => Kind::Bank,
--- a/crates/micadrum-testkit/src/plan/faults.rs
+++ b/crates/micadrum-testkit/src/plan/faults.rs
@@ -1,4 +1,4 @@
-//! Resolves a scenario's fault into a planned one: draws its targets and fills in the defaults.
+//! Resolves the faults of a scenario into planned faults: draws their targets and applies the defaults.
 use super::model::{Destination, EndpointPlan, PlannedFault, SystemFault};
 use super::{Plan, SeededRng};
 use crate::scenario::{Fault, FaultKind, FolderContent, StopMethod, WritePoint};
@@ -15,7 +15,7 @@
 }
 
 impl Plan {
-    /// Resolves a fault; its targets are drawn from a sequence of their own, identified by `number`.
+    /// Resolves a fault. Its targets are drawn from a random sequence of its own, which `number` identifies.
     pub(super) fn resolve(&self, fault: &Fault, number: usize) -> PlannedFault {
         let Targets { endpoints, senders } = self.draw_targets(fault, number);
         let from = *fault.at.get_ref();
@@ -68,7 +68,7 @@
         self.scenario.buildings.get_ref().iter().position(|other| other == name)
     }
 
-    /// Draws destinations, and returns all their endpoints in the zone.
+    /// Draws destinations, and returns the numbers of their endpoints in the zone.
     fn draw_endpoints(&self, fault: &Fault, zone: Option<usize>, rng: &mut SeededRng) -> Vec<u32> {
         let mut destinations: Vec<&Destination> = (self.destinations.iter())
             .filter(|destination| is_listed(fault.destinations.as_ref(), destination.number))
@@ -115,7 +115,8 @@
         .map(|endpoint| endpoint.number)
 }
 
-/// Keeps a random share of the items, rounded up and at least one; all of them, in their order, if no share is given.
+/// Keeps a random share of the items, rounded up and at least one. Without a share, leaves the items
+/// unchanged.
 fn draw_share<T>(items: &mut Vec<T>, share: Option<Percent>, rng: &mut SeededRng) {
     let Some(share) = share else { return };
     rng.shuffle(items);
--- a/crates/micadrum-testkit/src/plan/mod.rs
+++ b/crates/micadrum-testkit/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! The plan of a run: senders, destinations, client operations and faults, drawn from the scenario and the seed alone.
-//! A simulated run and a live run of the same scenario and seed have the same plan.
+//! The plan of a run: senders, destinations, client operations and faults, drawn from the scenario and the
+//! seed alone. A simulated run and a live run of the same scenario and seed have the same plan.
 mod arrivals;
 mod description;
 mod destinations;
@@ -37,15 +37,15 @@
     pub destinations: Vec<Destination>,
     /// The faults, ordered by when they begin.
     pub faults: Vec<PlannedFault>,
-    /// Deliberate errors in the senders' configuration; empty but in tests of the invariant checker.
+    /// Changes to the senders' configuration; empty except in tests of the invariant checker.
     pub config_overrides: Vec<ConfigOverride>,
-    /// Whether senders lose their state folder at each restart without any record of it; false but in tests of the
-    /// invariant checker.
+    /// Whether senders lose their state folder at each restart without a record in the history; true only in
+    /// tests of the invariant checker.
     pub wipes_state_on_restart: bool,
 }
 
 impl Plan {
-    /// Draws the plan of a scenario for a seed, with the scenario's own faults.
+    /// Draws the plan of a scenario for a seed, with the scenario's faults and no random ones.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let senders = senders(&scenario);
         let destinations = destinations::draw_destinations(&scenario, seed);
@@ -64,12 +64,12 @@
         plan
     }
 
-    /// Returns how long clients submit messages.
+    /// Returns the length of the period during which clients submit messages.
     pub fn length(&self) -> Span {
         *self.scenario.length.get_ref()
     }
 
-    /// Returns how many messages per second the destinations can take in all.
+    /// Returns the capacity of all destinations together, in messages per second.
     pub fn total_capacity(&self) -> f64 {
         total_capacity(&self.scenario)
     }
@@ -81,13 +81,13 @@
             .flat_map(|destination| destination.endpoints.iter().map(move |endpoint| (destination, endpoint)))
     }
 
-    /// Returns the operations of all clients, in the order in which they begin. They are drawn lazily, so that those of
-    /// a long run need not be kept in memory.
+    /// Returns the operations of all clients, in the order in which they begin. They are drawn lazily, so a
+    /// long run does not keep them in memory.
     pub fn arrivals(&self) -> Arrivals<'_> {
         Arrivals::new(self)
     }
 
-    /// Removes all faults but those with these indices.
+    /// Keeps only the faults with these indices.
     pub fn retain_faults(&mut self, indices: &[usize]) {
         let mut index = 0;
         self.faults.retain(|_| {
@@ -96,7 +96,8 @@
         });
     }
 
-    /// Shortens the run to `length`, and removes the faults that would begin after its new end.
+    /// Shortens the run to `length`, and removes the faults that begin after it. Does nothing if the run is
+    /// not longer.
     pub fn truncate(&mut self, length: Span) {
         if length < self.length() {
             *self.scenario.length.get_mut() = length;
@@ -113,7 +114,7 @@
     scenario.traffic.0 / scenario.load.get_ref().share()
 }
 
-/// Distributes the senders over the zones in turn.
+/// Creates the senders, and assigns them to the zones in turn.
 fn senders(scenario: &Scenario) -> Vec<SenderPlan> {
     let zones = scenario.buildings.get_ref().len();
     let sender =
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -1,4 +1,4 @@
-//! What a plan consists of: message classes, destinations, endpoints, senders, client operations and faults.
+//! The parts of a plan: message classes, destinations, endpoints, senders, client operations and faults.
 use crate::scenario::{
     CutDirection, FaultKind, FolderContent, FolderError, StopMethod, SystemCall, WritePoint,
 };
@@ -7,7 +7,7 @@
 /// The message classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// Debits an account: not idempotent, so it must never take effect twice.
+    /// Debits an account. Not idempotent, so it must never take effect twice.
     Charge,
     /// Has an idempotency key, and is delivered in order for each vehicle.
     TripRecord,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns how long after its submission a message may be delivered.
+    /// Returns the maximum time from the submission of a message to its delivery.
     pub fn deadline(self) -> Span {
         match self {
             Self::Charge => Span::seconds(16),
@@ -51,21 +51,21 @@
         ["bank", "fleet", "leasing"][self as usize]
     }
 
-    /// Returns the maximum number of messages in one call.
+    /// Returns the maximum number of messages in one call, which is 1 for kinds that accept no batches.
     pub fn max_batch_size(self) -> usize {
         if self == Self::Bank { 5 } else { 1 }
     }
 
-    /// Returns whether limits hold for each endpoint rather than for the whole destination.
+    /// Returns whether limits apply to each endpoint separately rather than to the whole destination.
     pub fn has_endpoint_limits(self) -> bool {
         self == Self::Bank
     }
 }
 
-/// The limit on the calls that a destination admits from all senders together.
+/// The limit of a destination on the calls of all senders together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// Its capacity alone.
+    /// No limit but the capacity.
     None,
     /// Calls per second.
     Rate(f64),
@@ -84,9 +84,9 @@
     pub share: f64,
     /// Calls per second that all its endpoints together can serve when they are warm.
     pub capacity: f64,
-    /// Its limit; that of each endpoint where limits hold for each endpoint.
+    /// Its limit, which applies to each endpoint separately if [`Kind::has_endpoint_limits`] returns true.
     pub limit: Limit,
-    /// Share of its rejections that carry a Retry-After.
+    /// Share of its rejections that carry a `Retry-After` header.
     pub retry_after_share: f64,
     /// Mean service time of a call, in microseconds.
     pub mean_service_us: f64,
@@ -97,7 +97,7 @@
 /// An endpoint of a destination.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
-    /// Its number among the endpoints of all destinations, which also gives its address.
+    /// Its number among the endpoints of all destinations, from 0, which determines its simulated address.
     pub number: u32,
     /// Its id in the endpoint list.
     pub id: String,
@@ -131,11 +131,11 @@
     pub tenant: usize,
     /// The number of the destination.
     pub destination: u32,
-    /// The vehicle, for messages of a class that is delivered in order.
+    /// The number of the vehicle, within which trip records are delivered in order; `None` for charges.
     pub vehicle: Option<u32>,
-    /// Length of the body in bytes.
+    /// Length of the message body, in bytes.
     pub body: usize,
-    /// The idempotency key.
+    /// The idempotency key, unique to the operation.
     pub key: String,
 }
 
@@ -150,65 +150,65 @@
     pub until: Span,
     /// Numbers of the affected endpoints.
     pub endpoints: Vec<u32>,
-    /// Numbers of the affected senders, in the order in which the fault reaches them.
+    /// Numbers of the affected senders, in the order in which they are affected.
     pub senders: Vec<u32>,
-    /// Share of the calls that is affected.
+    /// Share of the calls that are affected, or share of the limit that remains.
     pub call_share: f64,
-    /// How a restart ends the process.
+    /// How a restart stops the process.
     pub stop_method: StopMethod,
     /// Number of senders that are restarted at once.
     pub batch: usize,
-    /// Interval between two batches, pauses or breaks.
+    /// Time from the start of one batch, pause or break to the start of the next.
     pub interval: Span,
     /// Length of a pause.
     pub pause: Span,
     /// Added delay.
     pub delay: Span,
-    /// Which write to the journal the fault hits, counted from 1.
+    /// Number of the write to the journal at which the process is killed, from 1.
     pub nth: u64,
-    /// At which point of that write.
+    /// The point of that write at which the process is killed.
     pub write_point: WritePoint,
-    /// How long a sender stays down.
+    /// Time from the end of a sender's process to its next start.
     pub downtime: Span,
-    /// The direction of a cut.
+    /// The direction in which a cut drops traffic, seen from the affected senders.
     pub direction: CutDirection,
-    /// Numbers of the senders that a cut separates from; all others if not given.
+    /// Numbers of the senders that the affected senders are cut off from; `None` means all others.
     pub cut_peers: Option<Vec<u32>>,
-    /// Whether a cut separates from the destinations too.
+    /// Whether a cut also separates the affected senders from the destinations.
     pub cuts_destinations: bool,
     /// Maximum of the random delay that is added to `delay`.
     pub jitter: Span,
-    /// Period over which the senders that lost power come back.
+    /// Period over which the starts of the senders after a power loss are spread.
     pub return_period: Span,
     /// The content of the state folder after a restart.
     pub folder: FolderContent,
-    /// Numbers of the senders that never come back.
+    /// Numbers of the senders that do not start again after a power loss.
     pub lost_senders: Vec<u32>,
-    /// Maximum error of the senders' clocks afterwards.
+    /// Maximum error of the senders' wall clocks after a power loss, in either direction.
     pub max_clock_error: Span,
-    /// How system calls are made to fail.
+    /// The parameters of faults of system calls, wall clocks and state folders.
     pub system: SystemFault,
 }
 
-/// How system calls of senders are made to fail.
+/// The parameters of faults of the senders' system calls, wall clocks and state folders.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SystemFault {
-    /// Which calls fail.
+    /// The system calls that are affected.
     pub call: SystemCall,
-    /// With which error changes of the state folder fail.
+    /// The error of failing changes to the state folder; `None` means that any of them may occur.
     pub error: Option<FolderError>,
-    /// Whether failing writes to the state folder write a part first.
+    /// Whether a failing write to the state folder writes a part of its data first.
     pub is_torn: bool,
-    /// By how much the wall clock is stepped, in microseconds.
+    /// The step of the wall clock, in microseconds; negative if it is set back.
     pub step_us: i64,
 }
 
-/// A deliberate error in the senders' configuration, which makes faulty senders of correct ones, so that tests can show
-/// that the invariant checker detects their violations.
+/// A change to the senders' configuration that makes them violate an invariant, so that tests can show that
+/// the invariant checker detects the violation.
 #[derive(Clone, Debug)]
 pub struct ConfigOverride {
-    /// The position in the configuration, as a JSON pointer (RFC 6901).
+    /// The position of the value in the configuration, as a JSON pointer (RFC 6901).
     pub pointer: String,
-    /// The value to put there.
+    /// The value that replaces the one at `pointer`.
     pub value: serde_json::Value,
 }
--- a/crates/micadrum-testkit/src/plan/random.rs
+++ b/crates/micadrum-testkit/src/plan/random.rs
@@ -5,8 +5,8 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// A random number generator for one purpose: the numbers drawn for one purpose never depend on how many another
-/// purpose has drawn.
+/// A random number generator for one purpose. The numbers drawn for one purpose do not depend on how many are
+/// drawn for another.
 pub struct SeededRng(ChaCha8Rng);
 
 impl SeededRng {
@@ -19,7 +19,7 @@
         Self(ChaCha8Rng::seed_from_u64(hash))
     }
 
-    /// Draws any 64-bit number.
+    /// Draws a uniformly distributed 64-bit number.
     pub fn number(&mut self) -> u64 {
         self.0.next_u64()
     }
@@ -39,13 +39,13 @@
         ((self.unit() * bound as f64) as usize).min(bound.saturating_sub(1))
     }
 
-    /// Returns true with the given probability.
+    /// Returns `true` with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
 
-    /// Draws an exponentially distributed number. The logarithm is libm's, which is the same on every platform, as the
-    /// system's need not be.
+    /// Draws an exponentially distributed number with the given mean. Uses the logarithm of `libm`, which
+    /// gives the same result on every platform, unlike the standard library's.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -libm::log(1.0 - self.unit()) * mean
     }
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Draws an index with the given probabilities, which add up to 1; none if rounding leaves a gap at the end.
+    /// Draws an index with the given probabilities, which add up to 1. Returns `None` if, through rounding
+    /// errors, their sum is less than the number drawn.
     pub(super) fn weighted_index(&mut self, mut probabilities: impl Iterator<Item = f64>) -> Option<usize> {
         let mut remaining = self.unit();
         probabilities.position(|probability| {
--- a/crates/micadrum-testkit/src/plan/random_system_faults.rs
+++ b/crates/micadrum-testkit/src/plan/random_system_faults.rs
@@ -4,13 +4,13 @@
 use crate::scenario::{Fault, FaultKind, FolderError, StopMethod, SystemCall};
 use crate::units::{Percent, Span};
 
-/// Number that identifies the targets of the first random system fault.
+/// Number of the first random system fault, which selects the sequence that its targets are drawn from.
 const FIRST_SYSTEM_FAULT: usize = 3000;
-/// Every so many seconds a cluster of faults begins.
+/// Time from the start of one cluster of faults to the start of the next.
 const CLUSTER_INTERVAL_SECONDS: f64 = 20.0;
-/// Faults of one cluster overlap: each begins within so many seconds of the first one.
+/// Period within which all faults of a cluster begin, so that they overlap.
 const CLUSTER_SECONDS: f64 = 4.0;
-/// By so much a wall clock is stepped, in seconds.
+/// The steps that wall clocks are set by, in seconds.
 const CLOCK_STEPS_SECONDS: [f64; 4] = [0.5, 3.0, 8.0, 3600.0];
 const SYSTEM_CALLS: [SystemCall; 6] = [
     SystemCall::Accept,
@@ -22,8 +22,8 @@
 ];
 
 impl Plan {
-    /// Adds clusters of two or three faults that overlap: system calls that fail, clocks that are stepped, folders that fail,
-    /// each with a restart in its midst.
+    /// Adds clusters of overlapping faults: in each cluster a restart, and two or three faults of system
+    /// calls, wall clocks or state folders.
     pub fn add_system_faults(&mut self) {
         let mut rng = SeededRng::new(self.seed, "system faults");
         let length = self.length().as_secs();
--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -39,8 +39,8 @@
     ListLag,
     /// Discovery does not respond.
     ListSilent,
-    /// The senders' discovery agents move to another address and restart their versions; a new configuration names the
-    /// address.
+    /// The senders' discovery agents move to another address and restart their versions; a new configuration
+    /// names the address.
     MoveDiscovery,
     /// The endpoint list names endpoints that do not exist.
     DeadHosts,
--- a/crates/micadrum-testkit/src/scenario/mod.rs
+++ b/crates/micadrum-testkit/src/scenario/mod.rs
@@ -25,8 +25,8 @@
     /// Parses and validates a scenario; `file` is the name that errors show.
     ///
     /// # Errors
-    /// The first problem, with file, line and column: an unknown field, a wrong unit, a fault outside the run, or one
-    /// that names a target that does not exist.
+    /// The first problem, with file, line and column: an unknown field, a wrong unit, a fault outside the
+    /// run, or one that names a target that does not exist.
     pub fn parse(file: &str, text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self =
             toml::from_str(text).map_err(|error| LocatedProblem::syntax(&error).in_file(file, text))?;
--- a/crates/micadrum-testkit/src/scenario/schema.rs
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -49,7 +49,8 @@
     /// How long the load balancer goes on assigning connections to a sender that has died.
     #[serde(rename = "front_notice", default = "default_balancer_failover_delay")]
     pub balancer_failover_delay: Span,
-    /// The operator's configuration file of every sender, without the members, names and keys, which the kit fills in.
+    /// The operator's configuration file of every sender, without the members, names and keys, which the kit
+    /// fills in.
     pub operator: Option<Spanned<toml::Table>>,
     /// How long the run is observed after its end; without it, for as long as the latest message may take.
     pub tail: Option<Span>,
--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -109,8 +109,8 @@
         self.synced_names = self.files.clone();
     }
 
-    /// Discards unsynced state as a power loss does: of each name remains the synced or the latest file, and of each file
-    /// the synced bytes and nothing, all or a part of the others.
+    /// Discards unsynced state as a power loss does: of each name remains the synced or the latest file, and
+    /// of each file the synced bytes and nothing, all or a part of the others.
     pub fn discard_unsynced(&mut self, random: &mut SeededRng) {
         let names: BTreeSet<String> = self.files.keys().chain(self.synced_names.keys()).cloned().collect();
         let mut remaining = BTreeMap::new();
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -1,4 +1,5 @@
-//! A whole deployment in one process on simulated time, network and disk: the daemon's own code, several times over.
+//! A whole deployment in one process on simulated time, network and disk: the daemon's own code, several
+//! times over.
 mod datagrams;
 mod disk;
 mod fleet;
--- a/crates/micadrum-testkit/src/sim/network/mod.rs
+++ b/crates/micadrum-testkit/src/sim/network/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated network: hosts in zones, and connections that are delayed, held, cut or reset.
 //!
-//! All times are the paused tokio clock's; events at one moment happen in the order in which they were caused, so a run
-//! depends on nothing but its seed.
+//! All times are the paused tokio clock's; events at one moment happen in the order in which they were
+//! caused, so a run depends on nothing but its seed.
 mod listener;
 mod pipe;
 mod stream;
@@ -54,8 +54,8 @@
 }
 
 impl SimNetwork {
-    /// Creates a network of these hosts, each in a zone; `zone_delay` is the time of one way between two zones, and
-    /// `link_faults` apply to the links between senders.
+    /// Creates a network of these hosts, each in a zone; `zone_delay` is the time of one way between two
+    /// zones, and `link_faults` apply to the links between senders.
     pub fn new(
         hosts: BTreeMap<Host, usize>,
         zone_delay: Duration,
--- a/crates/micadrum-testkit/src/sim/network/stream.rs
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -66,8 +66,8 @@
         if !network.is_reachable(me, peer) || link_effect == Some(LinkEffect::Held) {
             self.connection.broken.set(true);
         }
-        // An end that a sender's side sends is shown to the stand-in even so: it only has to write it down, and
-        // nothing that it could still send would get through.
+        // An end that a sender's side sends is shown to the stand-in even so: it only has to write it down,
+        // and nothing that it could still send would get through.
         let shown = matches!((me, &body), (Host::Sender(_), SegmentBody::End | SegmentBody::Reset));
         if self.connection.broken.get() && !shown {
             return;
