--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -11,25 +11,25 @@
     Hang,
     /// Endpoints respond only after `delay`.
     Late,
-    /// Endpoints stop for `pause` every `every`.
+    /// Endpoints stop processing for `pause`, once every `every`.
     Stall,
-    /// Endpoints reject all calls, with a Retry-After that names the end of the fault.
+    /// Endpoints reject all calls, with a `Retry-After` header that names the end of the fault.
     Shut,
     /// Endpoints reject a share of the calls as over capacity.
     Full,
-    /// Endpoints fail a share of the calls at once.
+    /// Endpoints fail a share of the calls immediately.
     Errors,
-    /// Endpoints send a share of their responses corrupted.
+    /// Endpoints corrupt a share of their responses.
     Spoil,
     /// Endpoints reset the connection of a share of the calls after processing them.
     Reset,
-    /// The endpoints' machines fall silent; connections to them are never established.
+    /// The endpoints' machines stop responding; connections to them are never established.
     Vanish,
-    /// The endpoints' processes end: connections are refused.
+    /// The endpoints' processes end; connections to them are refused.
     Die,
-    /// The destinations' limits fall to a share.
+    /// The destinations' limits are reduced to the share `calls`.
     LimitFalls,
-    /// Endpoints drain, end, and are replaced by others.
+    /// Endpoints drain, shut down, and are replaced by new endpoints.
     Drain,
     /// Endpoints change their address and keep their id.
     Move,
@@ -39,18 +39,18 @@
     ListLag,
     /// Discovery does not respond.
     ListSilent,
-    /// The senders' discovery agents move to another address and restart their versions; a new configuration
-    /// names the address.
+    /// The senders' discovery agents move to another address and restart their revision numbers; senders get the
+    /// address with a new configuration.
     MoveDiscovery,
     /// The endpoint list names endpoints that do not exist.
     DeadHosts,
-    /// The platform acknowledges no notifications.
+    /// The platform does not acknowledge notifications.
     Deaf,
     /// Senders are restarted, `batch` of them at once, one batch every `every`.
     Restart,
     /// Senders lose their machine and their state folder.
     MachineLost,
-    /// Senders lose power for `for`, all at once, and come back spread over `back`.
+    /// Senders lose power simultaneously for `for`, and start again spread over the period `back`.
     PowerLoss,
     /// Senders are killed at their `nth` write to the journal, counted from `at`.
     KillAtWrite,
@@ -60,7 +60,7 @@
     SyncFails,
     /// Syncs of the senders' disk complete only when the fault ends.
     SyncHangs,
-    /// Syncs of the senders' disk report success and write nothing.
+    /// Syncs of the senders' disk report success but make nothing durable.
     SyncLies,
     /// Links between zones take `delay` longer.
     LinkDelay,
@@ -68,7 +68,7 @@
     LinkHold,
     /// Links between zones lose all data; connections over them are reset when the fault ends.
     LinkDrop,
-    /// Senders are partitioned from other senders.
+    /// Senders are partitioned from other senders, in the direction `ways`.
     Cut,
     /// Traffic between senders takes `delay` longer, and a random time of up to `jitter` more.
     Slow,
@@ -76,11 +76,12 @@
     Lose,
     /// Connections between senders break, one in the middle of a frame every `every`.
     Break,
-    /// Senders are suspended, and resume with their former notion of the time.
+    /// Senders are suspended; they notice the elapsed time only after they resume.
     Pause,
-    /// A share of the system calls of senders fails, as Linux documents.
+    /// A share of the senders' system calls of one kind fails or transfers less, in ways that Linux
+    /// documents.
     SystemCalls,
-    /// The wall clocks of senders are stepped by `step`, and stay so.
+    /// The wall clocks of senders are stepped by `step`, permanently.
     WallClock,
     /// Writes, syncs, truncations and renames in the state folders of senders fail.
     Folder,
@@ -92,7 +93,7 @@
         matches!(self, Self::Cut | Self::Slow | Self::Lose | Self::Break)
     }
 
-    /// Returns whether system calls of senders are made to fail, or to say something else.
+    /// Returns whether the fault changes the results of system calls of senders.
     pub fn affects_system_calls(self) -> bool {
         matches!(self, Self::SystemCalls | Self::WallClock | Self::Folder)
     }
@@ -103,16 +104,16 @@
     }
 }
 
-/// The direction of a cut, seen from the affected senders.
+/// The direction in which a cut drops traffic, seen from the affected senders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutDirection {
-    /// Nothing passes.
+    /// Drops what the affected senders send, and what is sent to them.
     #[default]
     Both,
-    /// What the affected senders send is lost.
+    /// Drops what the affected senders send.
     Out,
-    /// What is sent to the affected senders is lost.
+    /// Drops what is sent to the affected senders.
     In,
 }
 
@@ -120,24 +121,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FolderContent {
-    /// Everything the sender wrote.
+    /// Everything that the sender wrote.
     #[default]
     Kept,
-    /// Nothing.
+    /// No files.
     Lost,
-    /// A copy from when the sender first was ready.
+    /// A copy from when the sender was ready for the first time.
     Older,
-    /// What was synced, and some of the rest, as after a power loss (in live runs, everything).
+    /// All synced data and a random part of the rest, as after a power loss; in live runs, all data.
     Synced,
 }
 
-/// How a sender's process is ended.
+/// The signal that stops a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StopMethod {
-    /// By SIGTERM, followed 3.7 s later by SIGKILL if the process still runs.
+    /// SIGTERM, and SIGKILL 3.7 s later if the process is still running.
     Term,
-    /// By SIGKILL.
+    /// SIGKILL.
     Kill,
 }
 
@@ -145,22 +146,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WritePoint {
-    /// Before any of it is written.
+    /// Before any byte is written.
     Before,
-    /// When a part of it is written.
+    /// After a part of the bytes is written.
     Torn,
-    /// When all of it is written, and before anything that follows.
+    /// After all bytes are written, before the process does anything else.
     After,
 }
 
-/// The system calls that [`FaultKind::SystemCalls`] is about.
+/// The system calls that a fault of kind [`FaultKind::SystemCalls`] affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SystemCall {
     /// `accept` fails.
     #[default]
     Accept,
-    /// `connect` fails with an error of the machine or of the other side.
+    /// `connect` fails with a local error or with one that the remote host causes.
     Connect,
     /// `socket` fails.
     Socket,
@@ -168,30 +169,30 @@
     Bind,
     /// Reads and writes on sockets transfer less than they could.
     ShortTransfer,
-    /// Calls are interrupted by a signal.
+    /// Calls fail with `EINTR`, as if interrupted by a signal.
     Interrupt,
-    /// Writes to sockets are held up for up to 0.15 s.
+    /// Writes to sockets are delayed by up to 0.15 s.
     DelayedWrite,
 }
 
-/// The error with which [`FaultKind::Folder`] fails.
+/// The error that changes of the state folder return during a fault of kind [`FaultKind::Folder`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum FolderError {
-    /// An input/output error.
+    /// `EIO`, an input/output error.
     #[serde(rename = "EIO")]
     InputOutput,
-    /// No space is left.
+    /// `ENOSPC`, no space left on the device.
     #[serde(rename = "ENOSPC")]
     NoSpace,
 }
 
-/// One fault. `FaultKind::fields` in `fault_fields` lists the fields that each kind needs and allows.
+/// A `[[fault]]` table. `FaultKind::fields` lists the fields that are required and allowed for each kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// The kind of fault.
     pub kind: FaultKind,
-    /// When the fault begins, from the start of the run.
+    /// When the fault begins, measured from the start of the run.
     pub at: Spanned<Span>,
     /// How long the fault lasts.
     #[serde(rename = "for")]
@@ -199,75 +200,75 @@
     /// Numbers of the affected destinations, from 0; all if neither this nor `share` is given.
     #[serde(rename = "partners")]
     pub destinations: Option<Vec<u32>>,
-    /// Share of the destinations or senders that is affected, drawn from the seed.
+    /// Share of the destinations or senders that are affected, drawn from the seed.
     pub share: Option<Percent>,
     /// Restricts the fault to endpoints or senders in this zone.
     #[serde(rename = "building")]
     pub zone: Option<String>,
-    /// Share of the calls that is affected, or of the limit that remains.
+    /// Share of the calls that are affected, or share of the limit that remains.
     #[serde(rename = "calls")]
     pub call_share: Option<Percent>,
     /// Numbers of the affected senders, from 0.
     pub senders: Option<Vec<u32>>,
-    /// How a restart ends the process.
+    /// How a restart stops the process.
     #[serde(rename = "how")]
     pub stop_method: Option<StopMethod>,
     /// Number of senders that are restarted at once.
     pub batch: Option<u32>,
-    /// Interval between two batches, pauses or breaks.
+    /// Time from the start of one batch, pause or break to the start of the next.
     #[serde(rename = "every")]
     pub interval: Option<Span>,
     /// Length of a pause.
     pub pause: Option<Span>,
     /// Added delay.
     pub delay: Option<Span>,
-    /// Which write to the journal the fault hits, counted from 1.
+    /// Number of the write to the journal at which the process is killed, from 1.
     pub nth: Option<u64>,
-    /// At which point of that write.
+    /// The point of that write at which the process is killed.
     #[serde(rename = "where")]
     pub write_point: Option<WritePoint>,
-    /// How long a sender stays down before it is started again.
+    /// Time from the end of a sender's process to its next start.
     #[serde(rename = "down")]
     pub downtime: Option<Span>,
-    /// The direction of a cut.
+    /// The direction in which a cut drops traffic, seen from the affected senders.
     #[serde(rename = "ways")]
     pub direction: Option<CutDirection>,
-    /// Numbers of the senders that a cut separates from; all others if not given.
+    /// Numbers of the senders that the affected senders are cut off from; all others if not given.
     #[serde(rename = "between")]
     pub cut_peers: Option<Vec<u32>>,
-    /// Whether a cut separates from the destinations too.
+    /// Whether a cut also separates the affected senders from the destinations.
     #[serde(rename = "from_partners")]
     pub cuts_destinations: Option<bool>,
     /// Maximum of the random delay that is added to `delay`.
     pub jitter: Option<Span>,
-    /// Period over which the senders that lost power come back.
+    /// Period over which the starts of the senders after a power loss are spread.
     #[serde(rename = "back")]
     pub return_period: Option<Span>,
     /// The content of the state folder after a restart.
     pub folder: Option<FolderContent>,
-    /// Share of the senders that lost power and never come back.
+    /// Share of the senders that do not start again after a power loss.
     #[serde(rename = "never")]
     pub lost_share: Option<Percent>,
-    /// Maximum error of the senders' clocks afterwards, in either direction.
+    /// Maximum error of the senders' wall clocks after a power loss, in either direction.
     #[serde(rename = "clock")]
     pub max_clock_error: Option<Span>,
-    /// Whether the endpoints in the same zone lose power too, and go through a slow start.
+    /// Whether a power loss also affects the endpoints in the zone, which then go through a slow start.
     #[serde(rename = "with_partners")]
     pub includes_endpoints: Option<bool>,
-    /// Which system calls fail.
+    /// The system calls that are affected.
     pub call: Option<SystemCall>,
-    /// With which error changes of the state folder fail; either of them if not given.
+    /// The error of failing changes to the state folder; either error may occur if not given.
     pub error: Option<FolderError>,
-    /// Whether failing writes write a part first.
+    /// Whether a failing write to the state folder writes a part of its data first.
     pub torn: Option<bool>,
-    /// By how much a wall clock is stepped.
+    /// The size of the step of a wall clock.
     pub step: Option<Span>,
-    /// Whether a wall clock is stepped back, and not forward.
+    /// Whether a wall clock is set back rather than forward.
     pub backward: Option<bool>,
 }
 
 impl Fault {
-    /// Creates a fault with its kind and start alone.
+    /// Creates a fault with the given kind and start, and no other fields.
     pub fn new(kind: FaultKind, at: Span) -> Self {
         Self {
             kind,
@@ -303,7 +304,7 @@
         }
     }
 
-    /// Returns the kind as scenario files write it.
+    /// Returns the name of the kind in scenario files, in kebab case.
     pub fn name(&self) -> String {
         let mut name = String::new();
         for letter in format!("{:?}", self.kind).chars() {
--- a/crates/micadrum-testkit/src/scenario/fault_fields.rs
+++ b/crates/micadrum-testkit/src/scenario/fault_fields.rs
@@ -1,4 +1,4 @@
-//! Which fields a `[[fault]]` table of each kind needs and allows, and which ones it has.
+//! The required and optional fields of `[[fault]]` tables, by kind of fault.
 use super::fault::{Fault, FaultKind};
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 /// Fields that select senders.
 const SENDERS: &[&str] = &["senders", "share", "building"];
 
-/// The fields of a kind of fault, besides `kind` and `at`.
+/// The fields of a kind of fault other than `kind` and `at`, which all kinds require.
 pub(super) struct FaultFields {
     /// Fields that must be given.
     pub(super) required: &'static [&'static str],
@@ -16,7 +16,7 @@
 }
 
 impl FaultKind {
-    /// Returns the fields that a fault of this kind needs, and those that it may have.
+    /// Returns the required and optional fields of faults of this kind.
     pub(super) fn fields(self) -> FaultFields {
         let (required, optional): (&[&str], &[&str]) = match self {
             Self::Hang | Self::Shut | Self::Vanish | Self::Die | Self::DeadHosts => (&["for"], DESTINATIONS),
@@ -63,7 +63,7 @@
 }
 
 impl Fault {
-    /// Returns for each field whether it is given.
+    /// Returns whether each field is given, by its name in scenario files.
     pub(super) fn given_fields(&self) -> BTreeMap<&'static str, bool> {
         BTreeMap::from([
             ("for", self.duration.is_some()),
--- a/crates/micadrum-testkit/src/scenario/fault_validation.rs
+++ b/crates/micadrum-testkit/src/scenario/fault_validation.rs
@@ -2,52 +2,52 @@
 use super::{Fault, Scenario};
 use crate::units::Span;
 
-/// What is wrong with a fault.
+/// A problem of a `[[fault]]` table.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum FaultError {
     /// A field is given that faults of this kind do not have.
-    #[error("`{field}` means nothing for a fault of kind \"{kind}\"")]
+    #[error("a fault of kind \"{kind}\" has no field `{field}`")]
     UnusedField {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The kind of fault.
+        /// The kind of fault, as in scenario files.
         kind: String,
     },
-    /// A field is not given that faults of this kind need.
-    #[error("a fault of kind \"{kind}\" needs `{field}`")]
+    /// A field that faults of this kind require is not given.
+    #[error("a fault of kind \"{kind}\" requires the field `{field}`")]
     MissingField {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The kind of fault.
+        /// The kind of fault, as in scenario files.
         kind: String,
     },
-    /// The zone is not one of the scenario's.
-    #[error("there is no building {0:?}")]
+    /// The zone is not among the scenario's `buildings`.
+    #[error("there is no building {0:?} in `buildings`")]
     UnknownZone(String),
     /// A destination or sender does not exist.
     #[error("there is no {role} {number}: they are numbered from 0 to {}", .count - 1)]
     UnknownNumber {
-        /// What is numbered: `partner` or `sender`.
+        /// `partner` or `sender`.
         role: &'static str,
-        /// The number.
+        /// The number in the file.
         number: u32,
-        /// How many there are.
+        /// The number of destinations or senders in the scenario.
         count: u32,
     },
-    /// A number that counts from 1 is 0.
-    #[error("`nth` and `batch` count from 1")]
+    /// `nth` or `batch` is 0.
+    #[error("`nth` and `batch` must be at least 1")]
     ZeroCount,
-    /// A time that must be positive is 0.
-    #[error("`every` and `for` must be longer than nothing")]
+    /// `every` or `for` is 0.
+    #[error("`every` and `for` must be greater than 0")]
     ZeroDuration,
-    /// A pause lasts until the next one begins.
+    /// A pause lasts until the next one begins, or longer.
     #[error("`pause` must be shorter than `every`")]
     PauseTooLong,
-    /// The fault affects the traffic between senders, and there is none.
-    #[error("a fault of kind \"{0}\" needs `[operator.peers]`: else nothing passes between senders")]
+    /// The fault affects the traffic between senders, and the scenario does not configure peers.
+    #[error("a fault of kind \"{0}\" requires `[operator.peers]`, without which senders exchange no data")]
     NoPeers(String),
     /// The fault ends after the run.
-    #[error("the fault ends at {end}, outside the day of {length}")]
+    #[error("the fault ends at {end}, after the end of the run at {length}")]
     OutsideRun {
         /// When the fault ends.
         end: Span,
--- a/crates/micadrum-testkit/src/scenario/mod.rs
+++ b/crates/micadrum-testkit/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what a run plays, validated in full before anything starts.
+//! Scenario files, which describe runs. They are validated completely before a run starts.
 mod fault;
 mod fault_fields;
 mod fault_validation;
@@ -22,11 +22,11 @@
 pub const MAX_LENGTH: Span = Span::seconds(7 * 24 * 3600);
 
 impl Scenario {
-    /// Parses and validates a scenario; `file` is the name that errors show.
+    /// Parses and validates a scenario. `file` is the file name for error messages.
     ///
     /// # Errors
-    /// The first problem, with file, line and column: an unknown field, a wrong unit, a fault outside the
-    /// run, or one that names a target that does not exist.
+    /// Returns the first problem, with its file, line and column: for example an unknown field, a wrong unit,
+    /// or a fault that ends after the run or names a target that does not exist.
     pub fn parse(file: &str, text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self =
             toml::from_str(text).map_err(|error| LocatedProblem::syntax(&error).in_file(file, text))?;
@@ -34,18 +34,18 @@
         Ok(scenario)
     }
 
-    /// Returns whether the senders form a membership.
+    /// Returns whether the senders are members of a cluster, that is, whether `[operator.peers]` is given.
     #[must_use]
     pub fn has_peers(&self) -> bool {
         self.operator.as_ref().is_some_and(|operator| operator.get_ref().contains_key("peers"))
     }
 
-    /// Sets the length of the run, limited to between [`MIN_LENGTH`] and [`MAX_LENGTH`].
+    /// Sets the length of the run, clamped to the range from [`MIN_LENGTH`] to [`MAX_LENGTH`].
     pub fn set_length(&mut self, length: Span) {
         *self.length.get_mut() = length.clamp(MIN_LENGTH, MAX_LENGTH);
     }
 
-    /// Returns the faults.
+    /// Returns the faults, in the order of the file.
     pub fn faults(&self) -> impl Iterator<Item = &Fault> {
         self.fault.iter().map(Spanned::get_ref)
     }
--- a/crates/micadrum-testkit/src/scenario/schema.rs
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -1,28 +1,28 @@
-//! The schema of scenario files, with its defaults.
+//! The schema of scenario files, with the default values.
 use super::fault::Fault;
 use crate::units::{Percent, Rate, Span};
 use serde::Deserialize;
 use toml::Spanned;
 
-/// A scenario, as its file describes it.
+/// The contents of a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the scenario shows.
+    /// A description of the scenario, which reports begin with.
     pub title: String,
-    /// How long clients submit messages.
+    /// Length of the period during which clients submit messages.
     pub length: Spanned<Span>,
-    /// Number of senders that share the traffic.
+    /// Number of senders; clients distribute their messages over them.
     pub senders: Spanned<u32>,
     /// Number of destinations, each of which has one to four endpoints.
     #[serde(rename = "partners", default = "default_destinations")]
     pub destinations: Spanned<u32>,
-    /// Messages per second, over all senders.
+    /// Rate at which clients submit messages, over all senders.
     pub traffic: Rate,
     /// The traffic as a share of the destinations' capacity.
     #[serde(default = "default_load")]
     pub load: Spanned<Percent>,
-    /// Share of the messages that arrive in bursts for one destination.
+    /// Share of the messages that arrive in bursts, each of which goes to one destination.
     #[serde(rename = "clumps", default)]
     pub burst_share: Percent,
     /// Number of distinct vehicles, whose trip records are delivered in order.
@@ -40,24 +40,25 @@
     /// How the endpoint list reaches the senders.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Calls per second that discovery can serve when it is polled; without it, any number.
+    /// Capacity of discovery for polls; unlimited if not given.
     #[serde(rename = "discovery_bears")]
     pub discovery_capacity: Option<Rate>,
     /// Maximum delay of updates of the endpoint list.
     #[serde(default = "default_list_delay")]
     pub list_delay: Span,
-    /// How long the load balancer goes on assigning connections to a sender that has died.
+    /// How long the load balancer keeps assigning connections to a sender after its process has ended.
     #[serde(rename = "front_notice", default = "default_balancer_failover_delay")]
     pub balancer_failover_delay: Span,
-    /// The operator's configuration file of every sender, without the members, names and keys, which the kit
-    /// fills in.
+    /// The contents of every sender's operator's file, except for the members and their keys, which the test
+    /// kit adds.
     pub operator: Option<Spanned<toml::Table>>,
-    /// How long the run is observed after its end; without it, for as long as the latest message may take.
+    /// How long the run continues after clients stop submitting messages. If not given, until after the
+    /// latest deadline of a message.
     pub tail: Option<Span>,
     /// Periods of more or less traffic.
     #[serde(default)]
     pub peak: Vec<Peak>,
-    /// When senders are asked for their view of the membership (live runs only).
+    /// Requests for senders' views of the membership, which only live runs make.
     #[serde(rename = "look", default)]
     pub admin_snapshots: Vec<AdminSnapshotPlan>,
     /// The faults.
@@ -72,7 +73,7 @@
     /// Pushed to the agent on each sender's machine.
     #[default]
     Pushed,
-    /// Returned to senders that poll, by calls that count against the capacity of discovery.
+    /// Polled by the senders; the polls count against the capacity of discovery.
     OnRequest,
 }
 
@@ -85,7 +86,7 @@
     /// How long the period lasts.
     #[serde(rename = "for")]
     pub duration: Span,
-    /// The traffic as a multiple of the usual one.
+    /// The traffic as a multiple of the scenario's `traffic`.
     #[serde(rename = "times")]
     pub traffic_factor: f64,
 }
--- a/crates/micadrum-testkit/src/scenario/validation.rs
+++ b/crates/micadrum-testkit/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Validates scenario files in full, so that nothing starts on an invalid one.
+//! Validates scenario files beyond what their schema checks.
 use super::fault_validation::{FaultError, validate_fault};
 use super::schema::{AdminSnapshotPlan, Peak, Scenario};
 use super::{MAX_LENGTH, MIN_LENGTH};
@@ -7,15 +7,15 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// Maximum number of senders, and of destinations.
-const MAX_PARTIES: u32 = 400;
+/// Maximum number of senders, and maximum number of destinations.
+const MAX_COUNT: u32 = 400;
 /// Bounds of `load`, in percent.
 const MIN_LOAD_PERCENT: f64 = 5.0;
 const MAX_LOAD_PERCENT: f64 = 200.0;
 /// Maximum of a peak's `times`.
 const MAX_TRAFFIC_FACTOR: f64 = 10.0;
 
-/// What is wrong with a scenario file, and where.
+/// A problem in a scenario file, with its position.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("{file}:{line}:{column}: {problem}")]
 pub struct ScenarioError {
@@ -25,11 +25,11 @@
     pub line: usize,
     /// Column of the problem in bytes, from 1.
     pub column: usize,
-    /// What is wrong.
+    /// The problem.
     pub problem: ScenarioProblem,
 }
 
-/// What is wrong with a scenario.
+/// A problem in a scenario.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ScenarioProblem {
     /// The file is not valid TOML, or does not follow the schema.
@@ -38,23 +38,23 @@
     /// The run is too short or too long.
     #[error("`length` must lie between 1 s and {MAX_LENGTH}")]
     Length,
-    /// There are no senders or destinations, or too many.
-    #[error("`{0}` must lie between 1 and {MAX_PARTIES}")]
-    Parties(&'static str),
+    /// The number of senders or destinations is out of bounds.
+    #[error("`{0}` must lie between 1 and {MAX_COUNT}")]
+    Count(&'static str),
     /// The load is out of bounds.
     #[error("`load` must lie between 5% and 200%")]
     Load,
     /// There is no zone.
-    #[error("there must be a building")]
+    #[error("`buildings` must name at least one building")]
     NoZone,
     /// The operator's configuration is invalid.
     #[error("{0}")]
     Operator(String),
-    /// An admin snapshot is of a sender that does not exist, or after the run.
-    #[error("a look is at a sender, by number from 0, and within the day")]
+    /// A request for a view of the membership goes to a sender that does not exist, or is made after the run.
+    #[error("`look` must give the number of an existing sender, from 0, and a time within the run")]
     Snapshot,
     /// A peak ends after the run.
-    #[error("the peak ends at {end}, outside the day of {length}")]
+    #[error("the peak ends at {end}, after the end of the run at {length}")]
     PeakOutsideRun {
         /// When the peak ends.
         end: Span,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Validates everything that the schema alone does not; returns the first problem.
+/// Checks everything that the schema does not; returns the first problem.
 pub(super) fn validate(scenario: &Scenario) -> Result<(), LocatedProblem> {
     validate_sizes(scenario)?;
     validate_operator(scenario)?;
@@ -117,8 +117,8 @@
     let length_range = MIN_LENGTH..=MAX_LENGTH;
     check_value(&scenario.length, |length| length_range.contains(length), ScenarioProblem::Length)?;
     for (field, count) in [("senders", &scenario.senders), ("partners", &scenario.destinations)] {
-        let is_valid = |count: &u32| (1..=MAX_PARTIES).contains(count);
-        check_value(count, is_valid, ScenarioProblem::Parties(field))?;
+        let is_valid = |count: &u32| (1..=MAX_COUNT).contains(count);
+        check_value(count, is_valid, ScenarioProblem::Count(field))?;
     }
     let load_range = MIN_LOAD_PERCENT..=MAX_LOAD_PERCENT;
     check_value(&scenario.load, |load| load_range.contains(&load.0), ScenarioProblem::Load)?;
