--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -39,8 +39,8 @@
     ListLag,
     /// Discovery does not respond.
     ListSilent,
-    /// The senders' discovery agents move to another address and restart their revision numbers; senders get the
-    /// address with a new configuration.
+    /// The senders' discovery agents move to another address and restart their revision numbers; senders get
+    /// the address with a new configuration.
     MoveDiscovery,
     /// The endpoint list names endpoints that do not exist.
     DeadHosts,
--- a/crates/micadrum-testkit/src/sim/datagrams.rs
+++ b/crates/micadrum-testkit/src/sim/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between simulated senders, subject to the faults of their links.
+//! Datagrams between simulated senders, subject to link faults.
 use super::process::Process;
 use crate::link_faults::LinkFaults;
 use crate::test_network::Host;
@@ -12,10 +12,10 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// Datagrams that a socket holds; more are lost, as with the buffer of a real one.
+/// Capacity of a socket's receive queue. Further datagrams are dropped, as by the kernel.
 const MAX_QUEUED_DATAGRAMS: usize = 1000;
 
-/// A datagram on its way; the order is that of arrival.
+/// A datagram in transit, ordered by the time of its arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedDatagram {
     due_at: Instant,
@@ -23,21 +23,21 @@
     bytes: Vec<u8>,
 }
 
-/// What has been sent to a socket.
+/// The receive queue of a socket, including the datagrams in transit.
 #[derive(Default)]
 struct Inbox {
     datagrams: RefCell<BinaryHeap<Reverse<QueuedDatagram>>>,
     arrived: Notify,
 }
 
-/// A bound socket as others reach it.
+/// A bound socket, as the network keeps it.
 #[derive(Clone)]
 struct BoundSocket {
     sender: u32,
     inbox: Rc<Inbox>,
 }
 
-/// All datagram sockets.
+/// The datagram sockets of all senders, by address.
 pub struct DatagramNetwork {
     this: Weak<DatagramNetwork>,
     link_faults: Rc<RefCell<LinkFaults>>,
@@ -46,7 +46,7 @@
 }
 
 impl DatagramNetwork {
-    /// Creates a network without sockets, whose links have these faults.
+    /// Creates a network without sockets. `link_faults` apply to the datagrams between senders.
     pub fn new(link_faults: Rc<RefCell<LinkFaults>>) -> Rc<Self> {
         Rc::new_cyclic(|this| Self {
             this: this.clone(),
@@ -56,7 +56,10 @@
         })
     }
 
-    /// Binds a socket of a sender's process.
+    /// Binds a socket for a process of the sender `host`.
+    ///
+    /// # Errors
+    /// Returns `Unsupported` if `host` is not a sender, and `AddrInUse` if the address is already bound.
     pub fn bind(
         &self,
         host: Host,
@@ -89,6 +92,7 @@
     }
 }
 
+/// A datagram socket of a sender's process.
 struct Socket {
     network: Weak<DatagramNetwork>,
     sender: u32,
--- a/crates/micadrum-testkit/src/sim/disk.rs
+++ b/crates/micadrum-testkit/src/sim/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk that outlasts its process: it can be full, and kill the process at a chosen write.
+//! A simulated disk that survives its process. It can be full, fail, and kill the process at a given write.
 use super::process::Process;
 use crate::plan::SeededRng;
 use crate::scenario::WritePoint;
@@ -15,7 +15,7 @@
 
 /// Duration of a simulated sync.
 const SYNC_DURATION: Duration = Duration::from_millis(2);
-/// Files that were not synced are torn at multiples of this.
+/// Unsynced data that partly survives a power loss is truncated to a multiple of this.
 const SECTOR_BYTES: usize = 512;
 
 /// The bytes of a file, and how many of them are durable.
@@ -23,7 +23,8 @@
 struct Content {
     bytes: Vec<u8>,
     synced: usize,
-    /// A sync has failed: bytes that were not synced then never become durable, whatever later syncs report.
+    /// Whether a sync has failed. After that no more bytes become durable, although later syncs report
+    /// success.
     has_lost_sync: bool,
 }
 
@@ -45,37 +46,38 @@
     }
 }
 
-/// A kill of the process at a later write.
+/// A request to kill the process at a later write.
 pub struct KillAtWrite {
-    /// Writes up to the one at which the process is killed.
+    /// Number of writes left, including the one at which the process is killed.
     pub remaining: u64,
-    /// Where in that write.
-    pub place: WritePoint,
+    /// The point of that write at which the process is killed.
+    pub write_point: WritePoint,
 }
 
-/// How changes of files fail.
+/// How changes of files fail during a fault of the state folder.
 #[derive(Clone, Copy)]
 pub struct WriteFailure {
-    /// A failing write writes a half first.
+    /// Whether a failing append writes the first half of its data.
     pub is_torn: bool,
 }
 
-/// The disk of one sender, over all of its processes.
+/// The disk of one sender, which successive processes of the sender share.
 #[derive(Default)]
 pub struct Disk {
     files: BTreeMap<String, File>,
-    /// The durable names.
+    /// The durable directory entries.
     synced_names: BTreeMap<String, File>,
-    /// The disk takes no more bytes than this: others have filled the rest.
+    /// Limit on the total size of all files; `None` if the disk is not full.
     max_bytes: Option<usize>,
-    /// The pending kill at a write.
+    /// The pending request to kill the process at a write.
     pub kill_at_write: Option<KillAtWrite>,
     /// How the disk performs syncs.
     pub sync_behavior: SyncBehavior,
-    /// Set while every change of a file fails.
+    /// How changes of files fail; `None` if they succeed.
     pub write_failure: Option<WriteFailure>,
-    /// The largest size that the disk has had.
+    /// The largest total size of the files so far, in bytes; each file is rounded up to whole sectors.
     pub peak_bytes: usize,
+    /// The contents of the files at the last call of [`Disk::save`].
     saved: BTreeMap<String, Vec<u8>>,
 }
 
@@ -84,7 +86,7 @@
         self.files.values().map(|file| file.borrow().bytes.len().next_multiple_of(SECTOR_BYTES)).sum()
     }
 
-    /// Fills the disk, so that only what the sender itself frees can be written again, or ends that.
+    /// Makes the disk full, so that writes need space that the sender has freed since, or ends that state.
     pub fn fill(&mut self, full: bool) {
         self.max_bytes = full.then(|| self.bytes());
     }
@@ -93,13 +95,13 @@
         self.files.values().map(|file| file.borrow().bytes.len()).sum()
     }
 
-    /// Copies all files.
+    /// Saves a copy of all files for [`Disk::restore`].
     pub fn save(&mut self) {
         let bytes = |(name, file): (&String, &File)| (name.clone(), file.borrow().bytes.clone());
         self.saved = self.files.iter().map(bytes).collect();
     }
 
-    /// Replaces all files by the copy.
+    /// Replaces all files by the saved copy, which is durable then.
     pub fn restore(&mut self) {
         let file = |(name, bytes): (&String, &Vec<u8>)| {
             let content = Content { bytes: bytes.clone(), synced: bytes.len(), has_lost_sync: false };
@@ -109,8 +111,8 @@
         self.synced_names = self.files.clone();
     }
 
-    /// Discards unsynced state as a power loss does: of each name remains the synced or the latest file, and
-    /// of each file the synced bytes and nothing, all or a part of the others.
+    /// Discards unsynced state as a power loss does. Each name keeps either its durable or its latest file,
+    /// and each file keeps its synced bytes and none, all or a part of the others.
     pub fn discard_unsynced(&mut self, random: &mut SeededRng) {
         let names: BTreeSet<String> = self.files.keys().chain(self.synced_names.keys()).cloned().collect();
         let mut remaining = BTreeMap::new();
@@ -144,14 +146,15 @@
     }
 }
 
-/// The disk as one process uses it.
+/// The state folder as one process accesses it.
 pub struct ProcessFolder {
-    /// The disk.
+    /// The disk that the folder is on.
     pub disk: Rc<RefCell<Disk>>,
-    /// The process.
+    /// The process. Once it is dead, all operations fail.
     pub process: Rc<Process>,
 }
 
+/// An open file.
 struct Handle {
     folder: ProcessFolder,
     file: File,
@@ -162,10 +165,14 @@
         if self.process.is_dead() { Err(io::ErrorKind::BrokenPipe.into()) } else { Ok(()) }
     }
 
-    /// Fails while changes of files do.
+    /// Returns an error if the process is dead, or if a fault makes changes of files fail.
     fn check_writable(&self) -> io::Result<()> {
         self.check_running()?;
-        if self.disk.borrow().write_failure.is_some() { Err(io::Error::other("injected")) } else { Ok(()) }
+        if self.disk.borrow().write_failure.is_some() {
+            Err(io::Error::other("injected fault of the state folder"))
+        } else {
+            Ok(())
+        }
     }
 
     fn handle(&self, file: File) -> Box<dyn AppendFile> {
@@ -226,23 +233,23 @@
         if let Some(WriteFailure { is_torn }) = failure {
             let written = if is_torn { bytes.len() / 2 } else { 0 };
             self.file.borrow_mut().bytes.extend_from_slice(&bytes[..written]);
-            return Err(io::Error::other("injected"));
+            return Err(io::Error::other("injected fault of the state folder"));
         }
         let mut disk = self.folder.disk.borrow_mut();
-        if let Some(room) = disk.max_bytes.map(|max| max.saturating_sub(disk.bytes()))
-            && room < bytes.len()
+        if let Some(free_bytes) = disk.max_bytes.map(|max| max.saturating_sub(disk.bytes()))
+            && free_bytes < bytes.len()
         {
-            // As on a real disk, what still fits is written.
-            self.file.borrow_mut().bytes.extend_from_slice(&bytes[..room]);
+            // Like a real file system, write the part that fits.
+            self.file.borrow_mut().bytes.extend_from_slice(&bytes[..free_bytes]);
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut written = bytes.len();
         let mut killed = false;
-        if let Some(KillAtWrite { remaining, place }) = &mut disk.kill_at_write {
+        if let Some(KillAtWrite { remaining, write_point }) = &mut disk.kill_at_write {
             *remaining -= 1;
             if *remaining == 0 {
                 killed = true;
-                written = match place {
+                written = match write_point {
                     WritePoint::Before => 0,
                     WritePoint::Torn => bytes.len() / 2,
                     WritePoint::After => bytes.len(),
--- a/crates/micadrum-testkit/src/sim/fleet.rs
+++ b/crates/micadrum-testkit/src/sim/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated senders: the daemon's own code on simulated network, disk and clock.
+//! The simulated senders, which run the daemon's code on a simulated network, disk and clock.
 use super::datagrams::DatagramNetwork;
 use super::disk::{Disk, KillAtWrite, ProcessFolder, WriteFailure};
 use super::hosts::address;
@@ -23,14 +23,14 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// Wall time at the start of every simulation.
+/// Wall clock time at the start of every simulation, since the Unix epoch.
 const EPOCH: Duration = Duration::from_secs(1_800_000_000);
-/// The port of a sender for clients.
+/// Port on which senders listen for clients.
 const CLIENT_PORT: u16 = 5000;
-/// The port of a sender for its peers.
+/// Port on which senders listen for their peers.
 const PEER_PORT: u16 = 7000;
 
-/// The wall clock of one machine.
+/// The clocks of one machine.
 struct SimClock {
     origin: Instant,
     offset_us: Rc<Cell<i64>>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The log of one sender, printed where that is wanted.
+/// The log of one sender, which also prints its lines to standard error if `show` is set.
 struct SimLog {
     sender: u32,
     origin: Instant,
@@ -64,32 +64,32 @@
     }
 }
 
-/// A running process.
-struct Running {
+/// The latest process of a sender.
+struct RunningProcess {
     process: Rc<Process>,
     signals: UnboundedSender<Signal>,
     exit: Rc<ProcessExit>,
 }
 
-/// The machine of a sender, over all of its processes.
+/// The machine of a sender, on which its processes run one after another.
 #[derive(Default)]
 pub struct Node {
     disk: Rc<RefCell<Disk>>,
-    /// Counts the boots of the machine.
+    /// Number of reboots of the machine, which determines its boot id; wraps around.
     boot: Cell<u8>,
     clock_offset_us: Rc<Cell<i64>>,
-    running: RefCell<Option<Running>>,
+    running: RefCell<Option<RunningProcess>>,
 }
 
 /// The simulated senders.
 pub struct SimFleet {
-    /// Connections between hosts.
+    /// The network for connections between hosts.
     pub network: Rc<SimNetwork>,
-    /// Datagrams between senders.
+    /// The network for datagrams between senders.
     pub datagrams: Rc<DatagramNetwork>,
-    /// The machines, by sender.
+    /// The machines, by number of the sender.
     pub nodes: Vec<Node>,
-    /// The start of the simulation.
+    /// The time at which the simulation started.
     pub origin: Instant,
     /// Whether the senders' logs are printed.
     pub show_logs: bool,
@@ -111,7 +111,7 @@
                 config = config.with_operator(operator, Some(secret));
             }
             let listen = config.listen;
-            // Each process has its own seed.
+            // `config.seed` differs between processes, and so does their entropy.
             let mut random = SeededRng::new(0, &format!("entropy of {} {}", config.name, config.seed));
             let mut entropy = [0; 32];
             entropy.chunks_mut(8).for_each(|bytes| bytes.copy_from_slice(&random.number().to_le_bytes()));
@@ -132,29 +132,31 @@
                 boot: Some(BootId([node.boot.get(); 16])),
                 entropy,
             };
-            let (signals, from_world) = unbounded_channel();
+            let (signals, signal_receiver) = unbounded_channel();
             let exit = Rc::<ProcessExit>::default();
-            let running = Running { process: process.clone(), signals, exit: exit.clone() };
+            let running = RunningProcess { process: process.clone(), signals, exit: exit.clone() };
             *node.running.borrow_mut() = Some(running);
             spawn_local(async move {
-                // All tasks of the process are in a set of their own, so dropping it ends them at once.
+                // The process has its own task set, so that dropping it cancels all tasks of the process at
+                // once.
                 let tasks = LocalSet::new();
                 let running = process.clone();
-                let ran = running.unless_paused(tasks.run_until(daemon::run(config, ports, from_world)));
-                let clean = tokio::select! {
+                let daemon =
+                    running.unless_paused(tasks.run_until(daemon::run(config, ports, signal_receiver)));
+                let is_clean = tokio::select! {
                     biased;
                     () = process.died() => false,
-                    ran = ran => match ran {
+                    result = daemon => match result {
                         Ok(()) => true,
                         Err(e) => {
-                            eprintln!("sender {sender}: {e}");
+                            eprintln!("sender {sender} failed: {e}");
                             false
                         }
                     },
                 };
                 drop(tasks);
                 process.kill();
-                exit.set(clean);
+                exit.set(is_clean);
             });
             Ok(listen)
         })
@@ -237,9 +239,9 @@
         self.nodes[sender as usize].disk.borrow_mut().wipe();
     }
 
-    fn kill_at_write(&self, sender: u32, nth: u64, place: WritePoint) -> bool {
+    fn kill_at_write(&self, sender: u32, nth: u64, write_point: WritePoint) -> bool {
         self.nodes[sender as usize].disk.borrow_mut().kill_at_write =
-            Some(KillAtWrite { remaining: nth, place });
+            Some(KillAtWrite { remaining: nth, write_point });
         true
     }
 
--- a/crates/micadrum-testkit/src/sim/hosts.rs
+++ b/crates/micadrum-testkit/src/sim/hosts.rs
@@ -11,7 +11,7 @@
     IpAddr::V4(Ipv4Addr::new(10, subnet, (number >> 8) as u8, (number & 0xff) as u8))
 }
 
-/// Returns the host of an address, if there is one.
+/// Returns the host with an address, or `None` if the address is not in a subnet of simulated hosts.
 pub fn host(address: IpAddr) -> Option<Host> {
     match address {
         IpAddr::V4(v4) => {
--- a/crates/micadrum-testkit/src/sim/mod.rs
+++ b/crates/micadrum-testkit/src/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A whole deployment in one process on simulated time, network and disk: the daemon's own code, several
-//! times over.
+//! Simulates a whole deployment in one process: many instances of the daemon, on simulated time, network and
+//! disks.
 mod datagrams;
 mod disk;
 mod fleet;
@@ -24,19 +24,19 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// What a run shows while it goes on.
+/// What a run prints to standard error while it is in progress.
 #[derive(Clone, Copy, Default)]
 pub struct OutputOptions {
-    /// The senders' logs.
+    /// Whether to print the senders' logs.
     pub logs: bool,
-    /// A line each ten simulated minutes; each minute of short days.
+    /// Whether to print a line every ten simulated minutes, or every minute of runs of less than ten minutes.
     pub progress: bool,
 }
 
-/// Plays a plan in simulated time.
+/// Runs a plan in simulated time, and returns the report of the run.
 ///
 /// # Errors
-/// Where the world cannot be set up, or a sender does not start.
+/// Returns an error if the environment cannot be set up, or if a sender does not start.
 pub fn run(plan: Plan, output: OutputOptions) -> io::Result<Report> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     let plan = Rc::new(plan);
--- a/crates/micadrum-testkit/src/sim/network/listener.rs
+++ b/crates/micadrum-testkit/src/sim/network/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the connections that wait to be accepted.
+//! Listening sockets and their queues of connections.
 use super::SimNetwork;
 use super::stream::SimStream;
 use crate::sim::process::Process;
@@ -11,7 +11,7 @@
 use std::rc::{Rc, Weak};
 use tokio::sync::Notify;
 
-/// The connections that a listener has not accepted yet.
+/// The established connections that a listener has not accepted yet.
 #[derive(Default)]
 pub(super) struct AcceptQueue {
     pub(super) connections: RefCell<VecDeque<SimStream>>,
--- a/crates/micadrum-testkit/src/sim/network/mod.rs
+++ b/crates/micadrum-testkit/src/sim/network/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated network: hosts in zones, and connections that are delayed, held, cut or reset.
 //!
-//! All times are the paused tokio clock's; events at one moment happen in the order in which they were
-//! caused, so a run depends on nothing but its seed.
+//! All times come from tokio's paused clock, and simultaneous events happen in the order of their causes, so
+//! a run depends on its seed alone.
 mod listener;
 mod pipe;
 mod stream;
@@ -22,9 +22,9 @@
 use stream::{Connection, SimStream};
 use tokio::time::{Instant, sleep};
 
-/// The first port of those that are assigned where none is asked for.
+/// Lower bound of the ports that are assigned to listeners that request port 0.
 const FIRST_FREE_PORT: u16 = 20_000;
-/// Closed connections are forgotten once in this many new ones.
+/// Number of new connections after which closed ones are removed from the list.
 const PRUNE_INTERVAL: usize = 1024;
 
 /// A simulated network.
@@ -45,16 +45,16 @@
 /// The state of the links between zones.
 #[derive(Clone, Copy, Default)]
 pub struct ZoneLinkState {
-    /// Each way takes this much longer.
+    /// Additional latency of each direction.
     pub added_delay: Duration,
-    /// Everything is held until this time.
+    /// Data is held back until this time; `None` if it is not held back.
     pub held_until: Option<Instant>,
-    /// Everything is lost.
+    /// Whether all data is lost.
     pub drops: bool,
 }
 
 impl SimNetwork {
-    /// Creates a network of these hosts, each in a zone; `zone_delay` is the time of one way between two
+    /// Creates a network of the given hosts, each in a zone. `zone_delay` is the one-way latency between two
     /// zones, and `link_faults` apply to the links between senders.
     pub fn new(
         hosts: BTreeMap<Host, usize>,
@@ -84,6 +84,7 @@
             return Duration::ZERO;
         }
         let link = *self.link.borrow();
+        // With a break in the future, `link_effect` never breaks the connection.
         let held =
             link.held_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()));
         self.zone_delay + link.added_delay + held
@@ -96,14 +97,15 @@
             || !(cut.contains(&a) || cut.contains(&b) || self.crosses_zones(a, b) && self.link.borrow().drops)
     }
 
-    /// Returns what happens to bytes on a link between two senders; `None` for all other connections.
+    /// Returns the effect of link faults on bytes between two different senders; `None` for all other
+    /// connections.
     fn link_effect(&self, from: Host, to: Host, last_broken_at: &Cell<Option<u64>>) -> Option<LinkEffect> {
         let (Host::Sender(from), Host::Sender(to)) = (from, to) else { return None };
         let now = self.started_at.elapsed().as_micros() as u64;
         (from != to).then(|| self.link_faults.borrow().link_effect(from, to, now, last_broken_at))
     }
 
-    /// Sets the state of the links between zones. Connections that lost something are reset when losses end.
+    /// Sets the state of the links between zones. When `drops` ends, connections that lost data are reset.
     pub fn set_link(&self, link: ZoneLinkState) {
         let was = std::mem::replace(&mut *self.link.borrow_mut(), link);
         if was.drops && !link.drops {
@@ -116,7 +118,7 @@
         *self.link.borrow()
     }
 
-    /// Cuts a host off or reconnects it, which resets its connections that lost something.
+    /// Cuts a host off, or reconnects it and resets those of its connections that lost data.
     pub fn set_cut(&self, host: Host, cut: bool) {
         if cut {
             self.cut_hosts.borrow_mut().insert(host);
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Resets the connections that lost something on the way.
+    /// Resets the connections that lost data, among those that `which` selects by their hosts.
     fn reset_broken(&self, which: impl Fn(&Self, &[Host; 2]) -> bool) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Creates a connection and returns its two sides.
+    /// Creates a connection, and returns its two ends.
     fn create_connection(&self, from: Host, to: Host, processes: [Rc<Process>; 2]) -> [SimStream; 2] {
         let pipes = [Rc::<RefCell<Pipe>>::default(), Rc::default()];
         let connection = Rc::new(Connection {
@@ -176,7 +178,7 @@
         to: SocketAddr,
     ) -> io::Result<SimStream> {
         let Some(peer) = hosts::host(to.ip()).filter(|host| self.zones.contains_key(host)) else {
-            // A host that does not exist does not answer.
+            // A host that does not exist never responds.
             return std::future::pending().await;
         };
         let held = || self.link_effect(from, peer, &Cell::new(Some(u64::MAX / 2))) == Some(LinkEffect::Held);
@@ -218,7 +220,7 @@
     }
 }
 
-/// Sleeps, without yielding where there is no delay.
+/// Sleeps for `delay`, and returns without yielding if it is zero.
 async fn wait(delay: Duration) {
     if delay > Duration::ZERO {
         sleep(delay).await;
--- a/crates/micadrum-testkit/src/sim/network/pipe.rs
+++ b/crates/micadrum-testkit/src/sim/network/pipe.rs
@@ -1,38 +1,39 @@
-//! One direction of a connection.
+//! One direction of a simulated connection.
 use std::collections::VecDeque;
 use std::task::Waker;
 use tokio::time::Instant;
 
-/// What a segment carries.
+/// The content of a segment.
 pub(super) enum SegmentBody {
     Data(Vec<u8>),
     End,
     Reset,
 }
 
-/// Something on its way in one direction.
+/// A unit of transmission in one direction of a connection.
 pub(super) struct Segment {
     pub(super) sent_at: Instant,
     pub(super) due_at: Instant,
     pub(super) body: SegmentBody,
 }
 
-/// One direction of a connection.
+/// The queue of segments in one direction of a connection.
 #[derive(Default)]
 pub(super) struct Pipe {
     pub(super) queue: VecDeque<Segment>,
+    /// Number of data bytes in `queue`.
     pub(super) bytes: usize,
     last_due_at: Option<Instant>,
     pub(super) reader: Option<Waker>,
     pub(super) writer: Option<Waker>,
-    /// The reading side is closed: data that arrives is answered by a reset.
+    /// Whether the reading side is closed. Data that is sent after that is answered with a reset.
     pub(super) reader_closed: bool,
 }
 
 impl Pipe {
-    /// Sends a segment that arrives at `due_at`, or after the one before.
+    /// Queues a segment that arrives at `due_at`, but not before the segment ahead of it.
     pub(super) fn push(&mut self, sent_at: Instant, due_at: Instant, body: SegmentBody) {
-        // TCP keeps the order, whatever the delays.
+        // TCP delivers in order, even if later segments have shorter delays.
         let due_at = self.last_due_at.map_or(due_at, |last| last.max(due_at));
         self.last_due_at = Some(due_at);
         if let SegmentBody::Data(data) = &body {
--- a/crates/micadrum-testkit/src/sim/network/stream.rs
+++ b/crates/micadrum-testkit/src/sim/network/stream.rs
@@ -1,4 +1,4 @@
-//! Connections, and what each side reads and writes.
+//! Simulated connections, and the streams at their two ends.
 use super::SimNetwork;
 use super::pipe::{Pipe, Segment, SegmentBody};
 use crate::link_faults::LinkEffect;
@@ -14,22 +14,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Bytes on their way in one direction: a writer waits for more, as with a socket's buffers.
+/// Maximum number of bytes in transit in one direction, like the size of a socket's buffers. Writers wait for
+/// space.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// A connection between two hosts.
 pub(super) struct Connection {
     pub(super) ends: [Host; 2],
     pub(super) pipes: [Rc<RefCell<Pipe>>; 2],
-    /// Something was lost on the way: nothing more arrives until the connection is reset.
+    /// Whether data was lost. Nothing more arrives after that until the connection is reset.
     pub(super) broken: Cell<bool>,
-    /// When a link between its two senders was last broken.
+    /// When a link fault last broke the connection, in microseconds since the start of the network.
     pub(super) last_broken_at: Cell<Option<u64>>,
-    /// When each side ended the connection, whether or not the other learns of that.
+    /// When each side closed or reset the connection, even if that does not reach the other side.
     pub(super) ended: [Cell<Option<Instant>>; 2],
 }
 
-/// One side of a connection.
+/// The stream at one end of a connection.
 pub struct SimStream {
     pub(super) network: Weak<SimNetwork>,
     pub(super) connection: Rc<Connection>,
@@ -37,9 +38,9 @@
     pub(super) process: Rc<Process>,
     pub(super) wait: Option<Pin<Box<Sleep>>>,
     pub(super) last_sent: Option<Instant>,
-    /// The end of the other side has been read.
+    /// Whether the end of the incoming data has been read.
     pub(super) ended: bool,
-    /// The end of this side has been written.
+    /// Whether the end of the outgoing data has been sent.
     pub(super) finished: bool,
 }
 
@@ -66,10 +67,10 @@
         if !network.is_reachable(me, peer) || link_effect == Some(LinkEffect::Held) {
             self.connection.broken.set(true);
         }
-        // An end that a sender's side sends is shown to the stand-in even so: it only has to write it down,
-        // and nothing that it could still send would get through.
-        let shown = matches!((me, &body), (Host::Sender(_), SegmentBody::End | SegmentBody::Reset));
-        if self.connection.broken.get() && !shown {
+        // The end of a sender's side arrives even over a broken connection: the test endpoint only records
+        // it, and nothing that the endpoint sends after that gets through.
+        let always_arrives = matches!((me, &body), (Host::Sender(_), SegmentBody::End | SegmentBody::Reset));
+        if self.connection.broken.get() && !always_arrives {
             return;
         }
         let now = Instant::now();
@@ -79,13 +80,13 @@
         };
         let mut outgoing = self.outgoing().borrow_mut();
         if outgoing.reader_closed && matches!(body, SegmentBody::Data(_)) {
-            // Nobody reads there any more: that comes back as a reset.
+            // The other side has stopped reading, so it answers with a reset.
             let back = due + network.delay(me, peer);
             self.incoming().borrow_mut().push(now, back, SegmentBody::Reset);
             return;
         }
         if let (Some(LinkEffect::Breaks), SegmentBody::Data(data)) = (link_effect, &body) {
-            // In the midst of what is said, for both.
+            // Break the connection in the middle of the data, for both sides.
             outgoing.push(now, due, SegmentBody::Data(data[..data.len() / 2].to_vec()));
             outgoing.push(now, due, SegmentBody::Reset);
             self.incoming().borrow_mut().push(now, due, SegmentBody::Reset);
@@ -111,7 +112,7 @@
         let now = Instant::now();
         let connection = this.connection.clone();
         let mut pipe = connection.pipes[1 - this.side].borrow_mut();
-        // What a reset overtakes is lost, as the system would have it.
+        // A reset discards unread data that arrived before it, as in the kernel.
         let reset =
             pipe.queue.iter().find(|next| next.due_at <= now && matches!(next.body, SegmentBody::Reset));
         if let Some(reset) = reset {
@@ -193,7 +194,7 @@
             let now = Instant::now();
             incoming.queue.iter().any(|next| next.due_at <= now && matches!(next.body, SegmentBody::Data(_)))
         };
-        // As the system does: a process that dies, and reader_closed bytes, reset the connection.
+        // Like the kernel, reset the connection if its process has died or left received data unread.
         if self.process.is_dead() || has_unread_data {
             self.send(SegmentBody::Reset);
         } else if !self.finished {
--- a/crates/micadrum-testkit/src/sim/network/tests.rs
+++ b/crates/micadrum-testkit/src/sim/network/tests.rs
@@ -9,36 +9,36 @@
 use tokio::task::{LocalSet, spawn_local};
 
 const ZONE_DELAY: Duration = Duration::from_millis(110);
-const HERE: Host = Host::Sender(0);
-const OTHER: Host = Host::Sender(1);
-const NEAR: Host = Host::Endpoint(0);
-const FAR: Host = Host::Endpoint(1);
+const SENDER: Host = Host::Sender(0);
+const OTHER_SENDER: Host = Host::Sender(1);
+const NEAR_ENDPOINT: Host = Host::Endpoint(0);
+const FAR_ENDPOINT: Host = Host::Endpoint(1);
 
-fn play<F: Future<Output = ()>>(test: impl FnOnce(Rc<SimNetwork>) -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Rc<SimNetwork>) -> F) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
-    let hosts = BTreeMap::from([(HERE, 0), (OTHER, 0), (NEAR, 0), (FAR, 1)]);
-    let within = runtime.enter();
+    let hosts = BTreeMap::from([(SENDER, 0), (OTHER_SENDER, 0), (NEAR_ENDPOINT, 0), (FAR_ENDPOINT, 1)]);
+    let runtime_context = runtime.enter();
     let net = SimNetwork::new(hosts, ZONE_DELAY, Rc::new(RefCell::new(LinkFaults::single_zone(2))));
-    drop(within);
+    drop(runtime_context);
     LocalSet::new().block_on(&runtime, test(net));
 }
 
-/// Two ends of a connection: a sender's and an endpoint's.
-async fn pair(net: &Rc<SimNetwork>, to: Host) -> (Box<dyn TestConnection>, Box<dyn TestConnection>) {
+/// Returns the two ends of a connection: first the sender's, then the one at `to`.
+async fn connect(net: &Rc<SimNetwork>, to: Host) -> (Box<dyn TestConnection>, Box<dyn TestConnection>) {
     let listener = net.listen(to, 5000).await.unwrap();
-    let (mine, theirs) = tokio::join!(net.connect(HERE, listener.address()), listener.accept());
+    let (mine, theirs) = tokio::join!(net.connect(SENDER, listener.address()), listener.accept());
     (mine.unwrap(), theirs.unwrap())
 }
 
-async fn read(line: &mut dyn TestConnection) -> io::Result<Vec<u8>> {
+async fn read(stream: &mut dyn TestConnection) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; 64];
-    let count = line.read(&mut bytes).await?;
+    let count = stream.read(&mut bytes).await?;
     bytes.truncate(count);
     Ok(bytes)
 }
 
-fn strike(kind: &str, rest: &str) -> PlannedFault {
+fn planned_fault(kind: &str, rest: &str) -> PlannedFault {
     let text = format!(
         "title = \"t\"\nlength = \"60 s\"\nsenders = 2\ntraffic = \"20/s\"\n[operator.peers]\n[[fault]]\nkind = \"{kind}\"\n\
          at = \"1 s\"\nfor = \"9 s\"\nsenders = [0]\n{rest}"
@@ -46,23 +46,24 @@
     Plan::new(Scenario::parse("t", &text).unwrap(), 1).faults.remove(0)
 }
 
-/// Guards against links between senders that no fault of what they say to each other reaches.
+/// Guards against link faults between senders that have no effect on their connections.
 #[test]
-fn links_between_senders_are_struck() {
-    play(async |net| {
-        let (mut mine, mut theirs) = pair(&net, OTHER).await;
-        let cut = strike("cut", "");
+fn cuts_delays_and_breaks_affect_connections_between_senders() {
+    run_test(async |net| {
+        let (mut mine, mut theirs) = connect(&net, OTHER_SENDER).await;
+        let cut = planned_fault("cut", "");
         net.link_faults.borrow_mut().begin_fault(&cut);
         mine.write_all(b"lost").await.unwrap();
         let late = tokio::time::timeout(Duration::from_secs(9), read(&mut *theirs)).await;
-        assert!(late.is_err(), "open and silent");
-        let opens = net.connect(HERE, SocketAddr::new(address(OTHER), 5000));
-        assert!(tokio::time::timeout(Duration::from_secs(9), opens).await.is_err());
+        assert!(late.is_err(), "a cut connection delivered data or ended");
+        let connecting = net.connect(SENDER, SocketAddr::new(address(OTHER_SENDER), 5000));
+        assert!(tokio::time::timeout(Duration::from_secs(9), connecting).await.is_err());
         net.link_faults.borrow_mut().end_fault(&cut);
     });
-    play(async |net| {
-        let (mut mine, mut theirs) = pair(&net, OTHER).await;
-        let (slow, broken) = (strike("slow", "delay = \"300 ms\""), strike("break", "every = \"1 s\""));
+    run_test(async |net| {
+        let (mut mine, mut theirs) = connect(&net, OTHER_SENDER).await;
+        let (slow, broken) =
+            (planned_fault("slow", "delay = \"300 ms\""), planned_fault("break", "every = \"1 s\""));
         net.link_faults.borrow_mut().begin_fault(&slow);
         let sent = Instant::now();
         mine.write_all(b"slow").await.unwrap();
@@ -76,12 +77,12 @@
     });
 }
 
-/// Guards against a network without distance: each way takes its time, and a connection both.
+/// Guards against links between zones without latency.
 #[test]
-fn crossing_takes_its_time() {
-    play(async |net| {
+fn data_between_zones_takes_one_zone_delay_and_connecting_takes_two() {
+    run_test(async |net| {
         let began = Instant::now();
-        let (mut mine, mut theirs) = pair(&net, FAR).await;
+        let (mut mine, mut theirs) = connect(&net, FAR_ENDPOINT).await;
         assert_eq!(began.elapsed(), ZONE_DELAY * 2);
         mine.write_all(b"hello").await.unwrap();
         let sent = Instant::now();
@@ -92,42 +93,43 @@
     });
 }
 
-/// Guards against a dead end that answers: nobody listens, or the host is gone or never was.
+/// Guards against responses from hosts that are cut off or do not exist, and from ports without a listener.
 #[test]
-fn there_is_no_answer_where_nobody_is() {
-    play(async |net| {
-        let refused = net.connect(HERE, SocketAddr::new(address(NEAR), 9)).await;
+fn connecting_is_refused_without_a_listener_and_hangs_without_a_reachable_host() {
+    run_test(async |net| {
+        let refused = net.connect(SENDER, SocketAddr::new(address(NEAR_ENDPOINT), 9)).await;
         assert_eq!(refused.err().unwrap().kind(), io::ErrorKind::ConnectionRefused);
-        net.set_cut(NEAR, true);
-        for nobody in [SocketAddr::new(address(NEAR), 9), "10.9.0.1:9".parse().unwrap()] {
-            let open = tokio::time::timeout(Duration::from_secs(99), net.connect(HERE, nobody));
-            assert!(open.await.is_err(), "{nobody} answered");
+        net.set_cut(NEAR_ENDPOINT, true);
+        for unreachable in [SocketAddr::new(address(NEAR_ENDPOINT), 9), "10.9.0.1:9".parse().unwrap()] {
+            let open = tokio::time::timeout(Duration::from_secs(99), net.connect(SENDER, unreachable));
+            assert!(open.await.is_err(), "{unreachable} responded");
         }
     });
 }
 
-/// Guards against a cut that a peer notices, and against connections that live on as if nothing was lost.
+/// Guards against a cut that the other side detects at once, and against connections that survive the loss of
+/// data.
 #[test]
-fn a_cut_host_is_silent_and_reset_when_it_is_back() {
-    play(async |net| {
-        let (mut mine, mut theirs) = pair(&net, NEAR).await;
+fn a_cut_host_sends_nothing_and_its_connections_are_reset_when_the_cut_ends() {
+    run_test(async |net| {
+        let (mut mine, mut theirs) = connect(&net, NEAR_ENDPOINT).await;
         assert!(theirs.arrives());
-        net.set_cut(NEAR, true);
+        net.set_cut(NEAR_ENDPOINT, true);
         assert!(!theirs.arrives());
         theirs.write_all(b"lost").await.unwrap();
         let silent = tokio::time::timeout(Duration::from_secs(60), read(&mut *mine)).await;
         assert!(silent.is_err());
-        net.set_cut(NEAR, false);
-        assert!(!theirs.arrives(), "it has lost something");
+        net.set_cut(NEAR_ENDPOINT, false);
+        assert!(!theirs.arrives(), "the connection has lost data");
         assert_eq!(read(&mut *mine).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     });
 }
 
-/// Guards against a hold that loses or reorders, or holds what stays in its building.
+/// Guards against a held link that loses or reorders data.
 #[test]
-fn a_held_link_delivers_in_order_at_its_end() {
-    play(async |net| {
-        let (mut mine, mut theirs) = pair(&net, FAR).await;
+fn a_held_link_delivers_data_in_order_when_the_hold_ends() {
+    run_test(async |net| {
+        let (mut mine, mut theirs) = connect(&net, FAR_ENDPOINT).await;
         let until = Instant::now() + Duration::from_secs(5);
         net.set_link(ZoneLinkState { held_until: Some(until), ..ZoneLinkState::default() });
         mine.write_all(b"first ").await.unwrap();
@@ -143,15 +145,15 @@
     });
 }
 
-/// Guards against a process that goes on after its end, or whose peers never hear of it.
+/// Guards against a killed process that still sends data, or whose peers are not notified.
 #[test]
-fn a_killed_process_resets_its_connections_and_says_no_more() {
-    play(async |net| {
-        let listener = net.listen(NEAR, 5000).await.unwrap();
+fn a_killed_process_sends_no_data_and_resets_its_connections() {
+    run_test(async |net| {
+        let listener = net.listen(NEAR_ENDPOINT, 5000).await.unwrap();
         let process = Rc::<Process>::default();
         let datagrams = DatagramNetwork::new(Rc::new(RefCell::new(LinkFaults::single_zone(1))));
         let network =
-            ProcessNetwork { network: net.clone(), datagrams, host: HERE, process: process.clone() };
+            ProcessNetwork { network: net.clone(), datagrams, host: SENDER, process: process.clone() };
         let at = listener.address();
         let (mine, theirs) = tokio::join!(network.connect(at), listener.accept());
         let (mut mine, mut theirs) = (mine.unwrap(), theirs.unwrap());
--- a/crates/micadrum-testkit/src/sim/process_network.rs
+++ b/crates/micadrum-testkit/src/sim/process_network.rs
@@ -1,4 +1,4 @@
-//! The simulated network as one process of the daemon uses it.
+//! The daemon's network port on the simulated network.
 use super::datagrams::DatagramNetwork;
 use super::network::SimNetwork;
 use super::process::Process;
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The network as one process of the daemon has it.
+/// Implements the daemon's [`Network`] for one process on the simulated network.
 pub struct ProcessNetwork {
-    /// The network.
+    /// The network for connections.
     pub network: Rc<SimNetwork>,
-    /// Datagrams between senders.
+    /// The network for datagrams between senders.
     pub datagrams: Rc<DatagramNetwork>,
-    /// The machine of the process.
+    /// The host that the process runs on.
     pub host: Host,
-    /// The process.
+    /// The process. Once it is dead, its connections and sockets have no effect.
     pub process: Rc<Process>,
 }
 
