--- a/crates/micadrum-testkit/src/plan/destinations.rs
+++ b/crates/micadrum-testkit/src/plan/destinations.rs
@@ -28,7 +28,7 @@
     (0..count).map(|number| draw.destination(number, weights[number as usize] / total_weight)).collect()
 }
 
-/// Draws the destinations one by one.
+/// The state that is kept while the destinations are drawn one by one.
 struct DestinationDraw {
     rng: SeededRng,
     zones: usize,
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -65,7 +65,7 @@
 /// The limit of a destination on the calls of all senders together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// No limit but the capacity.
+    /// No limit; only the capacity restricts the calls.
     None,
     /// Calls per second.
     Rate(f64),
--- a/crates/micadrum-testkit/src/plan/random.rs
+++ b/crates/micadrum-testkit/src/plan/random.rs
@@ -63,7 +63,7 @@
     }
 
     /// Draws an index with the given probabilities, which add up to 1. Returns `None` if, through rounding
-    /// errors, their sum is less than the number drawn.
+    /// errors, their sum is not greater than the number drawn.
     pub(super) fn weighted_index(&mut self, mut probabilities: impl Iterator<Item = f64>) -> Option<usize> {
         let mut remaining = self.unit();
         probabilities.position(|probability| {
--- a/crates/micadrum-testkit/src/scenario/schema.rs
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -49,8 +49,7 @@
     /// How long the load balancer keeps assigning connections to a sender after its process has ended.
     #[serde(rename = "front_notice", default = "default_balancer_failover_delay")]
     pub balancer_failover_delay: Span,
-    /// The contents of every sender's operator's file, except for the members and their keys, which the test
-    /// kit adds.
+    /// The operator's file of every sender, without the members and their keys, which the test kit adds.
     pub operator: Option<Spanned<toml::Table>>,
     /// How long the run continues after clients stop submitting messages. If not given, until after the
     /// latest deadline of a message.
--- a/crates/micadrum-testkit/src/sim/network/mod.rs
+++ b/crates/micadrum-testkit/src/sim/network/mod.rs
@@ -84,7 +84,6 @@
             return Duration::ZERO;
         }
         let link = *self.link.borrow();
-        // With a break in the future, `link_effect` never breaks the connection.
         let held =
             link.held_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()));
         self.zone_delay + link.added_delay + held
@@ -181,6 +180,7 @@
             // A host that does not exist never responds.
             return std::future::pending().await;
         };
+        // Passes a last break in the future, so that `link_effect` never returns `Breaks`.
         let held = || self.link_effect(from, peer, &Cell::new(Some(u64::MAX / 2))) == Some(LinkEffect::Held);
         if !self.is_reachable(from, peer) || process.is_dead() || held() {
             return std::future::pending().await;
