--- a/crates/micadrum-testkit/src/scenario/tests.rs
+++ b/crates/micadrum-testkit/src/scenario/tests.rs
@@ -13,7 +13,7 @@
     let cases: &[(&str, usize, &str)] = &[
         ("colour = 3\n", 5, "unknown field `colour`"),
         ("crossing = \"110\"\n", 5, "needs a unit"),
-        ("crossing = \"110 miles\"\n", 5, "is not a unit of time"),
+        ("crossing = \"110 miles\"\n", 5, "\"miles\" is not a unit of time"),
         ("crossing = 110\n", 5, "expected a span of time"),
         ("load = \"300%\"\n", 5, "between 5% and 200%"),
         ("buildings = []\n", 5, "must name at least one building"),
