--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,6 +1,7 @@
-//! What one message costs in the decision module alone, by how much is held and how many destinations there are:
-//! steps of 1 ms, 1,000 slots, answers after 10 to 30 ms, one class in order, one endpoint a destination. Only the time
-//! inside `DeliveryEngine::step` counts. After the table the longest step of each case is told.
+//! Measures the cost per message in the decision module alone, by the number of pending messages and of
+//! destinations: steps of 1 ms, 1,000 slots, answers after 10 to 30 ms, one ordered class, one endpoint per
+//! destination. Only the time inside `DeliveryEngine::step` counts. The longest step of each case is printed
+//! last.
 #![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 use criterion::{BenchmarkId, Criterion, Throughput};
 use micadrum::*;
@@ -54,29 +55,29 @@
     }
 }
 
-/// A sender whose messages are replaced as they are delivered.
-struct World {
+/// A sender with a constant number of pending messages: each delivered message is replaced by a new one.
+struct Simulation {
     sender: DeliveryEngine,
     now: u64,
     destinations: u64,
     next: u32,
-    /// Who is out, by when the answer comes.
-    out: BTreeSet<(u64, MessageId)>,
+    /// The messages in flight, by the time of their answer.
+    in_flight: BTreeSet<(u64, MessageId)>,
     spent: Duration,
     delivered: u64,
     longest: Duration,
 }
 
-impl World {
-    /// With `dead` messages besides for a destination that never answers, if any.
+impl Simulation {
+    /// Creates a sender with `held` pending messages and runs it to a steady state.
     fn new(destinations: u64, held: u32) -> Self {
-        let sender = DeliveryEngine::new(settings(), 1).expect("settings that can be acted on");
-        let mut world = World {
+        let sender = DeliveryEngine::new(settings(), 1).expect("valid settings");
+        let mut simulation = Simulation {
             sender,
             now: 1_000 * SECOND,
             destinations,
             next: 0,
-            out: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             spent: Duration::ZERO,
             delivered: 0,
             longest: Duration::ZERO,
@@ -90,20 +91,19 @@
             capacity_hint: 0.0,
         };
         let mut events = vec![Event::EndpointSnapshot((0..destinations).map(entry).collect())];
-        events.extend((0..held).map(|_| world.message()));
-        world.step(&events);
-        // Until nothing is left of the beginning.
+        events.extend((0..held).map(|_| simulation.message()));
+        simulation.step(&events);
         for _ in 0..500 {
-            world.round();
+            simulation.run_step();
         }
-        (world.spent, world.delivered, world.longest) = Default::default();
-        world
+        (simulation.spent, simulation.delivered, simulation.longest) = Default::default();
+        simulation
     }
 
     fn message(&mut self) -> Event {
         let id = self.next;
         self.next += 1;
-        // By a multiplicative order, so that neighbours are not handed in together.
+        // Spreads consecutive messages over the destinations.
         let destination = u64::from(id).wrapping_mul(7_919) % self.destinations;
         Event::Message(Message {
             id: MessageId(id),
@@ -126,7 +126,7 @@
             match action {
                 Action::Send { message, .. } => {
                     let answer_after = (10 + u64::from(message.0) * 6_151 % 21) * MILLISECOND;
-                    self.out.insert((self.now + answer_after, message));
+                    self.in_flight.insert((self.now + answer_after, message));
                 }
                 Action::Return { .. } | Action::Fail(_) => panic!("{action:?}"),
                 _ => {}
@@ -134,11 +134,11 @@
         }
     }
 
-    fn round(&mut self) {
+    fn run_step(&mut self) {
         self.now += MILLISECOND;
         let mut events = Vec::new();
-        while let Some((_, message)) = self.out.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.out.pop_first();
+        while let Some((_, message)) = self.in_flight.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.in_flight.pop_first();
             self.delivered += 1;
             let (outcome, elapsed) = (Outcome::Success, TimeDelta(20 * MILLISECOND));
             events.push(Event::AttemptEnded {
@@ -156,9 +156,9 @@
     }
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> u64 {
-    let pages = std::fs::read_to_string("/proc/self/statm").expect("a system that tells");
+    let pages = std::fs::read_to_string("/proc/self/statm").expect("a readable /proc/self/statm");
     pages.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).expect("a number of pages") * 4096
 }
 
@@ -176,35 +176,36 @@
         (10_000, 10_000),
         (10_000, 100_000),
     ] {
-        let mut world = None;
+        let mut simulation = None;
         let name = BenchmarkId::new(format!("{destinations} destinations"), format!("{held} held"));
         group.bench_function(name, |bencher| {
-            let world = world.get_or_insert_with(|| World::new(destinations, held));
+            let simulation = simulation.get_or_insert_with(|| Simulation::new(destinations, held));
             bencher.iter_custom(|messages| {
-                let (spent, delivered) = (world.spent, world.delivered);
-                while world.delivered < delivered + messages {
-                    world.round();
+                let (spent, delivered) = (simulation.spent, simulation.delivered);
+                while simulation.delivered < delivered + messages {
+                    simulation.run_step();
                 }
-                (world.spent - spent).mul_f64(messages as f64 / (world.delivered - delivered) as f64)
+                (simulation.spent - spent)
+                    .mul_f64(messages as f64 / (simulation.delivered - delivered) as f64)
             });
         });
-        longest.extend(world.map(|world| (destinations, held, world.longest)));
+        longest.extend(simulation.map(|simulation| (destinations, held, simulation.longest)));
     }
     group.finish();
-    // What the module keeps of each, by the process's resident memory.
+    // Memory per endpoint and per message, from the growth of the resident memory.
     let before = resident();
-    let mut world = World::new(100_000, 0);
-    println!("an endpoint with its destination and lines: {} bytes", (resident() - before) / 100_000);
+    let mut simulation = Simulation::new(100_000, 0);
+    println!("an endpoint with its destination and routes: {} bytes", (resident() - before) / 100_000);
     let before = resident();
-    let events: Vec<Event> = (0..100_000).map(|_| world.message()).collect();
-    world.step(&events);
+    let events: Vec<Event> = (0..100_000).map(|_| simulation.message()).collect();
+    simulation.step(&events);
     drop(events);
     println!(
-        "a held message, one of three to a key: {} bytes",
+        "a held message, three messages per key: {} bytes",
         (resident().saturating_sub(before)) / 100_000
     );
-    // All of 10,000 endpoints give way to as many others in one list.
-    let mut world = World::new(10_000, 10_000);
+    // One list replaces all of 10,000 endpoints.
+    let mut simulation = Simulation::new(10_000, 10_000);
     let entry = |e: u32| EndpointEntry {
         endpoint: EndpointId(10_000 + e),
         destination: DestinationId(u64::from(e)),
@@ -213,8 +214,8 @@
         state: EndpointState::Active,
         capacity_hint: 0.0,
     };
-    world.step(&[Event::EndpointSnapshot((0..10_000).map(entry).collect())]);
-    println!("a step with a list of 10,000 other endpoints: {:?}", world.longest);
+    simulation.step(&[Event::EndpointSnapshot((0..10_000).map(entry).collect())]);
+    println!("a step with a list that replaces 10,000 endpoints: {:?}", simulation.longest);
     for (destinations, held, longest) in longest {
         println!("longest step at {destinations} destinations, {held} held: {longest:?}");
     }
--- a/benches/start.rs
+++ b/benches/start.rs
@@ -1,5 +1,5 @@
-//! What the memory costs a start: from the process's begin until it listens, with 30 and with 10,000 endpoints, without a
-//! file of an earlier process and with one; and how long that file is.
+//! Measures the time from the start of the process until it listens, with 30 and 10,000 endpoints, with and
+//! without the `memory.log` of an earlier process, and the size of that file.
 #![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
 use serde_json::json;
 use std::io::{BufRead, BufReader};
@@ -34,7 +34,7 @@
     })
 }
 
-/// Starts a sender in that folder, and kills it as soon as it listens.
+/// Starts the daemon in `folder`, kills it as soon as it listens and returns the time until then.
 fn start(folder: &Path) -> Duration {
     let begun = Instant::now();
     let mut process = Command::new(env!("CARGO_BIN_EXE_micadrum"))
@@ -44,11 +44,11 @@
         .spawn()
         .unwrap();
     let log = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let listens = log.into_iter().any(|line| line.contains("listening on"));
+    let is_listening = log.into_iter().any(|line| line.contains("listening on"));
     let took = begun.elapsed();
     process.kill().unwrap();
     process.wait().unwrap();
-    assert!(listens, "it did not start");
+    assert!(is_listening, "the daemon did not start to listen");
     took
 }
 
