--- a/tests/compatibility/daemon.rs
+++ b/tests/compatibility/daemon.rs
@@ -1,5 +1,5 @@
-//! The binary as a process on a state folder.
-use crate::http::{Message, PATIENCE, request};
+//! Starts and controls the daemon as a process with a state folder.
+use crate::http::{Message, TIMEOUT, request};
 use micadrum_fault_control::{CONTROL_VARIABLE, ControlFile, library_path};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -10,24 +10,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two looks at something that is about to change.
-const LOOK: Duration = Duration::from_millis(10);
-/// Ten years in microseconds: a message of a committed folder has time left whenever it is read.
-const TEN_YEARS: u64 = 315_360_000_000_000;
-/// The same in seconds, as a client tells it.
-pub const TEN_YEARS_IN_SECONDS: u64 = TEN_YEARS / 1_000_000;
+/// The interval at which [`wait_until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Ten years in microseconds, longer than the maximum deadline that the daemon accepts.
+const TEN_YEARS_US: u64 = 315_360_000_000_000;
+/// Ten years in seconds, as in `X-Remaining`.
+pub const TEN_YEARS_IN_SECONDS: u64 = TEN_YEARS_US / 1_000_000;
 
-/// The binary under test; the one that `FIXTURES_BINARY` names when fixtures are written anew.
+/// Returns the path of the binary under test. While fixtures are updated, this is `FIXTURES_BINARY`, if set.
 pub fn binary() -> PathBuf {
-    let named = std::env::var_os("FIXTURES_BINARY").filter(|_| crate::snapshot::updates());
+    let named = std::env::var_os("FIXTURES_BINARY").filter(|_| crate::snapshot::is_updating_fixtures());
     named.map_or_else(|| PathBuf::from(env!("CARGO_BIN_EXE_micadrum")), PathBuf::from)
 }
 
-/// The platform's configuration of the sender n1.
+/// Returns the platform's configuration of the sender n1.
 pub fn config(discovery: SocketAddr, members: &[Value]) -> Value {
     let class = |name: &str, repeat: &str, ordered: bool| {
-        json!({"name": name, "aim": 1_000_000, "hard_limit": TEN_YEARS, "worth": 1.0, "late_value": 0.3,
-            "repeat": repeat, "group": "all", "key_ttl": TEN_YEARS, "fifo_by_key": ordered})
+        json!({"name": name, "aim": 1_000_000, "hard_limit": TEN_YEARS_US, "worth": 1.0, "late_value": 0.3,
+            "repeat": repeat, "group": "all", "key_ttl": TEN_YEARS_US, "fifo_by_key": ordered})
     };
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "management": "127.0.0.1:0", "discovery": discovery.to_string(),
@@ -49,31 +49,31 @@
     })
 }
 
-/// A running daemon; it is killed when this is dropped.
+/// A running daemon, which is killed on drop.
 pub struct Daemon {
     process: Child,
-    /// Where clients come.
-    pub clients: SocketAddr,
-    /// Where operators come.
-    pub operators: SocketAddr,
+    /// The address for clients.
+    pub client_address: SocketAddr,
+    /// The address of the admin endpoint.
+    pub admin_address: SocketAddr,
 }
 
 impl Daemon {
-    /// Starts the binary on `folder` with that configuration, and with the operator's file that lies in it, if any, and
-    /// waits until it listens.
+    /// Starts the binary with the state folder `folder`, its `operator.toml`, if any, and the given
+    /// configuration. Returns once it listens.
     pub fn start(folder: &Path, config: &Value) -> Self {
         Self::start_with_faults(folder, config, None)
     }
 
-    /// Starts the binary like [`Self::start`], with the faults in a control file, if there is one.
+    /// Like [`Self::start`], with fault injection by a control file, if given.
     pub fn start_with_faults(folder: &Path, config: &Value, faults: Option<&ControlFile>) -> Self {
         let file = folder.join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let mut command = Command::new(binary());
         command.env("PROXY_CONFIG", &file).env("PROXY_STATE", folder).stderr(Stdio::piped());
-        let operator = folder.join("operator.toml");
-        if operator.exists() {
-            command.env("MICADRUM_OPERATOR", operator);
+        let operator_file = folder.join("operator.toml");
+        if operator_file.exists() {
+            command.env("MICADRUM_OPERATOR", operator_file);
         }
         if let Some(faults) = faults {
             command.env("LD_PRELOAD", library_path().unwrap()).env(CONTROL_VARIABLE, faults.path());
@@ -82,7 +82,7 @@
         let log = BufReader::new(process.stderr.take().unwrap());
         let (send, addresses) = channel();
         thread::spawn(move || {
-            // Read to its end, so that the process never waits for room in the pipe.
+            // Reads all output, so that the process never blocks on a full pipe.
             for line in log.lines().map_while(Result::ok) {
                 println!("daemon: {line}");
                 if let Some((before, address)) = line.split_once("listening on ") {
@@ -90,56 +90,58 @@
                 }
             }
         });
-        let mut daemon = Self { process, clients: unset(), operators: unset() };
+        let mut daemon = Self { process, client_address: unset(), admin_address: unset() };
         for _ in 0..2 {
-            let (is_operators, address) = addresses.recv_timeout(PATIENCE).expect("a listening daemon");
-            let place = if is_operators { &mut daemon.operators } else { &mut daemon.clients };
-            *place = address.parse().unwrap();
+            let (is_admin, address) =
+                addresses.recv_timeout(TIMEOUT).expect("the daemon listens on both addresses");
+            let address_field = if is_admin { &mut daemon.admin_address } else { &mut daemon.client_address };
+            *address_field = address.parse().unwrap();
         }
         daemon
     }
 
-    /// Ends it at once.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// Ends it in good order.
+    /// Sends SIGTERM and waits until the process has exited.
     pub fn terminate(mut self) {
         let kill = format!("kill -TERM {}", self.process.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
-        wait_until("an end", || self.process.try_wait().unwrap().is_some());
+        wait_until("the daemon to exit", || self.process.try_wait().unwrap().is_some());
     }
 
-    /// Hands in a message for that destination; the status of the answer.
-    pub fn hand_in(&self, id: &str, class: &str, key: &str, destination: u64, seconds: &str) -> u16 {
+    /// Submits a message and returns the status code of the response.
+    pub fn submit(&self, id: &str, class: &str, key: &str, destination: u64, seconds: &str) -> u16 {
         let headers = format!(
             "X-Txn: {id}\r\nX-Lane: {class}\r\nX-Org: acme\r\nX-Entity: {key}\r\nX-Remaining: {seconds}\r\n\
              X-Envelope: dest={destination}\r\nIdempotency-Key: idem-{id}\r\n"
         );
-        request(self.clients, "POST /api", &headers, format!("body of {id}").as_bytes()).status()
+        request(self.client_address, "POST /api", &headers, format!("body of {id}").as_bytes()).status()
     }
 
-    /// A call at the door for operators.
-    pub fn operator(&self, line: &str, body: &str) -> Message {
-        request(self.operators, line, "", body.as_bytes())
+    /// Sends a request to the admin endpoint and returns the response.
+    pub fn admin_request(&self, line: &str, body: &str) -> Message {
+        request(self.admin_address, line, "", body.as_bytes())
     }
 
-    /// `/status/metrics`.
+    /// Returns the JSON of `/status/metrics`.
     pub fn metrics(&self) -> Value {
-        self.operator("GET /status/metrics", "").json()
+        self.admin_request("GET /status/metrics", "").json()
     }
 
-    /// Waits until a return after a loss of power is over: newcomers come in without a limit.
+    /// Waits until the recovery after a machine restart is complete, so that new messages are accepted
+    /// without a limit.
     pub fn wait_until_full_service(&self) {
-        let stage = || self.operator("GET /status/recovery", "").json()["stage"].clone();
-        wait_until("full service", || stage() == "full");
+        let stage = || self.admin_request("GET /status/recovery", "").json()["stage"].clone();
+        wait_until("the recovery stage \"full\"", || stage() == "full");
     }
 
-    /// Waits until clients may come.
+    /// Waits until `/status` reports that the daemon accepts clients.
     pub fn wait_until_ready(&self) {
-        wait_until("readiness", || self.operator("GET /status", "").status() == 200);
+        wait_until("the daemon to be ready", || self.admin_request("GET /status", "").status() == 200);
     }
 }
 
@@ -154,11 +156,14 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Waits until something is so, for a bounded time.
-pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let late = Instant::now() + PATIENCE;
-    while !is_so() {
-        assert!(Instant::now() < late, "waited in vain for {what}");
-        thread::sleep(LOOK);
+/// Waits until `condition` returns true.
+///
+/// # Panics
+/// When that takes longer than [`TIMEOUT`].
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out after {TIMEOUT:?} waiting for {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/compatibility/http.rs
+++ b/tests/compatibility/http.rs
@@ -1,32 +1,32 @@
-//! HTTP/1.1 messages over blocking streams, as much of it as the daemon speaks.
+//! HTTP/1.1 messages over blocking streams: the subset that the daemon uses.
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Far longer than anything here takes: only a failure waits for it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of every wait in these tests.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A request or a response.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// The request line or the status line.
+    /// The request line or the status line, without CRLF.
     pub first_line: String,
-    /// Names in lower case, with their values.
+    /// The lowercase names and the values of the headers.
     pub headers: Vec<(String, String)>,
-    /// The body, as long as its header says.
+    /// The body, of the length in `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one; none where the stream ends first.
+    /// Reads a message. Returns `None` when the stream ends before the message is complete.
     pub fn read(stream: &mut TcpStream) -> Option<Self> {
         let mut bytes = Vec::new();
         let head_end = loop {
             if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
                 break at;
             }
-            read_some(stream, &mut bytes)?;
+            read_more(stream, &mut bytes)?;
         };
         let mut body = bytes.split_off(head_end + 4);
         let head = String::from_utf8_lossy(&bytes[..head_end]).into_owned();
@@ -39,45 +39,55 @@
         let length = headers.iter().find(|(name, _)| name == "content-length");
         let length: usize = length.map_or(0, |(_, value)| value.parse().unwrap_or_default());
         while body.len() < length {
-            read_some(stream, &mut body)?;
+            read_more(stream, &mut body)?;
         }
         Some(Self { first_line, headers, body })
     }
 
-    /// The value of a header, named in lower case.
+    /// Returns the value of the header with the given lowercase name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status code of a response.
+    /// Returns the status code of a response.
+    ///
+    /// # Panics
+    /// When the first line has no status code.
     pub fn status(&self) -> u16 {
-        self.first_line.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status line")
+        self.first_line
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .expect("a status line with a code")
     }
 
-    /// The body as JSON.
+    /// Returns the body as JSON.
+    ///
+    /// # Panics
+    /// When the body is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).expect("a JSON body")
     }
 }
 
-fn read_some(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<()> {
+fn read_more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<()> {
     let mut buffer = [0; 4096];
     let read = stream.read(&mut buffer).ok().filter(|read| *read > 0)?;
     bytes.extend_from_slice(&buffer[..read]);
     Some(())
 }
 
-/// Sends one request on a connection of its own.
+/// Sends a request on a new connection and returns the response.
 pub fn request(at: SocketAddr, line: &str, headers: &str, body: &[u8]) -> Message {
-    let mut stream = TcpStream::connect(at).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut stream = TcpStream::connect(at).expect("connect to the server");
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let head = format!("{line} HTTP/1.1\r\nHost: a\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).unwrap();
     stream.write_all(body).unwrap();
-    Message::read(&mut stream).expect("a whole response")
+    Message::read(&mut stream).expect("a complete response")
 }
 
-/// The text of a response.
+/// Returns the bytes of a response as text.
 pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/tests/compatibility/members.rs
+++ b/tests/compatibility/members.rs
@@ -1,11 +1,11 @@
-//! What members say to each other: datagrams, whose bodies are sealed and not encrypted, and links.
+//! The protocol between members: datagrams, which are authenticated but not encrypted, and links.
 use crate::daemon::{Daemon, binary, config, wait_until};
-use crate::mesh::Mesh;
 use crate::postcard::hex;
+use crate::relays::RelayNetwork;
 use crate::scenario::write_boot_id;
 use crate::schema::datagram_body;
-use crate::snapshot::{assert_same, mask, pretty};
-use crate::standin::Platform;
+use crate::snapshot::{assert_matches_fixture, mask, pretty};
+use crate::test_servers::Platform;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,46 +13,51 @@
 use tempfile::TempDir;
 
 const NAMES: [&str; 3] = ["n1", "n2", "n3"];
-/// What stands before a datagram's body.
-const HEADER: usize = 68;
-/// The first frame of a link.
-const HELLO: usize = 84;
-/// A frame's tag.
-const TAG: usize = 16;
-/// The kind of a frame that carries a payload.
-const DATA: u8 = 1;
+/// The length of a datagram's header.
+const DATAGRAM_HEADER_BYTES: usize = 68;
+/// The length of the hello at the start of a link.
+const LINK_HELLO_BYTES: usize = 84;
+/// The length of the authentication tag at the end of a frame.
+const FRAME_TAG_BYTES: usize = 16;
+/// The kind of a frame with a payload.
+const DATA_FRAME: u8 = 1;
 
-/// Guards against a datagram or a link that members of the landed build cannot read: fields, variants and their order.
+/// Guards against datagrams and links that members of an earlier build cannot read.
 #[test]
-fn members_speak_in_the_landed_form() {
-    let (mesh, keys, platform) = (Mesh::start(NAMES.len()), Keys::make(), Platform::start(None, true));
+fn datagrams_and_links_between_members_match_the_fixtures() {
+    let (network, keys, platform) =
+        (RelayNetwork::start(NAMES.len()), Keys::make(), Platform::start(None, true));
     let folders = NAMES.map(|_| tempfile::tempdir().unwrap());
     let start = |member: usize, run: u8| {
         write_boot_id(folders[member].path(), run);
-        keys.write_operator_file(folders[member].path(), &mesh, member);
+        keys.write_operator_file(folders[member].path(), &network, member);
         let mut config = config(platform.address, &[]);
         config["name"] = json!(NAMES[member]);
         Daemon::start(folders[member].path(), &config)
     };
     let [first, _second, third] = [0, 1, 2].map(|member| start(member, 1));
-    wait_until("all know all", || live(&first) == 2 && live(&third) == 2);
-    // One of them ends without a word: the others ask for it on the way over each other, and tell each other.
+    wait_until("the first and the third member to see two live peers", || {
+        count_live_peers(&first) == 2 && count_live_peers(&third) == 2
+    });
+    // The third member crashes: the others probe it through each other and gossip that it is silent.
     third.kill();
-    wait_until("relays and rumours", || {
-        let said = said(&mesh);
-        ["Relay", "Passed"].iter().all(|kind| said.iter().any(|body| body.get(kind).is_some()))
-            && tells(&said, "Silent")
+    wait_until("relayed probes and a rumour that the third member is silent", || {
+        let datagram_bodies = datagram_bodies(&network);
+        ["Relay", "Passed"].iter().all(|kind| datagram_bodies.iter().any(|body| body.get(kind).is_some()))
+            && contains_rumour(&datagram_bodies, "Silent")
     });
-    // It comes back after a loss of power, and asks the others for their word.
+    // The third member returns after a machine restart and asks the others what they know of it.
     let third = start(2, 2);
-    wait_until("word of its return", || tells(&said(&mesh), "Back"));
-    wait_until("an answer to its question", || answers(&mesh).contains_key("word?"));
-    assert_eq!(first.operator("GET /status/peers/all", "").status(), 200);
+    wait_until("a rumour of its return", || contains_rumour(&datagram_bodies(&network), "Back"));
+    wait_until("an answer to its request \"word?\"", || link_answers(&network).contains_key("word?"));
+    assert_eq!(first.admin_request("GET /status/peers/all", "").status(), 200);
     third.terminate();
-    wait_until("a farewell", || said(&mesh).iter().any(|body| body.get("Leave").is_some()));
-    assert_same("members/datagrams.txt", &datagram_lines(&mesh));
-    let answers = json!(answers(&mesh));
-    let varying = [
+    wait_until("a Leave datagram", || {
+        datagram_bodies(&network).iter().any(|body| body.get("Leave").is_some())
+    });
+    assert_matches_fixture("members/datagrams.txt", &datagram_lines(&network));
+    let link_answers = json!(link_answers(&network));
+    let varying_keys = [
         "own",
         "wall",
         "steady_for",
@@ -65,34 +70,34 @@
         "cut_off",
         "number",
     ];
-    assert_same("members/links.json", &pretty(&mask(&answers, &varying)));
+    assert_matches_fixture("members/links.json", &pretty(&mask(&link_answers, &varying_keys)));
 }
 
-/// Their keys, as the command line makes them.
+/// A folder with the key pairs of the members, created by `micadrum key`.
 struct Keys(TempDir);
 
 impl Keys {
     fn make() -> Self {
         let folder = tempfile::tempdir().unwrap();
         for name in NAMES {
-            let made = Command::new(binary()).arg("key").arg(folder.path().join(name)).output().unwrap();
-            std::fs::write(folder.path().join(format!("{name}.public")), made.stdout).unwrap();
+            let output = Command::new(binary()).arg("key").arg(folder.path().join(name)).output().unwrap();
+            std::fs::write(folder.path().join(format!("{name}.public")), output.stdout).unwrap();
         }
         Self(folder)
     }
 
-    fn write_operator_file(&self, folder: &Path, mesh: &Mesh, own: usize) {
-        let member = |(name, place): (&str, &crate::mesh::Place)| {
+    fn write_operator_file(&self, folder: &Path, network: &RelayNetwork, index: usize) {
+        let member = |(name, addresses): (&str, &crate::relays::MemberAddresses)| {
             let key = std::fs::read_to_string(self.0.path().join(format!("{name}.public"))).unwrap();
-            let (address, key) = (place.listed, key.trim());
+            let (address, key) = (addresses.advertised, key.trim());
             format!(
                 "[[peers.member]]\nname = \"{name}\"\naddress = \"{address}\"\nbuilding = \"a\"\nkey = \"{key}\"\n"
             )
         };
-        let members: String = NAMES.into_iter().zip(&mesh.places).map(member).collect();
-        let secret = self.0.path().join(NAMES[own]).display().to_string();
+        let members: String = NAMES.into_iter().zip(&network.members).map(member).collect();
+        let secret = self.0.path().join(NAMES[index]).display().to_string();
         let boot_id = folder.join("boot_id").display().to_string();
-        let listen = mesh.places[own].listens;
+        let listen = network.members[index].listening;
         let text = format!(
             "[recovery]\nboot_id = {boot_id:?}\nlist_for = \"100 ms\"\nfull_after = \"100 ms\"\n\
              [peers]\nsecret = {secret:?}\nlisten = \"{listen}\"\n{members}"
@@ -101,32 +106,35 @@
     }
 }
 
-fn live(daemon: &Daemon) -> usize {
-    let view = daemon.operator("GET /status/peers", "").json();
+fn count_live_peers(daemon: &Daemon) -> usize {
+    let view = daemon.admin_request("GET /status/peers", "").json();
     let peers = view["peers"].as_array().cloned().unwrap_or_default();
     peers.iter().filter(|peer| peer["status"] == "live").count()
 }
 
-/// The bodies of all datagrams.
-fn said(mesh: &Mesh) -> Vec<Value> {
+/// Returns the decoded bodies of all datagrams.
+fn datagram_bodies(network: &RelayNetwork) -> Vec<Value> {
     let shape = datagram_body();
-    let body = |datagram: &Vec<u8>| shape.read_all(&datagram[HEADER..]).expect("a datagram's body");
-    mesh.datagrams().iter().map(body).collect()
+    let body = |datagram: &Vec<u8>| {
+        shape.read_all(&datagram[DATAGRAM_HEADER_BYTES..]).expect("a datagram with a valid body")
+    };
+    network.datagrams().iter().map(body).collect()
 }
 
-fn tells(bodies: &[Value], word: &str) -> bool {
-    let of_kind = |kind: &'static str| bodies.iter().filter_map(move |body| body[kind]["rumours"].as_array());
-    let mut rumours = of_kind("Ping").chain(of_kind("Ack")).flatten();
+fn contains_rumour(bodies: &[Value], word: &str) -> bool {
+    let rumours_in =
+        |kind: &'static str| bodies.iter().filter_map(move |body| body[kind]["rumours"].as_array());
+    let mut rumours = rumours_in("Ping").chain(rumours_in("Ack")).flatten();
     rumours.any(|rumour| rumour["word"].get(word).is_some())
 }
 
-/// Each way of speaking once, without order: the header's stable bytes, the kind and its fields. What a rumour says depends
-/// on the moment, so its fields stand by themselves.
-fn datagram_lines(mesh: &Mesh) -> String {
+/// Returns one sorted line per distinct header, datagram and rumour, with varying values masked. Rumours have
+/// lines of their own, because which datagram carries them depends on timing.
+fn datagram_lines(network: &RelayNetwork) -> String {
     let shape = datagram_body();
     let mut lines = std::collections::BTreeSet::new();
-    for datagram in mesh.datagrams() {
-        let mut body = shape.read_all(&datagram[HEADER..]).unwrap();
+    for datagram in network.datagrams() {
+        let mut body = shape.read_all(&datagram[DATAGRAM_HEADER_BYTES..]).unwrap();
         let kind = body.as_object().unwrap().keys().next().unwrap().clone();
         if let Some(rumours) = body[&kind].get_mut("rumours") {
             for rumour in std::mem::replace(rumours, json!("<list>")).as_array().unwrap() {
@@ -134,7 +142,8 @@
                 lines.insert(format!("rumour: {fields:?} {}", rumour["word"]));
             }
         }
-        // Whether a life was known yet, and who is asked for whom, depends on the moment.
+        // Whether an incarnation is known already, and which member is probed through which, depends on
+        // timing.
         if let Some(known) = body[&kind].get_mut("known") {
             if known.is_null() {
                 continue;
@@ -150,34 +159,34 @@
     lines.into_iter().map(|line| line + "\n").collect()
 }
 
-/// The answers that came over links, by what was asked.
-fn answers(mesh: &Mesh) -> BTreeMap<String, Value> {
-    mesh.dialogues().iter().filter_map(|(dialer, acceptor)| answer(dialer, acceptor)).collect()
+/// Returns the answers received over links, by request.
+fn link_answers(network: &RelayNetwork) -> BTreeMap<String, Value> {
+    network.streams().iter().filter_map(|(dialer, acceptor)| link_answer(dialer, acceptor)).collect()
 }
 
-fn answer(dialer: &[u8], acceptor: &[u8]) -> Option<(String, Value)> {
-    let asked = link_payloads(dialer, 1)?;
-    let question = String::from_utf8(asked.first()?.clone()).ok()?;
-    let (length, pieces) = {
-        let told = link_payloads(acceptor, 2)?;
-        let length = u64::from_le_bytes(told.first()?.as_slice().try_into().ok()?);
-        (length, told[1..].concat())
+fn link_answer(dialer: &[u8], acceptor: &[u8]) -> Option<(String, Value)> {
+    let request_payloads = link_payloads(dialer, 1)?;
+    let request = String::from_utf8(request_payloads.first()?.clone()).ok()?;
+    let (length, answer_bytes) = {
+        let answer_payloads = link_payloads(acceptor, 2)?;
+        let length = u64::from_le_bytes(answer_payloads.first()?.as_slice().try_into().ok()?);
+        (length, answer_payloads[1..].concat())
     };
-    let whole = pieces.len() as u64 == length;
-    Some((question, serde_json::from_slice(&pieces).ok().filter(|_| whole)?))
+    let is_complete = answer_bytes.len() as u64 == length;
+    Some((request, serde_json::from_slice(&answer_bytes).ok().filter(|_| is_complete)?))
 }
 
-/// The payloads that one side of a link sent: `role` 1 is the dialer's.
+/// Returns the payloads sent by one side of a link. `role` is 1 for the dialer and 2 for the acceptor.
 fn link_payloads(bytes: &[u8], role: u8) -> Option<Vec<Vec<u8>>> {
-    let (hello, mut rest) = bytes.split_at_checked(HELLO)?;
-    assert_eq!(&hello[..4], [b'm', b'l', 1, role], "the hello of a link");
+    let (hello, mut rest) = bytes.split_at_checked(LINK_HELLO_BYTES)?;
+    assert_eq!(&hello[..4], [b'm', b'l', 1, role], "the link starts with a hello of this role");
     let mut payloads = Vec::new();
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
         let Some((frame, after)) = after.split_at_checked(u32::from_le_bytes(*length) as usize) else {
             break;
         };
-        if frame[0] == DATA {
-            payloads.push(frame[1..frame.len() - TAG].to_vec());
+        if frame[0] == DATA_FRAME {
+            payloads.push(frame[1..frame.len() - FRAME_TAG_BYTES].to_vec());
         }
         rest = after;
     }
--- a/tests/compatibility/postcard.rs
+++ b/tests/compatibility/postcard.rs
@@ -1,90 +1,91 @@
-//! An independent reader of postcard bytes: it knows the positions of fields and variants, and none of the library's types.
+//! An independent decoder of postcard bytes by the positions of fields and variants, without the types of the
+//! library.
 use serde_json::{Map, Value, json};
 
-/// Numbers past this are points on the wall clock in microseconds.
-const WALL_TIMES: u64 = 1_000_000_000_000_000;
+/// Varying numbers from this one on are wall-clock times in microseconds.
+const MIN_WALL_TIME_US: u64 = 1_000_000_000_000_000;
 
-/// What stands at a position.
+/// The type of the value at a position.
 #[derive(Clone)]
 pub enum Shape {
     /// A boolean.
     Flag,
-    /// An integer that is the same on every run.
+    /// An integer that is the same in every run.
     Number,
-    /// An integer that differs from run to run: shown as 0, a time or a number.
+    /// An integer that varies between runs: decoded as 0, `<time>` or `<number>`.
     Varying,
-    /// An integer drawn by chance.
+    /// A random integer: decoded as `<random>`.
     Random,
-    /// A 64-bit float that is the same on every run.
+    /// A 64-bit float that is the same in every run.
     Float,
-    /// One that differs: shown as 0 or a float.
+    /// A 64-bit float that varies between runs: decoded as 0, `infinite` or `<float>`.
     VaryingFloat,
-    /// Text after its length.
+    /// UTF-8 text, preceded by its length in bytes.
     Text,
-    /// Bytes after their length.
+    /// Bytes, preceded by their number.
     Bytes,
-    /// The same where they differ from run to run: only that there are some is shown.
+    /// Bytes that vary between runs, preceded by their number: decoded as an empty string or `<bytes>`.
     VaryingBytes,
-    /// So many bytes that are the same on every run.
+    /// A fixed number of bytes that are the same in every run.
     Array(usize),
-    /// So many bytes that differ.
+    /// A fixed number of bytes that vary between runs.
     VaryingArray(usize),
-    /// Absent, or there.
+    /// An `Option`.
     Optional(Box<Shape>),
-    /// Items after their number.
+    /// A sequence, preceded by its number of items.
     List(Box<Shape>),
-    /// Keys that are text, each with its value, after their number.
+    /// A map with text keys, preceded by its number of entries.
     TextMap(Box<Shape>),
-    /// Fields one after the other.
+    /// The fields of a struct, in order.
     Fields(Vec<(&'static str, Shape)>),
-    /// One of several, by its position.
+    /// The variants of an enum, in order.
     Variants(Vec<(&'static str, Shape)>),
 }
 
 impl Shape {
-    /// A variant without anything in it.
+    /// Returns the shape of a unit variant, which has no fields.
     pub fn unit() -> Self {
         Self::Fields(Vec::new())
     }
 
-    /// Absent, or this.
+    /// Returns the shape of an `Option` of `self`.
     pub fn optional(self) -> Self {
         Self::Optional(Box::new(self))
     }
 
-    /// Any number of this.
+    /// Returns the shape of a sequence of `self`.
     pub fn list(self) -> Self {
         Self::List(Box::new(self))
     }
 
-    /// Reads bytes that hold exactly this.
+    /// Decodes `bytes`, which must contain exactly one value of this shape.
     ///
     /// # Errors
-    /// Where and why they do not.
+    /// Returns the position of the first invalid value and the reason, or the number of bytes left over.
     pub fn read_all(&self, bytes: &[u8]) -> Result<Value, String> {
-        let mut reader = Reader { bytes, at: 0 };
+        let mut decoder = Decoder { bytes, at: 0 };
         let value =
-            reader.read(self).map_err(|e| format!("at byte {} of {}: {e}", reader.at, bytes.len()))?;
-        if reader.at < bytes.len() {
-            return Err(format!("{} bytes are left after {value}", bytes.len() - reader.at));
+            decoder.read(self).map_err(|e| format!("at byte {} of {}: {e}", decoder.at, bytes.len()))?;
+        if decoder.at < bytes.len() {
+            return Err(format!("{} bytes left over after {value}", bytes.len() - decoder.at));
         }
         Ok(value)
     }
 }
 
-struct Reader<'a> {
+struct Decoder<'a> {
     bytes: &'a [u8],
     at: usize,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> Decoder<'a> {
     fn read(&mut self, shape: &Shape) -> Result<Value, String> {
         Ok(match shape {
-            Shape::Flag => json!(self.flag()?),
+            Shape::Flag => json!(self.boolean()?),
             Shape::Number => json!(self.number()?),
             Shape::Varying => match self.number()? {
                 0 => json!(0),
-                WALL_TIMES.. => json!("<time>"),
+                MIN_WALL_TIME_US.. => json!("<time>"),
                 _ => json!("<number>"),
             },
             Shape::Random => {
@@ -96,18 +97,18 @@
                 0.0 => json!(0.0),
                 f64::INFINITY => json!("infinite"),
                 float if float.is_finite() => json!("<float>"),
-                other => return Err(format!("{other} is none that is written")),
+                other => return Err(format!("unexpected float {other}")),
             },
             Shape::Text => json!(self.text()?),
-            Shape::Bytes => json!(String::from_utf8_lossy(self.counted()?)),
-            Shape::VaryingBytes => json!(if self.counted()?.is_empty() { "" } else { "<bytes>" }),
+            Shape::Bytes => json!(String::from_utf8_lossy(self.length_prefixed()?)),
+            Shape::VaryingBytes => json!(if self.length_prefixed()?.is_empty() { "" } else { "<bytes>" }),
             Shape::Array(length) => json!(hex(self.take(*length)?)),
             Shape::VaryingArray(length) => {
                 self.take(*length)?;
                 json!(format!("<{length} bytes>"))
             }
             Shape::Optional(inner) => {
-                if self.flag()? {
+                if self.boolean()? {
                     json!({"some": self.read(inner)?})
                 } else {
                     Value::Null
@@ -136,17 +137,17 @@
     }
 
     fn take(&mut self, length: usize) -> Result<&'a [u8], String> {
-        let end = self.at.checked_add(length).ok_or("a length beyond all bounds")?;
-        let taken = self.bytes.get(self.at..end).ok_or("it ends too soon")?;
+        let end = self.at.checked_add(length).ok_or("the length overflows usize")?;
+        let taken = self.bytes.get(self.at..end).ok_or("unexpected end of input")?;
         self.at = end;
         Ok(taken)
     }
 
-    fn flag(&mut self) -> Result<bool, String> {
+    fn boolean(&mut self) -> Result<bool, String> {
         match self.take(1)? {
             [0] => Ok(false),
             [1] => Ok(true),
-            other => Err(format!("{other:?} is no boolean")),
+            other => Err(format!("{other:?} is not a boolean, expected 0 or 1")),
         }
     }
 
@@ -156,28 +157,32 @@
             let byte = self.take(1)?[0];
             number |= u64::from(byte & 0x7f) << shift;
             if byte & 0x80 == 0 {
-                return if byte == 0 && shift > 0 { Err("a padded number".to_owned()) } else { Ok(number) };
+                return if byte == 0 && shift > 0 {
+                    Err("a varint with a superfluous zero byte".to_owned())
+                } else {
+                    Ok(number)
+                };
             }
         }
-        Err("a number without an end".to_owned())
+        Err("a varint of more than 10 bytes".to_owned())
     }
 
     fn float(&mut self) -> Result<f64, String> {
         let bytes = self.take(8)?;
-        Ok(f64::from_le_bytes(bytes.try_into().map_err(|_| "no float")?))
+        Ok(f64::from_le_bytes(bytes.try_into().map_err(|_| "expected 8 bytes of a float")?))
     }
 
-    fn counted(&mut self) -> Result<&'a [u8], String> {
+    fn length_prefixed(&mut self) -> Result<&'a [u8], String> {
         let length = usize::try_from(self.number()?).map_err(|e| e.to_string())?;
         self.take(length)
     }
 
     fn text(&mut self) -> Result<String, String> {
-        String::from_utf8(self.counted()?.to_vec()).map_err(|e| e.to_string())
+        String::from_utf8(self.length_prefixed()?.to_vec()).map_err(|e| e.to_string())
     }
 }
 
-/// Bytes in hexadecimal digits.
+/// Returns the bytes as lowercase hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/tests/compatibility/reading.rs
+++ b/tests/compatibility/reading.rs
@@ -1,11 +1,12 @@
-//! What the build under test takes up from a state folder of the landed build.
+//! Recovery of the build under test from a state folder that an earlier build wrote.
 use crate::daemon::{Daemon, config, wait_until};
-use crate::records::{framed, payloads};
+use crate::records::{frame, payloads};
 use crate::scenario::{
-    ANSWERS, Endpoints, HANGS, TAKEN_OUT, hand_in, wait_for_records, write_boot_id, write_operator_file,
+    ANSWERING, Endpoints, HANGING, IN_MAINTENANCE, submit, wait_for_records, write_boot_id,
+    write_operator_file,
 };
 use crate::snapshot::{copy_files, fixture};
-use crate::standin::{Call, Platform};
+use crate::test_servers::{Call, Platform};
 use micadrum_fault_control::{ControlFile, Fault, FaultKind};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,24 +14,24 @@
 use std::time::{Duration, SystemTime};
 use tempfile::TempDir;
 
-/// In this time a call that is due has come.
-const QUIET: Duration = Duration::from_millis(200);
-/// The run of the machine that the committed folder was written on last.
+/// A call that is due arrives within this time.
+const CALL_TIMEOUT: Duration = Duration::from_millis(200);
+/// The last run of the machine in which the committed folder was written.
 const LAST_RUN: u8 = 3;
 
-/// One second after the last record of the committed folders, in microseconds since the Unix epoch. Their messages have
-/// a day from then on, as the daemon accepts no longer time.
+/// One second after the last record of the committed folders, in microseconds since the Unix epoch. Their
+/// messages expire a day later, the maximum that the daemon accepts.
 const FIXTURE_TIME_US: i64 = 1_796_190_537_000_000;
 
-/// A copy of a committed folder, and what surrounds the daemon on it.
-struct Taken {
+/// A copy of a committed state folder, with the servers around the daemon that uses it.
+struct Setup {
     folder: TempDir,
     endpoints: Endpoints,
     platform: Platform,
     clock_folder: TempDir,
 }
 
-impl Taken {
+impl Setup {
     fn copy_of(name: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         copy_files(&fixture(name), folder.path());
@@ -44,14 +45,15 @@
         self.folder.path()
     }
 
-    /// Starts with settings that name the class "ordered" no more: only `classes.json` tells what it meant.
+    /// Starts the daemon without the class "ordered" in its settings, so that its definition is only in
+    /// `classes.json`.
     fn start(&self) -> Daemon {
         let mut config = config(self.platform.address, &self.endpoints.list("SERVING"));
         config["settings"]["lanes"].as_array_mut().unwrap().pop();
         Daemon::start_with_faults(self.path(), &config, Some(&self.clock_at_fixture_time()))
     }
 
-    /// Returns a control file that steps the daemon's wall clock to [`FIXTURE_TIME_US`].
+    /// Returns a fault control file that steps the daemon's wall clock to [`FIXTURE_TIME_US`].
     fn clock_at_fixture_time(&self) -> ControlFile {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap();
         let step_us = FIXTURE_TIME_US - i64::try_from(now.as_micros()).unwrap();
@@ -63,30 +65,30 @@
     fn append_to_journal(&self, payload: &[u8]) {
         let path = self.path().join("messages.wal");
         let mut journal = std::fs::read(&path).unwrap();
-        journal.extend(framed(payload));
+        journal.extend(frame(payload));
         std::fs::write(path, journal).unwrap();
     }
 
-    /// The states of so many notices, by message.
+    /// Waits for `count` notices and returns their states by message id.
     fn notices(&self, count: usize) -> BTreeMap<String, Value> {
-        let told = (0..count).map(|_| self.platform.notice());
-        told.map(|notice| (notice["id"].as_str().unwrap().to_owned(), notice["state"].clone())).collect()
+        let states = (0..count).map(|_| self.platform.notice());
+        states.map(|notice| (notice["id"].as_str().unwrap().to_owned(), notice["state"].clone())).collect()
     }
 }
 
-fn assert_is(call: &Call, id: &str) {
+fn assert_call_of(call: &Call, id: &str) {
     assert_eq!(call.request.header("x-txn"), Some(id));
     assert_eq!(call.request.header("idempotency-key"), Some(format!("idem-{id}").as_str()));
     assert_eq!(call.request.body, format!("body of {id}").as_bytes());
 }
 
-/// Guards against a state folder of the landed build of which anything is not taken up.
+/// Guards against losing any part of a state folder that an earlier build wrote.
 #[test]
-fn a_landed_state_folder_is_taken_up() {
-    let taken = Taken::copy_of("state");
-    let daemon = taken.start();
+fn recovers_all_state_of_a_committed_folder() {
+    let setup = Setup::copy_of("state");
+    let daemon = setup.start();
     daemon.wait_until_ready();
-    let told = taken.notices(5);
+    let states = setup.notices(5);
     let expected = [
         ("failed", "failed"),
         ("failed again", "failed"),
@@ -95,65 +97,79 @@
         ("waits", "failed"),
     ];
     let expected = expected.map(|(id, state)| (id.to_owned(), json!(state)));
-    assert_eq!(told, BTreeMap::from(expected));
-    let call = taken.endpoints.of(HANGS).call();
-    assert_is(&call, "may have run");
+    assert_eq!(states, BTreeMap::from(expected));
+    let call = setup.endpoints.of(HANGING).call();
+    assert_call_of(&call, "may have run");
     call.reply("200 OK", "");
-    // s-4 was heard to drain, s-5 was taken out by hand.
-    wait_until("both are out", || daemon.metrics()["hosts_down"] == 2);
-    assert!(taken.endpoints.of(TAKEN_OUT).is_quiet_for(QUIET), "a call to what is out by hand");
-    assert_eq!(daemon.operator("POST /maintenance/exit", "s-5").status(), 200);
-    let first = taken.endpoints.of(TAKEN_OUT).call();
-    assert_is(&first, "next");
-    // A class that the settings name no more: an effect that may be repeated with its key, as it was.
+    // s-4 is draining, s-5 is in maintenance.
+    wait_until("both endpoints to count as down", || daemon.metrics()["hosts_down"] == 2);
+    assert!(
+        setup.endpoints.of(IN_MAINTENANCE).receives_nothing_for(CALL_TIMEOUT),
+        "a call to an endpoint in maintenance"
+    );
+    assert_eq!(daemon.admin_request("POST /maintenance/exit", "s-5").status(), 200);
+    let first = setup.endpoints.of(IN_MAINTENANCE).call();
+    assert_call_of(&first, "next");
+    // The class is not in the settings any more, but its messages are still retried with their idempotency
+    // key.
     first.reply("500 Internal Server Error", "");
-    let second = taken.endpoints.of(TAKEN_OUT).call();
-    assert_is(&second, "next");
+    let second = setup.endpoints.of(IN_MAINTENANCE).call();
+    assert_call_of(&second, "next");
     second.reply("200 OK", "");
-    let life = daemon.operator("GET /status/peers", "").json()["life"]["number"].clone();
-    assert_eq!(life, json!(4), "the fourth process of that folder");
-    // Ids of both forms: written anew, and since.
+    let incarnation = daemon.admin_request("GET /status/peers", "").json()["life"]["number"].clone();
+    assert_eq!(incarnation, json!(4), "the fourth incarnation with this state folder");
+    // One id from a record of the rewritten journal, and one from a later record.
     for id in ["delivered", "delivered again"] {
-        hand_in(&daemon, id, "unsafe", ANSWERS);
+        submit(&daemon, id, "unsafe", ANSWERING);
     }
-    assert!(taken.endpoints.of(ANSWERS).is_quiet_for(QUIET), "a message was delivered twice");
+    assert!(
+        setup.endpoints.of(ANSWERING).receives_nothing_for(CALL_TIMEOUT),
+        "a message was delivered twice"
+    );
     let classes = |folder: &Path| std::fs::read_to_string(folder.join("classes.json")).unwrap();
-    assert_eq!(classes(taken.path()), classes(&fixture("state")), "all meanings stay");
+    assert_eq!(
+        classes(setup.path()),
+        classes(&fixture("state")),
+        "the definitions of the classes are unchanged"
+    );
 }
 
-/// Guards against a torn last record that costs more than itself, or stays.
+/// Guards against keeping a torn last record, and against losing valid records before it.
 #[test]
-fn a_torn_record_is_cut_off() {
-    let taken = Taken::copy_of("state-torn");
+fn truncates_a_torn_last_record() {
+    let setup = Setup::copy_of("state-torn");
     let before = std::fs::read(fixture("state-torn/messages.wal")).unwrap();
-    let (sound, torn) = payloads(&before);
-    assert!(torn > 0 && sound.len() > 10);
-    let daemon = taken.start();
+    let (valid, torn) = payloads(&before);
+    assert!(torn > 0 && valid.len() > 10);
+    let daemon = setup.start();
     daemon.wait_until_ready();
-    // The record of the attempt of "out" was cut off: it has not begun.
-    let call = taken.endpoints.of(ANSWERS).call();
-    assert_is(&call, "out");
-    let after = std::fs::read(taken.path().join("messages.wal")).unwrap();
-    assert!(after.starts_with(&before[..before.len() - torn]), "sound records stay as they are");
+    // The torn record is the start of the attempt of "out", so that the message has not been attempted.
+    let call = setup.endpoints.of(ANSWERING).call();
+    assert_call_of(&call, "out");
+    let after = std::fs::read(setup.path().join("messages.wal")).unwrap();
+    assert!(after.starts_with(&before[..before.len() - torn]), "the valid records are unchanged");
     assert_eq!(payloads(&after).1, 0);
 }
 
-/// Guards against kinds of records that are read otherwise and that no process leaves in its file on demand: over as files
-/// of before had it, a deadline by another clock, an attempt that was held back.
+/// Guards against a changed format of the records that the scenario does not produce: the older form of a
+/// completed message, a deadline from another clock, and a deferred attempt.
 #[test]
-fn records_of_rare_kinds_are_read_in_the_landed_form() {
-    let taken = Taken::copy_of("state");
+fn reads_records_of_rare_kinds() {
+    let setup = Setup::copy_of("state");
     let (may_have_run, next, out) = (4, 5, 8);
-    taken.append_to_journal(&[4, may_have_run]);
-    taken.append_to_journal(&[10, next, 1]);
-    taken.append_to_journal(&[11, out]);
-    let daemon = taken.start();
+    setup.append_to_journal(&[4, may_have_run]);
+    setup.append_to_journal(&[10, next, 1]);
+    setup.append_to_journal(&[11, out]);
+    let daemon = setup.start();
     daemon.wait_until_ready();
-    let told = taken.notices(5);
-    assert!(told.contains_key("next") && !told.contains_key("out"), "{told:?}");
-    let call = taken.endpoints.of(ANSWERS).call();
-    assert_is(&call, "out");
+    let states = setup.notices(5);
+    assert!(states.contains_key("next") && !states.contains_key("out"), "{states:?}");
+    let call = setup.endpoints.of(ANSWERING).call();
+    assert_call_of(&call, "out");
     call.reply("200 OK", "");
-    wait_for_records(taken.path(), "OverSince", 2);
-    assert!(taken.endpoints.of(HANGS).is_quiet_for(QUIET), "a message that is over");
+    wait_for_records(setup.path(), "OverSince", 2);
+    assert!(
+        setup.endpoints.of(HANGING).receives_nothing_for(CALL_TIMEOUT),
+        "a call for a message that is completed"
+    );
 }
--- a/tests/compatibility/records.rs
+++ b/tests/compatibility/records.rs
@@ -1,11 +1,13 @@
-//! Files of framed records: length (4 bytes), CRC-32 over length and payload (4 bytes), payload; little-endian.
+//! Files of framed records: length (4 bytes), CRC-32 of length and payload (4 bytes), payload. Integers are
+//! little-endian.
 use crate::postcard::Shape;
 use serde_json::{Value, json};
 use std::path::Path;
 
-const HEADER: usize = 8;
+/// The length of a record's header.
+const HEADER_BYTES: usize = 8;
 
-/// The payloads that stand in a file, and how many bytes at its end are none.
+/// Returns the payloads of all valid records and the number of bytes after the last one.
 pub fn payloads(bytes: &[u8]) -> (Vec<&[u8]>, usize) {
     let (mut found, mut rest) = (Vec::new(), bytes);
     while let Some((payload, after)) = first_payload(rest) {
@@ -29,25 +31,28 @@
     sum.finalize()
 }
 
-/// A payload with its frame.
-pub fn framed(payload: &[u8]) -> Vec<u8> {
+/// Returns `payload` with the header of a record.
+pub fn frame(payload: &[u8]) -> Vec<u8> {
     let length = u32::try_from(payload.len()).unwrap().to_le_bytes();
-    let mut bytes = Vec::with_capacity(HEADER + payload.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend(length);
     bytes.extend(checksum(&length, payload).to_le_bytes());
     bytes.extend(payload);
     bytes
 }
 
-/// The records of a file, decoded; it must hold nothing else.
+/// Returns the decoded records of a file.
+///
+/// # Panics
+/// When the file contains anything but valid records.
 pub fn decoded(file: &Path, shape: &Shape) -> Vec<Value> {
     let bytes = std::fs::read(file).unwrap();
-    let (payloads, torn) = payloads(&bytes);
-    assert_eq!(torn, 0, "{} holds bytes that are no record", file.display());
+    let (payloads, trailing_bytes) = payloads(&bytes);
+    assert_eq!(trailing_bytes, 0, "{}: the bytes at the end are not a valid record", file.display());
     payloads.iter().map(|payload| shape.read_all(payload).unwrap_or_else(|e| json!({"unread": e}))).collect()
 }
 
-/// The kind of a decoded record.
+/// Returns the kind of a decoded record, or an empty string if it has none.
 pub fn kind(record: &Value) -> &str {
     record.as_object().and_then(|record| record.keys().next()).map_or("", String::as_str)
 }
--- a/tests/compatibility/schema.rs
+++ b/tests/compatibility/schema.rs
@@ -1,23 +1,23 @@
-//! Which field and variant stands where in each form that outlasts a process or crosses to another. The names are this
-//! net's own; the positions are those of the bytes.
+//! The shapes of all stored and transmitted postcard values. The order of fields and variants is that of the
+//! bytes; their names are those in the fixtures.
 use crate::postcard::Shape;
 use crate::postcard::Shape::{
     Array, Bytes, Fields, Flag, Float, List, Number, Random, Text, TextMap, Variants, Varying, VaryingArray,
     VaryingBytes, VaryingFloat,
 };
 
-/// A record of `messages.wal`.
+/// Returns the shape of a record of `messages.wal`.
 pub fn journal_record() -> Shape {
-    let over_id = Fields(vec![("id", Text), ("until", Varying)]);
+    let completed_id = Fields(vec![("id", Text), ("until", Varying)]);
     Variants(vec![
-        ("Taken", Fields(vec![("number", Number), ("owed", owed())])),
+        ("Taken", Fields(vec![("number", Number), ("owed", pending_message())])),
         ("Begun", Fields(vec![("number", Number), ("attempt", attempt())])),
         ("Outcome", Fields(vec![("number", Number), ("may_have_run", Flag)])),
-        ("Ended", Fields(vec![("number", Number), ("end", end())])),
+        ("Ended", Fields(vec![("number", Number), ("end", final_outcome())])),
         ("Over", Number),
         ("OverSince", Fields(vec![("number", Number), ("at", Varying)])),
-        ("OverIds", over_id.list()),
-        ("Stamped", journal_stamp()),
+        ("OverIds", completed_id.list()),
+        ("Stamped", journal_origin()),
         ("NotBefore", Fields(vec![("number", Number), ("at", Varying)])),
         ("Ran", Fields(vec![("number", Number), ("attempt", attempt())])),
         ("Deadline", Fields(vec![("number", Number), ("deadline", Varying)])),
@@ -26,7 +26,7 @@
     ])
 }
 
-fn owed() -> Shape {
+fn pending_message() -> Shape {
     Fields(vec![
         ("id", Text),
         ("class", Text),
@@ -39,7 +39,7 @@
         ("attempts", Number),
         ("ran", attempt().optional()),
         ("out", attempt().optional()),
-        ("end", end().optional()),
+        ("end", final_outcome().optional()),
     ])
 }
 
@@ -47,11 +47,11 @@
     Fields(vec![("at", Varying), ("zone", Text)])
 }
 
-fn end() -> Shape {
+fn final_outcome() -> Shape {
     Variants(vec![("Failed", Shape::unit()), ("Returned", Varying.optional())])
 }
 
-fn journal_stamp() -> Shape {
+fn journal_origin() -> Shape {
     Fields(vec![
         ("sender", Text),
         ("boot", Array(16).optional()),
@@ -60,11 +60,11 @@
     ])
 }
 
-/// A record of `memory.log`.
-pub fn memory_record() -> Shape {
+/// Returns the shape of a record of `memory.log`.
+pub fn checkpoint_record() -> Shape {
     Variants(vec![
         ("Head", Fields(vec![("form", Number), ("sender", Text)])),
-        ("Known", known_endpoint()),
+        ("Known", checkpointed_endpoint()),
         ("Heard", list_version()),
         ("Whole", Flag),
     ])
@@ -79,11 +79,11 @@
     Variants(vec![("V4", v4)])
 }
 
-fn known_endpoint() -> Shape {
+fn checkpointed_endpoint() -> Shape {
     Fields(vec![
         ("member", member()),
         ("heard", Varying),
-        ("learned", Fields(vec![("own", line().optional()), ("shared", line().optional())])),
+        ("learned", Fields(vec![("own", route().optional()), ("shared", route().optional())])),
         ("written", Varying),
     ])
 }
@@ -102,9 +102,9 @@
     ])
 }
 
-fn line() -> Shape {
+fn route() -> Shape {
     let health = vec![("Up", Shape::unit()), ("Down", Varying), ("Returning", Varying)];
-    let flow = Fields(vec![
+    let pacer = Fields(vec![
         ("at", Varying),
         ("health", Variants(health)),
         ("failing", VaryingFloat),
@@ -117,7 +117,7 @@
         ("endpoint", Number.optional()),
         ("told_until", Varying),
         ("hold_until", Varying),
-        ("flow", flow),
+        ("flow", pacer),
         ("streak", Number),
         ("doubted", Varying.optional()),
         ("fails", VaryingFloat.optional()),
@@ -134,41 +134,41 @@
     ])
 }
 
-/// What a process gives to the next over `handover.sock`.
+/// Returns the shape of the payload of a handover.
 pub fn handover_payload() -> Shape {
     Fields(vec![
         ("version", list_version().optional()),
         ("whole", Flag),
-        ("endpoints", TextMap(Box::new(known_endpoint()))),
+        ("endpoints", TextMap(Box::new(checkpointed_endpoint()))),
         ("classes", List(Box::new(Fields(vec![("name", Text), ("class", class())])))),
     ])
 }
 
 fn class() -> Shape {
-    let group = Variants(vec![("All", Shape::unit()), ("Zone", Shape::unit())]);
-    let keyed = Fields(vec![("group", group), ("window", Number)]);
-    let repeat = vec![("Safe", Shape::unit()), ("Keyed", keyed), ("Unsafe", Shape::unit())];
+    let scope = Variants(vec![("All", Shape::unit()), ("Zone", Shape::unit())]);
+    let with_key = Fields(vec![("group", scope), ("window", Number)]);
+    let idempotency = vec![("Safe", Shape::unit()), ("Keyed", with_key), ("Unsafe", Shape::unit())];
     Fields(vec![
         ("aim", Number),
         ("deadline", Number),
         ("worth", Float),
         ("late_worth", Float),
-        ("repeat", Variants(repeat)),
+        ("repeat", Variants(idempotency)),
         ("ordered", Flag),
     ])
 }
 
-/// What stands in `lives` between its magic and its checksum.
-pub fn lives() -> Shape {
-    let heard = Fields(vec![("of", Array(8)), ("heard", heard_life())]);
-    Fields(vec![("owner", Array(8).optional()), ("own", Number), ("heard", heard.list())])
+/// Returns the shape of the file `lives` between its magic and its checksum.
+pub fn incarnations() -> Shape {
+    let observed = Fields(vec![("of", Array(8)), ("heard", observed_incarnation())]);
+    Fields(vec![("owner", Array(8).optional()), ("own", Number), ("heard", observed.list())])
 }
 
-fn heard_life() -> Shape {
+fn observed_incarnation() -> Shape {
     Fields(vec![("number", Number), ("run", Random), ("stamp", VaryingArray(16))])
 }
 
-/// The body of a datagram between members.
+/// Returns the shape of the body of a datagram between members.
 pub fn datagram_body() -> Shape {
     let word = Variants(vec![("Silent", Shape::unit()), ("Back", Shape::unit())]);
     let rumour = Fields(vec![("about", Array(8)), ("life", Number), ("word", word)]);
@@ -187,7 +187,7 @@
             Fields(vec![
                 ("nonce", Random),
                 ("stamp", VaryingArray(16)),
-                ("known", heard_life().optional()),
+                ("known", observed_incarnation().optional()),
                 ("rumours", rumour.list()),
             ]),
         ),
--- a/tests/compatibility/status.rs
+++ b/tests/compatibility/status.rs
@@ -1,11 +1,11 @@
-//! The door for operators: paths, keys and types that their tools read.
+//! The admin endpoint: the paths, JSON keys and types that operators' tools read.
 use crate::daemon::{Daemon, config, wait_until};
-use crate::scenario::{ANSWERS, Endpoints, hand_in, write_boot_id, write_operator_file};
-use crate::snapshot::{assert_same, mask, pretty};
-use crate::standin::Platform;
+use crate::scenario::{ANSWERING, Endpoints, submit, write_boot_id, write_operator_file};
+use crate::snapshot::{assert_matches_fixture, mask, pretty};
+use crate::test_servers::Platform;
 
-/// Values of `/status/peers` that differ from run to run.
-const OF_PEERS: [&str; 13] = [
+/// The keys of `/status/peers` whose values vary between runs.
+const VARYING_PEER_KEYS: [&str; 13] = [
     "secs",
     "nanos",
     "run",
@@ -20,53 +20,54 @@
     "since",
     "at",
 ];
-/// The same of `/status/recovery`.
-const OF_RECOVERY: [&str; 6] = ["for_us", "took", "steps", "asked", "stage", "waits_for"];
+/// The keys of `/status/recovery` whose values vary between runs.
+const VARYING_RECOVERY_KEYS: [&str; 6] = ["for_us", "took", "steps", "asked", "stage", "waits_for"];
 
-/// Guards against a field at the door that changes its name or type, and a path that is gone.
+/// Guards against removed paths and against JSON fields with a changed name or type.
 #[test]
-fn the_door_for_operators_answers_as_before() {
+fn status_responses_match_the_fixtures() {
     let folder = tempfile::tempdir().unwrap();
     let (endpoints, platform) = (Endpoints::start(), Platform::start(None, true));
     write_boot_id(folder.path(), 1);
     write_operator_file(folder.path(), "process", "vouched");
     let daemon = Daemon::start(folder.path(), &config(platform.address, &endpoints.list("SERVING")));
     daemon.wait_until_ready();
-    hand_in(&daemon, "delivered", "unsafe", ANSWERS);
-    endpoints.of(ANSWERS).call().reply("200 OK", "");
-    wait_until("a delivery", || daemon.metrics()["calls"]["unsafe"]["success"] == 1);
-    let status = daemon.operator("GET /status", "");
+    submit(&daemon, "delivered", "unsafe", ANSWERING);
+    endpoints.of(ANSWERING).call().reply("200 OK", "");
+    wait_until("the message to be delivered", || daemon.metrics()["calls"]["unsafe"]["success"] == 1);
+    let status = daemon.admin_request("GET /status", "");
     assert_eq!((status.status(), status.body.as_slice()), (200, b"ready\n".as_slice()));
-    assert_same("status/metrics.json", &pretty(&daemon.metrics()));
-    let peers = daemon.operator("GET /status/peers", "").json();
-    assert_same("status/peers.json", &pretty(&mask(&peers, &OF_PEERS)));
-    let recovery = daemon.operator("GET /status/recovery", "").json();
-    assert_same("status/recovery.json", &pretty(&mask(&recovery, &OF_RECOVERY)));
+    assert_matches_fixture("status/metrics.json", &pretty(&daemon.metrics()));
+    let peers = daemon.admin_request("GET /status/peers", "").json();
+    assert_matches_fixture("status/peers.json", &pretty(&mask(&peers, &VARYING_PEER_KEYS)));
+    let recovery = daemon.admin_request("GET /status/recovery", "").json();
+    assert_matches_fixture("status/recovery.json", &pretty(&mask(&recovery, &VARYING_RECOVERY_KEYS)));
 }
 
-/// Guards against an answer of the door for operators that reads otherwise.
+/// Guards against changed responses of the admin endpoint to maintenance requests, and of paths that are
+/// unavailable.
 #[test]
-fn endpoints_are_taken_out_and_put_back_as_before() {
+fn maintenance_and_error_responses_match_the_fixtures() {
     let folder = tempfile::tempdir().unwrap();
     let (endpoints, platform) = (Endpoints::start(), Platform::start(None, true));
     let daemon = Daemon::start(folder.path(), &config(platform.address, &endpoints.list("SERVING")));
-    let told = |line: &str, body: &str| {
-        let answer = daemon.operator(line, body);
+    let response_line = |line: &str, body: &str| {
+        let answer = daemon.admin_request(line, body);
         format!("{line} {body:?}: {} {:?}\n", answer.status(), String::from_utf8_lossy(&answer.body))
     };
     let answers = [
-        told("POST /maintenance/enter", "s-1"),
-        told("POST /maintenance/enter", "s-2"),
-        told("POST /maintenance/exit", "s-1"),
-        told("POST /maintenance/enter", "unknown"),
-        told("POST /maintenance/enter", ""),
-        told("GET /status/peers", ""),
-        told("GET /status/peers/all", ""),
-        told("GET /status/recovery", ""),
-        told("POST /status", ""),
-        told("GET /nothing", ""),
+        response_line("POST /maintenance/enter", "s-1"),
+        response_line("POST /maintenance/enter", "s-2"),
+        response_line("POST /maintenance/exit", "s-1"),
+        response_line("POST /maintenance/enter", "unknown"),
+        response_line("POST /maintenance/enter", ""),
+        response_line("GET /status/peers", ""),
+        response_line("GET /status/peers/all", ""),
+        response_line("GET /status/recovery", ""),
+        response_line("POST /status", ""),
+        response_line("GET /nothing", ""),
     ];
-    assert_same("status/answers.txt", &answers.concat());
+    assert_matches_fixture("status/answers.txt", &answers.concat());
     let written = std::fs::read_to_string(folder.path().join("maintenance.json")).unwrap();
     assert_eq!(written, "[\"s-2\"]");
 }
--- a/tests/compatibility/standin.rs
+++ b/tests/compatibility/test_servers.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds a daemon: endpoints, whose calls the test answers, and the platform with its discovery.
-use crate::http::{Message, PATIENCE, response};
+//! Test servers for a daemon: endpoints whose calls the test answers, and the platform with discovery.
+use crate::http::{Message, TIMEOUT, response};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,42 +8,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// A request that waits for the test's answer; without one its connection stays open until this is dropped.
+/// A request that waits for a response from the test. If it is dropped instead, its connection is closed.
 pub struct Call {
-    /// What came.
+    /// The received request.
     pub request: Message,
     reply: Sender<String>,
 }
 
 impl Call {
-    /// Sends a response.
+    /// Sends a response without a body.
     pub fn reply(self, status: &str, headers: &str) {
         let _ = self.reply.send(response(status, headers, ""));
     }
 }
 
-/// An endpoint on a port of its own.
+/// An endpoint on its own port.
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     calls: Receiver<Call>,
 }
 
 impl Endpoint {
-    /// Begins to listen.
+    /// Starts an endpoint on a free port.
     pub fn start() -> Self {
-        let (send, calls) = channel();
-        let address = listen(move |stream| serve_calls(stream, &send));
+        let (sender, calls) = channel();
+        let address = listen(move |stream| serve_calls(stream, &sender));
         Self { address, calls }
     }
 
-    /// The next call.
+    /// Waits for the next call and returns it.
     pub fn call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+        self.calls.recv_timeout(TIMEOUT).expect("a call within the timeout")
     }
 
-    /// Whether no call comes for so long.
-    pub fn is_quiet_for(&self, span: Duration) -> bool {
+    /// Returns whether no call is received for `span`.
+    pub fn receives_nothing_for(&self, span: Duration) -> bool {
         self.calls.recv_timeout(span).is_err()
     }
 }
@@ -73,56 +73,56 @@
     }
 }
 
-/// What discovery answers next, and whether notices are acknowledged.
+/// The next answer of discovery, and whether notices are acknowledged.
 #[derive(Default)]
-struct Told {
+struct PlatformState {
     list: Option<Value>,
-    acknowledges: bool,
+    acknowledges_notices: bool,
 }
 
-/// The platform: discovery's agent, and where notices go.
+/// The platform: discovery and the receiver of notices.
 pub struct Platform {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<PlatformState>>,
     notices: Receiver<Value>,
 }
 
 impl Platform {
-    /// Begins to listen. It answers the first watch with `list`, if there is one, and holds all others open; notices
-    /// that it does not acknowledge come again.
-    pub fn start(list: Option<Value>, acknowledges: bool) -> Self {
-        let told = Arc::new(Mutex::new(Told { list, acknowledges }));
-        let (send, notices) = channel();
-        let shared = told.clone();
-        let address = listen(move |stream| serve_platform(stream, &shared, &send));
-        Self { address, told, notices }
+    /// Starts a platform that answers the first watch with `list`, if given, and leaves all other watches
+    /// unanswered. The daemon resends notices that are not acknowledged.
+    pub fn start(list: Option<Value>, acknowledges_notices: bool) -> Self {
+        let state = Arc::new(Mutex::new(PlatformState { list, acknowledges_notices }));
+        let (sender, notices) = channel();
+        let shared = state.clone();
+        let address = listen(move |stream| serve_platform(stream, &shared, &sender));
+        Self { address, state, notices }
     }
 
-    /// The next notice.
+    /// Waits for the next notice and returns it.
     pub fn notice(&self) -> Value {
-        self.notices.recv_timeout(PATIENCE).expect("a notice")
+        self.notices.recv_timeout(TIMEOUT).expect("a notice within the timeout")
     }
 
-    /// Whether discovery's list was asked for and told.
-    pub fn has_told_its_list(&self) -> bool {
-        self.told.lock().unwrap().list.is_none()
+    /// Returns whether discovery has answered a watch with the list.
+    pub fn has_sent_list(&self) -> bool {
+        self.state.lock().unwrap().list.is_none()
     }
 }
 
-fn serve_platform(mut stream: TcpStream, told: &Mutex<Told>, notices: &Sender<Value>) {
+fn serve_platform(mut stream: TcpStream, state: &Mutex<PlatformState>, notices: &Sender<Value>) {
     while let Some(request) = Message::read(&mut stream) {
         let answer = if request.first_line.starts_with("GET /api/targets") {
-            match told.lock().unwrap().list.take() {
+            match state.lock().unwrap().list.take() {
                 Some(list) => response("200 OK", "", &list.to_string()),
-                None => return hold(stream),
+                None => return wait_without_answer(stream),
             }
         } else {
             for line in request.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
                 let _ = notices.send(serde_json::from_slice(line).unwrap_or(Value::Null));
             }
-            if !told.lock().unwrap().acknowledges {
-                return hold(stream);
+            if !state.lock().unwrap().acknowledges_notices {
+                return wait_without_answer(stream);
             }
             response("204 No Content", "", "")
         };
@@ -132,12 +132,12 @@
     }
 }
 
-/// Leaves a watch unanswered until its client gives it up.
-fn hold(mut stream: TcpStream) {
+/// Leaves a request unanswered until the client closes the connection or sends another one.
+fn wait_without_answer(mut stream: TcpStream) {
     let _ = Message::read(&mut stream);
 }
 
-/// An entry of the list of endpoints, in discovery's form.
+/// Returns an entry of discovery's list of endpoints.
 pub fn member(id: &str, address: SocketAddr, destination: u64, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "single",
         "cell": destination, "phase": phase, "size": 1.0, "up_since_ms": 0})
