--- a/benches/daemon.rs
+++ b/benches/daemon.rs
@@ -52,7 +52,7 @@
 
 impl Measurements {
     fn new() -> Arc<Self> {
-        let histogram = || Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order"));
+        let histogram = || Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds"));
         let (latencies, response_times) = (histogram(), histogram());
         Arc::new(Self { base: Instant::now(), arrivals: AtomicU64::new(0), latencies, response_times })
     }
@@ -173,9 +173,9 @@
         });
         let folder = tempfile::tempdir().expect("create a temporary folder");
         let file = folder.path().join("config.json");
-        std::fs::write(&file, config.to_string()).expect("a file");
+        std::fs::write(&file, config.to_string()).expect("write config.json");
         let operator_file = folder.path().join("operator.toml");
-        std::fs::write(&operator_file, operator).expect("a file");
+        std::fs::write(&operator_file, operator).expect("write operator.toml");
         let mut process = Command::new(env!("CARGO_BIN_EXE_micadrum"))
             .env("PROXY_CONFIG", &file)
             .env("MICADRUM_OPERATOR", operator_file)
@@ -195,7 +195,7 @@
     fn memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()));
         let status = status.expect("the process is running");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a resident size");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a VmRSS line");
         line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number") * 1024
     }
 
@@ -203,7 +203,8 @@
     fn ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id()))
             .expect("the process is running");
-        let fields: Vec<&str> = stat.rsplit(')').next().expect("fields").split_whitespace().collect();
+        let fields: Vec<&str> =
+            stat.rsplit(')').next().expect("fields after the command name").split_whitespace().collect();
         fields[11..13].iter().map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
     }
 }
@@ -282,7 +283,7 @@
     type Idle = Rc<RefCell<Vec<client::SendRequest<Full<Bytes>>>>>;
     async fn forward(request: Request<Incoming>, to: SocketAddr, idle: Idle) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        let body = body.collect().await.expect("a body").to_bytes();
+        let body = body.collect().await.expect("read the body of the request").to_bytes();
         let reused = idle.borrow_mut().pop();
         let mut connection = match reused {
             Some(connection) => connection,
@@ -290,15 +291,15 @@
                 let stream = TcpStream::connect(to).await.expect("connect");
                 let _ = stream.set_nodelay(true);
                 let (requests, connection) =
-                    client::handshake(TokioIo::new(stream)).await.expect("a handshake");
+                    client::handshake(TokioIo::new(stream)).await.expect("HTTP/1.1 handshake");
                 spawn_local(connection);
                 requests
             }
         };
         connection.ready().await.expect("an open connection");
         let answer = connection.send_request(Request::from_parts(head, Full::new(body))).await;
-        let (head, body) = answer.expect("an answer").into_parts();
-        let body = body.collect().await.expect("its body").to_bytes();
+        let (head, body) = answer.expect("receive the response").into_parts();
+        let body = body.collect().await.expect("read the body of the response").to_bytes();
         idle.borrow_mut().push(connection);
         Response::from_parts(head, Full::new(body))
     }
@@ -360,10 +361,10 @@
 /// Measures sequential appends with fdatasync and returns their number per second.
 fn plain_syncs() -> f64 {
     let folder = tempfile::tempdir().expect("create a temporary folder");
-    let mut file = std::fs::File::create(folder.path().join("plain")).expect("a file");
+    let mut file = std::fs::File::create(folder.path().join("plain")).expect("create a file");
     let (begun, mut syncs) = (Instant::now(), 0);
     while begun.elapsed() < MEASURED {
-        std::io::Write::write_all(&mut file, &[b'x'; BODY_BYTES]).expect("a writable file");
+        std::io::Write::write_all(&mut file, &[b'x'; BODY_BYTES]).expect("append to the file");
         file.sync_data().expect("fdatasync");
         syncs += 1;
     }
--- a/benches/start.rs
+++ b/benches/start.rs
@@ -36,7 +36,7 @@
 
 /// Starts the daemon in `folder`, kills it as soon as it listens and returns the time until then.
 fn start(folder: &Path) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut process = Command::new(env!("CARGO_BIN_EXE_micadrum"))
         .env("PROXY_CONFIG", folder.join("config.json"))
         .env("PROXY_STATE", folder)
@@ -45,11 +45,11 @@
         .unwrap();
     let log = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
     let is_listening = log.into_iter().any(|line| line.contains("listening on"));
-    let took = begun.elapsed();
+    let elapsed = started.elapsed();
     process.kill().unwrap();
     process.wait().unwrap();
     assert!(is_listening, "the daemon did not start to listen");
-    took
+    elapsed
 }
 
 fn median(mut of: Vec<Duration>) -> f64 {
--- a/tests/compatibility/reading.rs
+++ b/tests/compatibility/reading.rs
@@ -105,7 +105,7 @@
     wait_until("both endpoints to count as down", || daemon.metrics()["hosts_down"] == 2);
     assert!(
         setup.endpoints.of(IN_MAINTENANCE).receives_nothing_for(CALL_TIMEOUT),
-        "a call to an endpoint in maintenance"
+        "unexpected call to an endpoint in maintenance"
     );
     assert_eq!(daemon.admin_request("POST /maintenance/exit", "s-5").status(), 200);
     let first = setup.endpoints.of(IN_MAINTENANCE).call();
@@ -170,6 +170,6 @@
     wait_for_records(setup.path(), "OverSince", 2);
     assert!(
         setup.endpoints.of(HANGING).receives_nothing_for(CALL_TIMEOUT),
-        "a call for a message that is completed"
+        "unexpected call for a completed message"
     );
 }
--- a/tests/compatibility/relays.rs
+++ b/tests/compatibility/relays.rs
@@ -75,12 +75,12 @@
 
 /// Binds a UDP socket and a TCP listener to the same free port.
 fn bind_udp_and_tcp() -> (UdpSocket, TcpListener) {
-    let tries = (0..20).filter_map(|_| {
+    let attempts = (0..20).filter_map(|_| {
         let socket = UdpSocket::bind("127.0.0.1:0").ok()?;
         let listener = TcpListener::bind(socket.local_addr().ok()?).ok()?;
         Some((socket, listener))
     });
-    tries.take(1).next().expect("a port that is free for both UDP and TCP")
+    attempts.take(1).next().expect("a port that is free for both UDP and TCP")
 }
 
 fn free_address() -> SocketAddr {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -82,9 +82,9 @@
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0), entry(1, 1, 0, 1)]);
     let mut attempts = std::collections::BTreeMap::new();
     let mut sends = Vec::new();
-    let mut out: Vec<u32> = Vec::new();
+    let mut submitted: Vec<u32> = Vec::new();
     for id in 0..40 {
-        out.extend([id]);
+        submitted.extend([id]);
         host.step(&[message_event(id, IDEMPOTENT, 1, None)]).iter().for_each(|a| {
             if let Action::Send { message, .. } = a {
                 attempts.insert(message.0, 0);
@@ -136,14 +136,15 @@
         assert_eq!(probes.len(), 1, "{outcome:?}: exactly one probe");
         let probe = probes[0];
         // After its answer, slow start allows a fifth of the known capacity, not the whole backlog.
-        let mut out = sent_messages(host.end_attempt(probe, 0, Outcome::Success));
-        let mut sends = out.len();
+        let mut in_flight = sent_messages(host.end_attempt(probe, 0, Outcome::Success));
+        let mut sends = in_flight.len();
         let end = host.now + settings().rules.overload_window.0;
         while host.now < end {
             host.now += 50_000;
-            let answered: Vec<Event> = out.iter().map(|id| attempt_ended(*id, 0, Outcome::Success)).collect();
-            out = sent_messages(host.step(&answered));
-            sends += out.len();
+            let answered: Vec<Event> =
+                in_flight.iter().map(|id| attempt_ended(*id, 0, Outcome::Success)).collect();
+            in_flight = sent_messages(host.step(&answered));
+            sends += in_flight.len();
         }
         assert!(sends <= 2, "{outcome:?}: {sends} calls within the overload window, expected at most 2");
     }
@@ -309,7 +310,7 @@
     for (attempts, least, most) in [(0, 0, 30_000), (1, 250_000, 410_000), (3, 1_000_000, 1_160_000)] {
         let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
         let Event::Message(message) = message_event(5, KEYED_BY_DESTINATION, 1, None) else {
-            panic!("not a message event")
+            panic!("expected a message event")
         };
         let began = host.now;
         let ran = (attempts > 0).then_some((Timestamp(began - 100_000), ZoneId(0)));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,13 +8,16 @@
 use std::collections::BTreeMap;
 
 const SENDERS: usize = 100;
-const TICK: u64 = 20_000;
+/// The interval between two steps of the simulation in microseconds.
+const TICK_US: u64 = 20_000;
 /// The duration of a call in microseconds.
-const CALL_DURATION: u64 = 100_000;
+const CALL_DURATION_US: u64 = 100_000;
 
 /// A rate-limited destination. Rejected calls count toward the limit too; load reports lag by up to 300 ms.
 struct Destination {
+    /// The limit in calls per second.
     limit: f64,
+    /// The tokens left in the token bucket.
     bucket: f64,
     down: bool,
     /// The unused share of the limit in load reports, and when it was last updated.
@@ -23,7 +26,7 @@
 
 impl Destination {
     fn tick(&mut self, now: u64) {
-        self.bucket = (self.bucket + self.limit * TICK as f64 / 1e6).min(self.limit);
+        self.bucket = (self.bucket + self.limit * TICK_US as f64 / 1e6).min(self.limit);
         if now >= self.reported.1 + 300_000 {
             self.reported = (self.bucket / self.limit, now);
         }
@@ -41,7 +44,7 @@
     }
 }
 
-/// The calls of one second.
+/// The calls of one second and their outcomes.
 #[derive(Default, Clone, Copy, Debug)]
 struct Count {
     calls: usize,
@@ -77,11 +80,11 @@
         sender.step(Timestamp(start), &[Event::EndpointSnapshot(vec![entry(1, 0, 1, 0)])], &mut Vec::new());
         pending[n].clear();
     }
-    for tick in 1..length * SECOND / TICK {
-        let (since, now) = (tick * TICK, start + tick * TICK);
+    for tick in 1..length * SECOND / TICK_US {
+        let (since, now) = (tick * TICK_US, start + tick * TICK_US);
         destination.tick(now);
         change(since, &mut destination);
-        let mut due = demand * TICK as f64 / 1e6;
+        let mut due = demand * TICK_US as f64 / 1e6;
         while f64::from(random.next_u32()) / f64::from(u32::MAX) < due {
             due -= 1.0;
             next += 1;
@@ -105,9 +108,9 @@
                 count.calls += 1;
                 count.delivered += usize::from(outcome == Outcome::Success);
                 count.rejected += usize::from(matches!(outcome, Outcome::Rejected { .. }));
-                let (elapsed, completes) = (TimeDelta(CALL_DURATION), outcome == Outcome::Success);
+                let (elapsed, completes) = (TimeDelta(CALL_DURATION_US), outcome == Outcome::Success);
                 pending[n].push((
-                    now + CALL_DURATION,
+                    now + CALL_DURATION_US,
                     Event::AttemptEnded { message, attempt, outcome, elapsed, completes, report },
                 ));
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -222,8 +222,8 @@
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     // 20 messages per second for 45 s, with an outage from second 10 to second 20.
     let mut id = 0;
-    let mut out: Vec<(u64, u32, u32)> = Vec::new();
-    let mut tries = std::collections::BTreeMap::new();
+    let mut in_flight: Vec<(u64, u32, u32)> = Vec::new();
+    let mut attempts = std::collections::BTreeMap::new();
     let start = host.now;
     let mut sends = Vec::new();
     let mut first_success = None;
@@ -231,7 +231,7 @@
         let mut events = Vec::new();
         let t = host.now - start;
         let down = (10 * SECOND..20 * SECOND).contains(&t);
-        out.retain(|(due, m, attempt)| {
+        in_flight.retain(|(due, m, attempt)| {
             if *due > host.now {
                 return true;
             }
@@ -251,8 +251,8 @@
         }
         for action in host.step(&events) {
             if let Action::Send { message, .. } = action {
-                let attempt = tries.entry(message).and_modify(|n| *n += 1).or_insert(0u32);
-                out.push((host.now + 100_000, message.0, *attempt));
+                let attempt = attempts.entry(message).and_modify(|n| *n += 1).or_insert(0u32);
+                in_flight.push((host.now + 100_000, message.0, *attempt));
                 sends.push(host.now);
             }
         }
