--- a/tests/sockets/ledger.rs
+++ b/tests/sockets/checker.rs
@@ -338,6 +338,6 @@
                 tokio::task::yield_now().await
             }
         };
-        tokio::time::timeout(super::super::world::PATIENCE, closed).await.expect("the close is seen");
+        tokio::time::timeout(super::super::harness::TEST_TIMEOUT, closed).await.expect("the close is seen");
     }
 }
--- a/tests/sockets/clients.rs
+++ b/tests/sockets/clients.rs
@@ -1,5 +1,5 @@
 //! The side of the clients.
-use super::world::*;
+use super::harness::*;
 use serde_json::json;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -9,25 +9,25 @@
 /// What the sender says on the connection until it closes it.
 async fn last_words(stream: &mut TcpStream) -> String {
     let mut said = Vec::new();
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut said)).await.expect("a close");
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut said)).await.expect("a close");
     String::from_utf8(said).unwrap()
 }
 
 /// Guards against changing what is carried: id, key and body go on as they came.
 #[tokio::test]
 async fn a_message_goes_on_unchanged() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     assert_eq!(node.request("GET /-/ready", "", b"").await.status(), 200);
     let headers = "X-Txn: ab12\r\nX-Lane: keyed\r\nX-Org: acme\r\nX-Remaining: 30\r\nX-Envelope: dest=7\r\n\
                    Idempotency-Key: once\r\n";
     let body = [0, 255, b'\r', b'\n', b'\r', b'\n', 7];
     assert_eq!(node.request("POST /api", headers, &body).await.status(), 202);
-    let call = endpoint.call().await;
-    assert_eq!(call.http.first, "POST /hook HTTP/1.1");
-    assert_eq!((call.id(), call.http.header("idempotency-key")), ("ab12", Some("once")));
-    assert_eq!(call.http.body, body);
-    let remaining: f64 = call.http.header("x-remaining").unwrap().parse().unwrap();
+    let call = endpoint.next_call().await;
+    assert_eq!(call.request.start_line, "POST /hook HTTP/1.1");
+    assert_eq!((call.id(), call.request.header("idempotency-key")), ("ab12", Some("once")));
+    assert_eq!(call.request.body, body);
+    let remaining: f64 = call.request.header("x-remaining").unwrap().parse().unwrap();
     assert!(remaining > 0.0 && remaining <= 30.0, "{remaining}");
     call.ok();
 }
@@ -35,8 +35,8 @@
 /// Guards against a panic, or a promise, on input that cannot be understood.
 #[tokio::test]
 async fn malformed_requests_are_turned_down_one_by_one() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let good = [
         ("X-Txn", "m"),
         ("X-Lane", "keyed"),
@@ -72,58 +72,61 @@
         ("Idempotency-Key", None),
     ];
     for (name, value) in bad {
-        let answer = node.request("POST /api", &with(name, value), b"body").await;
-        assert_eq!(answer.status(), 400, "{name}: {value:?}");
+        let response = node.request("POST /api", &with(name, value), b"body").await;
+        assert_eq!(response.status(), 400, "{name}: {value:?}");
     }
     let fine = with("", None);
     assert_eq!(node.request("POST /api", &fine, &vec![b'x'; 64 * 1024 + 1]).await.status(), 413);
     assert_eq!(node.request("GET /api", &fine, b"").await.status(), 405);
     assert_eq!(node.request("POST /nowhere", &fine, b"").await.status(), 404);
     assert_eq!(node.request("GARBAGE", "", b"").await.status(), 400);
-    assert!(endpoint.quiet(Duration::from_millis(100)).await, "a message that was turned down went out");
+    assert!(
+        endpoint.is_idle_for(Duration::from_millis(100)).await,
+        "a message that was turned down went out"
+    );
     assert_eq!(node.request("POST /api", &fine, &vec![b'x'; 64 * 1024]).await.status(), 202);
-    endpoint.call().await.ok();
+    endpoint.next_call().await.ok();
 }
 
 /// Guards against holding more than the settings allow: the door refuses, and opens again once messages end.
 #[tokio::test]
 async fn a_full_house_refuses_at_the_door() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let member = member("s-1", endpoint.address, "single", "SERVING");
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
     // Steps are so far apart that the messages gather before the module looks at them.
     let few = |config: &mut serde_json::Value| {
         config["settings"]["limits"]["most_held"] = json!(3);
         config["settings"]["period"] = json!(2_000_000);
     };
-    let node = Node::start_with(&platform, &[member], few).await;
+    let node = Node::start_with(&platform, &[entry], few).await;
     for id in ["m1", "m2", "m3"] {
-        assert_eq!(node.hand_in(id, "unsafe", "").await.status(), 202);
+        assert_eq!(node.submit(id, "unsafe", "").await.status(), 202);
     }
-    assert_eq!(node.hand_in("m4", "unsafe", "").await.status(), 503);
+    assert_eq!(node.submit("m4", "unsafe", "").await.status(), 503);
     // The module sheds one for the next to come; the others are delivered.
-    let delivered = [endpoint.call().await, endpoint.call().await];
+    let delivered = [endpoint.next_call().await, endpoint.next_call().await];
     assert!(delivered.iter().all(|call| call.id() != "m4"), "a refused message went out");
     delivered.into_iter().for_each(Call::ok);
     let mut n = 5;
-    while node.hand_in(&format!("m{n}"), "unsafe", "").await.status() == 503 {
+    while node.submit(&format!("m{n}"), "unsafe", "").await.status() == 503 {
         tokio::time::sleep(Duration::from_millis(50)).await;
         n += 1;
         assert!(n < 400, "the door stayed shut");
     }
-    endpoint.call().await.ok();
+    endpoint.next_call().await.ok();
 }
 
 /// Guards against a full disk: the sender refuses what the journal cannot hold, and goes on.
 #[tokio::test]
 async fn a_full_disk_refuses() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let member = member("s-1", endpoint.address, "single", "SERVING");
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
     let small = |config: &mut serde_json::Value| config["limits"]["disk_mb"] = json!(0.1);
-    let node = Node::start_with(&platform, &[member], small).await;
+    let node = Node::start_with(&platform, &[entry], small).await;
     let headers = "X-Txn: big\r\nX-Lane: unsafe\r\nX-Remaining: 30\r\nX-Envelope: dest=7\r\n";
     assert_eq!(node.request("POST /api", headers, &[b'x'; 40_000]).await.status(), 503);
-    assert_eq!(node.hand_in("small", "unsafe", "").await.status(), 202);
-    let call = endpoint.call().await;
+    assert_eq!(node.submit("small", "unsafe", "").await.status(), 202);
+    let call = endpoint.next_call().await;
     assert_eq!(call.id(), "small");
     call.ok();
 }
@@ -157,10 +160,10 @@
             sent += part.len();
         }
     });
-    timeout(PATIENCE, sending).await.expect("an end of the sending").unwrap();
+    timeout(TEST_TIMEOUT, sending).await.expect("an end of the sending").unwrap();
     let mut stream = read;
     let mut said = [0; 12];
-    timeout(PATIENCE, stream.read_exact(&mut said)).await.expect("an answer").unwrap();
+    timeout(TEST_TIMEOUT, stream.read_exact(&mut said)).await.expect("an answer").unwrap();
     assert_eq!(&said, b"HTTP/1.1 413");
 }
 
@@ -168,8 +171,8 @@
 /// body out of the same bytes. Nothing of it goes on.
 #[tokio::test]
 async fn a_body_of_two_lengths_is_turned_down() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let fields = |id| {
         format!(
             "POST /api HTTP/1.1\r\nX-Txn: {id}\r\nX-Lane: unsafe\r\nX-Remaining: 5\r\nX-Envelope: dest=7\r\n"
@@ -186,22 +189,26 @@
         let said = last_words(&mut stream).await;
         assert!(said.starts_with("HTTP/1.1 4") && said.matches("HTTP/1.1").count() == 1, "{said}");
     }
-    assert!(endpoint.quiet(Duration::from_millis(200)).await, "a message that was turned down went out");
+    assert!(
+        endpoint.is_idle_for(Duration::from_millis(200)).await,
+        "a message that was turned down went out"
+    );
 }
 
 /// Guards against a house full of connections that ask nothing: they make room, and newcomers are served.
 #[tokio::test]
 async fn a_house_full_of_silent_clients_serves_newcomers() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(128);
     let node =
-        Node::start_with(&platform, &[member("s-1", endpoint.address, "single", "SERVING")], few).await;
+        Node::start_with(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")], few)
+            .await;
     let mut silent = Vec::new();
     for n in 0..300 {
         silent.push(TcpStream::connect(node.address).await.unwrap());
         if n % 50 == 0 {
-            assert_eq!(node.hand_in(&format!("m{n}"), "keyed", "").await.status(), 202);
-            endpoint.call().await.ok();
+            assert_eq!(node.submit(&format!("m{n}"), "keyed", "").await.status(), 202);
+            endpoint.next_call().await.ok();
         }
     }
     assert_eq!(last_words(&mut silent[0]).await, "");
@@ -211,17 +218,17 @@
 /// destination that nobody lists is refused, and the id of a message that ended is known for a while.
 #[tokio::test]
 async fn unknown_destinations_and_known_ids_go_nowhere() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let elsewhere = "X-Txn: m1\r\nX-Lane: unsafe\r\nX-Remaining: 5\r\nX-Envelope: dest=8\r\n";
     assert_eq!(node.request("POST /api", elsewhere, b"").await.status(), 503);
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
-    endpoint.call().await.ok();
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
+    endpoint.next_call().await.ok();
     // The next of a key goes out only when the one before is over; so is the first message by then.
     for id in ["k1", "k2"] {
-        assert_eq!(node.hand_in(id, "ordered", "k").await.status(), 202);
-        endpoint.call().await.ok();
+        assert_eq!(node.submit(id, "ordered", "k").await.status(), 202);
+        endpoint.next_call().await.ok();
     }
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
-    assert!(endpoint.quiet(Duration::from_millis(300)).await, "a message went out after its end");
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
+    assert!(endpoint.is_idle_for(Duration::from_millis(300)).await, "a message went out after its end");
 }
--- a/tests/sockets/crossings.rs
+++ b/tests/sockets/connection_races.rs
@@ -1,6 +1,6 @@
 //! Connections that end or come up at the wrong instant: to endpoints, and of clients.
-use super::raw::*;
-use super::world::*;
+use super::harness::*;
+use super::raw_connections::*;
 use serde_json::{Value, json};
 use std::time::Duration;
 use tokio::net::TcpSocket;
@@ -28,13 +28,14 @@
     }
 
     /// Lets in all who wait, those that come late too; the first that asks for something is the one.
-    async fn make_room(&mut self) -> (Link, Http) {
+    async fn make_room(&mut self) -> (RawConnection, HttpMessage) {
         self.waiting.clear();
         loop {
-            let (stream, _) = tokio::time::timeout(PATIENCE, self.listener.accept()).await.unwrap().unwrap();
-            let mut link = Link::new(stream);
-            if let Some(request) = link.request_or_end().await {
-                return (link, request);
+            let (stream, _) =
+                tokio::time::timeout(TEST_TIMEOUT, self.listener.accept()).await.unwrap().unwrap();
+            let mut connection = RawConnection::new(stream);
+            if let Some(request) = connection.request_or_close().await {
+                return (connection, request);
             }
         }
     }
@@ -45,49 +46,53 @@
 /// midst of the answer, and after an answer that says that it closes. What is unsafe is sent once in each of these.
 #[tokio::test]
 async fn where_a_connection_breaks_decides_what_may_be_sent_again() {
-    let (endpoint, mut platform) = (Raw::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (endpoint, mut platform) = (RawServer::start().await, Platform::start().await);
+    let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     for (n, resets) in (0..10).map(|n| (n / 2, n % 2 == 1)) {
         let id = format!("m{n}{resets}");
-        assert_eq!(node.hand_in(&id, "unsafe", "").await.status(), 202);
-        let mut link = endpoint.link().await;
+        assert_eq!(node.submit(&id, "unsafe", "").await.status(), 202);
+        let mut connection = endpoint.accept().await;
         // All of it is on the way before anything breaks: else it may never have been written whole.
-        link.unread(&id).await;
+        connection.wait_for_unread_request(&id).await;
         match n {
             0 => {}
-            1 => link.bytes(25).await,
-            2 => drop(link.request().await),
+            1 => connection.read_exact(25).await,
+            2 => drop(connection.request().await),
             3 => {
-                link.request().await;
-                link.say(&OK[..14]).await;
+                connection.request().await;
+                connection.send(&OK_RESPONSE[..14]).await;
             }
             _ => {
-                link.request().await;
-                link.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+                connection.request().await;
+                connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
             }
         }
         if resets {
             // An answer that was sent whole is read before what comes after it.
             if n == 4 {
-                link.closed().await;
+                connection.wait_for_close().await;
             }
-            link.reset();
+            connection.reset();
         } else {
-            drop(link);
+            drop(connection);
         }
         // Only a first line with 200 tells that it was delivered, and a reset may take that with it; of all else nobody
         // knows whether it ran.
         if n < 3 {
-            assert_eq!(platform.notice().await, json!({"id": id, "state": "failed"}), "{n}, reset: {resets}");
+            assert_eq!(
+                platform.next_notification().await,
+                json!({"id": id, "state": "failed"}),
+                "{n}, reset: {resets}"
+            );
         }
-        node.figures_where("an end", |figures| figures["inflight"] == 0).await;
+        node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
         // In between one is delivered: an endpoint that does nothing but fail is left alone for a while.
-        assert_eq!(node.hand_in(&format!("good{id}"), "keyed", "").await.status(), 202);
-        let mut link = endpoint.link().await;
-        assert_eq!(link.request().await.header("x-txn").unwrap(), format!("good{id}"), "sent again");
-        link.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        link.closed().await;
-        node.figures_where("an end", |figures| figures["inflight"] == 0).await;
+        assert_eq!(node.submit(&format!("good{id}"), "keyed", "").await.status(), 202);
+        let mut connection = endpoint.accept().await;
+        assert_eq!(connection.request().await.header("x-txn").unwrap(), format!("good{id}"), "sent again");
+        connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        connection.wait_for_close().await;
+        node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
     }
 }
 
@@ -101,48 +106,50 @@
         config["settings"]["specifics"]["max_calls"] = json!(2);
     };
     let address = late.listener.local_addr().unwrap();
-    let node = Node::start_with(&platform, &[member("s-1", address, "single", "SERVING")], short).await;
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
+    let node =
+        Node::start_with(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")], short).await;
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
     // Given up: the endpoint is out, as nothing came up.
-    node.figures_where("the time is over", |figures| figures["hosts_down"] == 1).await;
-    let (mut link, request) = late.make_room().await;
+    node.wait_for_metrics("the time is over", |metrics| metrics["hosts_down"] == 1).await;
+    let (mut connection, request) = late.make_room().await;
     assert_eq!(request.header("x-txn"), Some("m1"), "the one that came up in time");
-    link.say(OK).await;
-    node.figures_where("an end", |figures| figures["inflight"] == 0).await;
-    assert_eq!(node.hand_in("m2", "unsafe", "").await.status(), 202);
-    let (mut link, request) = match link.request_or_end().await {
-        Some(request) => (link, request),
+    connection.send(OK_RESPONSE).await;
+    node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
+    assert_eq!(node.submit("m2", "unsafe", "").await.status(), 202);
+    let (mut connection, request) = match connection.request_or_close().await {
+        Some(request) => (connection, request),
         None => late.make_room().await,
     };
     assert_eq!(request.header("x-txn"), Some("m2"), "the slot is free, and nothing went out twice");
-    link.say(OK).await;
-    node.figures_where("an end", |figures| figures["inflight"] == 0).await;
+    connection.send(OK_RESPONSE).await;
+    node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
 }
 
 /// Guards against clients that go at any instant: before they have sent all, before they hear, right after, all at once; and
 /// against a message that is delivered twice as its client comes again with its id, while it is out, as it ends, over a kill.
 #[tokio::test]
 async fn clients_that_go_and_come_again_cost_and_double_nothing() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-    let text = Client::text("gone", "unsafe", "");
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+    let text = RawClient::request_text("gone", "unsafe", "");
     for cut in [0, 1, 30, text.len() - 1] {
         for resets in [false, true] {
-            let mut client = Client::connect(node.address).await;
-            client.say(&text[..cut]).await;
+            let mut client = RawClient::connect(node.address).await;
+            client.send(&text[..cut]).await;
             if resets { client.reset() } else { drop(client) }
         }
     }
     // A burst: whole requests, and nobody who waits for an answer.
     for n in 0..30 {
-        let mut client = Client::connect(node.address).await;
-        client.say(&Client::text(&format!("burst{n}"), "keyed", "")).await;
+        let mut client = RawClient::connect(node.address).await;
+        client.send(&RawClient::request_text(&format!("burst{n}"), "keyed", "")).await;
         if n % 2 == 0 { client.reset() } else { drop(client) }
     }
     assert_eq!(node.request("GET /-/ready", "", b"").await.status(), 200);
-    assert_eq!(node.hand_in("twice", "ordered", "k").await.status(), 202);
+    assert_eq!(node.submit("twice", "ordered", "k").await.status(), 202);
     let twice = loop {
-        let call = endpoint.call().await;
+        let call = endpoint.next_call().await;
         assert_ne!(call.id(), "gone", "it was never sent whole");
         if call.id() == "twice" {
             break call;
@@ -150,16 +157,16 @@
         call.ok();
     };
     // While it is out; as it ends, from two sides at once; and to the next process.
-    assert_eq!(node.hand_in("twice", "ordered", "k").await.status(), 202);
-    let (again, ()) = tokio::join!(node.hand_in("twice", "ordered", "k"), async { twice.ok() });
+    assert_eq!(node.submit("twice", "ordered", "k").await.status(), 202);
+    let (again, ()) = tokio::join!(node.submit("twice", "ordered", "k"), async { twice.ok() });
     assert_eq!(again.status(), 202);
-    node.figures_where("all have ended", |figures| figures["inflight"] == 0).await;
+    node.wait_for_metrics("all have ended", |metrics| metrics["inflight"] == 0).await;
     node.kill();
-    node.begin().await;
-    assert_eq!(node.hand_in("twice", "ordered", "k").await.status(), 202);
-    assert_eq!(node.hand_in("next", "ordered", "k").await.status(), 202);
+    node.launch().await;
+    assert_eq!(node.submit("twice", "ordered", "k").await.status(), 202);
+    assert_eq!(node.submit("next", "ordered", "k").await.status(), 202);
     let call = loop {
-        let call = endpoint.call().await;
+        let call = endpoint.next_call().await;
         if !call.id().starts_with("burst") {
             break call;
         }
@@ -174,22 +181,22 @@
 #[tokio::test]
 async fn an_endpoint_that_drains_while_its_connection_is_made_gets_nothing() {
     let (mut late, mut other, platform) =
-        (Crowded::start().await, Peer::start().await, Platform::start().await);
+        (Crowded::start().await, TestServer::start().await, Platform::start().await);
     let address = late.listener.local_addr().unwrap();
     let one = |config: &mut Value| {
         config["settings"]["limits"]["max_attempts"] = json!(1);
         config["settings"]["limits"]["connect_timeout"] = json!(15_000_000);
     };
-    let node = Node::start_with(&platform, &[member("s-1", address, "single", "SERVING")], one).await;
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
-    node.figures_where("it is taken up", |figures| figures["inflight"] == 1).await;
-    platform.tell(&[
-        member("s-1", address, "single", "DRAINING"),
-        member("s-2", other.address, "single", "SERVING"),
+    let node = Node::start_with(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")], one).await;
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
+    node.wait_for_metrics("it is taken up", |metrics| metrics["inflight"] == 1).await;
+    platform.update_endpoints(&[
+        endpoint_entry("s-1", address, "single", "DRAINING"),
+        endpoint_entry("s-2", other.address, "single", "SERVING"),
     ]);
-    node.figures_where("the drain is heard", |figures| figures["hosts_listed"] == 2).await;
+    node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_listed"] == 2).await;
     let empty = tokio::spawn(async move { late.make_room().await });
-    let call = other.call().await;
+    let call = other.next_call().await;
     assert_eq!(call.id(), "m1", "of its one attempt nothing was used up");
     call.ok();
     assert!(!empty.is_finished(), "something was written to what drains");
--- a/tests/sockets/handover.rs
+++ b/tests/sockets/handover.rs
@@ -1,6 +1,6 @@
 //! A next process that takes the place of the one at work.
-use super::raw::Client;
-use super::world::*;
+use super::harness::*;
+use super::raw_connections::RawClient;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UnixStream};
@@ -11,31 +11,31 @@
 #[tokio::test]
 async fn a_next_process_takes_the_place_with_all_that_is_owed() {
     let (mut first, mut second, platform) =
-        (Peer::start().await, Peer::start().await, Platform::start().await);
-    let members = [
-        member("s-1", first.address, "batching", "SERVING"),
-        member("s-2", second.address, "batching", "SERVING"),
+        (TestServer::start().await, TestServer::start().await, Platform::start().await);
+    let entries = [
+        endpoint_entry("s-1", first.address, "batching", "SERVING"),
+        endpoint_entry("s-2", second.address, "batching", "SERVING"),
     ];
-    let mut node = Node::start(&platform, &members).await;
+    let mut node = Node::start(&platform, &entries).await;
     // s-2 is told to wait for longer than the handover takes; then s-1 alone is in service, and k1 out to it.
-    assert_eq!(node.operator("POST /maintenance/enter", "s-1").await.status(), 200);
-    assert_eq!(node.hand_in("told", "keyed", "").await.status(), 202);
+    assert_eq!(node.admin_request("POST /maintenance/enter", "s-1").await.status(), 200);
+    assert_eq!(node.submit("told", "keyed", "").await.status(), 202);
     let told = Instant::now();
-    second.call().await.reply(answer("429 Too Many Requests", "Retry-After: 4\r\n", ""));
-    node.figures_where("both are avoided", |f| f["hosts_down"] == 2).await;
+    second.next_call().await.reply(response("429 Too Many Requests", "Retry-After: 4\r\n", ""));
+    node.wait_for_metrics("both are avoided", |f| f["hosts_down"] == 2).await;
     for id in ["k1", "k2", "k3"] {
-        assert_eq!(node.hand_in(id, "ordered", "k").await.status(), 202);
+        assert_eq!(node.submit(id, "ordered", "k").await.status(), 202);
     }
     let mut at_rest = TcpStream::connect(node.address).await.unwrap();
     at_rest.write_all(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
-    assert_eq!(Http::read(&mut at_rest).await.unwrap().status(), 200);
+    assert_eq!(HttpMessage::read(&mut at_rest).await.unwrap().status(), 200);
     let mut old = node.replace().await;
     assert!(
-        first.quiet(Duration::from_millis(50)).await,
+        first.is_idle_for(Duration::from_millis(50)).await,
         "work for what is out by hand, in the next process"
     );
-    assert_eq!(node.operator("GET /status", "").await.status(), 200);
-    assert_eq!(old.operator("GET /status", "").await.status(), 503);
+    assert_eq!(node.admin_request("GET /status", "").await.status(), 200);
+    assert_eq!(old.admin_request("GET /status", "").await.status(), 503);
     // A client that is still connected to the old process is passed on, and sent elsewhere.
     at_rest
         .write_all(
@@ -44,107 +44,108 @@
         )
         .await
         .unwrap();
-    let passed_on = Http::read(&mut at_rest).await.expect("an answer from the next process");
+    let passed_on = HttpMessage::read(&mut at_rest).await.expect("an answer from the next process");
     assert_eq!((passed_on.status(), passed_on.header("connection")), (202, Some("close")));
-    assert_eq!(node.hand_in("k4", "ordered", "k").await.status(), 202);
-    assert!(old.ends_well().await, "with its last client gone it ends by itself");
+    assert_eq!(node.submit("k4", "ordered", "k").await.status(), 202);
+    assert!(old.exits_successfully().await, "with its last client gone it ends by itself");
     let mut delivered = Vec::new();
     while delivered.len() < 6 {
-        let call = second.call().await;
+        let call = second.next_call().await;
         assert!(told.elapsed() >= Duration::from_secs(4), "the wait was told to both");
-        let mut ids: Vec<String> = match call.http.header("x-txn") {
+        let mut ids: Vec<String> = match call.request.header("x-txn") {
             Some(id) => vec![id.to_owned()],
             None => {
-                let items = call.http.json();
+                let items = call.request.json();
                 items.as_array().unwrap().iter().map(|i| i["id"].as_str().unwrap().to_owned()).collect()
             }
         };
         let ends: Vec<_> = ids.iter().map(|id| serde_json::json!({"id": id, "state": "ok"})).collect();
-        call.reply(answer("200 OK", "", &serde_json::json!(ends).to_string()));
+        call.reply(response("200 OK", "", &serde_json::json!(ends).to_string()));
         delivered.append(&mut ids);
     }
     let of_key: Vec<_> = delivered.iter().filter(|id| id.starts_with('k')).collect();
     assert_eq!(of_key, ["k1", "k2", "k3", "k4"]);
     delivered.sort();
     assert_eq!(delivered, ["k1", "k2", "k3", "k4", "late", "told"]);
-    assert!(second.quiet(Duration::from_millis(300)).await, "a message went out twice");
+    assert!(second.is_idle_for(Duration::from_millis(300)).await, "a message went out twice");
 }
 
 /// Guards against a call that is out when the place is given, and out a second time while it is open.
 #[tokio::test]
 async fn a_call_that_outlasts_the_handover_is_closed_before_it_goes_again() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-    assert_eq!(node.hand_in("slow", "keyed", "").await.status(), 202);
-    let out = endpoint.call().await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+    assert_eq!(node.submit("slow", "keyed", "").await.status(), 202);
+    let out = endpoint.next_call().await;
     let mut old = node.replace().await;
-    assert!(old.ends_well().await);
-    let again = endpoint.call().await;
-    assert_eq!((again.id(), again.http.header("idempotency-key")), ("slow", Some("idem-slow")));
+    assert!(old.exits_successfully().await);
+    let again = endpoint.next_call().await;
+    assert_eq!((again.id(), again.request.header("idempotency-key")), ("slow", Some("idem-slow")));
     assert_ne!(again.connection, out.connection);
     again.ok();
-    node.figures_where("delivered once", |f| f["calls"]["keyed"]["success"] == 1).await;
+    node.wait_for_metrics("delivered once", |f| f["calls"]["keyed"]["success"] == 1).await;
 }
 
 /// Guards against a sender that is left with nobody at work: the next process ends at any point of the handover, or who
 /// calls is none.
 #[tokio::test]
 async fn a_next_process_that_ends_on_the_way_leaves_the_old_one_at_work() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     for (n, hello) in
         ["", "micadrum", "micadrum handover 9", "GET / HTTP/1.1\r\n\r\n....."].iter().enumerate()
     {
         let mut stranger = caller(&node).await;
         stranger.write_all(hello.as_bytes()).await.unwrap();
-        assert_eq!(node.hand_in(&format!("s{n}"), "keyed", "").await.status(), 202);
-        endpoint.call().await.ok();
+        assert_eq!(node.submit(&format!("s{n}"), "keyed", "").await.status(), 202);
+        endpoint.next_call().await.ok();
     }
     // It ends before it reads, after the length that brings the listening socket, or after some of the rest.
     for (n, reads) in [vec![], vec![8], vec![8, 56]].into_iter().enumerate() {
         let mut next = caller(&node).await;
         next.write_all(b"micadrum handover 2").await.unwrap();
         for bytes in reads {
-            let read = timeout(PATIENCE, next.read_exact(&mut vec![0; bytes])).await;
+            let read = timeout(TEST_TIMEOUT, next.read_exact(&mut vec![0; bytes])).await;
             read.expect("what the old process leaves").unwrap();
         }
         drop(next);
         let id = format!("m{n}");
         let mut tries = 0;
         // Until the old process is at work again, clients wait or are refused.
-        while node.hand_in(&id, "keyed", "").await.status() != 202 {
+        while node.submit(&id, "keyed", "").await.status() != 202 {
             tries += 1;
             assert!(tries < 100, "nobody took {id} on");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let call = endpoint.call().await;
+        let call = endpoint.next_call().await;
         assert_eq!(call.id(), id);
         call.ok();
     }
-    let figures = node.figures_where("all delivered", |f| f["inflight"] == 0).await;
-    assert_eq!(figures["hosts_listed"], 1);
-    assert_eq!(figures["calls"]["keyed"]["success"], 7, "it is one process: its counts go on");
+    let metrics = node.wait_for_metrics("all delivered", |f| f["inflight"] == 0).await;
+    assert_eq!(metrics["hosts_listed"], 1);
+    assert_eq!(metrics["calls"]["keyed"]["success"], 7, "it is one process: its counts go on");
 }
 
 /// Guards against a wait that is told by the last answer before the place is given, and that nobody keeps.
 #[tokio::test]
 async fn a_wait_told_while_the_old_process_settles_is_kept() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     // The next step is far away, so that the answer and the end of the settling fall between two.
     let slow = |config: &mut serde_json::Value| config["settings"]["period"] = serde_json::json!(500_000);
-    let member = member("s-1", endpoint.address, "single", "SERVING");
-    let node = Node::start_with(&platform, &[member], slow).await;
-    assert_eq!(node.hand_in("told", "keyed", "").await.status(), 202);
-    let call = endpoint.call().await;
+    let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
+    let node = Node::start_with(&platform, &[entry], slow).await;
+    assert_eq!(node.submit("told", "keyed", "").await.status(), 202);
+    let call = endpoint.next_call().await;
     let mut next = caller(&node).await;
     next.write_all(b"micadrum handover 2").await.unwrap();
     // By now it settles, for as long as this call is out.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let told = Instant::now();
-    call.reply(answer("429 Too Many Requests", "Retry-After: 3\r\n", ""));
-    timeout(PATIENCE, next.read_exact(&mut [0; 8])).await.expect("a place that is given").unwrap();
+    call.reply(response("429 Too Many Requests", "Retry-After: 3\r\n", ""));
+    timeout(TEST_TIMEOUT, next.read_exact(&mut [0; 8])).await.expect("a place that is given").unwrap();
     drop(next);
-    let call = endpoint.call().await;
+    let call = endpoint.next_call().await;
     assert!(told.elapsed() >= Duration::from_secs(3), "after {:?}", told.elapsed());
     call.ok();
 }
@@ -153,14 +154,14 @@
 async fn given(node: &Node) -> UnixStream {
     let mut next = caller(node).await;
     next.write_all(b"micadrum handover 2").await.unwrap();
-    timeout(PATIENCE, next.read_exact(&mut [0; 8])).await.expect("a place that is given").unwrap();
+    timeout(TEST_TIMEOUT, next.read_exact(&mut [0; 8])).await.expect("a place that is given").unwrap();
     next
 }
 
 /// Who calls where a next process asks. The socket is there a moment before somebody listens at it.
 async fn caller(node: &Node) -> UnixStream {
-    let socket = node.journal().with_file_name("handover.sock");
-    let connected = timeout(PATIENCE, async {
+    let socket = node.journal_path().with_file_name("handover.sock");
+    let connected = timeout(TEST_TIMEOUT, async {
         loop {
             match UnixStream::connect(&socket).await {
                 Ok(stream) => return stream,
@@ -175,36 +176,38 @@
 /// ended on the way.
 #[tokio::test]
 async fn a_sighup_while_the_place_is_given_in_vain_is_followed() {
-    let (endpoint, mut other) = (Peer::start().await, Peer::start().await);
+    let (endpoint, mut other) = (TestServer::start().await, TestServer::start().await);
     let platform = Platform::start().await;
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let next = given(&node).await;
-    node.reload(&Platform::at(other.address));
+    node.reload(&Platform::served_by_test(other.address));
     // By now it has heard it; if not, it hears it at work.
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(next);
-    let call = other.call().await;
-    assert!(call.http.first.starts_with("GET /api/targets"), "{}", call.http.first);
-    node.figures_where("the file was taken", |figures| figures["reconfig_ok"] == 1).await;
+    let call = other.next_call().await;
+    assert!(call.request.start_line.starts_with("GET /api/targets"), "{}", call.request.start_line);
+    node.wait_for_metrics("the file was taken", |metrics| metrics["reconfig_ok"] == 1).await;
 }
 
 /// Guards against clients whose process ends under them: it was told to wind down while it gave its place, and the next
 /// one ended on the way.
 #[tokio::test]
 async fn a_sigterm_while_the_place_is_given_in_vain_is_an_end_in_good_order() {
-    let (endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let next = given(&node).await;
     let told = Instant::now();
     node.terminate();
-    let mut client = Client::connect(node.address).await;
-    client.say(&Client::text("m1", "keyed", "")).await;
+    let mut client = RawClient::connect(node.address).await;
+    client.send(&RawClient::request_text("m1", "keyed", "")).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(next);
-    let said = client.answer().await.expect("an answer, not an end");
-    assert!([202, 503].contains(&said.status()), "{}", said.first);
+    let said = client.response().await.expect("an answer, not an end");
+    assert!([202, 503].contains(&said.status()), "{}", said.start_line);
     drop(client);
-    assert!(node.ends_well().await);
+    assert!(node.exits_successfully().await);
     assert!(told.elapsed() < Duration::from_millis(3_700), "killed by then: {:?}", told.elapsed());
 }
 
@@ -219,19 +222,20 @@
 #[tokio::test]
 async fn a_sighup_to_the_process_that_gives_its_place_is_followed_by_the_next() {
     for settled in [false, true] {
-        let (mut endpoint, mut other) = (Peer::start().await, Peer::start().await);
+        let (mut endpoint, mut other) = (TestServer::start().await, TestServer::start().await);
         let platform = Platform::start().await;
-        let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-        let (pid, socket) = (node.id(), node.journal().with_file_name("handover.sock"));
+        let mut node =
+            Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+        let (pid, socket) = (node.pid(), node.journal_path().with_file_name("handover.sock"));
         // A client that stays keeps the old process, and a call that is out lets it settle for a second.
         let mut at_rest = TcpStream::connect(node.address).await.unwrap();
         at_rest.write_all(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
-        assert_eq!(Http::read(&mut at_rest).await.unwrap().status(), 200);
-        assert_eq!(node.hand_in("slow", "keyed", "").await.status(), 202);
-        let out = endpoint.call().await;
+        assert_eq!(HttpMessage::read(&mut at_rest).await.unwrap().status(), 200);
+        assert_eq!(node.submit("slow", "keyed", "").await.status(), 202);
+        let out = endpoint.next_call().await;
         let mut config = node.config();
         config["discovery"] = serde_json::json!(other.address.to_string());
-        let file = node.lasting("config.json");
+        let file = node.state_path("config.json");
         let hang_up = || {
             std::fs::write(&file, config.to_string()).unwrap();
             let sent = std::process::Command::new("sh").args(["-c", &format!("kill -HUP {pid}")]).status();
@@ -249,25 +253,25 @@
         if settled {
             hang_up();
         }
-        let call = timeout(PATIENCE, async {
+        let call = timeout(TEST_TIMEOUT, async {
             loop {
-                let call = other.call().await;
-                if call.http.first.starts_with("GET /api/targets") {
+                let call = other.next_call().await;
+                if call.request.start_line.starts_with("GET /api/targets") {
                     return call;
                 }
             }
         });
         // The old one may have come there as well, before it gave its place.
         let first = call.await.expect("the watch comes to the new address");
-        node.figures_where("taken once", |figures| figures["reconfig_ok"] == 1).await;
+        node.wait_for_metrics("taken once", |metrics| metrics["reconfig_ok"] == 1).await;
         drop((first, out, at_rest));
-        assert!(old.ends_well().await);
+        assert!(old.exits_successfully().await);
         // At the end of the old process the file is as it was read.
-        let call = endpoint.call().await;
+        let call = endpoint.next_call().await;
         assert_eq!(call.id(), "slow");
         call.ok();
-        let figures = node.figures_where("delivered", |f| f["calls"]["keyed"]["success"] == 1).await;
-        assert_eq!(figures["reconfig_ok"], 1);
+        let metrics = node.wait_for_metrics("delivered", |f| f["calls"]["keyed"]["success"] == 1).await;
+        assert_eq!(metrics["reconfig_ok"], 1);
     }
 }
 
@@ -275,70 +279,71 @@
 /// more to be asked for its place, waits for it, changes nothing there, and ends with one line if it stays.
 #[tokio::test]
 async fn a_folder_that_another_process_holds_is_left_alone() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-    assert_eq!(node.hand_in("m1", "keyed", "").await.status(), 202);
-    let out = endpoint.call().await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+    assert_eq!(node.submit("m1", "keyed", "").await.status(), 202);
+    let out = endpoint.next_call().await;
     node.kill();
     drop(out);
     // Held by somebody whom nobody can ask.
-    let file = std::fs::File::options().write(true).open(node.lasting("lock")).unwrap();
+    let file = std::fs::File::options().write(true).open(node.state_path("lock")).unwrap();
     rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive).unwrap();
-    let journal = std::fs::read(node.journal()).unwrap();
-    let (code, log) = node.fails_to_begin().await;
+    let journal = std::fs::read(node.journal_path()).unwrap();
+    let (code, log) = node.launch_expecting_exit().await;
     assert_eq!(code, Some(1));
     assert!(log.contains("another process is running in this folder"), "{log}");
-    assert_eq!(std::fs::read(node.journal()).unwrap(), journal, "the journal is as it was");
-    assert!(endpoint.quiet(Duration::from_millis(20)).await);
+    assert_eq!(std::fs::read(node.journal_path()).unwrap(), journal, "the journal is as it was");
+    assert!(endpoint.is_idle_for(Duration::from_millis(20)).await);
     // One that lets go while it is waited for.
-    let begun = node.begin();
+    let begun = node.launch();
     let lets_go = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         drop(file);
     };
     tokio::join!(begun, lets_go);
-    let call = endpoint.call().await;
+    let call = endpoint.next_call().await;
     assert_eq!(call.id(), "m1");
     call.ok();
-    node.figures_where("delivered", |f| f["calls"]["keyed"]["success"] == 1).await;
+    node.wait_for_metrics("delivered", |f| f["calls"]["keyed"]["success"] == 1).await;
 }
 
 /// Guards against two processes that are started at one instant and both serve: one takes the other's place, whichever comes
 /// first, and the lock goes along.
 #[tokio::test]
 async fn of_two_processes_that_start_together_one_takes_the_others_place() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let member = member("s-1", endpoint.address, "single", "SERVING");
-    let mut node = Node::start(&platform, &[member]).await;
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
-    endpoint.call().await.ok();
-    node.figures_where("delivered", |f| f["calls"]["unsafe"]["success"] == 1).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
+    let mut node = Node::start(&platform, &[entry]).await;
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
+    endpoint.next_call().await.ok();
+    node.wait_for_metrics("delivered", |f| f["calls"]["unsafe"]["success"] == 1).await;
     node.kill();
-    let mut other = node.beside();
-    tokio::join!(node.begin(), other.begin());
+    let mut other = node.without_process();
+    tokio::join!(node.launch(), other.launch());
     assert_eq!(node.address, other.address, "clients come to one place");
     // The one whose place was taken ends by itself; the other serves.
     let (mut first, mut second) = (node, other);
-    let ended = timeout(PATIENCE, async {
+    let ended = timeout(TEST_TIMEOUT, async {
         loop {
-            if let Some(ended) = first.has_ended() {
+            if let Some(ended) = first.poll_exit() {
                 std::mem::swap(&mut first, &mut second);
                 return ended;
             }
-            if let Some(ended) = second.has_ended() {
+            if let Some(ended) = second.poll_exit() {
                 return ended;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     });
     assert!(ended.await.expect("one of them ends"));
-    assert_eq!(first.hand_in("m2", "unsafe", "").await.status(), 202);
-    let call = endpoint.call().await;
+    assert_eq!(first.submit("m2", "unsafe", "").await.status(), 202);
+    let call = endpoint.next_call().await;
     assert_eq!(call.id(), "m2");
     call.ok();
-    assert!(endpoint.quiet(Duration::from_millis(50)).await, "a message went out twice");
+    assert!(endpoint.is_idle_for(Duration::from_millis(50)).await, "a message went out twice");
     // It holds the lock that it was given.
-    let file = std::fs::File::options().write(true).open(first.lasting("lock")).unwrap();
+    let file = std::fs::File::options().write(true).open(first.state_path("lock")).unwrap();
     let lock = rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive);
     assert_eq!(lock, Err(rustix::io::Errno::WOULDBLOCK));
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,21 +1,21 @@
 //! The sender as a process, with endpoints, platform and clients on loopback sockets.
 #![allow(clippy::min_ident_chars, clippy::too_many_lines, reason = "not done yet, see docs/ROADMAP.md")]
+mod admin;
 mod calls;
+mod checker;
 mod clients;
-mod crossings;
+mod connection_races;
 mod durability;
-mod generated;
 mod handover;
-mod ledger;
-mod memory;
-mod notices;
-mod operators;
+mod harness;
+mod notifications;
 mod peers;
-mod raw;
+mod persisted_state;
+mod random_scenarios;
+mod raw_connections;
 mod recovery;
 mod restarts;
-mod resumed;
+mod signals;
+mod startup;
 mod system_calls;
-mod terminated;
 mod watch;
-mod world;
--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -1,5 +1,5 @@
 //! Senders that know each other: what is off without the operator's file, the command line, and the door.
-use crate::world::{Node, PATIENCE, Peer, Platform, member};
+use crate::harness::{Node, Platform, TEST_TIMEOUT, TestServer, endpoint_entry};
 use micadrum_membership::Secret;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -58,31 +58,32 @@
 /// that is off though a file does.
 #[tokio::test]
 async fn without_an_operators_file_nothing_is_opened_or_written() {
-    let (platform, endpoint) = (Platform::start().await, Peer::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-    assert_eq!(datagram_sockets(node.id()), 0);
-    assert_eq!(node.operator("GET /status/peers", "").await.status(), 404);
-    let without = files(node.folder());
+    let (platform, endpoint) = (Platform::start().await, TestServer::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+    assert_eq!(datagram_sockets(node.pid()), 0);
+    assert_eq!(node.admin_request("GET /status/peers", "").await.status(), 404);
+    let without = files(node.state_folder());
     assert!(!without.iter().any(|name| name.starts_with("lives")), "{without:?}");
     node.kill();
     let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    std::fs::write(node.lasting("n1.secret"), hex(&[1; 32])).unwrap();
+    std::fs::write(node.state_path("n1.secret"), hex(&[1; 32])).unwrap();
     let file = operator(&hex(&Secret::new([1; 32]).public_key()), &other.local_addr().unwrap().to_string());
-    node.turn_on(&file);
-    node.begin().await;
+    node.write_operator_file(&file);
+    node.launch().await;
     let mut buffer = [0; 2048];
-    let heard = tokio::time::timeout(PATIENCE, other.recv(&mut buffer)).await;
+    let heard = tokio::time::timeout(TEST_TIMEOUT, other.recv(&mut buffer)).await;
     let length = heard.expect("it speaks to the other member").unwrap();
     assert_eq!(&buffer[..3], b"mp\x02");
     assert!(length <= 1200);
     assert!(
-        files(node.folder()).contains(&"lives".to_owned()),
+        files(node.state_folder()).contains(&"lives".to_owned()),
         "its life stands in the folder before it speaks"
     );
-    assert_eq!(datagram_sockets(node.id()), 1);
-    let view = node.operator("GET /status/peers", "").await.json();
+    assert_eq!(datagram_sockets(node.pid()), 1);
+    let view = node.admin_request("GET /status/peers", "").await.json();
     assert_eq!((view["own"].as_str(), view["life"]["number"].as_u64()), (Some("n1"), Some(1)));
-    let door = node.management.to_string();
+    let door = node.admin_address.to_string();
     let table = micadrum(&["peers", "--door", &door]);
     assert!(
         table.status.success() && said(&table).contains("n2") && said(&table).contains("n1: life 1"),
@@ -94,17 +95,17 @@
         "{file}[[peers.member]]\nname = \"n3\"\naddress = \"127.0.0.1:9\"\nbuilding = \"b\"\nkey = \"{}\"\n",
         hex(&Secret::new([3; 32]).public_key())
     );
-    node.turn_on(&third);
-    node.reload_changed(|_| {});
-    node.figures_where("a list is taken", |figures| figures["reconfig_ok"] == 1).await;
+    node.write_operator_file(&third);
+    node.reload_with(|_| {});
+    node.wait_for_metrics("a list is taken", |metrics| metrics["reconfig_ok"] == 1).await;
     let members = |view: serde_json::Value| view["peers"].as_array().unwrap().len();
-    assert_eq!(members(node.operator("GET /status/peers", "").await.json()), 2);
+    assert_eq!(members(node.admin_request("GET /status/peers", "").await.json()), 2);
     for (turned_down, wrong) in [&*third.replace("n3", "n2"), "[peers]\n", ""].into_iter().enumerate() {
-        node.turn_on(wrong);
-        node.reload_changed(|_| {});
-        node.figures_where("a wrong list is not", |f| f["reconfig_failed"] == turned_down + 1).await;
+        node.write_operator_file(wrong);
+        node.reload_with(|_| {});
+        node.wait_for_metrics("a wrong list is not", |f| f["reconfig_failed"] == turned_down + 1).await;
     }
-    assert_eq!(members(node.operator("GET /status/peers", "").await.json()), 2);
+    assert_eq!(members(node.admin_request("GET /status/peers", "").await.json()), 2);
 }
 
 /// Guards against a command that says yes to a wrong file, and a secret that is printed, read by others or overwritten.
@@ -144,22 +145,23 @@
 /// of its own as soon as the one before has given its place up.
 #[tokio::test]
 async fn the_next_process_speaks_under_a_life_of_its_own() {
-    let (platform, endpoint) = (Platform::start().await, Peer::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (platform, endpoint) = (Platform::start().await, TestServer::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     node.kill();
     let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     // A port of its own, that both processes ask for.
     let at = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-    std::fs::write(node.lasting("n1.secret"), hex(&[1; 32])).unwrap();
+    std::fs::write(node.state_path("n1.secret"), hex(&[1; 32])).unwrap();
     let file = operator(&hex(&Secret::new([1; 32]).public_key()), &other.local_addr().unwrap().to_string());
-    node.turn_on(&file.replace("127.0.0.1:0", &at.to_string()));
-    node.begin().await;
+    node.write_operator_file(&file.replace("127.0.0.1:0", &at.to_string()));
+    node.launch().await;
     let life = |view: &serde_json::Value| view["life"]["number"].as_u64();
-    let view = node.operator("GET /status/peers", "").await.json();
+    let view = node.admin_request("GET /status/peers", "").await.json();
     assert_eq!(life(&view), Some(1));
     let mut old = node.replace().await;
     let now = loop {
-        let view = node.operator("GET /status/peers", "").await.json();
+        let view = node.admin_request("GET /status/peers", "").await.json();
         if life(&view).is_some() {
             break view;
         }
@@ -167,7 +169,7 @@
     };
     assert_eq!((life(&now), now["forgot"].as_bool()), (Some(2), Some(false)), "{now}");
     old.terminate();
-    assert!(old.ends_well().await);
+    assert!(old.exits_successfully().await);
     node.terminate();
-    assert!(node.ends_well().await);
+    assert!(node.exits_successfully().await);
 }
--- a/tests/sockets/generated.rs
+++ b/tests/sockets/random_scenarios.rs
@@ -4,9 +4,9 @@
 //! it says of a broken rule names the seed.
 //!
 //! Some seeds are played with all tests. More of them: `MICADRUM_SEEDS=1..500 cargo test --test sockets generated`.
-use super::ledger::{Ledger, Told};
-use super::raw::Client;
-use super::world::{Http, Node, PATIENCE, Platform, member};
+use super::checker::{Ledger, Told};
+use super::harness::{HttpMessage, Node, Platform, TEST_TIMEOUT, endpoint_entry};
+use super::raw_connections::RawClient;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde_json::json;
@@ -69,7 +69,7 @@
             }
             return;
         }
-        let Some(request) = Http::read(&mut stream).await else { return };
+        let Some(request) = HttpMessage::read(&mut stream).await else { return };
         let id = request.header("x-txn").expect("one message a call").to_owned();
         let call = day.ledger.borrow_mut().began(&id, name, &stream);
         day.happened.notify_waiters();
@@ -138,7 +138,7 @@
     }
 }
 
-async fn hand_in(day: &Day, to: SocketAddr, id: &str, class: &'static str, key: &str) {
+async fn submit(day: &Day, to: SocketAddr, id: &str, class: &'static str, key: &str) {
     let text = format!(
         "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: {id}\r\nX-Lane: {class}\r\nX-Entity: {key}\r\n\
          X-Remaining: {}\r\nX-Envelope: dest=7\r\nIdempotency-Key: idem-{id}\r\nContent-Length: {}\r\n\r\n{id}",
@@ -146,7 +146,7 @@
         id.len()
     );
     let Ok(stream) = TcpStream::connect(to).await else { return };
-    let mut client = Client(stream);
+    let mut client = RawClient(stream);
     day.ledger.borrow_mut().handed_in(id, class, key, REMAINING);
     // Some go in the midst of it, and hear nothing.
     let cut =
@@ -159,7 +159,7 @@
         return;
     }
     // A process that is killed just now says nothing.
-    let said = timeout(PATIENCE, Http::read(&mut client.0)).await.expect("an answer or an end");
+    let said = timeout(TEST_TIMEOUT, HttpMessage::read(&mut client.0)).await.expect("an answer or an end");
     day.ledger.borrow_mut().heard(id, said.map(|said| said.status()));
 }
 
@@ -174,19 +174,20 @@
         calm: Cell::new(false),
     });
     let mut platform = Platform::start().await;
-    let (mut notices, of) = (platform.notices(), day.clone());
+    let (mut notices, of) = (platform.take_notifications(), day.clone());
     spawn_local(async move {
         while let Some(notice) = notices.recv().await {
             of.ledger.borrow_mut().noticed(&notice);
         }
     });
-    let mut members = Vec::new();
+    let mut entries = Vec::new();
     for name in ["s-1", "s-2"] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        members.push((name, listener.local_addr().unwrap()));
+        entries.push((name, listener.local_addr().unwrap()));
         spawn_local(endpoint(day.clone(), name, listener));
     }
-    let list = |phases: [&str; 2]| [0, 1].map(|n| member(members[n].0, members[n].1, "single", phases[n]));
+    let list =
+        |phases: [&str; 2]| [0, 1].map(|n| endpoint_entry(entries[n].0, entries[n].1, "single", phases[n]));
     let mut node = Node::start_with(&platform, &list(["SERVING"; 2]), |config| {
         config["settings"]["lanes"][0]["aim"] = json!(300_000);
         config["settings"]["lanes"][1]["aim"] = json!(300_000);
@@ -203,52 +204,55 @@
                     let (id, key) = (format!("m{n}"), format!("k{}", day.dice.below(2)));
                     n += 1;
                     // Messages of a key are handed in one after the other.
-                    hand_in(&day, node.address, &id, class, &key).await;
+                    submit(&day, node.address, &id, class, &key).await;
                 }
             }
             5 => {
                 let out = day.dice.below(2) as usize;
                 let mut phases = ["SERVING"; 2];
                 phases[out] = "DRAINING";
-                platform.tell(&list(phases));
+                platform.update_endpoints(&list(phases));
                 day.ledger.borrow_mut().listed(phases.map(|phase| phase == "SERVING"));
             }
             6 => {
-                platform.tell(&list(["SERVING"; 2]));
+                platform.update_endpoints(&list(["SERVING"; 2]));
                 day.ledger.borrow_mut().listed([true; 2]);
             }
             7 => node.reload(&platform),
             8 => {
                 // What is told once the agent is back counts at once.
-                platform.silent(true);
+                platform.set_silent(true);
                 let _ = timeout(HAPPENS, day.happened.notified()).await;
                 let out = day.dice.below(2) as usize;
                 let mut phases = ["SERVING"; 2];
                 phases[out] = "DRAINING";
-                platform.tell(&list(phases));
-                platform.silent(false);
+                platform.update_endpoints(&list(phases));
+                platform.set_silent(false);
                 day.ledger.borrow_mut().listed(phases.map(|phase| phase == "SERVING"));
             }
-            9 => platform.cut(),
+            9 => platform.break_watch(),
             10 => {
                 // A notice that is owed meanwhile goes again.
-                platform.deaf.store(true, Ordering::SeqCst);
+                platform.drops_notifications.store(true, Ordering::SeqCst);
                 let _ = timeout(HAPPENS, day.happened.notified()).await;
-                platform.deaf.store(false, Ordering::SeqCst);
+                platform.drops_notifications.store(false, Ordering::SeqCst);
                 day.ledger.borrow_mut().excused();
             }
             11 => {
                 let mut old = node.replace().await;
-                assert!(old.ends_well().await, "seed {seed}: the process before did not end in good order");
+                assert!(
+                    old.exits_successfully().await,
+                    "seed {seed}: the process before did not end in good order"
+                );
             }
             12 => {
                 node.terminate();
                 let (of, to, id) = (day.clone(), node.address, format!("m{n}"));
                 n += 1;
-                clients.spawn_local(async move { hand_in(&of, to, &id, "unsafe", "").await });
+                clients.spawn_local(async move { submit(&of, to, &id, "unsafe", "").await });
                 // Killed in the midst of it, or left to end by itself.
                 if day.dice.below(2) == 0 {
-                    assert!(node.ends_well().await, "seed {seed}: it did not end in good order");
+                    assert!(node.exits_successfully().await, "seed {seed}: it did not end in good order");
                 } else {
                     let _ = timeout(HAPPENS, day.happened.notified()).await;
                 }
@@ -259,10 +263,10 @@
         let _ = timeout(HAPPENS, day.happened.notified()).await;
     }
     day.calm.set(true);
-    platform.tell(&list(["SERVING"; 2]));
+    platform.update_endpoints(&list(["SERVING"; 2]));
     day.ledger.borrow_mut().listed([true; 2]);
     // All that is owed has its end within its time, and what the restarts took of it.
-    let all = timeout(PATIENCE, async {
+    let all = timeout(TEST_TIMEOUT, async {
         while !day.ledger.borrow().all_over() {
             sleep(Duration::from_millis(20)).await;
         }
@@ -282,7 +286,7 @@
     // Whoever still waits for the process before hears an end.
     while clients.join_next().await.is_some() {}
     day.ledger.borrow_mut().restarted();
-    node.begin().await;
+    node.launch().await;
     day.ledger.borrow_mut().excused();
 }
 
--- a/tests/sockets/terminated.rs
+++ b/tests/sockets/signals.rs
@@ -1,6 +1,6 @@
 //! SIGTERM, SIGHUP and SIGKILL at named bytes: of a client's request, of a call, of a notice.
-use super::raw::*;
-use super::world::*;
+use super::harness::*;
+use super::raw_connections::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
@@ -16,28 +16,29 @@
 /// told yes of a message that nobody delivers.
 #[tokio::test]
 async fn a_request_that_is_half_read_at_sigterm_is_answered() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-    let text = Client::text("half", "keyed", "");
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+    let text = RawClient::request_text("half", "keyed", "");
     // In the head, and in the body.
     for cut in [20, text.len() - 2] {
-        let mut client = Client::connect(node.address).await;
-        client.say(&text[..cut]).await;
+        let mut client = RawClient::connect(node.address).await;
+        client.send(&text[..cut]).await;
         node.terminate();
         closing(&node).await;
-        client.say(&text[cut..]).await;
-        let said = client.answer().await.expect("an answer").status();
+        client.send(&text[cut..]).await;
+        let said = client.response().await.expect("an answer").status();
         assert!([202, 503].contains(&said), "{said}");
         if said == 202 {
-            let call = endpoint.call().await;
+            let call = endpoint.next_call().await;
             assert_eq!(call.id(), "half");
             call.ok();
         }
-        assert!(node.ends_well().await);
-        assert!(endpoint.quiet(Duration::from_millis(20)).await);
+        assert!(node.exits_successfully().await);
+        assert!(endpoint.is_idle_for(Duration::from_millis(20)).await);
         // What is over stays so: the next is another message.
-        std::fs::remove_file(node.journal()).unwrap();
-        node.begin().await;
+        std::fs::remove_file(node.journal_path()).unwrap();
+        node.launch().await;
     }
 }
 
@@ -45,87 +46,90 @@
 /// stops in the midst of a call at SIGTERM: before its answer for good, or within it and then goes on.
 #[tokio::test]
 async fn a_call_that_is_out_at_sigterm_ends_as_it_would() {
-    let (endpoint, mut platform) = (Raw::start().await, Platform::start().await);
+    let (endpoint, mut platform) = (RawServer::start().await, Platform::start().await);
     // No call is given up before the process ends.
     let patient = |config: &mut serde_json::Value| config["settings"]["lanes"][0]["aim"] = json!(10_000_000);
-    let member = member("s-1", endpoint.address, "single", "SERVING");
-    let mut node = Node::start_with(&platform, &[member], patient).await;
-    assert_eq!(node.hand_in("half", "unsafe", "").await.status(), 202);
-    let mut link = endpoint.link().await;
-    assert_eq!(link.request().await.header("x-txn"), Some("half"));
+    let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
+    let mut node = Node::start_with(&platform, &[entry], patient).await;
+    assert_eq!(node.submit("half", "unsafe", "").await.status(), 202);
+    let mut connection = endpoint.accept().await;
+    assert_eq!(connection.request().await.header("x-txn"), Some("half"));
     node.terminate();
     closing(&node).await;
-    let (first, rest) = OK.split_at(10);
-    link.say(first).await;
-    link.say(rest).await;
-    assert!(node.ends_well().await, "with nothing owed it ends by itself");
-    node.begin().await;
+    let (first, rest) = OK_RESPONSE.split_at(10);
+    connection.send(first).await;
+    connection.send(rest).await;
+    assert!(node.exits_successfully().await, "with nothing owed it ends by itself");
+    node.launch().await;
     // One hangs through all of it: its process ends in time, and what may have run is not sent again.
-    assert_eq!(node.hand_in("hangs", "unsafe", "").await.status(), 202);
-    let mut link = endpoint.link().await;
-    assert_eq!(link.request().await.header("x-txn"), Some("hangs"), "the one before is over");
+    assert_eq!(node.submit("hangs", "unsafe", "").await.status(), 202);
+    let mut connection = endpoint.accept().await;
+    assert_eq!(connection.request().await.header("x-txn"), Some("hangs"), "the one before is over");
     let begun = Instant::now();
     node.terminate();
-    assert!(node.ends_well().await);
+    assert!(node.exits_successfully().await);
     assert!(begun.elapsed() < KILLED, "{:?}", begun.elapsed());
-    node.begin().await;
-    assert_eq!(platform.notice().await, json!({"id": "hangs", "state": "failed"}));
-    assert!(endpoint.quiet(Duration::from_millis(50)).await, "it may have run");
+    node.launch().await;
+    assert_eq!(platform.next_notification().await, json!({"id": "hangs", "state": "failed"}));
+    assert!(endpoint.is_idle_for(Duration::from_millis(50)).await, "it may have run");
 }
 
 /// Guards against an end that the platform never hears, as SIGTERM, then SIGHUP, then a kill come while its notice is out.
 #[tokio::test]
 async fn a_notice_that_is_out_at_the_end_goes_again() {
-    let (mut endpoint, mut agent) = (Peer::start().await, Peer::start().await);
-    let platform = Platform::at(agent.address);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
+    let (mut endpoint, mut agent) = (TestServer::start().await, TestServer::start().await);
+    let platform = Platform::served_by_test(agent.address);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     // Watches are left without an answer.
-    let notice = async |agent: &mut Peer| {
+    let notice = async |agent: &mut TestServer| {
         let next = async {
             loop {
-                let call = agent.call().await;
-                if call.http.first.starts_with("POST /v1/notices") {
+                let call = agent.next_call().await;
+                if call.request.start_line.starts_with("POST /v1/notices") {
                     return call;
                 }
             }
         };
-        timeout(PATIENCE, next).await.expect("a notice")
+        timeout(TEST_TIMEOUT, next).await.expect("a notice")
     };
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
-    endpoint.call().await.reply(answer("500 Internal Server Error", "", ""));
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
+    endpoint.next_call().await.reply(response("500 Internal Server Error", "", ""));
     let unanswered = notice(&mut agent).await;
     node.terminate();
     closing(&node).await;
     node.reload(&platform);
     node.kill();
     drop(unanswered);
-    node.begin().await;
+    node.launch().await;
     let again = notice(&mut agent).await;
-    assert_eq!(again.http.json(), json!({"id": "m1", "state": "failed"}));
-    again.reply(answer("204 No Content", "", ""));
-    assert!(endpoint.quiet(Duration::from_millis(50)).await, "it may have run");
+    assert_eq!(again.request.json(), json!({"id": "m1", "state": "failed"}));
+    again.reply(response("204 No Content", "", ""));
+    assert!(endpoint.is_idle_for(Duration::from_millis(50)).await, "it may have run");
 }
 
 /// Guards against clients that go on sending on every connection until the kill and hear neither an answer nor a close that
 /// tells them that the request never ran; and against a yes of what is then lost.
 #[tokio::test]
 async fn clients_that_send_until_the_kill_hear_an_answer_or_a_close() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let mut node = Node::start(&platform, &[member("s-1", endpoint.address, "single", "SERVING")]).await;
-    assert_eq!(node.hand_in("out", "unsafe", "").await.status(), 202);
-    let out = endpoint.call().await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let mut node =
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
+    assert_eq!(node.submit("out", "unsafe", "").await.status(), 202);
+    let out = endpoint.next_call().await;
     let mut clients = Vec::new();
     for _ in 0..20 {
-        clients.push(Client::connect(node.address).await);
+        clients.push(RawClient::connect(node.address).await);
     }
     // Several at once on one connection: each answer comes in turn, and none after the one that says it closes.
-    let piped: Vec<String> = (0..3).map(|n| Client::text(&format!("piped{n}"), "keyed", "")).collect();
-    let mut pipe = Client::connect(node.address).await;
+    let piped: Vec<String> =
+        (0..3).map(|n| RawClient::request_text(&format!("piped{n}"), "keyed", "")).collect();
+    let mut pipe = RawClient::connect(node.address).await;
     node.terminate();
-    pipe.say(&piped.concat()).await;
+    pipe.send(&piped.concat()).await;
     let mut taken = vec!["out".to_owned()];
     // Answers may come several in one piece; none comes after the one that says that it closes.
-    let said = pipe.until_closed().await;
+    let said = pipe.read_until_close().await;
     let said: Vec<&str> = said.split("HTTP/1.1 ").skip(1).collect();
     let closes = |said: &&str| said.contains("connection: close");
     assert!(said.iter().position(closes).is_some_and(|at| at + 1 == said.len()), "{said:?}");
@@ -133,17 +137,17 @@
     taken.extend(yes.map(|(n, _)| format!("piped{n}")));
     closing(&node).await;
     for (n, client) in clients.iter_mut().enumerate() {
-        client.say(&Client::text(&format!("late{n}"), "keyed", "")).await;
-        let said = client.answer().await.expect("an answer while the process lives");
+        client.send(&RawClient::request_text(&format!("late{n}"), "keyed", "")).await;
+        let said = client.response().await.expect("an answer while the process lives");
         assert_eq!(said.header("connection"), Some("close"));
         taken.extend((said.status() == 202).then(|| format!("late{n}")));
     }
     node.kill();
     drop(out);
-    node.begin().await;
+    node.launch().await;
     let mut came: Vec<String> = Vec::new();
     while came.len() + 1 < taken.len() {
-        let call = endpoint.call().await;
+        let call = endpoint.next_call().await;
         if !came.contains(&call.id().to_owned()) {
             came.push(call.id().to_owned());
         }
--- a/tests/sockets/system_calls.rs
+++ b/tests/sockets/system_calls.rs
@@ -1,5 +1,5 @@
 //! System calls that fail as Linux documents, in a real process: the fault injection library is preloaded.
-use super::world::*;
+use super::harness::*;
 use micadrum_fault_control::{Fault, FaultKind};
 use serde_json::Value;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 }
 
 /// Has the sender take on the keyed message `m1` and call for it, and kills the sender meanwhile.
-async fn kill_with_a_call_out(node: &mut Node, endpoint: &mut Peer) {
-    assert_eq!(node.hand_in("m1", "keyed", "").await.status(), 202);
-    let call = endpoint.call().await;
+async fn kill_with_a_call_out(node: &mut Node, endpoint: &mut TestServer) {
+    assert_eq!(node.submit("m1", "keyed", "").await.status(), 202);
+    let call = endpoint.next_call().await;
     node.kill();
     drop(call);
 }
@@ -34,7 +34,7 @@
 /// Sends a request for the readiness on an open connection, and returns the status of the response.
 async fn readiness_on(stream: &mut TcpStream) -> Option<u16> {
     stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await.ok()?;
-    let response = timeout(PATIENCE, Http::read(stream)).await.expect("a response or an end")?;
+    let response = timeout(TEST_TIMEOUT, HttpMessage::read(stream)).await.expect("a response or an end")?;
     Some(response.status())
 }
 
@@ -55,15 +55,15 @@
 /// Guards against waiting for readiness that was there all along: a transfer may move less than there is.
 #[tokio::test]
 async fn a_short_transfer_is_followed_by_the_rest() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "SERVING")];
-    let node = Node::start_with_faults(&platform, &members, |_| {}).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    let node = Node::start_with_faults(&platform, &entries, |_| {}).await;
     node.faults().begin(Fault::always(FaultKind::ShortTransfer)).unwrap();
     for number in 0..20 {
         let id = format!("m{number}");
-        let response = timeout(PROMPT, node.hand_in(&id, "unsafe", "")).await;
+        let response = timeout(PROMPT, node.submit(&id, "unsafe", "")).await;
         assert_eq!(response.expect("a prompt response").status(), 202);
-        let call = timeout(PROMPT, endpoint.call()).await.expect("a prompt call");
+        let call = timeout(PROMPT, endpoint.next_call()).await.expect("a prompt call");
         assert_eq!(call.id(), id);
         call.ok();
     }
@@ -73,34 +73,34 @@
 /// Guards against a deduplication window that is measured by a wall clock that was set back.
 #[tokio::test]
 async fn a_window_ends_although_the_wall_clock_was_set_back() {
-    let (mut endpoint, mut platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "SERVING")];
-    let mut node = Node::start_with_faults(&platform, &members, set_short_window).await;
-    assert_eq!(node.hand_in("m1", "keyed", "").await.status(), 202);
-    let call = endpoint.call().await;
+    let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    let mut node = Node::start_with_faults(&platform, &entries, set_short_window).await;
+    assert_eq!(node.submit("m1", "keyed", "").await.status(), 202);
+    let call = endpoint.next_call().await;
     node.kill();
     node.faults().begin(Fault::always(FaultKind::WallClock).with_parameter(-HOUR_US)).unwrap();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    node.begin().await;
+    node.launch().await;
     // A message of this class may be refused although it may have run: only its end matters here.
-    assert_eq!(platform.notice().await["id"], "m1");
+    assert_eq!(platform.next_notification().await["id"], "m1");
     drop(call);
-    assert!(endpoint.quiet(Duration::from_millis(300)).await, "sent again after its window");
+    assert!(endpoint.is_idle_for(Duration::from_millis(300)).await, "sent again after its window");
 }
 
 /// Guards against giving up a message at a restart because the wall clock was set forward.
 #[tokio::test]
 async fn a_message_keeps_its_time_although_the_wall_clock_was_set_forward() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "DRAINING")];
-    let mut node = Node::start_with_faults(&platform, &members, |_| {}).await;
-    assert_eq!(node.hand_in("m1", "unsafe", "").await.status(), 202);
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "DRAINING")];
+    let mut node = Node::start_with_faults(&platform, &entries, |_| {}).await;
+    assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
     node.kill();
     node.faults().begin(Fault::always(FaultKind::WallClock).with_parameter(HOUR_US)).unwrap();
-    let revived = [member("s-1", endpoint.address, "single", "SERVING")];
-    node.begin().await;
-    platform.tell(&revived);
-    let call = endpoint.call().await;
+    let revived = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    node.launch().await;
+    platform.update_endpoints(&revived);
+    let call = endpoint.next_call().await;
     assert_eq!(call.id(), "m1");
     call.ok();
 }
@@ -109,33 +109,33 @@
 /// can keep what it accepts, and delivers what it owes.
 #[tokio::test]
 async fn a_folder_that_cannot_be_written_delays_no_start() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "SERVING")];
-    let mut node = Node::start_with_faults(&platform, &members, |_| {}).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    let mut node = Node::start_with_faults(&platform, &entries, |_| {}).await;
     kill_with_a_call_out(&mut node, &mut endpoint).await;
     node.faults().begin(Fault::always(FaultKind::FolderWrite)).unwrap();
     node.faults().begin(Fault::always(FaultKind::TornWrite)).unwrap();
-    node.begin().await;
-    assert_eq!(node.hand_in("m2", "unsafe", "").await.status(), 503);
+    node.launch().await;
+    assert_eq!(node.submit("m2", "unsafe", "").await.status(), 503);
     assert!(node.faults().count(FaultKind::FolderWrite).unwrap().injected > 0);
     node.faults().end(FaultKind::FolderWrite).unwrap();
-    let call = endpoint.call().await;
+    let call = endpoint.next_call().await;
     assert_eq!(call.id(), "m1");
     call.ok();
-    assert_eq!(node.hand_in("m3", "unsafe", "").await.status(), 202);
-    endpoint.call().await.ok();
+    assert_eq!(node.submit("m3", "unsafe", "").await.status(), 202);
+    endpoint.next_call().await.ok();
 }
 
 /// Guards against a journal that is set aside for an error that passes.
 #[tokio::test]
 async fn a_journal_that_cannot_be_read_for_a_while_is_read_later() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "SERVING")];
-    let mut node = Node::start_with_faults(&platform, &members, |_| {}).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    let mut node = Node::start_with_faults(&platform, &entries, |_| {}).await;
     kill_with_a_call_out(&mut node, &mut endpoint).await;
     node.faults().begin(Fault::always(FaultKind::FolderRead).at_most(5)).unwrap();
-    node.begin().await;
-    let call = endpoint.call().await;
+    node.launch().await;
+    let call = endpoint.next_call().await;
     assert_eq!(call.id(), "m1");
     call.ok();
 }
@@ -144,21 +144,21 @@
 /// healthy endpoint ejected.
 #[tokio::test]
 async fn an_error_of_this_machine_says_nothing_of_the_endpoint() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "SERVING")];
-    let node = Node::start_with_faults(&platform, &members, |_| {}).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    let node = Node::start_with_faults(&platform, &entries, |_| {}).await;
     // Discovery connects, too: that of the start is over once the figures are there.
-    node.figures().await;
+    node.metrics().await;
     for error in [ADDRESS_NOT_AVAILABLE, NETWORK_UNREACHABLE, NO_BUFFERS] {
         let id = format!("m{error}");
         node.faults().begin(Fault::always(FaultKind::Connect).with_parameter(error)).unwrap();
-        assert_eq!(node.hand_in(&id, "unsafe", "").await.status(), 202);
-        assert!(endpoint.quiet(Duration::from_millis(400)).await);
+        assert_eq!(node.submit(&id, "unsafe", "").await.status(), 202);
+        assert!(endpoint.is_idle_for(Duration::from_millis(400)).await);
         node.faults().end(FaultKind::Connect).unwrap();
-        let call = timeout(Duration::from_millis(600), endpoint.call()).await.expect("no backoff");
+        let call = timeout(Duration::from_millis(600), endpoint.next_call()).await.expect("no backoff");
         assert_eq!(call.id(), id);
         // The connection is not kept: the next message needs another one.
-        call.reply(answer("200 OK", "Connection: close\r\n", ""));
+        call.reply(response("200 OK", "Connection: close\r\n", ""));
     }
 }
 
@@ -169,27 +169,27 @@
     let mut node = Node::start_with_faults(&platform, &[], |_| {}).await;
     node.kill();
     node.faults().begin(Fault::always(FaultKind::Bind).at_most(6)).unwrap();
-    node.begin().await;
+    node.launch().await;
     assert_eq!(node.request("GET /-/ready", "", b"").await.status(), 200);
 }
 
 /// Guards against run-time checks that stop what is allowed: after failures, repeats and a restart none has found anything.
 #[tokio::test]
 async fn run_time_checks_find_nothing() {
-    let (mut endpoint, platform) = (Peer::start().await, Platform::start().await);
-    let members = [member("s-1", endpoint.address, "single", "SERVING")];
-    let mut node = Node::start(&platform, &members).await;
+    let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
+    let entries = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
+    let mut node = Node::start(&platform, &entries).await;
     for class in ["unsafe", "keyed", "ordered"] {
-        assert_eq!(node.hand_in(class, class, "k").await.status(), 202);
-        endpoint.call().await.reply(answer("500 Internal Server Error", "", ""));
+        assert_eq!(node.submit(class, class, "k").await.status(), 202);
+        endpoint.next_call().await.reply(response("500 Internal Server Error", "", ""));
     }
-    let again = endpoint.call().await;
+    let again = endpoint.next_call().await;
     node.kill();
     drop(again);
-    node.begin().await;
+    node.launch().await;
     for _ in 0..2 {
-        endpoint.call().await.ok();
+        endpoint.next_call().await.ok();
     }
-    let violations = &node.figures().await["violations"];
+    let violations = &node.metrics().await["violations"];
     assert_eq!(*violations, serde_json::json!({"sending": 0, "repeating": 0, "closing": 0, "starting": 0}));
 }
