--- a/tests/sockets/admin.rs
+++ b/tests/sockets/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' door, endpoints taken out by hand, and settings that change.
+//! The admin endpoint: metrics, maintenance of endpoints, and reloads of the settings.
 use super::harness::*;
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -6,17 +6,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Guards against figures that count another process, another class or the wrong end, and against a door that says yes
-/// to what it does not know.
+/// Guards against metrics that count a message for the wrong process, class or result, and against accepting
+/// unknown requests.
 #[tokio::test]
-async fn figures_tell_what_became_of_each_message() {
+async fn metrics_count_each_message_by_class_and_result() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
-    let gone = endpoint_entry("s-9", endpoint.address, "single", "DRAINING");
+    let draining = endpoint_entry("s-9", endpoint.address, "single", "DRAINING");
     let mut node =
-        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING"), gone]).await;
+        Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING"), draining])
+            .await;
     let metrics = node.metrics().await;
-    let none = json!({"success": 0, "busy": 0, "failure": 0});
-    assert_eq!(metrics["calls"], json!({"keyed": none, "ordered": none, "unsafe": none}));
+    let no_calls = json!({"success": 0, "busy": 0, "failure": 0});
+    assert_eq!(metrics["calls"], json!({"keyed": no_calls, "ordered": no_calls, "unsafe": no_calls}));
     assert_eq!((&metrics["hosts_listed"], &metrics["hosts_down"]), (&json!(2), &json!(1)));
     assert_eq!(node.submit("m1", "keyed", "").await.status(), 202);
     endpoint.next_call().await.ok();
@@ -24,13 +25,16 @@
     endpoint.next_call().await.reply(response("500 Internal Server Error", "", ""));
     assert_eq!(platform.next_notification().await["id"], json!("m2"));
     assert_eq!(node.submit("m3", "ordered", "k").await.status(), 202);
-    let out = endpoint.next_call().await;
-    let metrics = node.wait_for_metrics("three written", |f| f["backend_calls"] == 3).await;
+    let open_call = endpoint.next_call().await;
+    let metrics = node.wait_for_metrics("three calls have been sent", |f| f["backend_calls"] == 3).await;
     assert_eq!(metrics["calls"]["keyed"], json!({"success": 1, "busy": 0, "failure": 0}));
     assert_eq!(metrics["calls"]["unsafe"], json!({"success": 0, "busy": 0, "failure": 1}));
     assert_eq!(metrics["inflight"], 1);
-    out.ok();
-    node.wait_for_metrics("none held", |f| f["inflight"] == 0 && f["calls"]["ordered"]["success"] == 1).await;
+    open_call.ok();
+    node.wait_for_metrics("all messages have ended", |f| {
+        f["inflight"] == 0 && f["calls"]["ordered"]["success"] == 1
+    })
+    .await;
     for (what, body, status) in [
         ("GET /status", "", 200),
         ("GET /status/other", "", 404),
@@ -43,15 +47,19 @@
     }
     node.kill();
     node.launch().await;
-    assert_eq!(node.metrics().await["calls"]["keyed"]["success"], 0, "another process, another count");
+    assert_eq!(
+        node.metrics().await["calls"]["keyed"]["success"],
+        0,
+        "the counts of the killed process were kept"
+    );
 }
 
-/// Guards against callers that keep others out by never finishing their calls.
+/// Guards against callers that block others by never finishing their requests.
 #[tokio::test]
-async fn callers_that_never_finish_hold_nobody_up() {
+async fn unfinished_requests_do_not_delay_others() {
     let platform = Platform::start().await;
     let node = Node::start(&platform, &[]).await;
-    let mut silent = Vec::new();
+    let mut idle_callers = Vec::new();
     for n in 0..40 {
         let mut stream = TcpStream::connect(node.admin_address).await.unwrap();
         if n % 2 == 0 {
@@ -60,19 +68,19 @@
                 .await
                 .unwrap();
         }
-        silent.push(stream);
+        idle_callers.push(stream);
     }
     for _ in 0..5 {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         assert_eq!(node.admin_request("GET /status", "").await.status(), 200);
-        assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
+        assert!(requested_at.elapsed() < Duration::from_secs(1), "{:?}", requested_at.elapsed());
     }
 }
 
-/// Guards against work for an endpoint that is out by hand, whatever the list says and over a kill, and against one that
-/// never comes back, or needs as many calls back as it had out.
+/// Guards against calls to an endpoint in maintenance, after a list update and a kill too, and against an
+/// endpoint that stays out after one exit although it was entered twice.
 #[tokio::test]
-async fn an_endpoint_that_is_out_by_hand_stays_out() {
+async fn an_endpoint_in_maintenance_receives_no_calls_until_its_exit() {
     let (mut first, mut second, platform) =
         (TestServer::start().await, TestServer::start().await, Platform::start().await);
     let entries = [
@@ -84,7 +92,7 @@
         assert_eq!(node.admin_request("POST /maintenance/enter", "s-1").await.status(), 200);
     }
     platform.update_endpoints(&entries);
-    node.wait_for_metrics("one is down", |f| f["hosts_down"] == 1).await;
+    node.wait_for_metrics("one endpoint is down", |f| f["hosts_down"] == 1).await;
     for n in 0..6 {
         if n == 3 {
             node.kill();
@@ -93,7 +101,7 @@
         assert_eq!(node.submit(&format!("m{n}"), "keyed", "").await.status(), 202);
         second.next_call().await.ok();
     }
-    assert!(first.is_idle_for(Duration::from_millis(50)).await, "work for what is out by hand");
+    assert!(first.is_idle_for(Duration::from_millis(50)).await, "a call to an endpoint in maintenance");
     assert_eq!(node.admin_request("POST /maintenance/exit", "s-1").await.status(), 200);
     assert_eq!(node.admin_request("POST /maintenance/enter", "s-2").await.status(), 200);
     assert_eq!(node.submit("back", "keyed", "").await.status(), 202);
@@ -101,44 +109,46 @@
     assert!(second.is_idle_for(Duration::from_millis(50)).await);
 }
 
-/// Guards against half a configuration that is taken, a class that vanishes with its messages, in this process or the
-/// next, and an attempt too many after the number allowed went down.
+/// Guards against applying a part of a faulty configuration, against losing messages whose class is removed,
+/// in this process or the next, and against exceeding a lowered limit of attempts.
 #[tokio::test]
-async fn settings_change_whole_and_messages_keep_their_class() {
+async fn a_reload_is_applied_completely_and_held_messages_keep_their_class() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "batching", "SERVING")]).await;
-    let cut = |path: &[&str], value: Option<Value>| {
+    let edited_config = |path: &[&str], value: Option<Value>| {
         let mut config = node.config();
-        let (last, above) = path.split_last().unwrap();
-        let of = above.iter().fold(&mut config, |of, key| match key.parse::<usize>() {
-            Ok(at) => &mut of[at],
-            Err(_) => &mut of[*key],
+        let (key, parents) = path.split_last().unwrap();
+        let container = parents.iter().fold(&mut config, |value, key| match key.parse::<usize>() {
+            Ok(index) => &mut value[index],
+            Err(_) => &mut value[*key],
         });
         match value {
-            Some(value) => of[*last] = value,
-            None => drop(of.as_object_mut().unwrap().remove(*last)),
+            Some(value) => container[*key] = value,
+            None => drop(container.as_object_mut().unwrap().remove(*key)),
         }
         config.to_string()
     };
     let texts = [
         String::new(),
         node.config().to_string()[..900].to_owned(),
-        cut(&["limits", "cores"], None),
-        cut(&["settings", "lanes", "1", "key_ttl"], None),
-        cut(&["settings", "lanes", "0", "hard_limit"], Some(json!(0))),
-        cut(&["settings", "lanes", "0", "hard_limit"], Some(json!(-5))),
-        cut(&["settings", "lanes", "0", "hard_limit"], Some(json!("x"))),
-        cut(&["settings", "limits", "max_attempts"], Some(json!(0))),
-        cut(&["settings", "kinds"], Some(json!(["other"]))),
-        cut(&["settings", "specifics", "decay"], Some(json!("by_thirds"))),
+        edited_config(&["limits", "cores"], None),
+        edited_config(&["settings", "lanes", "1", "key_ttl"], None),
+        edited_config(&["settings", "lanes", "0", "hard_limit"], Some(json!(0))),
+        edited_config(&["settings", "lanes", "0", "hard_limit"], Some(json!(-5))),
+        edited_config(&["settings", "lanes", "0", "hard_limit"], Some(json!("x"))),
+        edited_config(&["settings", "limits", "max_attempts"], Some(json!(0))),
+        edited_config(&["settings", "kinds"], Some(json!(["other"]))),
+        edited_config(&["settings", "specifics", "decay"], Some(json!("by_thirds"))),
     ];
     for (n, text) in texts.iter().enumerate() {
         node.reload_text(text);
-        let failed = node.wait_for_metrics("turned down", |f| f["reconfig_failed"] == n + 1).await;
+        let failed =
+            node.wait_for_metrics("the configuration is rejected", |f| f["reconfig_failed"] == n + 1).await;
         assert_eq!(failed["reconfig_ok"], 0, "{text}");
     }
-    // Two wait: one has had three attempts, of six; then only three are allowed, and its class is gone.
+    // Two messages wait. The reload allows three attempts, which one has used, and removes the classes of
+    // both.
     assert_eq!(node.submit("spent", "keyed", "").await.status(), 202);
     for _ in 0..3 {
         endpoint.next_call().await.reply(response("503 Service Unavailable", "Retry-After: 0.6\r\n", ""));
@@ -151,17 +161,17 @@
         *lanes = vec![lanes[0].clone(), strict];
         config["settings"]["limits"]["max_attempts"] = json!(3);
     });
-    let metrics = node.wait_for_metrics("taken", |f| f["reconfig_ok"] == 1).await;
+    let metrics = node.wait_for_metrics("the reload is applied", |f| f["reconfig_ok"] == 1).await;
     assert_eq!(metrics["calls"]["strict"]["success"], 0);
     assert_eq!(platform.next_notification().await["id"], json!("spent"));
     assert_eq!(node.submit("gone", "ordered", "k").await.status(), 400);
     assert_eq!(node.submit("new", "strict", "k").await.status(), 202);
-    let out = timeout(TEST_TIMEOUT, endpoint.next_call()).await.unwrap();
-    assert_eq!(out.id(), "old", "in the order in which they were taken");
+    let open_call = timeout(TEST_TIMEOUT, endpoint.next_call()).await.unwrap();
+    assert_eq!(open_call.id(), "old", "messages of a key are sent in the order of their acceptance");
     node.kill();
-    drop(out);
+    drop(open_call);
     node.launch().await;
-    // The class of before is known to the next process: it may be repeated, and goes first.
+    // The next process still knows the removed class: its message may be repeated, and is sent first.
     let call = endpoint.next_call().await;
     assert_eq!(call.id(), "old");
     call.ok();
@@ -170,10 +180,10 @@
     call.ok();
 }
 
-/// Guards against a connection that is kept by the settings of the start, and met closed by the next call: endpoints close
-/// idle ones sooner since the reload.
+/// Guards against keeping idle connections by the settings before a reload, for longer than endpoints may
+/// keep them now.
 #[tokio::test]
-async fn connections_are_kept_for_as_long_as_the_new_settings_say() {
+async fn a_reload_changes_how_long_idle_connections_are_kept() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
@@ -181,13 +191,13 @@
     for id in ["m1", "m2", "m3"] {
         if id == "m3" {
             node.reload_with(|config| config["settings"]["limits"]["conn_idle"] = json!(1));
-            node.wait_for_metrics("taken", |metrics| metrics["reconfig_ok"] == 1).await;
+            node.wait_for_metrics("the reload is applied", |metrics| metrics["reconfig_ok"] == 1).await;
         }
         assert_eq!(node.submit(id, "keyed", "").await.status(), 202);
         let call = endpoint.next_call().await;
         connections.push(call.connection);
         call.ok();
-        node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
+        node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
     }
     assert_eq!(connections, [0, 0, 1]);
 }
--- a/tests/sockets/calls.rs
+++ b/tests/sockets/calls.rs
@@ -1,23 +1,24 @@
-//! Calls to endpoints: what may have run, waits, batches, drains and the order of a key.
+//! Calls to endpoints: which messages may have run, requested waits, batches, drains and the order of a key.
 use super::harness::*;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// An address at which nothing listens.
-async fn nowhere() -> SocketAddr {
+/// Returns an address at which nothing listens.
+async fn unused_address() -> SocketAddr {
     tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap()
 }
 
-/// Guards against counting a refused connection as an attempt that may have run: even an unsafe message goes
-/// again, to the address that discovery tells meanwhile.
+/// Guards against counting a refused connection as an attempt that may have run: even an unsafe message is
+/// sent again, to the address that the endpoint list has by then.
 #[tokio::test]
-async fn a_refused_connection_never_ran() {
+async fn sends_an_unsafe_message_again_after_a_refused_connection() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
-    let node = Node::start(&platform, &[endpoint_entry("s-1", nowhere().await, "single", "SERVING")]).await;
+    let node =
+        Node::start(&platform, &[endpoint_entry("s-1", unused_address().await, "single", "SERVING")]).await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-    // A line of a kind that nobody knows is passed over, and the next one counts.
+    // The entry with an unknown flavor is skipped; the next one is used.
     let unknown = endpoint_entry("s-0", endpoint.address, "new-kind", "SERVING");
     platform.update_endpoints(&[unknown, endpoint_entry("s-1", endpoint.address, "single", "SERVING")]);
     let call = endpoint.next_call().await;
@@ -25,10 +26,10 @@
     call.ok();
 }
 
-/// Guards against a second effect: a call that broke after its last byte may have run. What is unsafe ends
-/// as failed; what is keyed goes again under its key.
+/// Guards against running a message twice: a call that broke after its last byte may have run. An unsafe
+/// message fails, a keyed one is sent again with its idempotency key.
 #[tokio::test]
-async fn a_reset_after_the_last_byte_may_have_run() {
+async fn a_call_that_breaks_after_its_last_byte_may_have_run() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     assert_eq!(node.submit("once", "unsafe", "").await.status(), 202);
@@ -39,17 +40,17 @@
     let call = endpoint.next_call().await;
     assert_eq!((call.id(), call.request.header("idempotency-key")), ("again", Some("idem-again")));
     call.ok();
-    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a message went out after its end");
+    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a message was sent after it had ended");
 }
 
-/// Guards against resending on a stale connection: an endpoint that closed it between calls gets the next
-/// message once, on a new one, also where it must not be repeated.
+/// Guards against losing an attempt on a stale connection: after an endpoint has closed it between calls, the
+/// next message is sent once, on a new connection, even if it must not be repeated.
 #[tokio::test]
-async fn a_connection_closed_between_calls_costs_no_attempt() {
+async fn a_connection_closed_between_calls_uses_no_attempt() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-    // The answer asks to keep the connection; then it is dropped, as by an idle timer.
+    // The response announces that the endpoint closes the connection.
     let first = endpoint.next_call().await;
     first.reply(response("200 OK", "Connection: close\r\n", ""));
     assert_eq!(node.submit("m2", "unsafe", "").await.status(), 202);
@@ -59,21 +60,21 @@
     assert_eq!(platform.next_notification().await, json!({"id": "m2", "state": "failed"}));
 }
 
-/// Guards against sending anything at all to a destination that told a wait.
+/// Guards against sending anything to a destination before the wait that it requested is over.
 #[tokio::test]
-async fn a_told_wait_holds_the_destination() {
+async fn a_retry_after_delays_all_messages_of_the_destination() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
     let call = endpoint.next_call().await;
-    let told = Instant::now();
+    let responded_at = Instant::now();
     call.reply(response("429 Too Many Requests", "Retry-After: 0.75\r\n", ""));
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(node.submit("m2", "keyed", "").await.status(), 202);
     let mut ids = Vec::new();
     for _ in 0..2 {
         let call = endpoint.next_call().await;
-        assert!(told.elapsed() >= Duration::from_millis(750), "{:?}", told.elapsed());
+        assert!(responded_at.elapsed() >= Duration::from_millis(750), "{:?}", responded_at.elapsed());
         ids.push(call.id().to_owned());
         call.ok();
     }
@@ -81,28 +82,29 @@
     assert_eq!(ids, ["m1", "m2"]);
 }
 
-/// Guards against a refusal that leaves the client guessing: it hears when the destination's wait ends.
+/// Guards against a returned message without the time after which the client can submit it again.
 #[tokio::test]
-async fn a_refusal_tells_when_to_come_again() {
+async fn a_returned_message_carries_the_remaining_wait() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
-    let once = |config: &mut serde_json::Value| config["settings"]["limits"]["max_attempts"] = json!(1);
+    let single_attempt =
+        |config: &mut serde_json::Value| config["settings"]["limits"]["max_attempts"] = json!(1);
     let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
-    let node = Node::start_with(&platform, &[entry], once).await;
+    let node = Node::start_with(&platform, &[entry], single_attempt).await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.reply(response("429 Too Many Requests", "Retry-After: 10\r\n", ""));
-    let notice = platform.next_notification().await;
-    assert_eq!((&notice["id"], &notice["state"]), (&json!("m1"), &json!("returned")));
-    let after = notice["after_ms"].as_u64().unwrap();
-    assert!((1..=10_000).contains(&after), "{after}");
+    let notification = platform.next_notification().await;
+    assert_eq!((&notification["id"], &notification["state"]), (&json!("m1"), &json!("returned")));
+    let after_ms = notification["after_ms"].as_u64().unwrap();
+    assert!((1..=10_000).contains(&after_ms), "{after_ms}");
 }
 
-/// Guards against giving one end to a whole batch, and against passing over a wait told in its answer.
+/// Guards against one result for a whole batch, and against ignoring `Retry-After` in its response.
 #[tokio::test]
-async fn each_message_of_a_batch_has_its_own_end() {
+async fn each_message_of_a_batch_has_its_own_result() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "batching", "SERVING")]).await;
-    // While the route waits, messages gather for one call.
+    // Messages collect for one call while the destination's wait lasts.
     assert_eq!(node.submit("first", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.reply(response("410 Gone", "Retry-After: 1.0\r\n", ""));
     for (id, class) in [("ok", "unsafe"), ("error", "unsafe"), ("later", "unsafe"), ("gone", "keyed")] {
@@ -115,20 +117,20 @@
     assert_eq!(items.len(), 4);
     let ok = items.iter().find(|i| i["id"] == "ok").unwrap();
     assert_eq!((&ok["key"], &ok["body"]), (&json!("idem-ok"), &json!("b2s=")));
-    let ends: Vec<_> = items.iter().map(|i| json!({"id": i["id"], "state": i["id"]})).collect();
-    let told = Instant::now();
-    call.reply(response("200 OK", "Retry-After: 0.5\r\n", &json!(ends).to_string()));
+    let results: Vec<_> = items.iter().map(|i| json!({"id": i["id"], "state": i["id"]})).collect();
+    let responded_at = Instant::now();
+    call.reply(response("200 OK", "Retry-After: 0.5\r\n", &json!(results).to_string()));
     assert_eq!(platform.next_notification().await, json!({"id": "error", "state": "failed"}));
     let call = endpoint.next_call().await;
     assert_eq!(call.id(), "later");
-    assert!(told.elapsed() >= Duration::from_millis(500), "{:?}", told.elapsed());
+    assert!(responded_at.elapsed() >= Duration::from_millis(500), "{:?}", responded_at.elapsed());
     call.ok();
-    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a message went out after its end");
+    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a message was sent after it had ended");
 }
 
-/// Guards against new work for an endpoint that is known to drain.
+/// Guards against new calls to an endpoint that is known to drain.
 #[tokio::test]
-async fn a_draining_endpoint_gets_nothing_new() {
+async fn a_draining_endpoint_receives_no_new_calls() {
     let (mut old, mut new, platform) =
         (TestServer::start().await, TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", old.address, "single", "SERVING")]).await;
@@ -138,44 +140,47 @@
         endpoint_entry("s-1", old.address, "single", "DRAINING"),
         endpoint_entry("s-2", new.address, "single", "SERVING"),
     ]);
-    // Both changes are one: once the new endpoint is called, the sender knows of the drain.
-    let mut known = false;
+    // One list update carries both changes: once the new endpoint is called, the sender knows of the drain.
+    let mut drain_known = false;
     for n in 0..400 {
         assert_eq!(node.submit(&format!("n{n}"), "unsafe", "").await.status(), 202);
         tokio::select! {
             call = old.next_call() => {
-                assert!(!known, "{} went to a draining endpoint", call.id());
+                assert!(!drain_known, "{} went to a draining endpoint", call.id());
                 call.ok();
             }
             call = new.next_call() => {
                 call.ok();
-                if std::mem::replace(&mut known, true) {
+                if std::mem::replace(&mut drain_known, true) {
                     break;
                 }
             }
         }
     }
-    assert!(known);
+    assert!(drain_known);
     before.ok();
     assert!(old.is_idle_for(Duration::from_millis(100)).await);
 }
 
-/// Guards against letting the next message of a key out before the platform knows that the one before is
-/// over: until then it counts as open.
+/// Guards against sending the next message of a key before the platform has acknowledged the notification of
+/// the failure of the one before.
 #[tokio::test]
-async fn a_key_waits_for_the_notice_of_the_one_before() {
+async fn the_next_message_of_a_key_waits_for_the_acknowledged_notification() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     platform.drops_notifications.store(true, Ordering::SeqCst);
     assert_eq!(node.submit_with_remaining("m1", "ordered", "k", "0.5").await.status(), 202);
     let first = endpoint.next_call().await;
     assert_eq!(node.submit("m2", "ordered", "k").await.status(), 202);
-    // Another key of the same destination shows that the endpoint is not held.
+    // A message of another key is delivered, so the endpoint itself is available.
     assert_eq!(node.submit("other", "ordered", "l").await.status(), 202);
     let other = endpoint.next_call().await;
     assert_eq!(other.id(), "other");
     other.ok();
-    assert!(endpoint.is_idle_for(Duration::from_millis(900)).await, "the key was not kept");
+    assert!(
+        endpoint.is_idle_for(Duration::from_millis(900)).await,
+        "the next message of the key was sent before the acknowledgement"
+    );
     platform.drops_notifications.store(false, Ordering::SeqCst);
     assert_eq!(platform.next_notification().await["id"], "m1");
     let call = endpoint.next_call().await;
@@ -184,11 +189,11 @@
     drop(first);
 }
 
-/// Guards against believing an answer that cannot be read: the message may have run, whatever the spoilt answer
-/// says, so an unsafe one fails, soon, and never goes again.
+/// Guards against acting on a response that cannot be parsed: whatever it says, the message may have run, so
+/// an unsafe one fails at once and is not sent again.
 #[tokio::test]
-async fn a_spoilt_answer_may_have_run() {
-    for spoilt in [
+async fn an_unsafe_message_fails_after_a_malformed_response() {
+    for malformed in [
         "%#! no answer at all\r\n\r\n",
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 5\r\n\r\n",
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3000000000\r\n\r\nand so on",
@@ -199,35 +204,35 @@
         let node =
             Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
         assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-        endpoint.next_call().await.reply(Reply::Response(spoilt.to_owned()));
+        endpoint.next_call().await.reply(Reply::Response(malformed.to_owned()));
         let failed = platform.next_notification().await;
-        assert_eq!(failed, json!({"id": "m1", "state": "failed"}), "{spoilt:?}");
-        // The connection is of no further use.
+        assert_eq!(failed, json!({"id": "m1", "state": "failed"}), "{malformed:?}");
+        // The connection is not used again.
         assert_eq!(node.submit("m2", "keyed", "").await.status(), 202);
         let call = endpoint.next_call().await;
-        assert_eq!((call.id(), call.connection), ("m2", 1), "{spoilt:?}");
+        assert_eq!((call.id(), call.connection), ("m2", 1), "{malformed:?}");
         call.ok();
     }
 }
 
-/// Guards against a false failure, or a second copy: a first line with 200 says that a single message is
-/// delivered, though the rest cannot be read or does not come.
+/// Guards against a failure or a second delivery of a message whose response has the status line 200, but a
+/// rest that is malformed or missing.
 #[tokio::test]
-async fn a_first_line_with_200_is_true() {
+async fn a_status_line_with_200_reports_delivery_despite_a_malformed_rest() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
-    let spoilt = [
+    let malformed = [
         "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\0: ?\r\n\r\n",
         "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Head: without end",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on",
     ];
-    for (n, spoilt) in spoilt.into_iter().enumerate() {
+    for (n, malformed) in malformed.into_iter().enumerate() {
         assert_eq!(node.submit(&format!("m{n}"), "ordered", "k").await.status(), 202);
-        // It comes only when the one before is over; a second copy of that would come first.
+        // It is sent only after the one before has ended; a second copy of that would arrive first.
         let call = endpoint.next_call().await;
         assert_eq!((call.id(), call.connection), (format!("m{n}").as_str(), n));
-        call.reply(Reply::Response(spoilt.to_owned()));
+        call.reply(Reply::Response(malformed.to_owned()));
     }
     assert_eq!(node.submit("last", "ordered", "k").await.status(), 202);
     let call = endpoint.next_call().await;
@@ -238,16 +243,16 @@
     assert_eq!(platform.next_notification().await["id"], "fails");
 }
 
-/// Guards against answers mixed up: what comes right behind an answer is not the answer of the next call.
+/// Guards against taking bytes that follow a response for the response of the next call.
 #[tokio::test]
-async fn bytes_behind_an_answer_answer_nothing() {
+async fn bytes_after_a_response_are_not_the_response_of_the_next_call() {
     let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    for behind in [ok, "noise"] {
+    for trailing in [ok, "noise"] {
         let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
         let node =
             Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
         assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-        endpoint.next_call().await.reply(Reply::Response(format!("{ok}{behind}")));
+        endpoint.next_call().await.reply(Reply::Response(format!("{ok}{trailing}")));
         assert_eq!(node.submit("m2", "unsafe", "").await.status(), 202);
         let call = endpoint.next_call().await;
         assert_eq!((call.id(), call.connection), ("m2", 1));
@@ -256,21 +261,21 @@
     }
 }
 
-/// Guards against calling a new endpoint on a connection to the one that had its address before.
+/// Guards against calling a new endpoint on a connection to an earlier endpoint with the same address.
 #[tokio::test]
-async fn an_address_used_again_gets_a_connection_of_its_own() {
+async fn a_new_endpoint_at_a_reused_address_gets_a_new_connection() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
-    let at = endpoint.address;
-    let node = Node::start(&platform, &[endpoint_entry("s-1", at, "single", "SERVING")]).await;
+    let address = endpoint.address;
+    let node = Node::start(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")]).await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.ok();
     platform.update_endpoints(&[
-        endpoint_entry("s-1", at, "single", "DELETED"),
-        endpoint_entry("s-2", at, "single", "SERVING"),
+        endpoint_entry("s-1", address, "single", "DELETED"),
+        endpoint_entry("s-2", address, "single", "SERVING"),
     ]);
-    // Sooner or later the change is known; until then the old connection is used on.
+    // Until the sender knows of the change, it uses the old connection.
     for n in 0.. {
-        assert!(n < 400, "the old connection was kept");
+        assert!(n < 400, "the old connection is still in use");
         assert_eq!(node.submit(&format!("n{n}"), "unsafe", "").await.status(), 202);
         let call = endpoint.next_call().await;
         let connection = call.connection;
--- a/tests/sockets/clients.rs
+++ b/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! The side of the clients.
+//! Requests of clients: valid, malformed, slow and too many.
 use super::harness::*;
 use serde_json::json;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What the sender says on the connection until it closes it.
-async fn last_words(stream: &mut TcpStream) -> String {
-    let mut said = Vec::new();
-    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut said)).await.expect("a close");
-    String::from_utf8(said).unwrap()
+/// Reads until the sender closes the connection, and returns all of it.
+async fn read_until_close(stream: &mut TcpStream) -> String {
+    let mut received = Vec::new();
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut received)).await.expect("no close in time");
+    String::from_utf8(received).unwrap()
 }
 
-/// Guards against changing what is carried: id, key and body go on as they came.
+/// Guards against changing a message on its way: ID, idempotency key and body are forwarded as received.
 #[tokio::test]
-async fn a_message_goes_on_unchanged() {
+async fn forwards_a_message_unchanged() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     assert_eq!(node.request("GET /-/ready", "", b"").await.status(), 200);
@@ -32,9 +32,9 @@
     call.ok();
 }
 
-/// Guards against a panic, or a promise, on input that cannot be understood.
+/// Guards against a panic on malformed requests, and against accepting them.
 #[tokio::test]
-async fn malformed_requests_are_turned_down_one_by_one() {
+async fn refuses_malformed_requests() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let good = [
@@ -75,54 +75,52 @@
         let response = node.request("POST /api", &with(name, value), b"body").await;
         assert_eq!(response.status(), 400, "{name}: {value:?}");
     }
-    let fine = with("", None);
-    assert_eq!(node.request("POST /api", &fine, &vec![b'x'; 64 * 1024 + 1]).await.status(), 413);
-    assert_eq!(node.request("GET /api", &fine, b"").await.status(), 405);
-    assert_eq!(node.request("POST /nowhere", &fine, b"").await.status(), 404);
+    let valid = with("", None);
+    assert_eq!(node.request("POST /api", &valid, &vec![b'x'; 64 * 1024 + 1]).await.status(), 413);
+    assert_eq!(node.request("GET /api", &valid, b"").await.status(), 405);
+    assert_eq!(node.request("POST /nowhere", &valid, b"").await.status(), 404);
     assert_eq!(node.request("GARBAGE", "", b"").await.status(), 400);
-    assert!(
-        endpoint.is_idle_for(Duration::from_millis(100)).await,
-        "a message that was turned down went out"
-    );
-    assert_eq!(node.request("POST /api", &fine, &vec![b'x'; 64 * 1024]).await.status(), 202);
+    assert!(endpoint.is_idle_for(Duration::from_millis(100)).await, "a refused message was sent");
+    assert_eq!(node.request("POST /api", &valid, &vec![b'x'; 64 * 1024]).await.status(), 202);
     endpoint.next_call().await.ok();
 }
 
-/// Guards against holding more than the settings allow: the door refuses, and opens again once messages end.
+/// Guards against holding more messages than the settings allow: further ones are refused until messages end.
 #[tokio::test]
-async fn a_full_house_refuses_at_the_door() {
+async fn refuses_messages_at_the_limit_and_accepts_them_after_others_end() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
-    // Steps are so far apart that the messages gather before the module looks at them.
-    let few = |config: &mut serde_json::Value| {
+    // With this period the messages collect before the next decision.
+    let small_limit = |config: &mut serde_json::Value| {
         config["settings"]["limits"]["most_held"] = json!(3);
         config["settings"]["period"] = json!(2_000_000);
     };
-    let node = Node::start_with(&platform, &[entry], few).await;
+    let node = Node::start_with(&platform, &[entry], small_limit).await;
     for id in ["m1", "m2", "m3"] {
         assert_eq!(node.submit(id, "unsafe", "").await.status(), 202);
     }
     assert_eq!(node.submit("m4", "unsafe", "").await.status(), 503);
-    // The module sheds one for the next to come; the others are delivered.
+    // One of the held messages is dropped to make room; the others are delivered.
     let delivered = [endpoint.next_call().await, endpoint.next_call().await];
-    assert!(delivered.iter().all(|call| call.id() != "m4"), "a refused message went out");
+    assert!(delivered.iter().all(|call| call.id() != "m4"), "a refused message was sent");
     delivered.into_iter().for_each(Call::ok);
     let mut n = 5;
     while node.submit(&format!("m{n}"), "unsafe", "").await.status() == 503 {
         tokio::time::sleep(Duration::from_millis(50)).await;
         n += 1;
-        assert!(n < 400, "the door stayed shut");
+        assert!(n < 400, "no message was accepted after others had ended");
     }
     endpoint.next_call().await.ok();
 }
 
-/// Guards against a full disk: the sender refuses what the journal cannot hold, and goes on.
+/// Guards against accepting a message that does not fit into the journal, and against a sender that stops
+/// serving then.
 #[tokio::test]
-async fn a_full_disk_refuses() {
+async fn refuses_a_message_that_exceeds_the_disk_limit() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
-    let small = |config: &mut serde_json::Value| config["limits"]["disk_mb"] = json!(0.1);
-    let node = Node::start_with(&platform, &[entry], small).await;
+    let small_disk = |config: &mut serde_json::Value| config["limits"]["disk_mb"] = json!(0.1);
+    let node = Node::start_with(&platform, &[entry], small_disk).await;
     let headers = "X-Txn: big\r\nX-Lane: unsafe\r\nX-Remaining: 30\r\nX-Envelope: dest=7\r\n";
     assert_eq!(node.request("POST /api", headers, &[b'x'; 40_000]).await.status(), 503);
     assert_eq!(node.submit("small", "unsafe", "").await.status(), 202);
@@ -131,14 +129,15 @@
     call.ok();
 }
 
-/// Guards against clients that wait for ever: one that says nothing, a head or a body that does not go on, and
-/// a body far too long each get an error or a close soon, and the last hears the error though it still sends.
+/// Guards against clients that hold a connection forever: one that sends nothing, or an incomplete head or
+/// body, is answered with an error or closed in time. A client that is still sending a body over the limit
+/// receives 413.
 #[tokio::test]
-async fn clients_that_do_not_go_on_are_let_go() {
+async fn closes_stalled_clients_and_refuses_oversized_bodies() {
     let platform = Platform::start().await;
     let node = Node::start(&platform, &[]).await;
     let head = "POST /api HTTP/1.1\r\nHost: a\r\n";
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut waiting = Vec::new();
     for part in ["", head, &format!("{head}Content-Length: 10\r\n\r\nfive!")] {
         let mut stream = TcpStream::connect(node.address).await.unwrap();
@@ -146,31 +145,31 @@
         waiting.push(stream);
     }
     for mut stream in waiting {
-        let said = last_words(&mut stream).await;
-        assert!(said.is_empty() || said.starts_with("HTTP/1.1 4"), "{said}");
+        let received = read_until_close(&mut stream).await;
+        assert!(received.is_empty() || received.starts_with("HTTP/1.1 4"), "{received}");
     }
-    assert!(begun.elapsed() < Duration::from_secs(12), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(12), "{:?}", started.elapsed());
     let long = 60_000_000;
     let (read, mut write) = TcpStream::connect(node.address).await.unwrap().into_split();
     write.write_all(format!("{head}Content-Length: {long}\r\n\r\n").as_bytes()).await.unwrap();
-    let sending = tokio::spawn(async move {
+    let upload = tokio::spawn(async move {
         let part = vec![b'x'; 1 << 20];
         let mut sent = 0;
         while sent < long && write.write_all(&part).await.is_ok() {
             sent += part.len();
         }
     });
-    timeout(TEST_TIMEOUT, sending).await.expect("an end of the sending").unwrap();
+    timeout(TEST_TIMEOUT, upload).await.expect("the upload did not end in time").unwrap();
     let mut stream = read;
-    let mut said = [0; 12];
-    timeout(TEST_TIMEOUT, stream.read_exact(&mut said)).await.expect("an answer").unwrap();
-    assert_eq!(&said, b"HTTP/1.1 413");
+    let mut received = [0; 12];
+    timeout(TEST_TIMEOUT, stream.read_exact(&mut received)).await.expect("no response in time").unwrap();
+    assert_eq!(&received, b"HTTP/1.1 413");
 }
 
-/// Guards against a second request hidden in a body: with a length and a coding, each side may read another
-/// body out of the same bytes. Nothing of it goes on.
+/// Guards against request smuggling: a request with both Content-Length and Transfer-Encoding is refused, and
+/// nothing of it is sent.
 #[tokio::test]
-async fn a_body_of_two_lengths_is_turned_down() {
+async fn refuses_a_body_with_both_a_length_and_a_transfer_encoding() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let fields = |id| {
@@ -186,49 +185,52 @@
         let mut stream = TcpStream::connect(node.address).await.unwrap();
         let request = format!("{}{}\r\n{}\r\n\r\n0\r\n\r\n{hidden}", fields("open"), order[0], order[1]);
         stream.write_all(request.as_bytes()).await.unwrap();
-        let said = last_words(&mut stream).await;
-        assert!(said.starts_with("HTTP/1.1 4") && said.matches("HTTP/1.1").count() == 1, "{said}");
+        let received = read_until_close(&mut stream).await;
+        assert!(
+            received.starts_with("HTTP/1.1 4") && received.matches("HTTP/1.1").count() == 1,
+            "{received}"
+        );
     }
-    assert!(
-        endpoint.is_idle_for(Duration::from_millis(200)).await,
-        "a message that was turned down went out"
-    );
+    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a refused message was sent");
 }
 
-/// Guards against a house full of connections that ask nothing: they make room, and newcomers are served.
+/// Guards against idle connections that use up all sockets: some are closed, and new clients are served.
 #[tokio::test]
-async fn a_house_full_of_silent_clients_serves_newcomers() {
+async fn serves_new_clients_among_many_idle_connections() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
-    let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(128);
-    let node =
-        Node::start_with(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")], few)
-            .await;
-    let mut silent = Vec::new();
+    let small_limit = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(128);
+    let node = Node::start_with(
+        &platform,
+        &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")],
+        small_limit,
+    )
+    .await;
+    let mut idle_clients = Vec::new();
     for n in 0..300 {
-        silent.push(TcpStream::connect(node.address).await.unwrap());
+        idle_clients.push(TcpStream::connect(node.address).await.unwrap());
         if n % 50 == 0 {
             assert_eq!(node.submit(&format!("m{n}"), "keyed", "").await.status(), 202);
             endpoint.next_call().await.ok();
         }
     }
-    assert_eq!(last_words(&mut silent[0]).await, "");
+    assert_eq!(read_until_close(&mut idle_clients[0]).await, "");
 }
 
-/// Guards against taking on what can never be delivered, and against delivering once more what is over: a
-/// destination that nobody lists is refused, and the id of a message that ended is known for a while.
+/// Guards against accepting a message for a destination without listed endpoints, and against delivering a
+/// message again whose ID has ended recently.
 #[tokio::test]
-async fn unknown_destinations_and_known_ids_go_nowhere() {
+async fn refuses_unlisted_destinations_and_does_not_resend_known_ids() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
-    let elsewhere = "X-Txn: m1\r\nX-Lane: unsafe\r\nX-Remaining: 5\r\nX-Envelope: dest=8\r\n";
-    assert_eq!(node.request("POST /api", elsewhere, b"").await.status(), 503);
+    let unlisted = "X-Txn: m1\r\nX-Lane: unsafe\r\nX-Remaining: 5\r\nX-Envelope: dest=8\r\n";
+    assert_eq!(node.request("POST /api", unlisted, b"").await.status(), 503);
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.ok();
-    // The next of a key goes out only when the one before is over; so is the first message by then.
+    // The second message of the key is sent only after the first has ended; m1 has ended by then too.
     for id in ["k1", "k2"] {
         assert_eq!(node.submit(id, "ordered", "k").await.status(), 202);
         endpoint.next_call().await.ok();
     }
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-    assert!(endpoint.is_idle_for(Duration::from_millis(300)).await, "a message went out after its end");
+    assert!(endpoint.is_idle_for(Duration::from_millis(300)).await, "a message was sent after it had ended");
 }
--- a/tests/sockets/connection_races.rs
+++ b/tests/sockets/connection_races.rs
@@ -1,35 +1,35 @@
-//! Connections that end or come up at the wrong instant: to endpoints, and of clients.
+//! Connections to endpoints and of clients that break or are established at an unfavorable instant.
 use super::harness::*;
 use super::raw_connections::*;
 use serde_json::{Value, json};
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// A listener whose queue is full: whoever connects from now on waits until room is made.
-struct Crowded {
+/// A listener with a full backlog: further connections are established only once others have been accepted.
+struct FullBacklog {
     listener: tokio::net::TcpListener,
-    waiting: Vec<tokio::net::TcpStream>,
+    queued: Vec<tokio::net::TcpStream>,
 }
 
-impl Crowded {
+impl FullBacklog {
     async fn start() -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(0).unwrap();
         let address = listener.local_addr().unwrap();
-        let mut waiting = Vec::new();
-        // One more than there is room for does not come up.
+        let mut queued = Vec::new();
+        // Connect until a connection is not established: the backlog is full.
         while let Ok(stream) =
             tokio::time::timeout(Duration::from_millis(200), tokio::net::TcpStream::connect(address)).await
         {
-            waiting.push(stream.unwrap());
+            queued.push(stream.unwrap());
         }
-        Self { listener, waiting }
+        Self { listener, queued }
     }
 
-    /// Lets in all who wait, those that come late too; the first that asks for something is the one.
-    async fn make_room(&mut self) -> (RawConnection, HttpMessage) {
-        self.waiting.clear();
+    /// Accepts connections until one carries a request, and returns both.
+    async fn accept_until_request(&mut self) -> (RawConnection, HttpMessage) {
+        self.queued.clear();
         loop {
             let (stream, _) =
                 tokio::time::timeout(TEST_TIMEOUT, self.listener.accept()).await.unwrap().unwrap();
@@ -41,20 +41,20 @@
     }
 }
 
-/// Guards against a call that is taken for one that never ran although it may have, or the reverse, by where its connection
-/// broke: by the endpoint's close or its reset, before a byte of it was read, in its head, after its last byte, in the
-/// midst of the answer, and after an answer that says that it closes. What is unsafe is sent once in each of these.
+/// Guards against a wrong decision on whether a call may have run, after its endpoint closes or resets the
+/// connection: before it reads a byte, within the head, after the request, within the response, or after a
+/// response with `Connection: close`. An unsafe message is sent exactly once in each case.
 #[tokio::test]
-async fn where_a_connection_breaks_decides_what_may_be_sent_again() {
+async fn an_unsafe_message_is_sent_once_wherever_its_connection_breaks() {
     let (endpoint, mut platform) = (RawServer::start().await, Platform::start().await);
     let node = Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
-    for (n, resets) in (0..10).map(|n| (n / 2, n % 2 == 1)) {
-        let id = format!("m{n}{resets}");
+    for (stage, reset) in (0..10).map(|stage| (stage / 2, stage % 2 == 1)) {
+        let id = format!("m{stage}{reset}");
         assert_eq!(node.submit(&id, "unsafe", "").await.status(), 202);
         let mut connection = endpoint.accept().await;
-        // All of it is on the way before anything breaks: else it may never have been written whole.
+        // Wait until the whole request has arrived: otherwise it may not have been written completely.
         connection.wait_for_unread_request(&id).await;
-        match n {
+        match stage {
             0 => {}
             1 => connection.read_exact(25).await,
             2 => drop(connection.request().await),
@@ -67,80 +67,86 @@
                 connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
             }
         }
-        if resets {
-            // An answer that was sent whole is read before what comes after it.
-            if n == 4 {
+        if reset {
+            // Let the sender read the complete response before the reset.
+            if stage == 4 {
                 connection.wait_for_close().await;
             }
             connection.reset();
         } else {
             drop(connection);
         }
-        // Only a first line with 200 tells that it was delivered, and a reset may take that with it; of all else nobody
-        // knows whether it ran.
-        if n < 3 {
+        // A status line with 200 reports delivery, although a reset may discard it. In the other cases the
+        // message may have run, so it fails.
+        if stage < 3 {
             assert_eq!(
                 platform.next_notification().await,
                 json!({"id": id, "state": "failed"}),
-                "{n}, reset: {resets}"
+                "{stage}, reset: {reset}"
             );
         }
-        node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
-        // In between one is delivered: an endpoint that does nothing but fail is left alone for a while.
+        node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
+        // Deliver a message in between: an endpoint that only fails is not called for a while.
         assert_eq!(node.submit(&format!("good{id}"), "keyed", "").await.status(), 202);
         let mut connection = endpoint.accept().await;
-        assert_eq!(connection.request().await.header("x-txn").unwrap(), format!("good{id}"), "sent again");
+        assert_eq!(
+            connection.request().await.header("x-txn").unwrap(),
+            format!("good{id}"),
+            "the unsafe message was sent again"
+        );
         connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
         connection.wait_for_close().await;
-        node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
+        node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
     }
 }
 
-/// Guards against a connection that comes up after the time that it had, and carries a second copy, or keeps a slot or its
-/// message for good.
+/// Guards against a connection that is established after its timeout and then carries a second copy, or keeps
+/// its slot or its message forever.
 #[tokio::test]
-async fn a_connection_that_comes_up_too_late_carries_nothing() {
-    let (mut late, platform) = (Crowded::start().await, Platform::start().await);
-    let short = |config: &mut Value| {
+async fn a_connection_established_after_its_timeout_carries_no_second_copy() {
+    let (mut full_backlog, platform) = (FullBacklog::start().await, Platform::start().await);
+    let short_timeout = |config: &mut Value| {
         config["settings"]["limits"]["connect_timeout"] = json!(300_000);
         config["settings"]["specifics"]["max_calls"] = json!(2);
     };
-    let address = late.listener.local_addr().unwrap();
+    let address = full_backlog.listener.local_addr().unwrap();
     let node =
-        Node::start_with(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")], short).await;
+        Node::start_with(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")], short_timeout)
+            .await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-    // Given up: the endpoint is out, as nothing came up.
-    node.wait_for_metrics("the time is over", |metrics| metrics["hosts_down"] == 1).await;
-    let (mut connection, request) = late.make_room().await;
-    assert_eq!(request.header("x-txn"), Some("m1"), "the one that came up in time");
+    // The connection timed out, so the endpoint counts as down.
+    node.wait_for_metrics("the endpoint is down", |metrics| metrics["hosts_down"] == 1).await;
+    let (mut connection, request) = full_backlog.accept_until_request().await;
+    assert_eq!(request.header("x-txn"), Some("m1"), "the first request after the backlog was cleared");
     connection.send(OK_RESPONSE).await;
-    node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
+    node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
     assert_eq!(node.submit("m2", "unsafe", "").await.status(), 202);
     let (mut connection, request) = match connection.request_or_close().await {
         Some(request) => (connection, request),
-        None => late.make_room().await,
+        None => full_backlog.accept_until_request().await,
     };
-    assert_eq!(request.header("x-txn"), Some("m2"), "the slot is free, and nothing went out twice");
+    assert_eq!(request.header("x-txn"), Some("m2"), "the slot was not released, or m1 was sent twice");
     connection.send(OK_RESPONSE).await;
-    node.wait_for_metrics("an end", |metrics| metrics["inflight"] == 0).await;
+    node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
 }
 
-/// Guards against clients that go at any instant: before they have sent all, before they hear, right after, all at once; and
-/// against a message that is delivered twice as its client comes again with its id, while it is out, as it ends, over a kill.
+/// Guards against harm from clients that disconnect before they have sent all or before the response, and
+/// against a second delivery when a client repeats a message ID: during the call, as it ends, or after a
+/// kill.
 #[tokio::test]
-async fn clients_that_go_and_come_again_cost_and_double_nothing() {
+async fn disconnecting_and_repeating_clients_cause_no_second_delivery() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
-    let text = RawClient::request_text("gone", "unsafe", "");
-    for cut in [0, 1, 30, text.len() - 1] {
-        for resets in [false, true] {
+    let request = RawClient::request_text("gone", "unsafe", "");
+    for end in [0, 1, 30, request.len() - 1] {
+        for reset in [false, true] {
             let mut client = RawClient::connect(node.address).await;
-            client.send(&text[..cut]).await;
-            if resets { client.reset() } else { drop(client) }
+            client.send(&request[..end]).await;
+            if reset { client.reset() } else { drop(client) }
         }
     }
-    // A burst: whole requests, and nobody who waits for an answer.
+    // A burst of complete requests whose clients do not wait for the responses.
     for n in 0..30 {
         let mut client = RawClient::connect(node.address).await;
         client.send(&RawClient::request_text(&format!("burst{n}"), "keyed", "")).await;
@@ -150,17 +156,17 @@
     assert_eq!(node.submit("twice", "ordered", "k").await.status(), 202);
     let twice = loop {
         let call = endpoint.next_call().await;
-        assert_ne!(call.id(), "gone", "it was never sent whole");
+        assert_ne!(call.id(), "gone", "a message whose request was incomplete");
         if call.id() == "twice" {
             break call;
         }
         call.ok();
     };
-    // While it is out; as it ends, from two sides at once; and to the next process.
+    // Repeat the ID during the call, concurrently with its end, and after a kill.
     assert_eq!(node.submit("twice", "ordered", "k").await.status(), 202);
     let (again, ()) = tokio::join!(node.submit("twice", "ordered", "k"), async { twice.ok() });
     assert_eq!(again.status(), 202);
-    node.wait_for_metrics("all have ended", |metrics| metrics["inflight"] == 0).await;
+    node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
     node.kill();
     node.launch().await;
     assert_eq!(node.submit("twice", "ordered", "k").await.status(), 202);
@@ -172,33 +178,35 @@
         }
         call.ok();
     };
-    assert_eq!(call.id(), "next", "what is over does not go out again");
+    assert_eq!(call.id(), "next", "an ended message was sent again");
     call.ok();
 }
 
-/// Guards against an endpoint that drains, goes or is taken out by hand between the decision and the write, here while its
-/// connection is being made: nothing is written to it any more, no attempt is counted, and another gets the message.
+/// Guards against writing to an endpoint that begins to drain while a connection to it is being established:
+/// no attempt is counted, and another endpoint receives the message.
 #[tokio::test]
-async fn an_endpoint_that_drains_while_its_connection_is_made_gets_nothing() {
-    let (mut late, mut other, platform) =
-        (Crowded::start().await, TestServer::start().await, Platform::start().await);
-    let address = late.listener.local_addr().unwrap();
-    let one = |config: &mut Value| {
+async fn an_endpoint_that_drains_during_the_connect_receives_nothing() {
+    let (mut full_backlog, mut other, platform) =
+        (FullBacklog::start().await, TestServer::start().await, Platform::start().await);
+    let address = full_backlog.listener.local_addr().unwrap();
+    let single_attempt = |config: &mut Value| {
         config["settings"]["limits"]["max_attempts"] = json!(1);
         config["settings"]["limits"]["connect_timeout"] = json!(15_000_000);
     };
-    let node = Node::start_with(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")], one).await;
+    let node =
+        Node::start_with(&platform, &[endpoint_entry("s-1", address, "single", "SERVING")], single_attempt)
+            .await;
     assert_eq!(node.submit("m1", "unsafe", "").await.status(), 202);
-    node.wait_for_metrics("it is taken up", |metrics| metrics["inflight"] == 1).await;
+    node.wait_for_metrics("the message is held", |metrics| metrics["inflight"] == 1).await;
     platform.update_endpoints(&[
         endpoint_entry("s-1", address, "single", "DRAINING"),
         endpoint_entry("s-2", other.address, "single", "SERVING"),
     ]);
-    node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_listed"] == 2).await;
-    let empty = tokio::spawn(async move { late.make_room().await });
+    node.wait_for_metrics("the new list is used", |metrics| metrics["hosts_listed"] == 2).await;
+    let late_request = tokio::spawn(async move { full_backlog.accept_until_request().await });
     let call = other.next_call().await;
-    assert_eq!(call.id(), "m1", "of its one attempt nothing was used up");
+    assert_eq!(call.id(), "m1", "the only attempt was used up by the draining endpoint");
     call.ok();
-    assert!(!empty.is_finished(), "something was written to what drains");
-    empty.abort();
+    assert!(!late_request.is_finished(), "the draining endpoint received a request");
+    late_request.abort();
 }
--- a/tests/sockets/durability.rs
+++ b/tests/sockets/durability.rs
@@ -1,11 +1,11 @@
-//! A journal that outlasts the machine: what waits for its sync, with a real disk.
+//! The setting `outlasts = "machine"`, which syncs each journal record, on a real disk.
 use crate::harness::{Node, Platform, TestServer, endpoint_entry};
 use serde_json::Value;
 
-/// Guards against an answer, a call or a notice that is held for ever, and against a sender that does not end: messages
-/// are delivered, one fails for good, the process is killed and ends in good order, all with each record synced.
+/// Guards against a response, a call, a notification or an exit that waits forever for a sync: messages are
+/// delivered, one fails after a kill, and the process exits after SIGTERM.
 #[tokio::test]
-async fn with_every_record_synced_messages_go_their_way() {
+async fn delivers_and_notifies_and_exits_with_every_record_synced() {
     let (mut platform, mut endpoint) = (Platform::start().await, TestServer::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
@@ -17,15 +17,15 @@
         endpoint.next_call().await.ok();
     }
     node.wait_for_metrics("all are delivered", |f: &Value| f["calls"]["unsafe"]["success"] == 20).await;
-    // What may have run is not sent again by the process after a kill, and its notice comes.
+    // After a kill an unsafe message that may have run is not sent again, and the platform is notified.
     assert_eq!(node.submit("out", "unsafe", "").await.status(), 202);
-    let out = endpoint.next_call().await;
-    assert_eq!(out.id(), "out");
+    let open_call = endpoint.next_call().await;
+    assert_eq!(open_call.id(), "out");
     node.kill();
     node.launch().await;
-    let notice = platform.next_notification().await;
-    assert!(notice.to_string().contains("out"), "{notice}");
-    drop(out);
+    let notification = platform.next_notification().await;
+    assert!(notification.to_string().contains("out"), "{notification}");
+    drop(open_call);
     node.terminate();
     assert!(node.exits_successfully().await);
 }
--- a/tests/sockets/notifications.rs
+++ b/tests/sockets/notifications.rs
@@ -1,51 +1,51 @@
-//! Notices that the platform turns away.
+//! Notifications that the platform rejects.
 use super::harness::*;
 use std::time::Duration;
 
-/// Guards against ends that are told to nobody as long as there is one that the platform cannot read: those beside it are
-/// acknowledged, it goes again by itself, and is acknowledged once the platform can.
+/// Guards against a notification that the platform rejects holding up the others: they are acknowledged, and
+/// the rejected one is sent again on its own until it is acknowledged.
 #[tokio::test]
-async fn a_notice_that_cannot_be_read_holds_up_no_others() {
-    let (endpoint, mut agent) = (TestServer::start().await, TestServer::start().await);
-    let platform = Platform::served_by_test(agent.address);
+async fn a_rejected_notification_does_not_delay_the_others() {
+    let (endpoint, mut platform_server) = (TestServer::start().await, TestServer::start().await);
+    let platform = Platform::served_by_test(platform_server.address);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "DRAINING")]).await;
-    let watch = agent.next_call().await;
-    // Nobody takes them: they end together, as their time is up.
+    let watch = platform_server.next_call().await;
+    // No endpoint is in service, so all messages expire together.
     let ids = ["m0", "m1", "m2", "m3", "m4"];
     for id in ids {
         assert_eq!(node.submit_with_remaining(id, "unsafe", "", "1.0").await.status(), 202);
     }
-    let (mut told, mut alone, mut others, mut calls) = (Vec::new(), 0, Vec::new(), 0);
-    while told.len() < ids.len() {
+    let (mut acknowledged, mut sent_alone, mut others, mut calls) = (Vec::new(), 0, Vec::new(), 0);
+    while acknowledged.len() < ids.len() {
         calls += 1;
-        assert!(calls < 50, "{told:?} are acknowledged, m1 came {alone} times alone");
-        let call = agent.next_call().await;
+        assert!(calls < 50, "acknowledged: {acknowledged:?}; m1 was sent alone {sent_alone} times");
+        let call = platform_server.next_call().await;
         if !call.request.start_line.starts_with("POST /v1/notices") {
             others.push(call);
             continue;
         }
         let lines = call.request.body.split(|b| *b == b'\n').filter(|line| !line.is_empty());
-        let named: Vec<String> = lines
+        let ids_in_body: Vec<String> = lines
             .map(|line| {
                 serde_json::from_slice::<serde_json::Value>(line).unwrap()["id"].as_str().unwrap().into()
             })
             .collect();
-        alone += u32::from(named == ["m1"]);
-        // It can be read once the others are through, and it has come alone twice.
-        if named.contains(&"m1".to_owned()) && (told.len() < ids.len() - 1 || alone < 2) {
+        sent_alone += u32::from(ids_in_body == ["m1"]);
+        // Accept m1 once the others are acknowledged and m1 has been sent alone twice.
+        if ids_in_body.contains(&"m1".to_owned()) && (acknowledged.len() < ids.len() - 1 || sent_alone < 2) {
             call.reply(response("400 Bad Request", "", ""));
         } else {
-            told.extend(named);
+            acknowledged.extend(ids_in_body);
             call.reply(response("204 No Content", "", ""));
         }
     }
-    told.sort();
-    assert_eq!(told, ids, "each once");
-    assert!(alone >= 2, "{alone}");
-    // Nothing is owed any more: it ends by itself, long before it would be killed.
+    acknowledged.sort();
+    assert_eq!(acknowledged, ids, "each message is acknowledged once");
+    assert!(sent_alone >= 2, "{sent_alone}");
+    // No notification is left, so the process exits long before the platform would kill it.
     drop((watch, others));
     node.terminate();
     let ended = tokio::time::timeout(Duration::from_millis(3_000), node.exits_successfully()).await;
-    assert!(ended.expect("an end with nothing owed"));
+    assert!(ended.expect("the process did not exit in time"));
 }
--- a/tests/sockets/random_scenarios.rs
+++ b/tests/sockets/random_scenarios.rs
@@ -75,12 +75,12 @@
         let id = request.header("x-txn").expect("a call carries no X-Txn").to_owned();
         let call = scenario.checker.borrow_mut().record_call(&id, name, &stream);
         scenario.activity.notify_waiters();
-        let behaviour = if scenario.fault_free.get() { 0 } else { scenario.random.below(16) };
+        let behavior = if scenario.fault_free.get() { 0 } else { scenario.random.below(16) };
         let record = |outcome: CallOutcome| scenario.checker.borrow_mut().record_outcome(call, &id, outcome);
         let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-        match behaviour {
+        match behavior {
             0..8 => {
-                if behaviour > 4 {
+                if behavior > 4 {
                     let delay = sleep(Duration::from_millis(u64::from(scenario.random.below(300))));
                     let mut byte = [0; 1];
                     tokio::select! {
