--- a/tests/sockets/recovery.rs
+++ b/tests/sockets/recovery.rs
@@ -1,13 +1,15 @@
-//! After the machine began anew: what becomes of what is owed, the stages at the door, newcomers that are turned away.
+//! Recovery after a reboot of the machine: held messages, the stages at the admin endpoint, and the admission
+//! of new messages.
 use crate::harness::{Node, Platform, TestServer, endpoint_entry, response};
 use std::process::Command;
 
-/// Lets the process's machine be on that run of it.
-fn boot(node: &Node, run: u8) {
-    std::fs::write(node.state_path("boot_id"), format!("{run:032x}\n")).unwrap();
+/// Sets the boot ID that the sender reads: another number stands for a reboot of the machine.
+fn set_boot_id(node: &Node, boot: u8) {
+    std::fs::write(node.state_path("boot_id"), format!("{boot:032x}\n")).unwrap();
 }
 
-fn file(node: &Node, outlasts: &str, rest: &str) -> String {
+/// Returns an operator's file that reads the boot ID from the state folder.
+fn operator_file(node: &Node, outlasts: &str, rest: &str) -> String {
     let boot_id = node.state_path("boot_id");
     format!(
         "[durability]\noutlasts = \"{outlasts}\"\n[recovery]\nboot_id = {:?}\n{rest}",
@@ -15,101 +17,108 @@
     )
 }
 
-/// A node on the first run of its machine, its platform and its only endpoint; all of it serves.
-async fn started(outlasts: &str, rest: &str) -> (Platform, TestServer, Node) {
+/// Starts a node on the first boot of its machine, with its platform and its only endpoint.
+async fn start_on_first_boot(outlasts: &str, rest: &str) -> (Platform, TestServer, Node) {
     let (platform, endpoint) = (Platform::start().await, TestServer::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     node.kill();
-    boot(&node, 1);
-    node.write_operator_file(&file(&node, outlasts, rest));
+    set_boot_id(&node, 1);
+    node.write_operator_file(&operator_file(&node, outlasts, rest));
     node.launch().await;
     (platform, endpoint, node)
 }
 
-/// Waits until clients may come.
-async fn open(node: &Node) {
+/// Waits until the sender is ready for clients.
+async fn wait_until_ready(node: &Node) {
     while node.admin_request("GET /status", "").await.status() != 200 {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
 }
 
-/// Guards against sending again what may have run before a loss of power, against taking a mere crash for one, and against a
-/// door and a command that do not tell which it was.
+/// Guards against sending an unsafe message again after a reboot, against taking a crash of the process for a
+/// reboot, and against an admin endpoint and a command that do not show the difference.
 #[tokio::test]
-async fn a_crash_is_told_from_a_loss_of_power() {
-    let (mut platform, mut endpoint, mut node) =
-        started("process", "clock = \"vouched\"\nlist_for = \"100 ms\"\nfull_after = \"100 ms\"\n").await;
-    let told = node.admin_request("GET /status/recovery", "").await.json();
-    assert_eq!(told["trust"]["machine"], "unknown", "{told}");
-    // Refused by the partner: it has not run, and waits for its next attempt.
+async fn distinguishes_a_crash_of_the_process_from_a_reboot() {
+    let (mut platform, mut endpoint, mut node) = start_on_first_boot(
+        "process",
+        "clock = \"vouched\"\nlist_for = \"100 ms\"\nfull_after = \"100 ms\"\n",
+    )
+    .await;
+    let status = node.admin_request("GET /status/recovery", "").await.json();
+    assert_eq!(status["trust"]["machine"], "unknown", "{status}");
+    // The endpoint refuses the message: it has not run, and waits for its next attempt.
     assert_eq!(node.submit("waits", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.reply(response("429 Too Many Requests", "Retry-After: 30\r\n", ""));
     node.kill();
     node.launch().await;
-    let told = node.admin_request("GET /status/recovery", "").await.json();
-    let is =
-        [&told["trust"]["machine"], &told["trust"]["journal"], &told["stage"]].map(|is| is.as_str().unwrap());
-    assert_eq!(is, ["same", "binds", "full"], "{told}");
+    let status = node.admin_request("GET /status/recovery", "").await.json();
+    let states = [&status["trust"]["machine"], &status["trust"]["journal"], &status["stage"]]
+        .map(|state| state.as_str().unwrap());
+    assert_eq!(states, ["same", "binds", "full"], "{status}");
     node.kill();
-    boot(&node, 2);
+    set_boot_id(&node, 2);
     node.launch().await;
-    // The journal may have lost the attempt that ran: nobody but a person can say.
-    let notice = platform.next_notification().await.to_string();
-    assert!(notice.contains("waits"), "{notice}");
-    let told = node.admin_request("GET /status/recovery", "").await.json();
+    // The journal may have lost a later attempt that ran, so the unsafe message fails.
+    let notification = platform.next_notification().await.to_string();
+    assert!(notification.contains("waits"), "{notification}");
+    let status = node.admin_request("GET /status/recovery", "").await.json();
     assert_eq!(
-        (&told["trust"]["machine"], &told["trust"]["journal"]),
+        (&status["trust"]["machine"], &status["trust"]["journal"]),
         (&"another".into(), &"hint".into()),
-        "{told}"
+        "{status}"
     );
-    open(&node).await;
-    let told = node.admin_request("GET /status/recovery", "").await.json();
-    assert!(told["steps"].as_array().unwrap().len() >= 3, "{told}");
-    let door = node.admin_address.to_string();
-    let shown =
-        Command::new(env!("CARGO_BIN_EXE_micadrum")).args(["recovery", "--door", &door]).output().unwrap();
-    let shown = String::from_utf8_lossy(&shown.stdout).into_owned();
-    assert!(shown.contains("began anew") && shown.contains("not written to outlast"), "{shown}");
+    wait_until_ready(&node).await;
+    let status = node.admin_request("GET /status/recovery", "").await.json();
+    assert!(status["steps"].as_array().unwrap().len() >= 3, "{status}");
+    let admin_address = node.admin_address.to_string();
+    let output = Command::new(env!("CARGO_BIN_EXE_micadrum"))
+        .args(["recovery", "--door", &admin_address])
+        .output()
+        .unwrap();
+    let output = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.contains("began anew") && output.contains("not written to outlast"), "{output}");
     node.terminate();
     assert!(node.exits_successfully().await);
 }
 
-/// Guards against a journal of another sender that is sent from, or thrown away.
+/// Guards against sending messages from the journal of another sender, and against deleting it.
 #[tokio::test]
 async fn the_journal_of_another_sender_is_set_aside() {
-    let (_platform, mut endpoint, mut node) = started("machine", "").await;
+    let (_platform, mut endpoint, mut node) = start_on_first_boot("machine", "").await;
     assert_eq!(node.submit("theirs", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.reply(response("429 Too Many Requests", "Retry-After: 1\r\n", ""));
     node.kill();
     node.edit_config(|config| config["name"] = "n7".into());
     node.launch().await;
-    let told = node.admin_request("GET /status/recovery", "").await.json();
-    assert_eq!(told["trust"]["findings"][0]["foreign"], "n1", "{told}");
+    let status = node.admin_request("GET /status/recovery", "").await.json();
+    assert_eq!(status["trust"]["findings"][0]["foreign"], "n1", "{status}");
     assert!(node.state_folder().join("messages.wal.foreign").exists());
-    open(&node).await;
+    wait_until_ready(&node).await;
     assert_eq!(node.submit("ours", "unsafe", "").await.status(), 202);
     let call = endpoint.next_call().await;
     assert_eq!(call.id(), "ours");
     call.ok();
-    node.wait_for_metrics("ours is delivered, theirs is not", |f| f["calls"]["unsafe"]["success"] == 1).await;
+    node.wait_for_metrics("only the new message is delivered", |f| f["calls"]["unsafe"]["success"] == 1)
+        .await;
     assert!(endpoint.is_idle_for(std::time::Duration::from_millis(1500)).await);
     node.terminate();
     assert!(node.exits_successfully().await);
 }
 
-/// Guards against newcomers that all come in at once after a loss of power, or are turned away without being told when to
-/// come again.
+/// Guards against admitting all new messages at once after a reboot, and against refusing them without
+/// `Retry-After`.
 #[tokio::test]
-async fn newcomers_come_in_at_a_rate() {
+async fn limits_the_rate_of_new_messages_after_a_reboot() {
     let (_platform, mut endpoint, mut node) =
-        started("machine", "list_for = \"100 ms\"\nnewcomers = \"1/s\"\nfull_after = \"60 s\"\n").await;
+        start_on_first_boot("machine", "list_for = \"100 ms\"\nnewcomers = \"1/s\"\nfull_after = \"60 s\"\n")
+            .await;
     assert_eq!(node.submit("before", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.ok();
     node.kill();
-    boot(&node, 2);
+    set_boot_id(&node, 2);
     node.launch().await;
-    open(&node).await;
+    wait_until_ready(&node).await;
     assert_eq!(node.submit("first", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.ok();
     let second = node.submit("second", "unsafe", "").await;
--- a/tests/sockets/startup.rs
+++ b/tests/sockets/startup.rs
@@ -1,21 +1,26 @@
-//! What a process finds in its folder: what was taken on and not tried is tried, whatever the settings have become.
+//! Starts with an existing state folder: accepted messages are tried, even under changed settings.
 use super::harness::*;
 use super::raw_connections::*;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Hands in `ids` while their only endpoint is told to be draining, so that none of them is tried, and kills the process.
-async fn untried(node: &mut Node, platform: &Platform, endpoint: &TestServer, messages: &[(&str, &str)]) {
+/// Submits `messages` while their only endpoint drains, so that none of them is tried, and kills the process.
+async fn kill_with_untried_messages(
+    node: &mut Node,
+    platform: &Platform,
+    endpoint: &TestServer,
+    messages: &[(&str, &str)],
+) {
     platform.update_endpoints(&[endpoint_entry("s-1", endpoint.address, "batching", "DRAINING")]);
-    node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_down"] == 1).await;
+    node.wait_for_metrics("the drain is known", |metrics| metrics["hosts_down"] == 1).await;
     for (id, class) in messages {
         assert_eq!(node.submit(id, class, "k").await.status(), 202, "{id}");
     }
     node.kill();
 }
 
-/// The ids of a call, with one message or several.
+/// Returns the IDs of the messages in a call, which may be a batch.
 pub fn ids(call: &Call) -> Vec<String> {
     match call.request.header("x-txn") {
         Some(id) => vec![id.to_owned()],
@@ -26,20 +31,21 @@
     }
 }
 
-/// Answers a call such that all of its messages are delivered.
+/// Responds that all messages of a call are delivered, and returns their IDs.
 pub fn deliver(call: Call) -> Vec<String> {
     let ids = ids(&call);
     match call.request.header("x-txn") {
         Some(_) => call.ok(),
         None => {
-            let ends: Vec<Value> = ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
-            call.reply(response("200 OK", "", &json!(ends).to_string()));
+            let results: Vec<Value> = ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
+            call.reply(response("200 OK", "", &json!(results).to_string()));
         }
     }
     ids
 }
 
-async fn delivered(endpoint: &mut TestServer, count: usize) -> Vec<String> {
+/// Delivers at least `count` messages, and returns their IDs in the order of arrival.
+async fn deliver_messages(endpoint: &mut TestServer, count: usize) -> Vec<String> {
     let mut delivered = Vec::new();
     while delivered.len() < count {
         delivered.extend(deliver(endpoint.next_call().await));
@@ -47,16 +53,16 @@
     delivered
 }
 
-/// Guards against a process that ends without a call what an earlier one took on under other settings: a class that they
-/// name no more, one that now wants a key that the message does not have, a tenant that has gone, classes in another order,
-/// and far less room than what is owed takes.
+/// Guards against failing messages without an attempt because the settings have changed since their
+/// acceptance: removed or reordered classes, a class that now requires an idempotency key, a removed tenant,
+/// or a lower limit of held messages.
 #[tokio::test]
-async fn other_settings_cost_no_message_its_try() {
+async fn tries_all_accepted_messages_after_a_change_of_the_settings() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "batching", "SERVING")]).await;
     platform.update_endpoints(&[endpoint_entry("s-1", endpoint.address, "batching", "DRAINING")]);
-    node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_down"] == 1).await;
+    node.wait_for_metrics("the drain is known", |metrics| metrics["hosts_down"] == 1).await;
     let mut expected = BTreeSet::new();
     for n in 0..12 {
         let (id, class) = (format!("m{n}"), ["unsafe", "keyed", "ordered"][n % 3]);
@@ -70,7 +76,7 @@
     node.kill();
     node.edit_config(|config| {
         let lanes = config["settings"]["lanes"].as_array_mut().unwrap();
-        // What was unsafe is keyed now, what was ordered has gone, and their order is another.
+        // Make the class unsafe a keyed one, remove the class ordered, and reverse the order.
         lanes[0]["repeat"] = json!("dedup");
         lanes[2]["name"] = json!("other");
         lanes.reverse();
@@ -79,57 +85,60 @@
     });
     platform.update_endpoints(&[endpoint_entry("s-1", endpoint.address, "batching", "SERVING")]);
     node.launch().await;
-    let came: BTreeSet<String> = delivered(&mut endpoint, expected.len()).await.into_iter().collect();
-    assert_eq!(came, expected);
-    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a message went out after its end");
+    let delivered_ids: BTreeSet<String> =
+        deliver_messages(&mut endpoint, expected.len()).await.into_iter().collect();
+    assert_eq!(delivered_ids, expected);
+    assert!(endpoint.is_idle_for(Duration::from_millis(200)).await, "a message was sent after it had ended");
 }
 
-/// Guards against giving up what is untried as nothing at all is known of its class: it is tried once, and a try that may
-/// have run is its last.
+/// Guards against failing an untried message of an unknown class: it is tried once, and not again if that
+/// attempt may have run.
 #[tokio::test]
-async fn a_class_of_which_nothing_is_known_is_tried_once() {
+async fn tries_messages_of_an_unknown_class_once() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "batching", "SERVING")]).await;
-    untried(&mut node, &platform, &endpoint, &[("a", "keyed"), ("b", "keyed")]).await;
-    for damaged in [b"{".as_slice(), b"[]"] {
-        std::fs::write(node.state_path("classes.json"), damaged).unwrap();
+    kill_with_untried_messages(&mut node, &platform, &endpoint, &[("a", "keyed"), ("b", "keyed")]).await;
+    for corrupted in [b"{".as_slice(), b"[]"] {
+        std::fs::write(node.state_path("classes.json"), corrupted).unwrap();
     }
     node.edit_config(|config| config["settings"]["lanes"][1]["name"] = json!("another"));
     platform.update_endpoints(&[endpoint_entry("s-1", endpoint.address, "batching", "SERVING")]);
     node.launch().await;
-    // In the order of their key, which nobody knows to be without meaning.
+    // Messages of one key are sent in order, as the class might be an ordered one.
     let first = endpoint.next_call().await;
     assert_eq!(ids(&first), ["a"]);
     first.reply(response("500 Internal Server Error", "", ""));
     assert_eq!(platform.next_notification().await, json!({"id": "a", "state": "failed"}));
-    assert_eq!(delivered(&mut endpoint, 1).await, ["b"]);
-    assert_eq!(node.submit("c", "keyed", "").await.status(), 400, "newcomers go by the settings");
+    assert_eq!(deliver_messages(&mut endpoint, 1).await, ["b"]);
+    assert_eq!(
+        node.submit("c", "keyed", "").await.status(),
+        400,
+        "new messages of the unknown class must be refused"
+    );
 }
 
-/// Guards against a message that has had all its attempts when its process is killed, and hears of its end only when its
-/// time is up.
+/// Guards against a message that used its last attempt before a kill and then ends only at its deadline.
 #[tokio::test]
-async fn what_has_had_all_its_attempts_ends_at_once() {
+async fn a_message_without_attempts_left_ends_at_once_after_a_kill() {
     let (mut endpoint, mut platform) = (TestServer::start().await, Platform::start().await);
-    let one = |config: &mut Value| config["settings"]["limits"]["max_attempts"] = json!(1);
+    let single_attempt = |config: &mut Value| config["settings"]["limits"]["max_attempts"] = json!(1);
     let entry = endpoint_entry("s-1", endpoint.address, "single", "SERVING");
-    let mut node = Node::start_with(&platform, &[entry], one).await;
+    let mut node = Node::start_with(&platform, &[entry], single_attempt).await;
     assert_eq!(node.submit("spent", "keyed", "").await.status(), 202);
-    let out = endpoint.next_call().await;
+    let open_call = endpoint.next_call().await;
     node.kill();
-    drop(out);
+    drop(open_call);
     node.launch().await;
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     assert_eq!(platform.next_notification().await["id"], json!("spent"));
-    assert!(begun.elapsed() < Duration::from_secs(5), "{:?} of 30 s", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(5), "ended only after {:?}", started.elapsed());
     assert!(endpoint.is_idle_for(Duration::from_millis(50)).await);
 }
 
-/// Guards against a start that a folder with anything at all in it stops, and against one that says nothing of what it
-/// dropped.
+/// Guards against a start that fails because the journal cannot be opened, and against discarding it.
 #[tokio::test]
-async fn a_journal_that_cannot_be_read_is_put_aside() {
+async fn sets_an_unreadable_journal_aside() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
@@ -142,22 +151,22 @@
     assert!(node.state_path("messages.wal.unreadable").is_dir());
 }
 
-/// Guards against losing or doubling what is on its way at any instant of a kill: of 50 processes that are killed with
-/// messages taken on, untried, out, answered or just ended, each message ends once, and all that were untried are tried.
+/// Guards against losing or duplicating messages at a kill: 50 processes are killed with messages that are
+/// untried, in flight or partly answered. Each message ends once, and all untried ones are tried.
 #[tokio::test]
-async fn fifty_kills_leave_nothing_untried() {
+async fn tries_all_untried_messages_after_each_of_fifty_kills() {
     let (endpoint, mut platform) = (RawServer::start().await, Platform::start().await);
     let mut node =
         Node::start(&platform, &[endpoint_entry("s-1", endpoint.address, "single", "SERVING")]).await;
     let (mut untried, mut tried, mut failed) = (0, 0, 0);
     for n in 0..50 {
         let id = |what: &str| format!("{what}{n}");
-        // The first is out when the others come, and all are of one key: these are untried whatever happens.
+        // The first message is in flight when the others of its key are submitted, so these stay untried.
         let class = if n % 2 == 0 { "ordered" } else { "unsafe" };
         assert_eq!(node.submit(&id("out"), class, "k").await.status(), 202);
         let mut connection = endpoint.accept().await;
         let request = match n % 5 {
-            // Connected, half of its head read, whole, or half answered.
+            // Kill it after the connect, within the request head, after the request, or within the response.
             0 => None,
             1 => {
                 connection.read_exact(30).await;
@@ -186,29 +195,29 @@
         connection.reset();
         drop(request);
         node.launch().await;
-        let mut owed: BTreeSet<String> = waiting.iter().cloned().collect();
+        let mut expected: BTreeSet<String> = waiting.iter().cloned().collect();
         if ordered {
-            owed.insert(id("out"));
+            expected.insert(id("out"));
         } else {
-            // Whatever came of it, it may have run.
+            // The unsafe message may have run, so it fails.
             assert_eq!(platform.next_notification().await, json!({"id": id("out"), "state": "failed"}));
             failed += 1;
         }
-        if owed.is_empty() {
+        if expected.is_empty() {
             continue;
         }
-        // All of one key: one after the other, on one connection.
+        // Messages of one key are sent one after the other on one connection.
         let mut connection = endpoint.accept().await;
-        while !owed.is_empty() {
+        while !expected.is_empty() {
             let request = connection.request().await;
             let id = request.header("x-txn").unwrap().to_owned();
-            assert!(owed.remove(&id), "{id} came twice, or was never handed in");
+            assert!(expected.remove(&id), "{id} was sent twice, or was never submitted");
             tried += usize::from(id.starts_with("wait"));
             connection.send(OK_RESPONSE).await;
         }
     }
     println!(
-        "untried at a kill: {untried}, tried afterwards: {tried}; failed as they may have run: {failed}"
+        "untried at a kill: {untried}, tried afterwards: {tried}, failed because they may have run: {failed}"
     );
     assert_eq!(untried, tried);
 }
--- a/tests/sockets/watch.rs
+++ b/tests/sockets/watch.rs
@@ -1,10 +1,11 @@
-//! How discovery is asked: what is known already, what is not, and when again.
+//! Watches of the endpoint list: the revision that they start from, their timeouts, and malformed lists.
 use super::harness::{Call, Node, Platform, TestServer, endpoint_entry, response};
 use super::raw_connections::RawServer;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-fn list(revision: u64, complete: bool, entries: &[Value]) -> super::harness::Reply {
+/// Returns a response to a watch.
+fn list_response(revision: u64, complete: bool, entries: &[Value]) -> super::harness::Reply {
     response(
         "200 OK",
         "",
@@ -12,40 +13,40 @@
     )
 }
 
-/// Guards against a fleet that asks for the whole list at every start, and against an agent that counts anew, to whom
-/// nothing would ever be newer than what was known.
+/// Guards against requesting the complete list at every start, and against a watch that waits forever at
+/// discovery whose revisions have started over.
 #[tokio::test]
-async fn the_watch_begins_where_the_list_is_known_and_not_behind_an_agent_that_counts_anew() {
-    let (mut agent, mut endpoint, mut other) =
+async fn watches_from_the_known_revision_and_requests_a_complete_list_after_a_reset() {
+    let (mut discovery, mut endpoint, mut other) =
         (TestServer::start().await, TestServer::start().await, TestServer::start().await);
     let known = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
-    let platform = Platform::served_by_test(agent.address);
+    let platform = Platform::served_by_test(discovery.address);
     let node = Node::start_with(&platform, &known, |config| config["known"]["revision"] = json!(41)).await;
-    let call = agent.next_call().await;
+    let call = discovery.next_call().await;
     assert!(call.request.start_line.contains("from=41&"), "{}", call.request.start_line);
     assert_eq!(node.submit("m1", "keyed", "").await.status(), 202);
     endpoint.next_call().await.ok();
-    call.reply(list(3, false, &[]));
-    let call = agent.next_call().await;
+    call.reply(list_response(3, false, &[]));
+    let call = discovery.next_call().await;
     assert!(!call.request.start_line.contains("from="), "{}", call.request.start_line);
-    call.reply(list(3, true, &[endpoint_entry("s-2", other.address, "single", "SERVING")]));
-    let call = agent.next_call().await;
+    call.reply(list_response(3, true, &[endpoint_entry("s-2", other.address, "single", "SERVING")]));
+    let call = discovery.next_call().await;
     assert!(call.request.start_line.contains("from=3&"), "{}", call.request.start_line);
     assert_eq!(node.submit("m2", "keyed", "").await.status(), 202);
     other.next_call().await.ok();
 }
 
-/// Guards against a new agent that is asked to go on from the old one's revision, where it is told of in the pause after
-/// the old one had turned the sender away.
+/// Guards against sending the old revision to a new address of discovery, if the reload comes during the
+/// backoff after the old one has refused the watch.
 #[tokio::test]
-async fn an_agent_that_moves_while_the_old_one_is_in_vain_is_asked_for_all() {
+async fn requests_the_complete_list_after_a_reload_during_a_backoff() {
     let (mut old, mut new, endpoint) =
         (TestServer::start().await, TestServer::start().await, TestServer::start().await);
     let known = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
-    // Of a large fleet, so that the pause is long.
+    // In a large fleet the backoff is long.
     let platform = Platform::served_by_test(old.address);
-    let large = |config: &mut Value| config["settings"]["fleet_size"] = json!(40);
-    let mut node = Node::start_with(&platform, &known, large).await;
+    let large_fleet = |config: &mut Value| config["settings"]["fleet_size"] = json!(40);
+    let mut node = Node::start_with(&platform, &known, large_fleet).await;
     old.next_call().await.reply(response("503 Service Unavailable", "", ""));
     node.reload(&Platform::served_by_test(new.address));
     loop {
@@ -59,67 +60,73 @@
     }
 }
 
-/// The next call of the watch, past any that asks for what is there now and is given up soon.
-async fn regular(agent: &mut TestServer) -> Call {
+/// Returns the next watch with the regular hold time. Answers others, which have a short one, with an empty
+/// list.
+async fn next_regular_watch(discovery: &mut TestServer) -> Call {
     loop {
-        let call = agent.next_call().await;
+        let call = discovery.next_call().await;
         if call.request.start_line.contains("hold_ms=5000") {
             return call;
         }
-        call.reply(list(1, false, &[]));
+        call.reply(list_response(1, false, &[]));
     }
 }
 
-/// Guards against a list that is heard later than what the agent has counts as told: silent from the first second, it is
-/// asked again at once, and again, and what it says when it is back is heard within the grace.
+/// Guards against learning of a list change too late after an outage of discovery since the start: watches
+/// are repeated, so that the first response is processed within the grace period of 1 s.
 #[tokio::test]
-async fn an_agent_that_is_silent_from_the_first_second_is_heard_within_the_grace_of_its_return() {
-    let (mut agent, endpoint) = (TestServer::start().await, TestServer::start().await);
+async fn applies_a_change_within_the_grace_after_an_initial_outage_of_discovery() {
+    let (mut discovery, endpoint) = (TestServer::start().await, TestServer::start().await);
     let known = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
-    let node = Node::start(&Platform::served_by_test(agent.address), &known).await;
-    // It takes calls and says nothing.
-    let begun = Instant::now();
-    let mut silent = Vec::new();
-    while begun.elapsed() < Duration::from_secs(2) {
-        silent.push(agent.next_call().await);
+    let node = Node::start(&Platform::served_by_test(discovery.address), &known).await;
+    // Discovery accepts watches and does not respond.
+    let started = Instant::now();
+    let mut unanswered = Vec::new();
+    while started.elapsed() < Duration::from_secs(2) {
+        unanswered.push(discovery.next_call().await);
     }
-    let back = Instant::now();
-    let call = agent.next_call().await;
-    call.reply(list(2, false, &[endpoint_entry("s-1", endpoint.address, "single", "DRAINING")]));
-    node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_down"] == 1).await;
-    assert!(back.elapsed() < Duration::from_secs(1), "{:?}: the grace is 1 s", back.elapsed());
+    let resumed_at = Instant::now();
+    let call = discovery.next_call().await;
+    call.reply(list_response(2, false, &[endpoint_entry("s-1", endpoint.address, "single", "DRAINING")]));
+    node.wait_for_metrics("the drain is known", |metrics| metrics["hosts_down"] == 1).await;
+    assert!(
+        resumed_at.elapsed() < Duration::from_secs(1),
+        "the change was applied after {:?}; the grace period is 1 s",
+        resumed_at.elapsed()
+    );
 }
 
-/// Guards against a watch that falls silent, and whose list is heard only after it counts as told, 7 s after its call: with
-/// no answer at all, after half of a list, or with one that comes a byte at a time.
+/// Guards against a stalled watch that delays a list change beyond its deadline, 7 s after the watch: without
+/// a response, with half of one, or with one that arrives a byte at a time.
 #[tokio::test]
-async fn what_a_silent_watch_misses_is_heard_before_it_counts_as_told() {
+async fn replaces_a_stalled_watch_before_the_deadline_of_a_change() {
     let endpoint = TestServer::start().await;
     let known = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
     let change = json!({"revision": 2, "complete": false,
         "members": [endpoint_entry("s-1", endpoint.address, "single", "DRAINING")]});
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{change}", change.to_string().len());
+    let complete_response =
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{change}", change.to_string().len());
     let empty = json!({"revision": 1, "complete": false, "members": []}).to_string();
     let empty = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{empty}", empty.len());
-    let one = async |how: usize| {
-        let agent = RawServer::start().await;
-        let node = Node::start(&Platform::served_by_test(agent.address), &known).await;
-        let mut connection = agent.accept().await;
+    let check = async |behavior: usize| {
+        let discovery = RawServer::start().await;
+        let node = Node::start(&Platform::served_by_test(discovery.address), &known).await;
+        let mut connection = discovery.accept().await;
         loop {
             if connection.request().await.start_line.contains("hold_ms=5000") {
                 break;
             }
             connection.send(&empty).await;
         }
-        let asked = Instant::now();
-        match how {
+        let requested_at = Instant::now();
+        match behavior {
             0 => connection.wait_for_close().await,
             1 => {
-                connection.send(&whole[..whole.len() / 2]).await;
+                connection.send(&complete_response[..complete_response.len() / 2]).await;
                 connection.wait_for_close().await;
             }
             _ => {
-                let mut bytes = whole.chars();
+                let mut bytes = complete_response.chars();
                 while let Some(byte) = bytes.next()
                     && connection.is_idle_for(Duration::from_millis(200)).await
                 {
@@ -127,39 +134,39 @@
                 }
             }
         }
-        let mut connection = agent.accept().await;
+        let mut connection = discovery.accept().await;
         assert!(connection.request().await.start_line.contains("from=1&"));
-        connection.send(&whole).await;
-        node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_down"] == 1).await;
-        assert!(asked.elapsed() < Duration::from_secs(7), "{how}: {:?}", asked.elapsed());
+        connection.send(&complete_response).await;
+        node.wait_for_metrics("the drain is known", |metrics| metrics["hosts_down"] == 1).await;
+        assert!(requested_at.elapsed() < Duration::from_secs(7), "{behavior}: {:?}", requested_at.elapsed());
     };
-    tokio::join!(one(0), one(1), one(2));
+    tokio::join!(check(0), check(1), check(2));
 }
 
-/// Guards against a list that stops the watch for good: one without end, one that is none, and one that is indented, which
-/// is heard. What the sender had goes on meanwhile.
+/// Guards against a response that ends the watch for good: one that is too long, malformed, incomplete or an
+/// error. Messages are delivered meanwhile, and an indented list is still applied.
 #[tokio::test]
-async fn a_list_that_is_spoilt_costs_only_itself() {
-    let (mut agent, mut endpoint) = (TestServer::start().await, TestServer::start().await);
+async fn ignores_malformed_lists_and_applies_the_next_valid_one() {
+    let (mut discovery, mut endpoint) = (TestServer::start().await, TestServer::start().await);
     let known = [endpoint_entry("s-1", endpoint.address, "single", "SERVING")];
-    let node = Node::start(&Platform::served_by_test(agent.address), &known).await;
+    let node = Node::start(&Platform::served_by_test(discovery.address), &known).await;
     let endless = format!("HTTP/1.1 200 OK\r\nContent-Length: 900000000\r\n\r\n{}", " ".repeat(64 << 20));
-    let spoilt = [
+    let malformed = [
         super::harness::Reply::Response(endless),
         response("200 OK", "", "[1, 2"),
         response("200 OK", "", r#"{"revision": 2, "complete": true, "members": [{"id": "s-1"}]}"#),
         response("500 Internal Server Error", "", ""),
     ];
-    for (n, reply) in spoilt.into_iter().enumerate() {
-        agent.next_call().await.reply(reply);
+    for (n, reply) in malformed.into_iter().enumerate() {
+        discovery.next_call().await.reply(reply);
         assert_eq!(node.submit(&format!("m{n}"), "keyed", "").await.status(), 202);
         endpoint.next_call().await.ok();
     }
-    let drains = json!({"revision": 2, "complete": false,
+    let drain_list = json!({"revision": 2, "complete": false,
         "members": [endpoint_entry("s-1", endpoint.address, "single", "DRAINING")]});
-    // Far more blanks than letters: over 2 MiB, as one of many endpoints is.
-    let indented = serde_json::to_string_pretty(&drains).unwrap().replace("  ", &" ".repeat(150_000));
-    agent.next_call().await.reply(response("200 OK", "", &indented));
-    node.wait_for_metrics("the drain is heard", |metrics| metrics["hosts_down"] == 1).await;
-    assert!(regular(&mut agent).await.request.start_line.contains("from=2&"));
+    // Enough indentation for over 2 MiB, the size of a list of many endpoints.
+    let indented = serde_json::to_string_pretty(&drain_list).unwrap().replace("  ", &" ".repeat(150_000));
+    discovery.next_call().await.reply(response("200 OK", "", &indented));
+    node.wait_for_metrics("the drain is known", |metrics| metrics["hosts_down"] == 1).await;
+    assert!(next_regular_watch(&mut discovery).await.request.start_line.contains("from=2&"));
 }
