--- a/crates/micadrum-testkit/src/cli.rs
+++ b/crates/micadrum-testkit/src/cli.rs
@@ -10,8 +10,8 @@
 
 /// Runs a scenario against the daemon, simulated or live, and checks the invariants of message delivery.
 ///
-/// Exit code: 0 if all invariants hold, 1 if an invariant is violated, 2 if the command line or an input file is
-/// invalid, 3 if the run could not be carried out.
+/// Exit code: 0 if all invariants hold, 1 if an invariant is violated, 2 if the command line or an input file
+/// is invalid, 3 if the run could not be carried out.
 #[derive(Parser)]
 #[command(name = "micadrum-testkit", version)]
 pub struct CommandLine {
@@ -31,9 +31,10 @@
     /// Simulate a scenario with many seeds, each with its own random faults
     #[command(alias = "hunt")]
     Search(SearchArgs),
-    /// Run a scenario live with many seeds, each with random faults of the senders' system calls, clocks and folders
+    /// Run a scenario live with many seeds, each with random faults of the senders' system calls, clocks and
+    /// folders
     Soak(SoakArgs),
-    /// Sum up the logs of daemons that ran with MICADRUM_TRACE=calls, by destination and second
+    /// Sum up by destination and second the logs of daemons that ran with MICADRUM_TRACE=calls
     #[command(alias = "count")]
     Aggregate {
         /// Directory of logs, one per sender
@@ -87,7 +88,7 @@
     /// Add random faults of the senders' clocks and folders
     #[arg(long)]
     pub system_faults: bool,
-    /// Add no random faults: play only those of the scenario
+    /// Add no random faults; inject only those of the scenario
     #[arg(long, conflicts_with = "peer_faults")]
     pub planned: bool,
     /// Number of concurrent runs [default: the number of CPU cores]
@@ -104,7 +105,7 @@
     /// The seeds to run, both ends included
     #[arg(long, value_name = "A..B", value_parser = parse_seed_range)]
     pub seeds: RangeInclusive<u64>,
-    /// Add no random faults: play only those of the scenario
+    /// Add no random faults; inject only those of the scenario
     #[arg(long)]
     pub planned: bool,
     /// Number of concurrent runs, each with all senders of the scenario
@@ -113,13 +114,13 @@
     /// The daemon's binary [default: the one in this binary's directory]
     #[arg(long, value_name = "PATH")]
     pub daemon: Option<PathBuf>,
-    /// Write the text of each report that is not kept into this directory
+    /// Write the report of each run with violations as text into this directory
     #[arg(long, value_name = "DIRECTORY")]
     pub reports: Option<PathBuf>,
 }
 
 impl SearchArgs {
-    /// Returns which faults are drawn from each seed.
+    /// Returns which kinds of random faults are drawn from each seed.
     pub fn random_faults(&self) -> RandomFaults {
         RandomFaults {
             world: !self.peer_faults && !self.planned,
@@ -168,7 +169,7 @@
 }
 
 impl RunArgs {
-    /// Returns the plan of this run of `scenario`.
+    /// Returns the plan of this run, drawn from `scenario`.
     pub fn plan(&self, scenario: &Scenario) -> Plan {
         let random_faults =
             RandomFaults { world: self.random_faults, peers: self.peer_faults, system: self.system_faults };
@@ -176,19 +177,19 @@
     }
 }
 
-/// Selects the scenario, and the part of it to run.
+/// Options that select the scenario and the part of it to run.
 #[derive(Args)]
 pub struct ScenarioArgs {
     /// The scenario file
     #[arg(value_name = "SCENARIO")]
     pub file: String,
-    /// Play only these faults of the plan, by number from 0, or "none" of them
+    /// Inject only these faults of the plan, by number from 0, or "none"
     #[arg(long, value_name = "0,2,5")]
     pub faults: Option<FaultSelection>,
-    /// Length of the run in place of the scenario's, such as "60 s"; random faults are drawn for it
+    /// Length of the run, such as "60 s", instead of the scenario's; random faults are drawn for it
     #[arg(long, value_parser = Span::parse)]
     pub length: Option<Span>,
-    /// End the run early, with all else as planned
+    /// End the run at this time, with its plan otherwise unchanged
     #[arg(long, value_name = "LENGTH", value_parser = Span::parse)]
     pub until: Option<Span>,
 }
@@ -220,7 +221,7 @@
     }
 }
 
-/// Which faults are drawn from the seed.
+/// Which kinds of random faults are drawn from the seed.
 #[derive(Clone, Copy)]
 pub struct RandomFaults {
     /// Faults of endpoints, discovery, links between zones and single senders.
@@ -234,27 +235,29 @@
 /// Why an argument could not be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentError {
-    /// A fault is not selected by number.
-    #[error("{text:?} is no number of a fault")]
+    /// A fault number is invalid.
+    #[error(
+        "{text:?} is not the number of a fault: expected numbers from 0 on, separated by commas, or \"none\""
+    )]
     FaultNumber {
-        /// The text in place of the number.
+        /// The invalid text.
         text: String,
-        /// Why it is no number.
+        /// The error of the integer parser.
         source: ParseIntError,
     },
-    /// A seed is not a number.
-    #[error("{text:?} is no number")]
+    /// A seed is invalid.
+    #[error("{text:?} is not a seed: expected an integer from 0 to 2^64 - 1")]
     Seed {
-        /// The text in place of the number.
+        /// The invalid text.
         text: String,
-        /// Why it is no number.
+        /// The error of the integer parser.
         source: ParseIntError,
     },
     /// A range has no `..`.
-    #[error("no range, such as 1..500")]
+    #[error("expected a range of seeds, such as 1..500")]
     NoRange,
-    /// A range ends before it begins.
-    #[error("{first} comes after {last}")]
+    /// The first seed of a range is greater than the last.
+    #[error("the first seed, {first}, is greater than the last, {last}")]
     EmptyRange {
         /// The first seed.
         first: u64,
@@ -263,7 +266,7 @@
     },
 }
 
-/// Faults of a plan, selected by their index in its order.
+/// The indices in the plan of the faults that are kept.
 #[derive(Clone)]
 pub struct FaultSelection(Vec<usize>);
 
--- a/crates/micadrum-testkit/src/http.rs
+++ b/crates/micadrum-testkit/src/http.rs
@@ -1,37 +1,38 @@
-//! HTTP/1.1 as the stand-ins need it: requests and answers are read with the time at which they were sent, and written
-//! byte for byte, also corrupted.
+//! HTTP/1.1 for the stand-ins. Messages are read together with the time at which they were sent, and written
+//! as raw bytes, so that they can be corrupted.
 use crate::test_network::TestConnection;
 use std::io;
 use std::pin::pin;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// No head or body that the daemon sends is longer.
+/// Maximum length of a head or a body.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Maximum number of header fields of a message.
 const MAX_FIELDS: usize = 32;
 
-/// A connection that reads messages one after another.
+/// An HTTP/1.1 connection, of a client or of a server.
 pub struct HttpConnection {
     connection: Box<dyn TestConnection>,
     buffer: Vec<u8>,
 }
 
-/// A request or an answer.
+/// A request or an answer to one.
 #[derive(Debug)]
 pub struct Message {
-    /// The path, or nothing in an answer.
+    /// The path of a request; empty in an answer.
     pub path: String,
-    /// The status of an answer.
+    /// The status code of an answer; 0 in a request.
     pub status: u16,
     fields: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// When its first byte was sent, as far as that can be known.
+    /// When its first byte was sent, or read if the network does not know when it was sent.
     pub first_sent_at: Instant,
 }
 
 impl Message {
-    /// Returns a header field by its name in lower case.
+    /// Returns the value of a header field, by its name in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_str())
     }
@@ -42,14 +43,14 @@
 }
 
 impl HttpConnection {
-    /// Starts a conversation on an open connection.
+    /// Creates an HTTP connection on an open network connection.
     pub fn new(connection: Box<dyn TestConnection>) -> Self {
         Self { connection, buffer: Vec::new() }
     }
 
     async fn read_more(&mut self) -> io::Result<bool> {
         if self.buffer.len() > MAX_MESSAGE_BYTES {
-            return Err(malformed("too long"));
+            return Err(malformed("message is longer than 1 MiB"));
         }
         Ok(self.connection.read_buf(&mut self.buffer).await? > 0)
     }
@@ -58,10 +59,11 @@
         self.connection.sent_at().unwrap_or_else(Instant::now)
     }
 
-    /// Reads one request or answer; `None` where the other side ended the connection before it.
+    /// Reads a request, or an answer if `answer` is set; `None` if the peer closed the connection before its
+    /// first byte.
     ///
     /// # Errors
-    /// Returns an error where the connection breaks, or what arrives is not HTTP/1.1.
+    /// Returns an error if the connection fails, or the received bytes are not HTTP/1.1.
     pub async fn read(&mut self, answer: bool) -> io::Result<Option<Message>> {
         let mut first_sent_at = None;
         let (mut message, head) = loop {
@@ -81,7 +83,7 @@
         };
         let length = message.field("content-length").map_or(Ok(0), str::parse::<usize>).map_err(malformed)?;
         if length > MAX_MESSAGE_BYTES {
-            return Err(malformed("too long"));
+            return Err(malformed("message is longer than 1 MiB"));
         }
         while self.buffer.len() < head + length {
             if !self.read_more().await? {
@@ -94,39 +96,40 @@
         Ok(Some(message))
     }
 
-    /// Waits until the other side ends the connection or sends something unexpected, and returns when it did.
+    /// Waits until the peer closes the connection or sends unexpected bytes, and returns when it did so.
     pub async fn wait_for_close(&mut self) -> Instant {
         let mut discarded = [0; 512];
         let _ = self.connection.read(&mut discarded).await;
-        // The network knows it where the end itself was lost on the way.
+        // The simulated network knows this time even if the close itself was lost on the link.
         self.connection.closed_at().unwrap_or_else(|| self.last_sent_at())
     }
 
-    /// Writes all bytes.
+    /// Writes and flushes all bytes.
     ///
     /// # Errors
-    /// Returns an error where the connection is broken.
+    /// Returns an error if the connection is broken.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.connection.write_all(bytes).await?;
         self.connection.flush().await
     }
 
-    /// Returns when the other side ended the connection, also where that is still on its way and can be known.
+    /// Returns when the peer closed the connection, even if the close has not arrived yet; `None` if it did
+    /// not, or that is not known.
     pub fn closed_at(&self) -> Option<Instant> {
         self.connection.closed_at()
     }
 
-    /// Returns how long bytes that are written now take to the other side.
+    /// Returns the time that bytes written now take to reach the peer.
     pub fn delay(&self) -> std::time::Duration {
         self.connection.delay()
     }
 
-    /// Returns whether bytes that are written now reach the other side at all, as far as can be known.
+    /// Returns whether bytes written now reach the peer, as far as the network knows.
     pub fn reaches_peer(&self) -> bool {
         self.connection.reaches_peer()
     }
 
-    /// Returns whether the other side has ended the connection.
+    /// Returns whether the peer has closed the connection or sent bytes that have not been read.
     pub async fn is_closed(&mut self) -> bool {
         let mut reading = pin!(self.read_more());
         std::future::poll_fn(|cx| std::task::Poll::Ready(reading.as_mut().poll(cx).is_ready())).await
--- a/crates/micadrum-testkit/src/lib.rs
+++ b/crates/micadrum-testkit/src/lib.rs
@@ -1,9 +1,11 @@
-//! The test kit: runs the real daemon against stand-ins for destinations, platform and clients, in a simulated world or
-//! on loopback, from one scenario file and one seed, and checks the invariants of message delivery.
+//! The test kit: runs the real daemon against stand-ins for destinations, the platform and clients, simulated
+//! or on loopback, as one scenario file and one seed define it, and checks the invariants of message
+//! delivery.
 //!
-//! A [`plan::Plan`] is drawn from a [`scenario::Scenario`] and a seed. [`sim::run`] plays it on simulated time, network and
-//! disk, [`live::run`] with real processes. Both play the same world; its [`observation`]s are checked by the
-//! [`invariants`], measured by the [`service_metrics`], and summed up in the [`report`].
+//! A [`plan::Plan`] is drawn from a [`scenario::Scenario`] and a seed. [`sim::run`] executes it with
+//! simulated time, network and disk, [`live::run`] with real processes. Both use the same stand-ins, whose
+//! [`observation`]s are checked by the [`invariants`], measured by the [`service_metrics`], and summed up in
+//! the [`report`].
 #![forbid(unsafe_code)]
 
 pub mod history;
--- a/crates/micadrum-testkit/src/live/fleet.rs
+++ b/crates/micadrum-testkit/src/live/fleet.rs
@@ -1,4 +1,4 @@
-//! The senders as processes of the built daemon.
+//! The senders of a live run, as processes of the built daemon.
 use super::power::DurableState;
 use super::process::{LogReader, ProcessCommand, RunningProcess};
 use super::relays::Relays;
@@ -21,14 +21,15 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// The machine of a sender, over all of its processes.
+/// The machine of a sender, which outlives its processes.
 pub(super) struct Node {
-    /// Configuration and log, apart from the state folder, which may be emptied.
+    /// Holds the configuration and the state folder.
     folder: TempDir,
+    /// The state folder.
     state: PathBuf,
-    /// The control of the processes' system calls, where the plan has faults of them.
+    /// Control over the processes' system calls, if the plan has faults of them.
     pub(super) system_faults: Option<SystemFaults>,
-    /// A copy of the state folder.
+    /// The copy of the state folder that a fault saves and restores.
     saved_state: PathBuf,
     boot_count: Cell<u32>,
     /// The part of the state folder that survives a power loss.
@@ -62,7 +63,7 @@
         self.folder.path().join(name)
     }
 
-    /// Writes the operator's file and what it names, and returns its path.
+    /// Writes the operator's file and the files that it names, and returns its path.
     fn write_operator_file(&self, operator: OperatorFile) -> io::Result<PathBuf> {
         let OperatorFile { text, secret } = operator;
         let (file, boot_id) = (self.path("operator.toml"), self.path("boot_id"));
@@ -79,13 +80,13 @@
     pub(super) daemon: PathBuf,
     /// The machines, by sender.
     pub(super) nodes: Vec<Node>,
-    /// The relays of the traffic between senders.
+    /// The relays of the traffic between the senders.
     pub(super) relays: Rc<Relays>,
-    /// The traces that processes write into their logs.
+    /// The kinds of traces that processes log: the value of `MICADRUM_TRACE`.
     pub(super) traces: &'static str,
 }
 
-/// Replaces the content of a folder by copies of the plain files of another.
+/// Replaces the folder `to` with copies of the regular files in `from`.
 fn copy_files(from: &Path, to: &Path) -> io::Result<()> {
     if to.exists() {
         std::fs::remove_dir_all(to)?;
@@ -100,7 +101,8 @@
     Ok(())
 }
 
-/// Returns the operator's file with the path of the boot id, if it has a `[recovery]` table.
+/// Returns the text of the operator's file with the path of the boot id added to the `[recovery]` table, if
+/// it has one.
 fn with_boot_id(text: &str, path: &Path) -> io::Result<String> {
     let mut table: toml::Table = toml::from_str(text).map_err(io::Error::other)?;
     if let Some(toml::Value::Table(recovery)) = table.get_mut("recovery") {
@@ -128,15 +130,16 @@
             durable_state: node.durable_state.clone(),
             sink,
         };
-        let (listening, listens) = oneshot::channel();
+        let (address_sender, address_receiver) = oneshot::channel();
         let log_reader = spawn_local(async move {
             if let Some(log) = log {
-                reader.read(log, listening).await;
+                reader.read(log, address_sender).await;
             }
         });
         *node.running.borrow_mut() = Some(RunningProcess::supervise(child, log_reader));
-        let address =
-            listens.await.map_err(|_| io::Error::other(format!("sender {sender} does not listen")))?;
+        let address = address_receiver
+            .await
+            .map_err(|_| io::Error::other(format!("sender {sender} exited before it listened")))?;
         let address = address.map_err(io::Error::other)?;
         node.address.set(Some(address));
         Ok(address)
@@ -216,21 +219,21 @@
     fn save_state_folder(&self, sender: u32) {
         let node = &self.nodes[sender as usize];
         if let Err(error) = copy_files(&node.state, &node.saved_state) {
-            eprintln!("sender {sender}: {error}");
+            eprintln!("sender {sender}: cannot save the state folder: {error}");
         }
     }
 
     fn restore_state_folder(&self, sender: u32) {
         let node = &self.nodes[sender as usize];
         if let Err(error) = copy_files(&node.saved_state, &node.state) {
-            eprintln!("sender {sender}: {error}");
+            eprintln!("sender {sender}: cannot restore the state folder: {error}");
         }
     }
 
     fn listen_address(&self, sender: u32) -> SocketAddr {
-        // The sender keeps its address after a restart.
-        let first = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        self.nodes[sender as usize].address.get().unwrap_or(first)
+        // A sender keeps its address across restarts.
+        let unassigned = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        self.nodes[sender as usize].address.get().unwrap_or(unassigned)
     }
 
     fn terminate(&self, sender: u32) {
@@ -241,7 +244,7 @@
         let file = self.nodes[sender as usize].folder.path().join("config.json");
         match std::fs::write(&file, config.to_string()) {
             Ok(()) => self.send(sender, ProcessCommand::Reload),
-            Err(error) => eprintln!("{}: {error}", file.display()),
+            Err(error) => eprintln!("cannot write {}: {error}", file.display()),
         }
     }
 
@@ -261,11 +264,11 @@
     }
 
     fn discard_unsynced(&self, sender: u32, random: &mut SeededRng) -> bool {
-        // This machine keeps what a killed process wrote, so what it did not sync is cut off here.
+        // The operating system keeps the unsynced writes of a killed process, so they are truncated here.
         let node = &self.nodes[sender as usize];
         let result = node.durable_state.borrow_mut().truncate_files(&node.state, random);
         if let Err(error) = &result {
-            eprintln!("sender {sender}: {error}");
+            eprintln!("sender {sender}: cannot discard unsynced data: {error}");
         }
         result.is_ok()
     }
@@ -273,13 +276,13 @@
     fn reboot(&self, sender: u32, clock_offset_us: i64) -> bool {
         let node = &self.nodes[sender as usize];
         node.boot_count.set(node.boot_count.get() + 1);
-        // The clock of this machine cannot be set.
+        // The clock of the host machine cannot be set.
         clock_offset_us == 0
     }
 
     fn wipe_state_folder(&self, sender: u32) {
         if let Err(error) = std::fs::remove_dir_all(&self.nodes[sender as usize].state) {
-            eprintln!("sender {sender}: {error}");
+            eprintln!("sender {sender}: cannot remove the state folder: {error}");
         }
     }
 
@@ -298,7 +301,7 @@
     fn set_system_fault(&self, sender: u32, fault: &PlannedFault, fails: bool) -> bool {
         let Some(faults) = &self.nodes[sender as usize].system_faults else { return false };
         if let Err(error) = faults.set(fault, fails) {
-            eprintln!("sender {sender}: {error}");
+            eprintln!("sender {sender}: cannot set a system fault: {error}");
             return false;
         }
         true
--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -1,4 +1,4 @@
-//! Relays of the links between real senders: delayed, held, or broken within a frame.
+//! Relays of the links between the processes of a live run, which delay, hold or break them.
 use crate::link_faults::{FaultWindow, LinkFaults};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The interval at which a held link is checked.
+/// Interval at which a held link checks whether its fault has ended.
 const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Relays the links that `from` opens to `to`.
+/// Relays the links that the sender `from` opens to the sender `to`, once `peer_address` is set.
 pub async fn relay(
     listener: TcpListener,
     from: u32,
@@ -37,7 +37,7 @@
                 started_at,
                 broken: broken.clone(),
             };
-            // Where one direction ends or breaks, so does the other.
+            // When one direction ends or breaks, the whole link is closed.
             tokio::select! {
                 () = direction(from, to).carry(near_in, far_out) => {}
                 () = direction(to, from).carry(far_in, near_out) => {}
@@ -52,7 +52,7 @@
     to: u32,
     link_faults: Rc<RefCell<LinkFaults>>,
     started_at: Instant,
-    /// When a link between the two was last broken.
+    /// When a link between the two senders was last broken, in microseconds since `started_at`.
     broken: Rc<Cell<Option<u64>>>,
 }
 
--- a/crates/micadrum-testkit/src/live/loopback.rs
+++ b/crates/micadrum-testkit/src/live/loopback.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' network on loopback.
+//! The network of the stand-ins in a live run: the loopback interface.
 use crate::test_network::{Host, TestConnection, TestListener, TestNetwork};
 use micadrum::daemon::ports::{Listener, LocalFuture, Network, Stream};
 use micadrum::daemon::system::Tcp;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The loopback network of this machine.
+/// The loopback interface, as a [`TestNetwork`] on which all hosts share one address.
 pub struct Loopback;
 
 struct LoopbackListener {
@@ -15,7 +15,8 @@
     address: SocketAddr,
 }
 
-/// Ports below this only have a meaning within a host of the world.
+/// The lowest port that is bound as requested; lower ports have a meaning only in simulated runs, and any
+/// free port is bound instead.
 const FIRST_ASSIGNED_PORT: u16 = 10_000;
 
 impl TestNetwork for Loopback {
@@ -25,7 +26,7 @@
 
     fn listen(&self, _: Host, port: u16) -> LocalFuture<'_, io::Result<Box<dyn TestListener>>> {
         Box::pin(async move {
-            // A free port at first, and the same one where the listener opens again.
+            // A listener gets a free port at first, and keeps it when it is opened again.
             let port = if port < FIRST_ASSIGNED_PORT { 0 } else { port };
             let listener = Tcp.listen(SocketAddr::from((Ipv4Addr::LOCALHOST, port))).await?;
             let address = listener.local_addr()?;
@@ -44,7 +45,7 @@
     }
 }
 
-/// A real connection shows nothing but what has arrived.
+/// On a real connection only what has arrived is known.
 impl TestConnection for Box<dyn Stream> {
     fn sent_at(&self) -> Option<Instant> {
         None
--- a/crates/micadrum-testkit/src/live/power.rs
+++ b/crates/micadrum-testkit/src/live/power.rs
@@ -1,17 +1,18 @@
-//! The part of a real process's state folder that survives a power loss, as the process traces its syncs.
+//! The part of a process's state folder that survives a power loss, derived from the process's trace of its
+//! syncs.
 use crate::plan::SeededRng;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
 
-/// The synced bytes of each file, by its present name.
+/// The number of synced bytes of each file, by its current name.
 #[derive(Default)]
 pub struct DurableState {
     files: BTreeMap<String, u64>,
 }
 
 impl DurableState {
-    /// Applies a trace record of the process: `begun NAME`, `synced NAME BYTES`, `renamed FROM TO`.
+    /// Applies a trace record of the process: `begun NAME`, `synced NAME BYTES` or `renamed FROM TO`.
     pub fn apply(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
         match words[..] {
@@ -29,7 +30,11 @@
         }
     }
 
-    /// Truncates each file of a folder to what was synced and nothing, all or a part of the rest.
+    /// Truncates each file of a folder to its synced bytes plus none, all or a random part of the unsynced
+    /// rest.
+    ///
+    /// # Errors
+    /// Returns an error if the folder cannot be read or a file cannot be truncated.
     pub fn truncate_files(&mut self, folder: &Path, random: &mut SeededRng) -> io::Result<()> {
         let mut entries: Vec<_> = std::fs::read_dir(folder)?.collect::<io::Result<_>>()?;
         entries.sort_by_key(std::fs::DirEntry::file_name);
--- a/crates/micadrum-testkit/src/live/power/tests.rs
+++ b/crates/micadrum-testkit/src/live/power/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Guards against a power loss that takes what was synced, or that takes nothing.
+/// Guards against a power loss that truncates synced bytes, or never truncates unsynced ones.
 #[test]
-fn a_folder_is_cut_back_to_what_was_synced() {
+fn truncates_files_to_their_synced_bytes_or_more() {
     let folder = tempfile::tempdir().unwrap();
-    let mut shorter = 0;
+    let mut truncated = 0;
     for seed in 0..30 {
         let mut durable_state = DurableState::default();
         for line in ["begun b.new", "synced b.new 40", "renamed b.new b", "synced a 100", "begun c"] {
@@ -16,7 +16,7 @@
         durable_state.truncate_files(folder.path(), &mut SeededRng::new(seed, "power")).unwrap();
         let length = |name: &str| std::fs::metadata(folder.path().join(name)).unwrap().len();
         assert!((100..=160).contains(&length("a")) && length("b") == 40 && length("c") <= 9);
-        shorter += usize::from(length("a") < 160);
+        truncated += usize::from(length("a") < 160);
     }
-    assert!((10..30).contains(&shorter), "{shorter}");
+    assert!((10..30).contains(&truncated), "{truncated}");
 }
--- a/crates/micadrum-testkit/src/live/process.rs
+++ b/crates/micadrum-testkit/src/live/process.rs
@@ -1,4 +1,4 @@
-//! A process of the daemon: its commands, its exit and its log.
+//! A process of the daemon: its signals, its exit and its log.
 use super::power::DurableState;
 use super::relays::Relays;
 use crate::world::senders::{LogSink, ProcessExit};
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// What a process is to receive.
+/// A signal for a process.
 pub(super) enum ProcessCommand {
     Pause(bool),
     Terminate,
@@ -19,14 +19,14 @@
     Kill,
 }
 
-/// A running process.
+/// A supervised process.
 pub(super) struct RunningProcess {
     pub(super) commands: UnboundedSender<ProcessCommand>,
     pub(super) exit: Rc<ProcessExit>,
 }
 
 impl RunningProcess {
-    /// Supervises a process whose log is read by `log_reader`.
+    /// Starts to supervise a process whose log is read by `log_reader`.
     pub(super) fn supervise(child: Child, log_reader: JoinHandle<()>) -> Self {
         let (commands, receiver) = unbounded_channel();
         let exit = Rc::<ProcessExit>::default();
@@ -41,18 +41,18 @@
     log_reader: JoinHandle<()>,
     exit: Rc<ProcessExit>,
 ) {
-    let clean = loop {
+    let succeeded = loop {
         tokio::select! {
             status = child.wait() => break status.is_ok_and(|status| status.success()),
-            Some(command) = commands.recv() => carry_out(&mut child, command).await,
+            Some(command) = commands.recv() => send_signal(&mut child, command).await,
         }
     };
-    // Everything that the process logged before its exit counts.
+    // The exit is reported only after the whole log has been read.
     let _ = log_reader.await;
-    exit.set(clean);
+    exit.set(succeeded);
 }
 
-async fn carry_out(child: &mut Child, command: ProcessCommand) {
+async fn send_signal(child: &mut Child, command: ProcessCommand) {
     let name = match command {
         ProcessCommand::Kill => return drop(child.start_kill()),
         ProcessCommand::Terminate => "-TERM",
@@ -61,17 +61,17 @@
         ProcessCommand::Pause(false) => "-CONT",
     };
     if let Some(process) = child.id() {
-        signal(name, process).await;
+        run_kill(name, process).await;
     }
 }
 
-async fn signal(name: &str, process: u32) {
+async fn run_kill(name: &str, process: u32) {
     if let Err(error) = Command::new("kill").args([name, &process.to_string()]).status().await {
-        eprintln!("kill: {error}");
+        eprintln!("cannot run kill {name} {process}: {error}");
     }
 }
 
-/// Reads the log of a process.
+/// Reads the log of a process and passes on what its lines report.
 pub(super) struct LogReader {
     pub(super) sender: u32,
     pub(super) relays: Rc<Relays>,
@@ -81,15 +81,15 @@
 }
 
 impl LogReader {
-    /// Reads the log to its end, so that the process never waits for space in the pipe. Sends the address for clients on
-    /// `listening` as soon as the log names it.
+    /// Reads the log to its end, so that the process never blocks on a full pipe. Sends the address for
+    /// clients to `address_sender` as soon as the log names it.
     pub(super) async fn read(
         self,
         log: BufReader<ChildStderr>,
-        listening: oneshot::Sender<Result<SocketAddr, AddrParseError>>,
+        address_sender: oneshot::Sender<Result<SocketAddr, AddrParseError>>,
     ) {
         let mut lines = log.lines();
-        let mut listening = Some(listening);
+        let mut address_sender = Some(address_sender);
         while let Ok(Some(line)) = lines.next_line().await {
             if let Some(record) = line.strip_prefix("trace storage ") {
                 self.durable_state.borrow_mut().apply(record);
@@ -104,15 +104,15 @@
                 self.admin_address.set(address.parse().ok());
             }
             if let Some(address) = line.strip_prefix("listening on ")
-                && let Some(listening) = listening.take()
+                && let Some(address_sender) = address_sender.take()
             {
-                let _ = listening.send(address.parse::<SocketAddr>());
+                let _ = address_sender.send(address.parse::<SocketAddr>());
             }
         }
     }
 }
 
-/// Whether a line says why the process ends in disorder, or that a run-time check found a violation.
+/// Returns whether a line reports a fatal error, a panic, or a violation that a run-time check found.
 fn is_fatal(line: &str) -> bool {
     line.starts_with("micadrum: ") || line.starts_with("violation: ") || line.contains("panicked at")
 }
--- a/crates/micadrum-testkit/src/live/relays.rs
+++ b/crates/micadrum-testkit/src/live/relays.rs
@@ -1,4 +1,5 @@
-//! Relays of the traffic between real senders: one for each pair and direction, which apply the link faults.
+//! Relays of the traffic between the processes of a live run, one for each ordered pair of senders. They
+//! apply the link faults.
 use super::links;
 use crate::link_faults::LinkFaults;
 use std::cell::{Cell, RefCell};
@@ -9,28 +10,28 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// No datagram between senders is longer.
+/// Maximum length of a datagram between senders.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Attempts to find a port that is free for both datagrams and streams.
+/// Maximum number of retries to find a port that is free for both datagrams and streams.
 const MAX_BIND_RETRIES: u32 = 20;
 
 /// The relays between all senders.
 pub struct Relays {
-    /// The address at which a sender reaches another, by both.
+    /// The relay's address by the sender that uses it and the sender that it leads to.
     addresses: Vec<Vec<SocketAddr>>,
     /// The peer address of each sender's process, once the process has logged it.
     peer_addresses: Vec<Rc<Cell<Option<SocketAddr>>>>,
 }
 
 impl Relays {
-    /// Opens the relays.
+    /// Opens the relays between `senders` senders.
     ///
     /// # Errors
-    /// Returns an error of the system.
+    /// Returns the system's error if a socket cannot be bound.
     pub async fn open(senders: usize, link_faults: &Rc<RefCell<LinkFaults>>) -> io::Result<Self> {
         let peer_addresses: Vec<Rc<Cell<Option<SocketAddr>>>> = (0..senders).map(|_| Rc::default()).collect();
-        // Nothing is received on the outgoing socket, so one sends for all.
+        // Nothing is received on the outgoing socket, so all relays can share one.
         let out = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         let mut addresses = Vec::new();
         for from in 0..senders {
@@ -62,12 +63,13 @@
         Ok(Self { addresses, peer_addresses })
     }
 
-    /// Returns the address at which `from` reaches `to`; any port of its own where both are the same.
+    /// Returns the address at which `from` reaches `to`; if they are the same, port 0, so that the process
+    /// binds a free one.
     pub fn address(&self, from: u32, to: u32) -> SocketAddr {
         self.addresses[from as usize][to as usize]
     }
 
-    /// Takes the peer address from a line of a sender's log, if the line names it.
+    /// Stores the peer address of a sender if a line of its log names it.
     pub fn read_log_line(&self, sender: u32, line: &str) {
         if let Some(at) = line.strip_prefix("membership: listening address=").and_then(|at| at.parse().ok()) {
             self.peer_addresses[sender as usize].set(Some(at));
@@ -75,21 +77,21 @@
     }
 }
 
-/// Binds a socket for datagrams and one for streams to one address.
+/// Binds a UDP socket and a TCP listener to the same port.
 async fn bind_pair() -> io::Result<(UdpSocket, TcpListener)> {
-    let mut attempts = 0;
+    let mut retries = 0;
     loop {
         let datagrams = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         match TcpListener::bind(datagrams.local_addr()?).await {
             Ok(links) => return Ok((datagrams, links)),
-            // Another process uses the port for streams: try another one.
-            Err(error) if attempts >= MAX_BIND_RETRIES => return Err(error),
-            Err(_) => attempts += 1,
+            // Another process uses the TCP port: try another one.
+            Err(error) if retries >= MAX_BIND_RETRIES => return Err(error),
+            Err(_) => retries += 1,
         }
     }
 }
 
-/// The direction from one sender to another.
+/// The datagrams from one sender to another.
 struct RelayedDirection {
     from: u32,
     to: u32,
@@ -101,7 +103,7 @@
     async fn relay(self, datagrams: UdpSocket, link_faults: Rc<RefCell<LinkFaults>>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error means that nobody receives any more, which the sender learns by silence.
+            // An error means that the receiver is gone, which the sender detects by the missing answers.
             let Ok(length) = datagrams.recv(&mut buffer).await else { continue };
             let Some(peer_address) = self.peer_address.get() else { continue };
             let delays = link_faults.borrow_mut().datagram_delays(self.from, self.to);
--- a/crates/micadrum-testkit/src/live/system_faults.rs
+++ b/crates/micadrum-testkit/src/live/system_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the system calls of real senders, by way of the preloaded library.
+//! Injects faults into the system calls of a live run's processes, by means of a preloaded library.
 use crate::plan::{PlannedFault, SystemFault};
 use crate::scenario::{FaultKind, FolderError, SystemCall};
 use micadrum_fault_control::{
@@ -10,15 +10,18 @@
 use std::path::{Path, PathBuf};
 use tokio::process::Command;
 
+/// `EIO`.
 const ERROR_INPUT_OUTPUT: i64 = 5;
+/// `ENOSPC`.
 const ERROR_NO_SPACE: i64 = 28;
-/// A process is held up for no longer than this between reading its clock and writing, in microseconds.
+/// Maximum delay that is injected before a write, in microseconds.
 const MAX_WRITE_DELAY_US: i64 = 150_000;
 
-/// The control of one sender's system calls.
+/// Controls the faults of one sender's system calls.
 pub(super) struct SystemFaults {
     control: ControlFile,
     library: PathBuf,
+    /// Sum of the steps of the wall clock so far, in microseconds.
     wall_step_us: Cell<i64>,
 }
 
@@ -26,14 +29,15 @@
     /// Creates the control file in `folder`.
     ///
     /// # Errors
-    /// The file cannot be written, or the library is not built.
+    /// Returns an error if the file cannot be written, or the library is not built.
     pub(super) fn create(folder: &Path, seed: u64) -> io::Result<Self> {
         let library = library_path().map_err(io::Error::other)?;
         let control = ControlFile::create(&folder.join("faults"), seed)?;
         Ok(Self { control, library, wall_step_us: Cell::default() })
     }
 
-    /// Has a process obey the control file, with faults of the folder at `state`.
+    /// Makes a process preload the library and read the control file; faults of folders apply to the one at
+    /// `state`.
     pub(super) fn preload(&self, command: &mut Command, state: &Path) {
         command
             .env("LD_PRELOAD", &self.library)
@@ -41,10 +45,10 @@
             .env(PATH_PREFIX_VARIABLE, state);
     }
 
-    /// Begins or ends a fault of the plan.
+    /// Begins a fault of the plan if `fails` is set, and ends it otherwise.
     ///
     /// # Errors
-    /// The control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub(super) fn set(&self, fault: &PlannedFault, fails: bool) -> io::Result<()> {
         let kind = system_fault_kind(fault);
         if !fails {
@@ -78,7 +82,7 @@
     /// Returns how often each kind of fault was injected.
     ///
     /// # Errors
-    /// The control file cannot be read.
+    /// Returns an error if the control file cannot be read.
     pub(super) fn counts(&self) -> io::Result<Vec<(SystemFaultKind, FaultCount)>> {
         SystemFaultKind::ALL.iter().map(|kind| Ok((*kind, self.control.count(*kind)?))).collect()
     }
--- a/crates/micadrum-testkit/src/observation.rs
+++ b/crates/micadrum-testkit/src/observation.rs
@@ -1,15 +1,16 @@
-//! What destinations, platform, clients and machines observe: all that the invariant checker goes by.
+//! The observations of destinations, the platform, clients and machines: the only input of the invariant
+//! checker.
 use crate::plan::Class;
 
 /// Microseconds: a time since the start of the run, or a duration.
 pub type Micros = u64;
 
-/// How a call ended for one of its messages, as the endpoint answered.
+/// The result of an attempt: how a call ended for one of its messages, as the endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The message was delivered.
     Delivered,
-    /// The call failed: the message may have taken effect.
+    /// The endpoint answered with an error: the message may have taken effect.
     Failed,
     /// The call was rejected as over capacity: the message has not taken effect.
     Overloaded,
@@ -17,7 +18,7 @@
     Corrupted,
 }
 
-/// The answer to a client that submitted a message.
+/// The outcome of a client's submission of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionAnswer {
     /// The message was accepted: status 202 or 200.
@@ -28,11 +29,11 @@
     Failed,
     /// No answer within the client's timeout.
     TimedOut,
-    /// The connection ended, or was refused, before an answer came.
+    /// The connection was closed or refused before an answer came.
     ConnectionClosed,
 }
 
-/// One observation.
+/// An observation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A sender reported that it is ready.
@@ -40,18 +41,18 @@
         /// Number of the sender.
         sender: u32,
     },
-    /// A sender's process was told to end, by SIGTERM or SIGKILL.
+    /// A sender's process was signalled to exit, by SIGTERM or SIGKILL.
     ShutdownRequested {
         /// Number of the sender.
         sender: u32,
         /// Whether by SIGKILL.
         killed: bool,
     },
-    /// A sender's process ended.
+    /// A sender's process exited.
     Exited {
         /// Number of the sender.
         sender: u32,
-        /// Whether the process was told to end, and was killed or ended without an error.
+        /// Whether the exit was requested, and the process was killed or exited without an error.
         expected: bool,
     },
     /// A sender's machine was lost with everything on it.
@@ -71,17 +72,17 @@
         class: Class,
         /// The vehicle, if the class is delivered in order.
         vehicle: Option<u32>,
-        /// Until when the message may be delivered.
+        /// The time until which the message may be delivered.
         deadline: Micros,
     },
-    /// A client got an answer to its submission, or gave up on it.
+    /// A client's submission was answered, timed out or lost its connection.
     Answered {
         /// Id of the message.
         id: String,
-        /// The answer.
+        /// The outcome of the submission.
         answer: SubmissionAnswer,
     },
-    /// Discovery told a sender the state of an endpoint.
+    /// Discovery reported the state of an endpoint to a sender.
     Listed {
         /// Number of the sender.
         sender: u32,
@@ -98,33 +99,36 @@
         sender: u32,
         /// Id of the endpoint in the endpoint list.
         endpoint: String,
-        /// The route: a destination, or one endpoint of a destination whose limits apply to each endpoint. Limits,
-        /// Retry-After and outages apply to a route.
+        /// The route: a destination, or one endpoint of a destination whose limits apply to each endpoint.
+        /// Limits, Retry-After and outages apply to a route.
         route: u32,
         /// Ids of the call's messages.
         ids: Vec<String>,
         /// When the sender sent the first byte.
         sent_at: Micros,
     },
-    /// A message took effect at a destination. A repeat that the destination dropped does not.
+    /// A message took effect at a destination. A repeat that the destination recognized and dropped takes
+    /// none.
     TookEffect {
         /// Id of the message.
         id: String,
     },
-    /// An endpoint answered a call, or would have but for a fault that corrupted the answer or broke the connection.
+    /// An endpoint answered a call, or would have but for a fault that corrupted the answer or broke the
+    /// connection.
     CallAnswered {
         /// Number of the call.
         call: u64,
-        /// The end of each message.
+        /// The result of the attempt for each message.
         ends: Vec<(String, AttemptResult)>,
-        /// The time that a Retry-After in the answer names.
+        /// The time that a Retry-After in the answer names, if there is one.
         retry_after: Option<Micros>,
-        /// When the sender receives the answer.
+        /// The time at which the sender receives the answer.
         received_at: Micros,
-        /// Until when the call was in flight: until the answer arrived, or the sender closed the connection.
+        /// The time until which the call was in flight: when it was answered, or the sender closed the
+        /// connection.
         in_flight_until: Micros,
     },
-    /// A sender had closed the connection of a call before the answer reached it, so it cannot know the answer.
+    /// The answer to a call did not reach the sender, which had closed the connection before.
     AnswerLost {
         /// Number of the call.
         call: u64,
@@ -136,25 +140,25 @@
         /// When the sender closed the connection.
         closed_at: Micros,
     },
-    /// The platform acknowledged the notification of a message's end.
+    /// The platform acknowledged the notification that a message failed or was returned.
     Notified {
         /// Id of the message.
         id: String,
         /// Whether the message was reported as returned rather than failed.
         returned: bool,
     },
-    /// A sender is suspended: it receives and sends nothing.
+    /// A sender's process is suspended: it receives and sends nothing.
     Paused {
         /// Number of the sender.
         sender: u32,
-        /// When it resumes.
+        /// When the process resumes.
         until: Micros,
     },
-    /// The platform acknowledges no notifications of a sender.
+    /// The platform stops acknowledging the notifications of a sender.
     NotificationsBlocked {
         /// Number of the sender.
         sender: u32,
-        /// When the platform acknowledges notifications again.
+        /// When the platform starts to acknowledge notifications again.
         until: Micros,
     },
     /// An outage of a route began or ended.
--- a/crates/micadrum-testkit/src/trace_aggregate.rs
+++ b/crates/micadrum-testkit/src/trace_aggregate.rs
@@ -1,7 +1,7 @@
-//! Sums up the call traces of a whole fleet by destination and second. Does no I/O.
+//! Sums up the call traces of a fleet by destination and second. Does no I/O.
 //!
-//! A daemon that runs with `MICADRUM_TRACE=calls` logs a line for each exchange with a destination. The load on a
-//! destination shows only in the sum over all senders.
+//! A daemon that runs with `MICADRUM_TRACE=calls` logs a line for each call to a destination. The load on a
+//! destination is the sum over all senders.
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 use std::str::FromStr;
@@ -37,17 +37,17 @@
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum TraceError {
     /// A field is missing.
-    #[error("`trace {kind}` lacks {field}")]
-    Lacks {
-        /// The kind of line.
+    #[error("the field {field} is missing in a `trace {kind}` line")]
+    MissingField {
+        /// The kind of the line: the word after `trace`.
         kind: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A field is not a number.
-    #[error("{field}={value:?} is no number")]
-    NoNumber {
-        /// The field.
+    /// The value of a field is not a number.
+    #[error("the field {field} has the value {value:?}, expected a number")]
+    InvalidNumber {
+        /// Name of the field.
         field: &'static str,
         /// The value of the field.
         value: String,
@@ -64,11 +64,11 @@
 }
 
 impl TraceAggregate {
-    /// Adds a line of a log; a line that is no trace is ignored. Anything before the word `trace`, such as a timestamp, is
-    /// skipped.
+    /// Adds a line of a log. A line that is not a trace is ignored, and so is any text before the word
+    /// `trace`, such as a timestamp.
     ///
     /// # Errors
-    /// Why a trace is invalid.
+    /// Returns an error if a field of a trace is missing or is not a number.
     pub fn add(&mut self, line: &str) -> Result<(), TraceError> {
         let Some(trace) = Trace::parse(line) else { return Ok(()) };
         let second = trace.number::<u64>("at")? / MICROS_PER_SECOND;
@@ -87,13 +87,13 @@
         Ok(())
     }
 
-    /// Returns the first second of which there is a trace.
+    /// Returns the first second with a trace.
     fn first_second(&self) -> Option<u64> {
         self.rows.keys().map(|(_, second)| second).chain(self.lists.keys()).min().copied()
     }
 }
 
-/// A line of a trace.
+/// A line of a log that is a trace.
 struct Trace<'a> {
     kind: &'a str,
     /// Values of the fields, which are written `name=value`.
@@ -113,12 +113,12 @@
 
     fn get(&self, field: &'static str) -> Result<&'a str, TraceError> {
         let value = self.fields.get(field).copied();
-        value.ok_or_else(|| TraceError::Lacks { kind: self.kind.to_owned(), field })
+        value.ok_or_else(|| TraceError::MissingField { kind: self.kind.to_owned(), field })
     }
 
     fn number<T: FromStr>(&self, field: &'static str) -> Result<T, TraceError> {
         let value = self.get(field)?;
-        value.parse().map_err(|_| TraceError::NoNumber { field, value: value.to_owned() })
+        value.parse().map_err(|_| TraceError::InvalidNumber { field, value: value.to_owned() })
     }
 }
 
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Returns the mean of a sum over the load reports.
+    /// Returns the mean over the load reports; 0 if there are none.
     fn mean(&self, sum: f64) -> f64 {
         if self.reports > 0 { sum / self.reports as f64 } else { 0.0 }
     }
@@ -160,7 +160,7 @@
     fn write(&self, f: &mut fmt::Formatter<'_>, second: u64) -> fmt::Result {
         writeln!(
             f,
-            "  {:6} {:5} {:8} {:5} {:9} {:6} {:4} {:4} {:8} {:11} {:6} {:8} {:6} {:4} {:5.2} {:6.1}",
+            "  {:6} {:8} {:8} {:5} {:9} {:6} {:8} {:11} {:8} {:11} {:6} {:8} {:6} {:5} {:9.2} {:6.1}",
             second,
             self.accepted,
             self.connects,
@@ -190,14 +190,14 @@
                 writeln!(f, "destination {destination}")?;
                 writeln!(
                     f,
-                    "  second taken connects calls delivered errors full told timeouts unreachable resets \
-                     returned failed door  left  limit"
+                    "  second accepted connects calls delivered errors rejected retry_after timeouts unreachable \
+                     resets returned failed admin remaining  limit"
                 )?;
                 current_destination = Some(destination);
             }
             row.write(f, second - start)?;
         }
-        writeln!(f, "lists heard, by second")?;
+        writeln!(f, "endpoint lists received, by second")?;
         for (second, lists) in &self.lists {
             writeln!(f, "  {:6} {lists:5}", second - start)?;
         }
--- a/crates/micadrum-testkit/src/trace_aggregate/tests.rs
+++ b/crates/micadrum-testkit/src/trace_aggregate/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-/// Guards against a sum that leaves a sender or a second out, and against a mean over calls that told nothing.
+/// Guards against a sum that omits a sender or a second, and a mean that includes calls without a load
+/// report.
 #[test]
-fn what_several_senders_did_is_added_up() {
-    let mut count = TraceAggregate::default();
+fn sums_up_the_traces_of_several_senders() {
+    let mut aggregate = TraceAggregate::default();
     for sender in ["", "7.5 ", "n3: "] {
         for line in [
             "trace taken at=5000000 destination=3",
@@ -13,7 +14,7 @@
             "trace list at=6300000 revision=4 whole=false entries=0",
             "listening on 127.0.0.1:5000",
         ] {
-            assert_eq!(count.add(&format!("{sender}{line}")), Ok(()));
+            assert_eq!(aggregate.add(&format!("{sender}{line}")), Ok(()));
         }
     }
     let first = Row {
@@ -26,20 +27,20 @@
         ..Row::default()
     };
     let second = Row { calls: 3, rejected_calls: 3, retry_after: 3, returned: 3, ..Row::default() };
-    assert_eq!(count.rows, BTreeMap::from([((3, 5), first), ((3, 6), second)]));
-    assert_eq!(count.lists, BTreeMap::from([(6, 3)]));
-    let shown = count.to_string();
+    assert_eq!(aggregate.rows, BTreeMap::from([((3, 5), first), ((3, 6), second)]));
+    assert_eq!(aggregate.lists, BTreeMap::from([(6, 3)]));
+    let shown = aggregate.to_string();
     assert!(shown.contains("0.50") && shown.contains("40.0"), "{shown}");
 }
 
-/// Guards against a trace that is cut off or spoilt and counts as something else.
+/// Guards against a truncated or corrupted trace that is counted.
 #[test]
-fn a_spoilt_trace_names_what_is_wrong() {
-    let mut count = TraceAggregate::default();
-    let lacks = |field| Err(TraceError::Lacks { kind: "taken".into(), field });
-    assert_eq!(count.add("trace taken destination=3"), lacks("at"));
-    assert_eq!(count.add("trace taken at=1"), lacks("destination"));
-    let wrong = count.add("trace taken at=x destination=3");
-    assert_eq!(wrong, Err(TraceError::NoNumber { field: "at", value: "x".into() }));
-    assert_eq!(count.to_string(), "no traces\n");
+fn rejects_a_trace_with_a_missing_or_invalid_field() {
+    let mut aggregate = TraceAggregate::default();
+    let missing = |field| Err(TraceError::MissingField { kind: "taken".into(), field });
+    assert_eq!(aggregate.add("trace taken destination=3"), missing("at"));
+    assert_eq!(aggregate.add("trace taken at=1"), missing("destination"));
+    let invalid = aggregate.add("trace taken at=x destination=3");
+    assert_eq!(invalid, Err(TraceError::InvalidNumber { field: "at", value: "x".into() }));
+    assert_eq!(aggregate.to_string(), "no traces\n");
 }
