--- a/crates/micadrum-testkit/src/history/mod.rs
+++ b/crates/micadrum-testkit/src/history/mod.rs
@@ -1,6 +1,7 @@
-//! The membership and recovery events that the senders' processes traced, in the order of the test kit's clock.
+//! The history of membership and recovery events that the senders' processes traced, in the order of the test
+//! kit's clock.
 //!
-//! The checks in `views` are functions of the history alone: they know nothing of the code under test.
+//! The checks in `views` depend on the history alone, not on the state of the code under test.
 mod views;
 
 pub use views::{FalseDeath, WrongView};
@@ -11,43 +12,43 @@
 use micadrum_recovery::phases::PhaseRecord;
 use std::collections::BTreeMap;
 
-/// What a record is about.
+/// An event of the history. `--history` prints the names of the variants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HistoryEvent {
     /// A process of the sender was started.
     Started,
-    /// The sender's process has ended.
+    /// The sender's process exited.
     Ended,
-    /// A fault that affects the sender or its links began (true) or ended.
+    /// A fault that affects the sender or its links began (`true`) or ended (`false`).
     Struck(bool),
     /// The sender's process traced a membership event.
     Peers(Event),
     /// The sender's process traced a recovery event.
     Recovery(micadrum_recovery::Record),
-    /// The sender's admin endpoint was asked for the views of all members.
+    /// The sender's admin endpoint returned the views of all members.
     Looked {
         /// Members that answered.
         came: Vec<u32>,
-        /// Members that did not.
+        /// Members that did not answer.
         silent: Vec<u32>,
     },
 }
 
 impl HistoryEvent {
-    /// Returns whether the fleet changed: a process started or ended, or a fault of its links began or ended.
+    /// Returns whether the event changes the fleet: a process starts or exits, or a fault begins or ends.
     fn is_change(&self) -> bool {
         matches!(self, Self::Started | Self::Ended | Self::Struck(_))
     }
 }
 
-/// A record of the history.
+/// An event with its time and sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// When, on the test kit's clock, in microseconds from the start of the run.
+    /// When the event was recorded, on the test kit's clock.
     pub at: Micros,
     /// Number of the sender.
     pub sender: u32,
-    /// What the record is about.
+    /// The event.
     pub event: HistoryEvent,
 }
 
@@ -59,17 +60,17 @@
     names: BTreeMap<String, u32>,
 }
 
-/// The recovery of one process after its start, as it traced it.
+/// The recovery of one process after its start, from its trace.
 #[derive(Clone, Debug)]
-pub struct Return {
+pub struct ProcessRecovery {
     /// Number of the sender.
     pub sender: u32,
     /// When the process was started.
     pub started: Micros,
-    /// What the process found in its state folder; none if recovery is off, or the process ended before.
+    /// How far the process trusts its state folder; `None` if recovery is off, or the process exited before.
     pub trust: Option<micadrum_recovery::Trust>,
-    /// The phases that the process completed, each with its end.
-    pub steps: Vec<(Micros, PhaseRecord)>,
+    /// The phases that ended, each with the time of its end.
+    pub phases: Vec<(Micros, PhaseRecord)>,
 }
 
 /// The answer to a request for the views of all members.
@@ -79,24 +80,25 @@
     pub at: Micros,
     /// Members that answered.
     pub answered: &'a [u32],
-    /// Members that did not.
+    /// Members that did not answer.
     pub silent: &'a [u32],
 }
 
 impl History {
-    /// Creates an empty history of the senders of a plan.
+    /// Creates an empty history for the senders of a plan.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         let names = plan.senders.iter().map(|sender| (sender.name.clone(), sender.number)).collect();
         Self { records: Vec::new(), names }
     }
 
-    /// Adds a record; records are added in their order.
+    /// Adds an event; events must be added in chronological order.
     pub fn add(&mut self, at: Micros, sender: u32, event: HistoryEvent) {
         self.records.push(Record { at, sender, event });
     }
 
-    /// Adds a line of a sender's log if it traces a membership or recovery event; returns whether it does.
+    /// Adds the membership or recovery event that a line of a sender's log traces. Returns whether there is
+    /// one.
     pub fn add_line(&mut self, at: Micros, sender: u32, line: &str) -> bool {
         let event = parse_trace(line);
         let is_trace = event.is_some();
@@ -144,24 +146,29 @@
 
     /// Returns the recoveries of all processes, in the order of their starts.
     #[must_use]
-    pub fn returns(&self) -> Vec<Return> {
-        let mut returns: Vec<Return> = Vec::new();
+    pub fn recoveries(&self) -> Vec<ProcessRecovery> {
+        let mut recoveries: Vec<ProcessRecovery> = Vec::new();
         let mut latest: BTreeMap<u32, usize> = BTreeMap::new();
         for Record { at, sender, event } in &self.records {
             match event {
                 HistoryEvent::Started => {
-                    latest.insert(*sender, returns.len());
-                    returns.push(Return { sender: *sender, started: *at, trust: None, steps: Vec::new() });
+                    latest.insert(*sender, recoveries.len());
+                    recoveries.push(ProcessRecovery {
+                        sender: *sender,
+                        started: *at,
+                        trust: None,
+                        phases: Vec::new(),
+                    });
                 }
                 HistoryEvent::Recovery(record) => {
                     if let Some(index) = latest.get(sender) {
-                        returns[*index].add(*at, record);
+                        recoveries[*index].add(*at, record);
                     }
                 }
                 _ => {}
             }
         }
-        returns
+        recoveries
     }
 
     /// Returns all records as text, one per line.
@@ -175,16 +182,16 @@
     }
 }
 
-impl Return {
+impl ProcessRecovery {
     fn add(&mut self, at: Micros, record: &micadrum_recovery::Record) {
         match record {
             micadrum_recovery::Record::Trust(trust) => self.trust = Some(trust.clone()),
-            micadrum_recovery::Record::PhaseEnded(phase) => self.steps.push((at, *phase)),
+            micadrum_recovery::Record::PhaseEnded(phase) => self.phases.push((at, *phase)),
         }
     }
 }
 
-/// Parses a line of a sender's log that traces a membership or recovery event.
+/// Parses a line of a sender's log; `None` if it does not trace a membership or recovery event.
 fn parse_trace(line: &str) -> Option<HistoryEvent> {
     if let Some(record) = line.strip_prefix("trace recovery ") {
         return serde_json::from_str(record).ok().map(HistoryEvent::Recovery);
--- a/crates/micadrum-testkit/src/history/views.rs
+++ b/crates/micadrum-testkit/src/history/views.rs
@@ -1,21 +1,22 @@
-//! Checks of the senders' membership views: when they converged, and which deaths were declared without a cause.
+//! Checks of the senders' membership views: when the views converged, and which senders were falsely declared
+//! dead.
 use super::{History, HistoryEvent, Record};
 use crate::observation::Micros;
 use micadrum_membership::{Event, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A view that is wrong.
+/// A sender's wrong view of another sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WrongView {
     /// Number of the sender that has the view.
     pub observer: u32,
     /// Number of the sender that the view is of.
     pub subject: u32,
-    /// The status in the view.
+    /// The status that the observer holds.
     pub status: Status,
 }
 
-/// A death that was declared of a sender that ran, while no fault affected the fleet.
+/// A declaration that a running sender is dead, while no fault affected the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FalseDeath {
     /// When the death was declared.
@@ -27,59 +28,59 @@
 }
 
 impl History {
-    /// Returns how long after `from` the last wrong view was corrected, if none is wrong at `until`. A sender that runs
-    /// must be live, one that does not must be dead or have left.
+    /// Returns the time from `from` until the last wrong view was corrected. A view is correct if it has a
+    /// running sender as live, and any other as dead or left.
     ///
     /// # Errors
-    /// The views that are wrong at `until`.
-    pub fn right_after(&self, from: Micros, until: Micros) -> Result<Micros, Vec<WrongView>> {
+    /// Returns the views that are still wrong at `until`.
+    pub fn convergence_time(&self, from: Micros, until: Micros) -> Result<Micros, Vec<WrongView>> {
         let mut views = Views::new(self);
         let mut last_wrong = from;
         for record in self.records.iter().take_while(|record| record.at < until) {
-            if !views.are_right() && record.at > from {
+            if !views.all_correct() && record.at > from {
                 last_wrong = record.at;
             }
             views.apply(record);
         }
-        if views.are_right() { Ok(last_wrong - from) } else { Err(views.wrong_views()) }
+        if views.all_correct() { Ok(last_wrong - from) } else { Err(views.wrong_views()) }
     }
 
-    /// Returns each time at which the fleet changed, with the time from it until no view was wrong; none if the fleet
-    /// changed again before that.
+    /// Returns each time at which the fleet changed, with the duration until all views were correct; `None`
+    /// if the fleet changed again before that.
     #[must_use]
-    pub fn settled(&self) -> Vec<(Micros, Option<Micros>)> {
+    pub fn convergence_times(&self) -> Vec<(Micros, Option<Micros>)> {
         let mut views = Views::new(self);
-        let mut settled: Vec<(Micros, Option<Micros>)> = Vec::new();
-        let mut is_open = false;
+        let mut convergence_times: Vec<(Micros, Option<Micros>)> = Vec::new();
+        let mut is_converging = false;
         for record in &self.records {
             views.apply(record);
             if record.event.is_change() {
-                if settled.last() != Some(&(record.at, None)) {
-                    settled.push((record.at, None));
+                if convergence_times.last() != Some(&(record.at, None)) {
+                    convergence_times.push((record.at, None));
                 }
-                is_open = true;
+                is_converging = true;
             }
-            if is_open == views.are_right() {
-                // A view that goes wrong without a change means that the latest change has not settled yet.
-                is_open = !is_open;
-                if let Some((at, delay)) = settled.last_mut() {
-                    *delay = (!is_open).then_some(record.at - *at);
+            if is_converging == views.all_correct() {
+                // A view that becomes wrong without a change of the fleet reopens the latest change.
+                is_converging = !is_converging;
+                if let Some((at, delay)) = convergence_times.last_mut() {
+                    *delay = (!is_converging).then_some(record.at - *at);
                 }
             }
         }
-        settled
+        convergence_times
     }
 
     /// Returns when the fleet last changed, or a process traced a recovery event.
     #[must_use]
-    pub fn last_happening(&self) -> Option<Micros> {
-        let is_happening =
+    pub fn last_change_or_recovery(&self) -> Option<Micros> {
+        let is_change_or_recovery =
             |record: &&Record| !matches!(record.event, HistoryEvent::Peers(_) | HistoryEvent::Looked { .. });
-        self.records.iter().rev().find(is_happening).map(|record| record.at)
+        self.records.iter().rev().find(is_change_or_recovery).map(|record| record.at)
     }
 
-    /// Returns the deaths that were declared of senders that ran, at a time when no fault was active, and more than `grace`
-    /// after the last change of the fleet.
+    /// Returns the declarations that a running sender is dead, made while no fault was active and more than
+    /// `grace` after the last change of the fleet.
     #[must_use]
     pub fn false_deaths(&self, grace: Micros) -> Vec<FalseDeath> {
         let mut false_deaths = Vec::new();
@@ -97,7 +98,7 @@
                 HistoryEvent::Ended => drop(running.remove(&record.sender)),
                 HistoryEvent::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) => {
                     let subject = self.names.get(name).copied().unwrap_or(u32::MAX);
-                    // The death of a sender that has ended is true, however late it is declared.
+                    // Declaring an exited sender dead is correct, however late it happens.
                     if active_faults == 0 && record.at > last_change + grace && running.contains(&subject) {
                         let observer = record.sender;
                         false_deaths.push(FalseDeath { at: record.at, observer, subject });
@@ -114,7 +115,7 @@
 struct Views<'a> {
     /// Numbers of the senders, by name.
     names: &'a BTreeMap<String, u32>,
-    /// Whether each sender runs.
+    /// Whether each sender is running.
     is_running: Vec<bool>,
     /// Status by observer and subject.
     statuses: Vec<Vec<Status>>,
@@ -133,7 +134,7 @@
         }
     }
 
-    fn are_right(&self) -> bool {
+    fn all_correct(&self) -> bool {
         self.wrong.is_empty()
     }
 
@@ -171,15 +172,15 @@
         }
     }
 
-    /// Notes whether the observer's view of the subject is wrong.
+    /// Updates whether the observer's view of the subject is wrong.
     fn check(&mut self, observer: usize, subject: usize) {
         let status = self.statuses[observer][subject];
-        let is_right = if self.is_running[subject] {
+        let is_correct = if self.is_running[subject] {
             status == Status::Live
         } else {
             matches!(status, Status::Dead | Status::Left)
         };
-        if observer != subject && self.is_running[observer] && !is_right {
+        if observer != subject && self.is_running[observer] && !is_correct {
             self.wrong.insert((observer, subject));
         } else {
             self.wrong.remove(&(observer, subject));
--- a/crates/micadrum-testkit/src/invariants/attempt_limit.rs
+++ b/crates/micadrum-testkit/src/invariants/attempt_limit.rs
@@ -3,8 +3,9 @@
 use super::state::{Finding, Message};
 use crate::plan::MAX_ATTEMPTS;
 
-/// Checks a message whose latest attempt has been counted.
+/// Checks the attempt count of a message, which includes the latest attempt.
 pub(super) fn check_attempt_limit(message: &Message) -> Option<Finding> {
-    let what = format!("attempt {} of {MAX_ATTEMPTS}", message.attempts);
-    (message.attempts > MAX_ATTEMPTS).then_some(Finding { invariant: Invariant::TooManyAttempts, what })
+    let description = format!("attempt {} exceeds the limit of {MAX_ATTEMPTS}", message.attempts);
+    (message.attempts > MAX_ATTEMPTS)
+        .then_some(Finding { invariant: Invariant::TooManyAttempts, description })
 }
--- a/crates/micadrum-testkit/src/invariants/completion.rs
+++ b/crates/micadrum-testkit/src/invariants/completion.rs
@@ -1,18 +1,19 @@
 //! Checks [`Invariant::Lost`] and [`Invariant::Late`].
 //!
-//! A message is checked when it must have ended, and again when it is forgotten: if it has not ended by the first check
-//! it is late if it still ends, and lost if it does not.
+//! A message is checked when it must have ended, and again after the retention period. A message that ends
+//! between the two checks is late; one that has not ended by the second check is lost.
 use super::{
     COMPLETION_SLACK_MICROS, Invariant, InvariantChecker, READY_SLACK_MICROS, TOLERANCE_MICROS, seconds,
 };
 use crate::observation::Micros;
 
-/// A message is observed for this long after it must have ended, in microseconds.
+/// Time from when a message must have ended until it is forgotten, in microseconds.
 const RETENTION_MICROS: Micros = 60_000_000;
-/// The end of a process is seen within this time of its effects on connections, in microseconds.
+/// Maximum time between the closing of a process's connections and the observation of its exit, in
+/// microseconds.
 const MAX_EXIT_DELAY_MICROS: Micros = 1_000_000;
 
-/// Returns when a message with this deadline must have ended.
+/// Returns the time by which a message with this deadline must have ended.
 fn completion_limit(deadline: Micros) -> Micros {
     deadline + COMPLETION_SLACK_MICROS + TOLERANCE_MICROS
 }
@@ -36,7 +37,12 @@
         let is_missing = message.is_accepted() && message.ended_at.is_none();
         if due > limit + RETENTION_MICROS || now == Micros::MAX {
             if is_missing {
-                self.report(Invariant::Lost, due, Some(&id), "it has no end".to_owned());
+                self.report(
+                    Invariant::Lost,
+                    due,
+                    Some(&id),
+                    "it was neither delivered nor reported as failed or returned".to_owned(),
+                );
             }
             return self.forget_message(&id);
         }
@@ -57,7 +63,7 @@
         self.completion_checks.insert((limit + RETENTION_MICROS + 1, id));
     }
 
-    /// Returns until when no message of a sender is overdue.
+    /// Returns the time until which a sender's messages do not count as overdue.
     fn excused_until(&self, now: Micros, sender: u32) -> Micros {
         let Some(sender) = self.senders.get(&sender) else { return 0 };
         if sender.restarting_since.is_some() {
@@ -67,7 +73,7 @@
         }
     }
 
-    /// A message has ended; if it is overdue, it is late.
+    /// Records the end of a message, and reports the message as late if it was overdue.
     pub(super) fn message_ended(&mut self, at: Micros, id: &str) {
         let Some(message) = self.messages.get_mut(id) else { return };
         if message.ended_at.is_some() {
@@ -82,11 +88,11 @@
     fn report_late(&mut self, ended_at: Micros, id: &str) {
         let Some(message) = self.messages.get(id) else { return };
         let delay = ended_at.saturating_sub(message.deadline);
-        let what = format!("its end came {} s after its time was up", seconds(delay));
-        self.report(Invariant::Late, ended_at, Some(id), what);
+        let description = format!("it ended {} s after its deadline", seconds(delay));
+        self.report(Invariant::Late, ended_at, Some(id), description);
     }
 
-    /// Checks that a client's connection ended without an answer only because the sender's process ended.
+    /// Checks that clients' connections closed without an answer only where the sender's process exited.
     pub(super) fn check_unanswered_submissions(&mut self, now: Micros) {
         while let Some(submission) = self.unanswered_submissions.front().cloned()
             && submission.at + MAX_EXIT_DELAY_MICROS < now
@@ -94,8 +100,8 @@
             self.unanswered_submissions.pop_front();
             let exited_at = self.senders.get(&submission.sender).and_then(|sender| sender.exited_at);
             if exited_at.is_none_or(|exited_at| exited_at.abs_diff(submission.at) > MAX_EXIT_DELAY_MICROS) {
-                let what = "its client's connection ended without an answer".to_owned();
-                self.report(Invariant::Lost, submission.at, Some(&submission.id), what);
+                let description = "its client's connection closed without an answer".to_owned();
+                self.report(Invariant::Lost, submission.at, Some(&submission.id), description);
             }
         }
     }
--- a/crates/micadrum-testkit/src/invariants/concurrency.rs
+++ b/crates/micadrum-testkit/src/invariants/concurrency.rs
@@ -1,17 +1,17 @@
 //! Checks [`Invariant::ConcurrentAttempts`], and [`Invariant::OutOfOrder`] for calls that overlap.
 //!
-//! The end of a call is seen later than it happens, so overlaps are noted as conflicts when the later attempt begins,
-//! and checked when the end of the earlier call is known.
+//! The end of a call is observed later than it happens. A possible overlap is therefore recorded as a
+//! conflict when the later attempt begins, and checked once the end of the earlier call is known.
 use super::state::{Call, CallStart, Conflict};
 use super::{Invariant, InvariantChecker, seconds};
 use crate::observation::Micros;
 
-/// Data on a connection may be held back on a link for this long after its process ended. If by then no end of a call
-/// has been seen, the call ended with the process.
+/// Maximum time that a link holds back the data of a connection after its process exited, in microseconds. A
+/// call whose end has not been observed by then ended when the process exited.
 const MAX_LINK_HOLD_MICROS: Micros = 60_000_000;
 
 impl InvariantChecker {
-    /// Notes that the attempt to send `id` must not overlap with the calls `others`.
+    /// Records that the attempt to send the message `id` must not overlap with the calls `others`.
     pub(super) fn add_conflicts(
         &mut self,
         start: &CallStart,
@@ -19,13 +19,13 @@
         others: &[u64],
         invariant: Invariant,
     ) {
-        // The connections of an earlier process ended with it, whenever that shows.
+        // The calls of an earlier process ended when it exited, even if their end is observed later.
         let exited_at = self.senders.get(&start.sender).and_then(|sender| sender.exited_at).unwrap_or(0);
         let is_same_process = |call: &&mut Call| call.sender == start.sender && call.sent_at >= exited_at;
         for other in others {
             let Some(other) = self.calls.get_mut(other).filter(is_same_process) else { continue };
             let id = id.to_owned();
-            // The call that was seen first need not have been sent first.
+            // Calls may be observed in another order than they were sent.
             if other.sent_at <= start.sent_at {
                 other.conflicts.push(Conflict { invariant, id, sent_at: start.sent_at });
             } else if invariant == Invariant::ConcurrentAttempts {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Ends calls of processes that ended long ago: those whose own end has not been seen since.
+    /// Ends the calls of processes that exited more than [`MAX_LINK_HOLD_MICROS`] ago, if their end was not
+    /// observed.
     pub(super) fn end_orphaned_calls(&mut self, now: Micros) {
         while let Some((exited_at, call)) = self.orphaned_calls.front().copied()
             && exited_at + MAX_LINK_HOLD_MICROS < now
@@ -47,20 +48,21 @@
         }
     }
 
-    /// A call was in flight until `until`: attempts in conflict with it must not have been sent before.
+    /// Ends a call that was in flight until `until`, and reports the conflicting attempts that were sent
+    /// before then.
     pub(super) fn call_ended(&mut self, at: Micros, number: u64, until: Micros) {
         let Some(call) = self.calls.remove(&number) else { return };
         for Conflict { invariant, id, sent_at } in call.conflicts {
             if sent_at >= until {
                 continue;
             }
-            let what = format!(
-                "it was sent {} beside call {number} of {}, out until {}",
+            let description = format!(
+                "it was sent at {} while call {number} with {} was in flight until {}",
                 seconds(sent_at),
                 call.ids.join(", "),
                 seconds(until)
             );
-            self.report(invariant, at, Some(&id), what);
+            self.report(invariant, at, Some(&id), description);
             self.add_histories(&id, &call.ids);
         }
     }
@@ -71,7 +73,7 @@
         let lines: Vec<String> = others
             .flat_map(|other| self.history(other).into_iter().map(move |line| format!("({other}) {line}")))
             .collect();
-        let reported = self.verdict.breaks.last_mut();
+        let reported = self.verdict.violations.last_mut();
         if let Some(violation) = reported.filter(|violation| violation.id.as_deref() == Some(id)) {
             violation.history.extend(lines);
         }
--- a/crates/micadrum-testkit/src/invariants/membership_views.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views.rs
@@ -3,36 +3,39 @@
 use crate::history::{FalseDeath, History, WrongView};
 use crate::observation::Micros;
 
-/// Views must be right this long after the last change of the fleet, in microseconds.
+/// Maximum time from the last change of the fleet until all views are correct, in microseconds.
 const MAX_CONVERGENCE_MICROS: Micros = 5_000_000;
-/// No sender may be declared dead later than this after the last change of the fleet, in microseconds.
+/// Time after the last change of the fleet during which a sender may still be declared dead, in microseconds.
 const MAX_DETECTION_MICROS: Micros = 4_000_000;
 
-/// Checks the history of a membership, which ends at `end`, and adds the violations to the verdict.
-pub fn look_at_views(history: &History, end: Micros, verdict: &mut Verdict) {
-    let mut report = |rule, at, what| {
-        verdict.add(Violation { rule, at, id: None, what, history: Vec::new() });
+/// Checks the membership views in a history that ends at `end`, and adds the violations to the verdict.
+pub fn check_membership_views(history: &History, end: Micros, verdict: &mut Verdict) {
+    let mut report = |invariant, at, description| {
+        verdict.add(Violation { invariant, at, id: None, description, history: Vec::new() });
     };
     for FalseDeath { at, observer, subject } in history.false_deaths(MAX_DETECTION_MICROS) {
-        let what = format!("sender {observer} held sender {subject} for dead, which ran, with nothing wrong");
-        report(Invariant::FalseDeath, at, what);
+        let description = format!(
+            "sender {observer} declared sender {subject} dead while it was running and no fault was active"
+        );
+        report(Invariant::FalseDeath, at, description);
     }
-    let Some(last_change) = history.last_happening() else { return };
+    let Some(last_change) = history.last_change_or_recovery() else { return };
     if last_change + MAX_CONVERGENCE_MICROS >= end {
         return;
     }
-    match history.right_after(last_change, end) {
+    match history.convergence_time(last_change, end) {
         Ok(delay) if delay <= MAX_CONVERGENCE_MICROS => {}
         Ok(delay) => {
             let delay_text = seconds(delay);
-            let what =
-                format!("views were right {delay_text} s after the last thing that happened to senders");
-            report(Invariant::WrongView, last_change + delay, what);
+            let description =
+                format!("views were not correct until {delay_text} s after the last change of the fleet");
+            report(Invariant::WrongView, last_change + delay, description);
         }
         Err(wrong_views) => {
             for WrongView { observer, subject, status } in wrong_views {
-                let what = format!("sender {observer} holds sender {subject} for {status:?} at the end");
-                report(Invariant::WrongView, end, what);
+                let description =
+                    format!("sender {observer} has sender {subject} as {status:?} at the end of the run");
+                report(Invariant::WrongView, end, description);
             }
         }
     }
--- a/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
+++ b/crates/micadrum-testkit/src/invariants/membership_views/tests.rs
@@ -7,35 +7,43 @@
 const S: Micros = 1_000_000;
 const TEXT: &str = "title = \"t\"\nlength = \"60 s\"\nsenders = 2\ntraffic = \"20/s\"\n";
 
-fn broken(changes: &[(Micros, u32, u32, Status)], end: Micros) -> Vec<Invariant> {
+fn violated_invariants(changes: &[(Micros, u32, u32, Status)], end: Micros) -> Vec<Invariant> {
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
     (0..2).for_each(|sender| history.add(0, sender, HistoryEvent::Started));
-    for (at, by, of, is) in changes {
+    for (at, observer, subject, status) in changes {
         let event = Event::StatusChanged {
-            name: format!("n{of}"),
+            name: format!("n{subject}"),
             previous: Status::Unknown,
-            current: *is,
+            current: *status,
             incarnation: 1,
         };
-        history.add(*at, *by, HistoryEvent::Peers(event));
+        history.add(*at, *observer, HistoryEvent::Peers(event));
     }
     let mut verdict = Verdict::default();
-    look_at_views(&history, end, &mut verdict);
+    check_membership_views(&history, end, &mut verdict);
     verdict.counts.into_keys().collect()
 }
 
-/// Guards against a judge that lets wrong views and causeless deaths pass, or convicts right ones.
+/// Guards against a check that misses wrong views and false deaths, or reports correct views.
 #[test]
-fn wrong_views_and_causeless_deaths_are_convicted() {
+fn reports_wrong_views_and_false_deaths_only() {
     use Status::{Dead, Live};
-    let good = [(S, 0, 1, Live), (2 * S, 1, 0, Live)];
-    assert_eq!(broken(&good, 20 * S), []);
-    assert_eq!(broken(&good[..1], 20 * S), [Invariant::WrongView], "one is never seen");
-    assert_eq!(broken(&good[..1], 4 * S), [], "it is not over yet");
-    assert_eq!(broken(&[good[0], (9 * S, 1, 0, Live)], 20 * S), [Invariant::WrongView], "one is seen late");
-    let accused = [good[0], good[1], (10 * S, 1, 0, Dead), (11 * S, 1, 0, Live)];
-    assert_eq!(broken(&accused, 20 * S), [Invariant::WrongView, Invariant::FalseDeath]);
-    // One that has ended is rightly held for dead, however late that is found.
+    let correct = [(S, 0, 1, Live), (2 * S, 1, 0, Live)];
+    assert_eq!(violated_invariants(&correct, 20 * S), []);
+    assert_eq!(
+        violated_invariants(&correct[..1], 20 * S),
+        [Invariant::WrongView],
+        "sender 1 never sees sender 0"
+    );
+    assert_eq!(violated_invariants(&correct[..1], 4 * S), [], "the views may still converge");
+    assert_eq!(
+        violated_invariants(&[correct[0], (9 * S, 1, 0, Live)], 20 * S),
+        [Invariant::WrongView],
+        "sender 1 sees sender 0 too late"
+    );
+    let false_death = [correct[0], correct[1], (10 * S, 1, 0, Dead), (11 * S, 1, 0, Live)];
+    assert_eq!(violated_invariants(&false_death, 20 * S), [Invariant::WrongView, Invariant::FalseDeath]);
+    // Declaring an exited sender dead is correct, however late it happens.
     let mut history = History::new(&Plan::new(Scenario::parse("t", TEXT).unwrap(), 1));
     (0..2).for_each(|sender| history.add(0, sender, HistoryEvent::Started));
     history.add(S, 0, HistoryEvent::Ended);
--- a/crates/micadrum-testkit/src/invariants/messages.rs
+++ b/crates/micadrum-testkit/src/invariants/messages.rs
@@ -1,17 +1,17 @@
-//! Messages, from their first submission until they are forgotten.
+//! Tracks messages from their first submission until they are forgotten.
 use super::state::{Acceptance, Message, UnansweredSubmission};
 use super::{Invariant, InvariantChecker};
 use crate::observation::{Micros, Observation, SubmissionAnswer};
 
 impl InvariantChecker {
-    /// A client submits a message.
+    /// Processes the submission of a message by a client.
     pub(super) fn submitted(&mut self, at: Micros, observation: &Observation) {
         let Observation::Submitted { id, operation, sender, class, vehicle, deadline } = observation else {
             return;
         };
-        let text = format!("handed in to sender {sender} (operation {operation}, {})", class.name());
+        let text = format!("submitted to sender {sender} (operation {operation}, {})", class.name());
         if let Some(known) = self.messages.get_mut(id) {
-            // The same id once more: the first submission counts.
+            // The id was submitted before: the first submission counts.
             return known.record(at, text);
         }
         if let Some(vehicle) = vehicle {
@@ -37,10 +37,10 @@
         self.messages.insert(id.clone(), message);
     }
 
-    /// A client got an answer to its submission, or gave up on it.
+    /// Processes the outcome of a submission: the sender's answer, a timeout or the end of the connection.
     pub(super) fn answered(&mut self, at: Micros, id: &str, answer: SubmissionAnswer) {
         let Some(message) = self.messages.get_mut(id) else { return };
-        message.record(at, format!("its client heard {answer:?}"));
+        message.record(at, format!("answer to its client: {answer:?}"));
         // If the id was submitted again, the first answer counts.
         if message.acceptance != Acceptance::Pending {
             return;
@@ -60,17 +60,22 @@
             }
             SubmissionAnswer::Accepted => self.verdict.accepted += 1,
             SubmissionAnswer::Rejected if is_sent => {
-                self.report(Invariant::SentAfterEnd, at, Some(id), "it was sent and refused".to_owned());
+                self.report(
+                    Invariant::SentAfterEnd,
+                    at,
+                    Some(id),
+                    "it was sent before its sender rejected it".to_owned(),
+                );
             }
             _ => {}
         }
     }
 
-    /// The platform has acknowledged the notification that a message failed, or is returned.
+    /// Processes the platform's acknowledgment of the notification that a message failed or was returned.
     pub(super) fn notified(&mut self, at: Micros, id: &str, is_returned: bool) {
         let Some(message) = self.messages.get_mut(id) else { return };
         let outcome = if is_returned { "returned" } else { "failed" };
-        message.record(at, format!("noticed as {outcome}"));
+        message.record(at, format!("notified as {outcome}"));
         let is_first = message.notified_at.is_none();
         if is_first && message.was_left_untried && message.attempts == 0 && message.is_accepted() {
             self.verdict.ended_untried += 1;
--- a/crates/micadrum-testkit/src/invariants/mod.rs
+++ b/crates/micadrum-testkit/src/invariants/mod.rs
@@ -1,8 +1,9 @@
-//! Checks the invariants of a run from what destinations, platform and clients observed, never from what a sender
-//! believes. The checker does no I/O and reads no clock; observations come in the order in which they were made.
+//! Checks the invariants of a run, from the observations of destinations, the platform and clients and never
+//! from the state of a sender. The checker does no I/O and reads no clock; observations are passed to it in
+//! chronological order.
 //!
-//! [`InvariantChecker`] dispatches the observations. `messages` and `calls` keep track of what they show; each of the
-//! other modules checks one invariant, or two that need the same state.
+//! [`InvariantChecker`] dispatches the observations. `messages` and `calls` maintain the state of messages
+//! and calls; each of the other modules checks one invariant, or two that need the same state.
 mod attempt_limit;
 mod calls;
 mod completion;
@@ -19,7 +20,7 @@
 mod state;
 mod violation;
 
-pub use membership_views::look_at_views;
+pub use membership_views::check_membership_views;
 pub use violation::{Invariant, Verdict, Violation};
 
 use crate::observation::{Micros, Observation};
@@ -28,30 +29,30 @@
 
 /// Tolerance of time limits in live runs, in microseconds.
 const TOLERANCE_MICROS: Micros = 50_000;
-/// A message may end this long after its deadline, in microseconds.
+/// Time after its deadline by which a message must have ended, in microseconds.
 const COMPLETION_SLACK_MICROS: Micros = 300_000;
-/// After a restart, no message is overdue until this long after the sender is ready again, in microseconds.
+/// Time after a restarted sender is ready during which its messages do not count as overdue, in microseconds.
 const READY_SLACK_MICROS: Micros = 1_500_000;
 
 /// Checks the observations of one run.
 #[derive(Default)]
 pub struct InvariantChecker {
     messages: BTreeMap<String, Message>,
-    /// When messages are to be checked for their end, with their ids.
+    /// When messages are to be checked for having ended, with their ids.
     completion_checks: BTreeSet<(Micros, String)>,
     calls: BTreeMap<u64, Call>,
     /// Ids of the messages of each sender and ordering key, in the order of their submission.
     ordering_keys: BTreeMap<(u32, u32), VecDeque<String>>,
     senders: BTreeMap<u32, Sender>,
-    /// When a sender was told that an endpoint is not in service.
+    /// When discovery first listed an endpoint to a sender as not in service.
     unlisted_since: BTreeMap<(u32, String), Micros>,
-    /// By sender and route.
+    /// The Retry-After times that senders received, by sender and route.
     retry_after: BTreeMap<(u32, u32), Vec<RetryAfter>>,
-    /// By route.
+    /// The latest outage of each route.
     outages: BTreeMap<u32, Outage>,
-    /// Those whose sender's process may still be seen to have ended.
+    /// Submissions without an answer whose sender's process may still be observed to have exited.
     unanswered_submissions: VecDeque<UnansweredSubmission>,
-    /// Calls whose process has ended, with the time at which it did.
+    /// Calls whose process has exited, with the time of the exit.
     orphaned_calls: VecDeque<(Micros, u64)>,
     verdict: Verdict,
 }
@@ -74,14 +75,15 @@
                 self.note_retry_after(at, *call, *retry_after, *received_at);
                 self.call_ended(at, *call, *in_flight_until);
             }
-            // No call that the wait would bind can have come yet: it binds those sent after the answer is heard.
+            // No call can have been checked against this Retry-After yet: it applies only after the answer's
+            // receipt.
             Observation::AnswerLost { call } => self.forget_retry_after(*call),
             Observation::CallClosed { call, closed_at } => self.closed(at, *call, *closed_at),
             _ => self.observe_environment(at, observation),
         }
     }
 
-    /// Checks an observation of processes, discovery or destinations.
+    /// Checks an observation of processes, discovery, the platform or destinations.
     fn observe_environment(&mut self, at: Micros, observation: &Observation) {
         match observation {
             Observation::Ready { sender } => self.ready(at, *sender),
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Returns the verdict once the run is over: all accepted messages must have ended by now.
+    /// Returns the verdict at the end of the run, by which all accepted messages must have ended.
     pub fn verdict(mut self, at: Micros) -> Verdict {
         self.run_due_checks(Micros::MAX);
         let open: Vec<u64> = self.calls.keys().copied().collect();
@@ -116,10 +118,10 @@
         self.end_orphaned_calls(now);
     }
 
-    /// Records a violation of an invariant, with the history of the message that it is about.
-    fn report(&mut self, rule: Invariant, at: Micros, id: Option<&str>, what: String) {
+    /// Records a violation of an invariant, with the history of the affected message.
+    fn report(&mut self, invariant: Invariant, at: Micros, id: Option<&str>, description: String) {
         let history = id.map_or(Vec::new(), |id| self.history(id));
-        self.verdict.add(Violation { rule, at, id: id.map(str::to_owned), what, history });
+        self.verdict.add(Violation { invariant, at, id: id.map(str::to_owned), description, history });
     }
 
     fn history(&self, id: &str) -> Vec<String> {
--- a/crates/micadrum-testkit/src/invariants/ordering.rs
+++ b/crates/micadrum-testkit/src/invariants/ordering.rs
@@ -3,16 +3,17 @@
 use super::{Invariant, InvariantChecker};
 use crate::observation::Micros;
 
-/// What an attempt shows about the order of its key.
+/// The result of checking an attempt against the order of its key.
 #[derive(Default)]
 pub(super) struct OrderCheck {
     pub(super) findings: Vec<Finding>,
-    /// Calls with earlier messages of the key that are in flight: they must end before the attempt was sent.
+    /// Calls in flight with earlier messages of the key; each must have ended before the attempt was sent.
     pub(super) earlier_calls: Vec<u64>,
 }
 
 impl InvariantChecker {
-    /// Checks an attempt to send the message `id` at `sent` against the earlier messages of its ordering key.
+    /// Checks an attempt to send the message `id` at `sent_at` against the earlier messages of its ordering
+    /// key.
     pub(super) fn check_order(&self, id: &str, sent_at: Micros) -> OrderCheck {
         let mut check = OrderCheck::default();
         for earlier in self.earlier_messages(id) {
@@ -20,8 +21,8 @@
                 continue;
             };
             if message.ended_at.is_none_or(|ended_at| ended_at > sent_at) {
-                let what = format!("it was sent before {earlier} was over");
-                check.findings.push(Finding { invariant: Invariant::OutOfOrder, what });
+                let description = format!("it was sent before the earlier message {earlier} had ended");
+                check.findings.push(Finding { invariant: Invariant::OutOfOrder, description });
             } else {
                 check.earlier_calls.extend(&message.calls);
             }
--- a/crates/micadrum-testkit/src/invariants/overload.rs
+++ b/crates/micadrum-testkit/src/invariants/overload.rs
@@ -1,18 +1,19 @@
 //! Checks [`Invariant::OverloadedInSlowStart`].
 //!
-//! A violation is that at least two thirds of the calls that overloaded a destination came from senders that had seen its
-//! outage, and that the calls exceed N + 3√N, where N is what the settings allow in the window (see the wire's page). The
-//! standing test allows three more calls, and requires more than two thirds; the report says whether its bound was exceeded
-//! as well. A destination fails at the first call beyond its bound, so the reported calls are the fewest that violate the
-//! invariant, not the load that would have come.
+//! The invariant is violated if a destination is overloaded by more than N + 3√N calls, where N is the number
+//! of calls that the settings allow in the window, and at least two thirds of the calls came from senders
+//! that had seen its outage. The acceptance test allows three more calls and requires more than two thirds; a
+//! violation's description says whether that bound was exceeded as well. The destination fails at the first
+//! call beyond its bound, so the number of reported calls is the smallest that violates the invariant, not
+//! the load that would have followed.
 use super::{Invariant, InvariantChecker, seconds};
 use crate::observation::Micros;
 
-/// Number of calls that the standing test allows beyond the bound of the wire's page.
-const STANDING_TEST_MARGIN_CALLS: f64 = 3.0;
+/// Number of calls that the acceptance test allows beyond the bound of the invariant.
+const ACCEPTANCE_TEST_MARGIN_CALLS: f64 = 3.0;
 
 impl InvariantChecker {
-    /// An outage of a line began or ended.
+    /// Records that an outage of a route began or ended.
     pub(super) fn outage(&mut self, route: u32, began: bool) {
         let outage = self.outages.entry(route).or_default();
         if began && !outage.is_active {
@@ -21,14 +22,14 @@
         outage.is_active = began;
     }
 
-    /// A sender has seen a call to the line fail.
+    /// Records that a sender has seen a call to the route fail.
     pub(super) fn witness_failure(&mut self, route: u32, sender: u32) {
         if let Some(outage) = self.outages.get_mut(&route).filter(|outage| outage.is_active) {
             outage.witnesses.insert(sender);
         }
     }
 
-    /// A line in slow start failed by calls of `senders`, one entry for each call.
+    /// Processes the overload of a route in slow start by calls of `senders`, one entry for each call.
     pub(super) fn overloaded(
         &mut self,
         at: Micros,
@@ -38,20 +39,21 @@
         endpoint: &str,
     ) {
         let calls = senders.len();
-        let knowing = self
+        let aware = self
             .outages
             .get(&route)
             .map_or(0, |outage| senders.iter().filter(|sender| outage.witnesses.contains(sender)).count());
-        let standing_bound = budget + STANDING_TEST_MARGIN_CALLS;
-        let exceeds_standing_bound = calls as f64 > standing_bound && knowing * 3 > calls * 2;
-        let what = format!(
-            "line {route} ({endpoint}) fell by {calls} calls where it bore {budget:.1}: {knowing} by senders that knew; \
-             by the bound of the standing test, {standing_bound:.1}, it {}",
-            if exceeds_standing_bound { "would have fallen as well" } else { "stood here" }
+        let acceptance_bound = budget + ACCEPTANCE_TEST_MARGIN_CALLS;
+        let exceeds_acceptance_bound = calls as f64 > acceptance_bound && aware * 3 > calls * 2;
+        let description = format!(
+            "route {route} ({endpoint}) was overloaded by {calls} calls, more than its budget of {budget:.1}; \
+             {aware} came from senders that had seen the outage; \
+             the acceptance test's bound of {acceptance_bound:.1} calls was {}",
+            if exceeds_acceptance_bound { "exceeded" } else { "not exceeded" }
         );
-        self.verdict.fell.push(format!("{} {what}", seconds(at)));
-        if knowing * 3 >= calls * 2 {
-            self.report(Invariant::OverloadedInSlowStart, at, None, what);
+        self.verdict.overloads.push(format!("{} {description}", seconds(at)));
+        if aware * 3 >= calls * 2 {
+            self.report(Invariant::OverloadedInSlowStart, at, None, description);
         }
     }
 }
--- a/crates/micadrum-testkit/src/invariants/processes.rs
+++ b/crates/micadrum-testkit/src/invariants/processes.rs
@@ -1,10 +1,10 @@
-//! Checks [`Invariant::Crash`], and notes what ends with a sender's process.
+//! Checks [`Invariant::Crash`], and updates the state that ends with a sender's process.
 use super::state::Acceptance;
 use super::{Invariant, InvariantChecker, READY_SLACK_MICROS};
 use crate::observation::Micros;
 
 impl InvariantChecker {
-    /// A sender is ready.
+    /// Records that a sender is ready.
     pub(super) fn ready(&mut self, at: Micros, sender: u32) {
         let sender = self.senders.entry(sender).or_default();
         if sender.restarting_since.take().is_some() {
@@ -13,31 +13,32 @@
         sender.is_shutdown_requested = false;
     }
 
-    /// A sender's process was told to end.
+    /// Records that a sender's process was signalled to exit.
     pub(super) fn shutdown_requested(&mut self, at: Micros, sender: u32) {
         let sender = self.senders.entry(sender).or_default();
         sender.restarting_since.get_or_insert(at);
         sender.is_shutdown_requested = true;
     }
 
-    /// None of a sender's messages is overdue until shortly after `until`.
+    /// Excuses a sender: its messages do not count as overdue until shortly after `until`.
     pub(super) fn excuse(&mut self, sender: u32, until: Micros) {
         let sender = self.senders.entry(sender).or_default();
         sender.excused_until = sender.excused_until.max(until + READY_SLACK_MICROS);
     }
 
-    /// A sender's process has ended; `in_order` if it was told to, and was killed or ended without an error.
-    pub(super) fn exited(&mut self, at: Micros, number: u32, in_order: bool) {
+    /// Processes the exit of a sender's process; `is_expected` if the exit was requested, and the process was
+    /// killed or exited without an error.
+    pub(super) fn exited(&mut self, at: Micros, number: u32, is_expected: bool) {
         let sender = self.senders.entry(number).or_default();
         sender.restarting_since.get_or_insert(at);
         sender.exited_at = Some(at);
-        if !(sender.is_shutdown_requested && in_order) {
-            let what = format!("sender {number} ended without being told to");
-            self.report(Invariant::Crash, at, None, what);
+        if !(sender.is_shutdown_requested && is_expected) {
+            let description = format!("sender {number} exited without a request or with an error");
+            self.report(Invariant::Crash, at, None, description);
         }
         self.note_untried_messages(number);
         self.orphan_calls(at, number);
-        // What the process knew of outages and Retry-After ended with it.
+        // The process's knowledge of outages and Retry-After is lost with it.
         self.retry_after.retain(|(sender, _), _| *sender != number);
         for outage in self.outages.values_mut() {
             outage.witnesses.remove(&number);
@@ -53,7 +54,8 @@
         }
     }
 
-    /// The connections of a process ended with it at the latest. Some may have ended before, unseen so far.
+    /// Marks the calls of a process that exited as unanswered. Their connections closed at the exit or
+    /// before, which may not have been observed yet.
     fn orphan_calls(&mut self, at: Micros, sender: u32) {
         let calls = self.calls.iter().filter(|(_, call)| call.sender == sender);
         let orphaned: Vec<u64> = calls.map(|(number, _)| *number).collect();
@@ -63,12 +65,12 @@
         }
     }
 
-    /// A sender's machine is lost, with all messages that have not ended.
+    /// Processes the loss of a sender's machine, with all messages that have not ended.
     pub(super) fn machine_lost(&mut self, at: Micros, number: u32) {
         for message in self.messages.values_mut().filter(|message| message.sender == number) {
             if message.ended_at.is_none() {
                 message.acceptance = Acceptance::Unknown;
-                message.record(at, format!("sender {number} lost its machine"));
+                message.record(at, format!("the machine of sender {number} was lost"));
             }
         }
         self.ordering_keys.retain(|(sender, _), _| *sender != number);
--- a/crates/micadrum-testkit/src/invariants/state.rs
+++ b/crates/micadrum-testkit/src/invariants/state.rs
@@ -1,19 +1,19 @@
-//! What the checker knows of messages, calls, senders and destinations from the observations so far.
+//! The checker's state of messages, calls, senders and destinations, derived from the observations so far.
 use super::Invariant;
 use crate::observation::Micros;
 use crate::plan::Class;
 use std::collections::BTreeSet;
 
-/// Whether a sender has accepted a message.
+/// Whether a sender has accepted a message, as far as its client knows.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Acceptance {
-    /// The message is submitted, and not answered yet.
+    /// The message was submitted, and the client has no answer yet.
     Pending,
     /// The sender has accepted the message.
     Accepted,
     /// The sender has rejected the message, and must not send it.
     Rejected,
-    /// The client got no answer, or the machine was lost: no invariant holds for the message.
+    /// The client got no conclusive answer, or the machine was lost: the message is not checked.
     Unknown,
 }
 
@@ -26,16 +26,16 @@
     pub(super) acceptance: Acceptance,
     /// When the message ended: it was delivered, or a notification was acknowledged.
     pub(super) ended_at: Option<Micros>,
-    /// Whether the message had not ended when it should have.
+    /// Whether the message had not ended by the time it should have.
     pub(super) is_overdue: bool,
     pub(super) notified_at: Option<Micros>,
     pub(super) attempts: u32,
-    /// Whether a process of its sender ended while the message was accepted, not ended and not tried.
+    /// Whether a process of its sender exited when the message was accepted and neither ended nor tried.
     pub(super) was_left_untried: bool,
     /// When the first attempt that may have taken effect was sent.
     pub(super) first_uncertain_attempt: Option<Micros>,
     pub(super) effects: u32,
-    /// The calls with the message that are in flight, the latest first.
+    /// The calls in flight that carry the message, the latest first.
     pub(super) calls: Vec<u64>,
     pub(super) history: Vec<(Micros, String)>,
 }
@@ -50,8 +50,8 @@
         self.is_accepted() && self.ended_at.is_none() && self.attempts == 0
     }
 
-    /// Returns whether an invariant of delivery holds for the message.
-    pub(super) fn counts(&self) -> bool {
+    /// Returns whether the invariants of delivery are checked for the message.
+    pub(super) fn is_checked(&self) -> bool {
         self.acceptance != Acceptance::Unknown
     }
 
@@ -80,7 +80,7 @@
     pub(super) sent_at: Micros,
 }
 
-/// A call that begins, as the endpoint sees it.
+/// The start of a call, as observed by the endpoint.
 pub(super) struct CallStart<'a> {
     pub(super) at: Micros,
     pub(super) call: u64,
@@ -97,16 +97,16 @@
     }
 }
 
-/// A sender.
+/// The state of a sender and its processes.
 #[derive(Default)]
 pub(super) struct Sender {
     /// When its latest restart began, until it is ready again.
     pub(super) restarting_since: Option<Micros>,
-    /// Until this time none of its messages is overdue.
+    /// Its messages do not count as overdue until this time.
     pub(super) excused_until: Micros,
-    /// When its latest process ended.
+    /// When its latest process exited.
     pub(super) exited_at: Option<Micros>,
-    /// Whether its process was told to end.
+    /// Whether its process was signalled to exit.
     pub(super) is_shutdown_requested: bool,
 }
 
@@ -122,13 +122,13 @@
 pub(super) struct RetryAfter {
     /// The call that was answered with it.
     pub(super) call: u64,
-    /// When it begins to bind.
+    /// When it starts to apply.
     pub(super) from: Micros,
     /// The time that it names.
     pub(super) until: Micros,
 }
 
-/// A client's connection that ended without an answer.
+/// A submission whose connection closed before an answer came.
 #[derive(Clone)]
 pub(super) struct UnansweredSubmission {
     pub(super) at: Micros,
@@ -136,8 +136,8 @@
     pub(super) id: String,
 }
 
-/// A violation that an attempt shows at once.
+/// A violation that is found when an attempt is observed.
 pub(super) struct Finding {
     pub(super) invariant: Invariant,
-    pub(super) what: String,
+    pub(super) description: String,
 }
--- a/crates/micadrum-testkit/src/invariants/violation.rs
+++ b/crates/micadrum-testkit/src/invariants/violation.rs
@@ -6,7 +6,8 @@
 /// Maximum number of violations that are kept with their history; more are only counted.
 const MAX_KEPT_VIOLATIONS: usize = 200;
 
-/// The invariants of message delivery and membership, each named by its violation. In JSON some keep a former name.
+/// The invariants of message delivery and membership, each named after its violation. Some have another name
+/// in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Invariant {
@@ -14,10 +15,10 @@
     Lost,
     /// Every accepted message ends soon after its deadline.
     Late,
-    /// Only accepted messages are sent, and none after the notification of its end.
+    /// Only accepted messages are sent, and no message is sent after the notification of its end.
     SentAfterEnd,
-    /// A charge takes effect at most once, and so does a trip record: neither is sent again or returned when an earlier
-    /// attempt may have taken effect and the destination no longer recognizes the repeat.
+    /// A charge takes effect at most once, and so does a trip record: neither is sent again or returned when
+    /// an earlier attempt may have taken effect and the destination no longer recognizes the repeat.
     #[serde(rename = "doubled")]
     Duplicated,
     /// A message has at most one call in flight.
@@ -26,7 +27,7 @@
     /// A message has at most [`MAX_ATTEMPTS`](crate::plan::MAX_ATTEMPTS) attempts.
     #[serde(rename = "attempts")]
     TooManyAttempts,
-    /// No call goes to an endpoint that its sender knows to drain or to be gone.
+    /// No call goes to an endpoint that its sender knows to be draining or removed.
     #[serde(rename = "drain")]
     SentToDraining,
     /// A destination in slow start is not overloaded by senders that have seen its outage.
@@ -35,15 +36,15 @@
     /// The messages of one ordering key are sent one after the other, in their order.
     #[serde(rename = "order")]
     OutOfOrder,
-    /// No call is made before the time that a Retry-After names.
+    /// No call is sent before the time that a Retry-After names.
     #[serde(rename = "wait")]
     RetryAfterIgnored,
-    /// A sender's process ends only when it is told to.
+    /// A sender's process exits only when it is signalled to.
     Crash,
-    /// Membership views are right soon after the last change.
+    /// Membership views are correct soon after the last change of the fleet.
     #[serde(rename = "view")]
     WrongView,
-    /// No sender that runs without a fault is declared dead.
+    /// No running sender is declared dead while no fault is active.
     #[serde(rename = "accused")]
     FalseDeath,
 }
@@ -70,14 +71,16 @@
 /// A violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// The invariant.
-    pub rule: Invariant,
+    /// The invariant that is violated.
+    #[serde(rename = "rule")]
+    pub invariant: Invariant,
     /// When it was violated, in microseconds from the start of the run.
     pub at: Micros,
     /// Id of the message, if the violation is about one.
     pub id: Option<String>,
-    /// What happened.
-    pub what: String,
+    /// How the invariant was violated.
+    #[serde(rename = "what")]
+    pub description: String,
     /// All observations of the message, in their order.
     pub history: Vec<String>,
 }
@@ -87,30 +90,33 @@
 pub struct Verdict {
     /// Number of violations of each invariant; invariants that hold are left out.
     pub counts: BTreeMap<Invariant, usize>,
-    /// The first violations.
-    pub breaks: Vec<Violation>,
-    /// Destinations that failed by overload in slow start, whatever the cause: a line for each.
-    pub fell: Vec<String>,
+    /// The first violations; later ones are only counted.
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
+    /// Descriptions of the destinations that failed by overload in slow start, whether or not that is a
+    /// violation.
+    #[serde(rename = "fell")]
+    pub overloads: Vec<String>,
     /// Number of accepted messages.
     pub accepted: usize,
-    /// Number of accepted messages that had not been tried when their sender's process ended. The standing test fails a
-    /// run in which more than half of them are in `ended_untried`.
+    /// Number of accepted messages that had not been tried when their sender's process exited. The acceptance
+    /// test fails a run in which more than half of them are counted in `ended_untried`.
     pub left_untried: usize,
-    /// Number of those messages that ended by a notification without any call.
+    /// Number of those messages whose end was notified without any call.
     pub ended_untried: usize,
 }
 
 impl Verdict {
     /// Returns whether all invariants hold.
-    pub fn clean(&self) -> bool {
+    pub fn all_hold(&self) -> bool {
         self.counts.is_empty()
     }
 
     /// Counts a violation, and keeps it if it is one of the first.
     pub(super) fn add(&mut self, violation: Violation) {
-        *self.counts.entry(violation.rule).or_default() += 1;
-        if self.breaks.len() < MAX_KEPT_VIOLATIONS {
-            self.breaks.push(violation);
+        *self.counts.entry(violation.invariant).or_default() += 1;
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/micadrum-testkit/src/live/mod.rs
+++ b/crates/micadrum-testkit/src/live/mod.rs
@@ -1,4 +1,4 @@
-//! The built daemon as processes on loopback, with real signals, kills and restarts.
+//! Live runs: the built daemon as processes on loopback, with real signals, kills and restarts.
 mod fleet;
 mod links;
 mod loopback;
@@ -22,10 +22,12 @@
 use std::rc::Rc;
 use tokio::task::LocalSet;
 
-/// Runs a plan in real time with the binary of the daemon, which is beside this program's own if none is named.
+/// Runs a plan in real time with the daemon's binary at `daemon`; if that is `None`, with the binary
+/// `micadrum` in the directory of this executable.
 ///
 /// # Errors
-/// Returns an error where there is no such binary, or a process or a stand-in cannot be started.
+/// Returns an error if the binary does not exist, if a process or a stand-in cannot be started, or if the
+/// plan has faults of system calls and none was injected.
 pub fn run(plan: Plan, daemon: Option<PathBuf>) -> io::Result<Report> {
     let daemon = match daemon {
         Some(path) => path,
@@ -34,13 +36,14 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let plan = Rc::new(plan);
     LocalSet::new().block_on(&runtime, async move {
-        let fails_calls = plan.faults.iter().any(|fault| fault.kind.affects_system_calls());
-        let node_seed = |number: u32| fails_calls.then(|| plan.seed.wrapping_add(u64::from(number)));
+        let has_system_call_faults = plan.faults.iter().any(|fault| fault.kind.affects_system_calls());
+        let node_seed =
+            |number: u32| has_system_call_faults.then(|| plan.seed.wrapping_add(u64::from(number)));
         let nodes = (plan.senders.iter().map(|sender| Node::new(node_seed(sender.number))))
             .collect::<io::Result<_>>()?;
         let link_faults = Rc::new(RefCell::new(LinkFaults::new(&plan)));
-        let relayed = if plan.scenario.has_peers() { plan.senders.len() } else { 0 };
-        let relays = Rc::new(Relays::open(relayed, &link_faults).await?);
+        let relayed_senders = if plan.scenario.has_peers() { plan.senders.len() } else { 0 };
+        let relays = Rc::new(Relays::open(relayed_senders, &link_faults).await?);
         let loses_power = plan.faults.iter().any(|fault| fault.kind == FaultKind::PowerLoss);
         let traces = if loses_power { "peers,recovery,storage" } else { "peers,recovery" };
         let fleet = Rc::new(LiveFleet { daemon, nodes, relays, traces });
@@ -50,16 +53,16 @@
         let mut recorder = world.into_recorder();
         let verdict = recorder.verdict(now, plan.scenario.has_peers());
         let injected = injected_counts(&fleet.nodes)?;
-        if fails_calls && injected.values().all(|count| *count == 0) {
-            return Err(io::Error::other("no system call was made to fail"));
+        if has_system_call_faults && injected.values().all(|count| *count == 0) {
+            return Err(io::Error::other("the plan has faults of system calls, but none was injected"));
         }
         let mut report = Report::new(&plan, &recorder, verdict, true);
-        report.played.injected = injected;
+        report.results.injected = injected;
         Ok(report)
     })
 }
 
-/// Sums up over all senders how often each kind of system call was made to fail.
+/// Returns how often each kind of system call was made to fail, summed over all senders.
 fn injected_counts(nodes: &[Node]) -> io::Result<BTreeMap<&'static str, u64>> {
     let mut injected = BTreeMap::new();
     for faults in nodes.iter().filter_map(|node| node.system_faults.as_ref()) {
--- a/crates/micadrum-testkit/src/main.rs
+++ b/crates/micadrum-testkit/src/main.rs
@@ -1,5 +1,5 @@
-//! `micadrum-testkit`: runs a scenario against the daemon, simulated or live, and checks the invariants of message
-//! delivery.
+//! `micadrum-testkit`: runs a scenario against the daemon, simulated or live, and checks the invariants of
+//! message delivery.
 mod cli;
 
 use clap::Parser;
@@ -13,16 +13,16 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Runs of this length or more print their progress without being asked.
+/// Minimum length of a run that prints its progress by default.
 const MIN_PROGRESS_LENGTH: Span = Span::seconds(3600);
-/// A seed search prints its progress once per this many seeds.
+/// Number of seeds between two progress lines of a seed search.
 const SEEDS_PER_PROGRESS_LINE: u64 = 50;
 
 const EXIT_VIOLATION: u8 = 1;
 const EXIT_INVALID_INPUT: u8 = 2;
 const EXIT_RUN_FAILED: u8 = 3;
 
-/// Why a command gave no verdict.
+/// Why a command returned no verdict.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     /// An input file or directory cannot be read.
@@ -100,7 +100,7 @@
     for failing in &found.failing {
         println!("{}", failing.text(&args.scenario.file, &options));
     }
-    println!("{} seeds played, {} broke a rule", found.played, found.failing.len());
+    println!("{} seeds played, {} broke a rule", found.seeds_run, found.failing.len());
     Ok(verdict_exit_code(found.failing.is_empty()))
 }
 
@@ -110,7 +110,7 @@
     let plan = |seed| args.scenario.plan(&scenario, seed, faults);
     let finished = |run: &soak::SoakRun| {
         println!("{}", run.line());
-        if let (false, Some(folder), Ok(report)) = (run.is_kept(), &args.reports, &run.outcome) {
+        if let (false, Some(folder), Ok(report)) = (run.succeeded(), &args.reports, &run.outcome) {
             let file = folder.join(format!("seed-{}.txt", run.seed));
             if let Err(error) = write_file(file, report.text()) {
                 eprintln!("{error}");
@@ -120,8 +120,8 @@
     let summary =
         soak::run(args.seeds.clone(), usize::from(args.jobs), args.daemon.as_ref(), &plan, &finished);
     println!(
-        "{} seeds played, {} not kept {:?}; injected {:?}",
-        summary.played,
+        "{} seeds run, {} failed {:?}; injected {:?}",
+        summary.seeds_run,
         summary.failing.len(),
         summary.failing,
         summary.injected
@@ -131,27 +131,27 @@
 
 fn print_search_progress(seeds: u64, failing: usize) {
     if seeds.is_multiple_of(SEEDS_PER_PROGRESS_LINE) {
-        eprintln!("{seeds} seeds, {failing} that break a rule");
+        eprintln!("{seeds} seeds run, {failing} failed");
     }
 }
 
 fn aggregate(logs: &Path) -> Result<TraceAggregate, CommandError> {
-    let mut count = TraceAggregate::default();
+    let mut aggregate = TraceAggregate::default();
     for entry in std::fs::read_dir(logs).map_err(|error| CommandError::unreadable(logs, error))? {
         let path = entry.map_err(|error| CommandError::unreadable(logs, error))?.path();
         if path.is_file() {
-            aggregate_log(&path, &mut count)?;
+            aggregate_log(&path, &mut aggregate)?;
         }
     }
-    Ok(count)
+    Ok(aggregate)
 }
 
-fn aggregate_log(path: &Path, count: &mut TraceAggregate) -> Result<(), CommandError> {
+fn aggregate_log(path: &Path, aggregate: &mut TraceAggregate) -> Result<(), CommandError> {
     let unreadable = |error| CommandError::unreadable(path, error);
     let log = std::fs::File::open(path).map_err(unreadable)?;
     for (index, line) in BufReader::new(log).lines().enumerate() {
         let line = line.map_err(unreadable)?;
-        count.add(&line).map_err(|source| CommandError::Trace {
+        aggregate.add(&line).map_err(|source| CommandError::Trace {
             path: path.display().to_string(),
             line: index + 1,
             source,
@@ -164,7 +164,7 @@
     let mut code = ExitCode::SUCCESS;
     for file in files {
         match read_scenario(file) {
-            Ok(scenario) => println!("{file}: fine: {}", scenario.title),
+            Ok(scenario) => println!("{file}: valid: {}", scenario.title),
             Err(error) => {
                 eprintln!("{error}");
                 code = ExitCode::from(EXIT_INVALID_INPUT);
@@ -180,7 +180,7 @@
     Ok(Scenario::parse(file, &text)?)
 }
 
-/// Prints the report, and writes the files that were asked for.
+/// Prints the report, and writes the files that the options name.
 fn publish(report: &Report, args: RunArgs) -> Result<ExitCode, CommandError> {
     print!("{}", report.text());
     if let Some(file) = args.json {
@@ -189,7 +189,7 @@
     if let Some(file) = args.history {
         write_file(file, report.history.text())?;
     }
-    Ok(verdict_exit_code(report.verdict.kept))
+    Ok(verdict_exit_code(report.verdict.all_hold))
 }
 
 fn write_file(file: PathBuf, text: String) -> Result<(), CommandError> {
@@ -197,6 +197,6 @@
     std::fs::write(file, text).map_err(|source| CommandError::Unwritable { path, source })
 }
 
-fn verdict_exit_code(kept: bool) -> ExitCode {
-    if kept { ExitCode::SUCCESS } else { ExitCode::from(EXIT_VIOLATION) }
+fn verdict_exit_code(all_hold: bool) -> ExitCode {
+    if all_hold { ExitCode::SUCCESS } else { ExitCode::from(EXIT_VIOLATION) }
 }
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -16,7 +16,7 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What was to be played: equal for all runs of one scenario and seed.
+/// The plan of a run: equal for all runs of one scenario and seed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlanReport {
     /// The scenario's title.
@@ -36,7 +36,7 @@
     pub operations: u64,
     /// Checksum of all operations: times, keys, destinations, body lengths.
     pub digest: String,
-    /// Descriptions of the faults, in their order.
+    /// Descriptions of the faults, in the order of the plan.
     pub faults: Vec<String>,
 }
 
@@ -44,15 +44,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct VerdictReport {
     /// Whether all invariants hold.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub all_hold: bool,
     /// Number of violations of each invariant that does not hold.
-    pub broken: BTreeMap<Invariant, usize>,
+    #[serde(rename = "broken")]
+    pub violation_counts: BTreeMap<Invariant, usize>,
 }
 
-/// How the run went. A service is the share of the messages' worth that was delivered.
+/// The measurements of a run. A service is the share of the messages' worth that was delivered.
 #[derive(Clone, Debug, Serialize)]
-pub struct PlayedReport {
-    /// Whether times were measured on real clocks, and so differ from run to run.
+pub struct ResultsReport {
+    /// Whether times were measured on real clocks, so that they differ from run to run.
     pub measured: bool,
     /// Service of the whole run.
     pub service: f64,
@@ -62,7 +64,8 @@
     /// Service by tenant.
     #[serde(rename = "by_department")]
     pub service_by_tenant: BTreeMap<&'static str, f64>,
-    /// For each time at which power came back, in microseconds, how many seconds later service recovered.
+    /// The times at which power returned, in microseconds, each with the number of seconds until service
+    /// recovered; `None` if it did not.
     #[serde(rename = "well_after")]
     pub recovery_after_power_loss: Vec<(Micros, Option<u64>)>,
     /// Service by window of 10 s.
@@ -77,28 +80,30 @@
     /// How many system calls of senders were made to fail, by kind.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub injected: BTreeMap<&'static str, u64>,
-    /// Faults of the plan that this kind of run cannot play.
+    /// Faults of the plan that this kind of run cannot inject.
     pub not_played: Vec<String>,
-    /// Destinations that failed by overload in slow start, and whose calls did it.
+    /// Descriptions of the destinations that failed by overload in slow start, with the origin of the calls.
     #[serde(rename = "fell")]
     pub overloads: Vec<String>,
     /// The first violations, with their histories.
-    pub breaks: Vec<Violation>,
-    /// If senders form a membership: each time at which the fleet changed, and how long after it all views were right, in
-    /// microseconds; none if the fleet changed again before that.
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
+    /// If senders form a membership: the times at which the fleet changed, each with the duration until all
+    /// views were correct, in microseconds; `None` if the fleet changed again before that.
     #[serde(rename = "views_right", skip_serializing_if = "Vec::is_empty")]
     pub convergence: Vec<(Micros, Option<Micros>)>,
 }
 
-/// The whole report.
+/// The report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was to be played.
+    /// The plan of the run.
     pub plan: PlanReport,
     /// Whether the invariants hold.
     pub verdict: VerdictReport,
-    /// How the run went.
-    pub played: PlayedReport,
+    /// The measurements of the run.
+    #[serde(rename = "played")]
+    pub results: ResultsReport,
     /// The senders' membership and recovery events.
     #[serde(skip)]
     pub history: History,
@@ -141,7 +146,7 @@
     }
 }
 
-/// Returns what the digest covers of an operation.
+/// Returns the fields of an operation that the digest covers, as text.
 fn digest_text(arrival: &Arrival) -> String {
     let Arrival { at, class, tenant, destination, vehicle, body, key, .. } = arrival;
     format!("{} {} {tenant} {destination} {vehicle:?} {body} {key};", at.0, class.name())
@@ -149,13 +154,14 @@
 
 impl VerdictReport {
     fn lines(&self) -> Vec<String> {
-        let verdict = if self.kept { "verdict: no rule broke" } else { "verdict: RULES BROKE" };
-        let counts = self.broken.iter().map(|(invariant, count)| format!("  {invariant:?}: {count}"));
+        let verdict = if self.all_hold { "verdict: no rule broke" } else { "verdict: RULES BROKE" };
+        let counts =
+            self.violation_counts.iter().map(|(invariant, count)| format!("  {invariant:?}: {count}"));
         std::iter::once(verdict.to_owned()).chain(counts).collect()
     }
 }
 
-impl PlayedReport {
+impl ResultsReport {
     fn new(plan: &Plan, recorder: &Recorder, verdict: &Verdict, measured: bool) -> Self {
         let counts = recorder.counts;
         Self {
@@ -169,12 +175,16 @@
             service_by_window: recorder.windows.iter().map(|window| rounded(window.share())).collect(),
             latency_us: recorder.latency.iter().map(latency_quantiles).collect(),
             counts: named_counts(&counts, verdict),
-            waste: rounded(1.0 - counts.useful as f64 / counts.calls.max(1) as f64),
+            waste: rounded(1.0 - counts.calls_delivered as f64 / counts.calls.max(1) as f64),
             injected: BTreeMap::new(),
             not_played: recorder.not_played.clone(),
-            overloads: verdict.fell.clone(),
-            breaks: verdict.breaks.clone(),
-            convergence: if plan.scenario.has_peers() { recorder.history.settled() } else { Vec::new() },
+            overloads: verdict.overloads.clone(),
+            violations: verdict.violations.clone(),
+            convergence: if plan.scenario.has_peers() {
+                recorder.history.convergence_times()
+            } else {
+                Vec::new()
+            },
         }
     }
 
@@ -182,13 +192,16 @@
         let mut lines = self.service_lines();
         lines.extend(self.latency_us.iter().map(|(class, quantiles)| latency_line(class, *quantiles)));
         lines.extend(self.counts.iter().map(|(name, count)| format!("  {name}: {count}")));
-        lines.extend(self.overloads.iter().map(|overload| format!("  fell over: {overload}")));
+        lines.extend(self.overloads.iter().map(|overload| format!("  overloaded: {overload}")));
         lines.extend(self.injected.iter().map(|(kind, count)| format!("  injected {kind}: {count}")));
-        lines.extend(self.not_played.iter().map(|fault| format!("  not played here: {fault}")));
+        lines.extend(self.not_played.iter().map(|fault| format!("  not injected: {fault}")));
         lines.extend(self.convergence_line());
-        lines.extend(self.breaks.iter().take(MAX_SHOWN_VIOLATIONS).flat_map(violation_lines));
-        if self.breaks.len() > MAX_SHOWN_VIOLATIONS {
-            lines.push(format!("and {} more, in the JSON", self.breaks.len() - MAX_SHOWN_VIOLATIONS));
+        lines.extend(self.violations.iter().take(MAX_SHOWN_VIOLATIONS).flat_map(violation_lines));
+        if self.violations.len() > MAX_SHOWN_VIOLATIONS {
+            lines.push(format!(
+                "and {} more in the JSON report",
+                self.violations.len() - MAX_SHOWN_VIOLATIONS
+            ));
         }
         lines
     }
@@ -206,8 +219,8 @@
             lines.push(format!("  worst 10 s: from {from} s on, {share:.4}"));
         }
         for (at, delay) in &self.recovery_after_power_loss {
-            let delay = delay.map_or("not again".to_owned(), |delay| format!("{delay} s later"));
-            lines.push(format!("  power back at {} s: nine tenths of service {delay}", at / 1_000_000));
+            let delay = delay.map_or("not restored".to_owned(), |delay| format!("restored after {delay} s"));
+            lines.push(format!("  power back at {} s: 90% of service {delay}", at / 1_000_000));
         }
         lines
     }
@@ -217,7 +230,7 @@
         delays.sort_unstable();
         let (median, longest) = (delays.get(delays.len() / 2)?, delays.last()?);
         Some(format!(
-            "  views of each other right after {} of {} happenings: median {} s, most {} s",
+            "  membership views correct after {} of {} changes of the fleet: median {} s, maximum {} s",
             delays.len(),
             self.convergence.len(),
             seconds(*median),
@@ -231,21 +244,21 @@
     pub fn new(plan: &Plan, recorder: &Recorder, verdict: Verdict, measured: bool) -> Self {
         Self {
             plan: PlanReport::new(plan),
-            played: PlayedReport::new(plan, recorder, &verdict, measured),
-            verdict: VerdictReport { kept: verdict.clean(), broken: verdict.counts },
+            results: ResultsReport::new(plan, recorder, &verdict, measured),
+            verdict: VerdictReport { all_hold: verdict.all_hold(), violation_counts: verdict.counts },
             history: recorder.history.clone(),
         }
     }
 
     /// Returns the report as JSON.
     pub fn json(&self) -> String {
-        // Names, numbers and text always have a JSON form.
+        // Serialization does not fail: all values are strings, numbers and maps with string keys.
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
     /// Returns the report as text.
     pub fn text(&self) -> String {
-        let lines = [self.plan.lines(), self.verdict.lines(), self.played.lines()].concat();
+        let lines = [self.plan.lines(), self.verdict.lines(), self.results.lines()].concat();
         lines.join("\n") + "\n"
     }
 }
@@ -272,7 +285,7 @@
 fn latency_line(class: &str, quantiles: [u64; 5]) -> String {
     let [p50, p90, p99, p999, max] = quantiles.map(|micros| micros as f64 / 1e3);
     format!(
-        "  latency of {class}, ms: 50% {p50:.1}, 90% {p90:.1}, 99% {p99:.1}, 99.9% {p999:.1}, most {max:.1}"
+        "  latency of {class}, ms: 50% {p50:.1}, 90% {p90:.1}, 99% {p99:.1}, 99.9% {p999:.1}, max {max:.1}"
     )
 }
 
@@ -288,18 +301,18 @@
         ("calls turned away", counts.calls_rejected),
         ("calls failed", counts.calls_failed),
         ("calls given up", counts.calls_abandoned),
-        ("calls that delivered", counts.useful),
+        ("calls that delivered", counts.calls_delivered),
         ("noticed as failed", counts.notified_failed),
         ("noticed as returned", counts.notified_returned),
         ("ends of senders", counts.exits),
-        ("partners that fell over", verdict.fell.len() as u64),
+        ("partners that fell over", verdict.overloads.len() as u64),
     ])
 }
 
 fn violation_lines(violation: &Violation) -> Vec<String> {
     let message = violation.id.as_deref().unwrap_or("-");
-    let (invariant, at) = (violation.rule, seconds(violation.at));
-    let mut lines = vec![format!("{invariant:?} at {at}, message {message}: {}", violation.what)];
+    let (invariant, at) = (violation.invariant, seconds(violation.at));
+    let mut lines = vec![format!("{invariant:?} at {at}, message {message}: {}", violation.description)];
     lines.extend(violation.history.iter().map(|step| format!("    {step}")));
     lines
 }
--- a/crates/micadrum-testkit/src/seed_search.rs
+++ b/crates/micadrum-testkit/src/seed_search.rs
@@ -1,4 +1,4 @@
-//! Searches seeds for runs that violate an invariant, and shrinks the plan of each one found.
+//! Searches seeds for runs that violate an invariant, and shrinks the plan of each failing run.
 use crate::invariants::Invariant;
 use crate::plan::Plan;
 use crate::report::Report;
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Shrinking does not make a run shorter than this.
+/// Minimum length of a shrunk run.
 const MIN_LENGTH: Span = Span::seconds(2);
 /// Lengths are rounded down to a multiple of this, in microseconds.
 const LENGTH_STEP_MICROS: u64 = 1_000_000;
@@ -20,22 +20,22 @@
     /// The seed.
     pub seed: u64,
     /// The invariants that the full plan violates, with the number of violations.
-    pub broken: BTreeMap<Invariant, usize>,
-    /// Indices of the faults of the shrunk plan in the full one.
+    pub violation_counts: BTreeMap<Invariant, usize>,
+    /// Indices in the full plan of the faults that the shrunk plan keeps.
     pub faults: Vec<usize>,
     /// Descriptions of those faults.
-    pub lines: Vec<String>,
+    pub fault_descriptions: Vec<String>,
     /// Length of the shrunk plan.
     pub length: Span,
     /// The first violation of the shrunk plan, or why it could not be run.
-    pub first: String,
+    pub first_failure: String,
 }
 
 /// The result of a search.
 #[derive(Default)]
 pub struct SearchResult {
     /// Number of seeds that were run.
-    pub played: u64,
+    pub seeds_run: u64,
     /// The seeds that violate an invariant, in ascending order.
     pub failing: Vec<FailingSeed>,
 }
@@ -45,16 +45,16 @@
     pub fn text(&self, file: &str, options: &str) -> String {
         let command = format!("micadrum-testkit simulate {file}{options} --seed {}", self.seed);
         let mut lines = vec![
-            format!("seed {}: {:?}", self.seed, self.broken),
+            format!("seed {}: {:?}", self.seed, self.violation_counts),
             format!("  replay: {command}"),
             format!("  shortest: {command} --faults {} --until \"{}\"", self.fault_selection(), self.length),
         ];
-        lines.extend(self.lines.iter().map(|fault| format!("    {fault}")));
-        lines.push(format!("  first: {}", self.first));
+        lines.extend(self.fault_descriptions.iter().map(|fault| format!("    {fault}")));
+        lines.push(format!("  first failure: {}", self.first_failure));
         lines.join("\n")
     }
 
-    /// Returns the value of the option `--faults` that selects the faults of the shrunk plan.
+    /// Returns the value of `--faults` that selects the faults of the shrunk plan.
     fn fault_selection(&self) -> String {
         if self.faults.is_empty() {
             return "none".to_owned();
@@ -74,7 +74,7 @@
 impl Failure {
     fn violation_counts(&self) -> BTreeMap<Invariant, usize> {
         match self {
-            Self::Violation(report) => report.verdict.broken.clone(),
+            Self::Violation(report) => report.verdict.violation_counts.clone(),
             Self::Run(_) => BTreeMap::new(),
         }
     }
@@ -82,16 +82,17 @@
     /// Describes the first violation, or why the run could not be carried out.
     fn description(&self) -> String {
         match self {
-            Self::Violation(report) => report.played.breaks.first().map_or(String::new(), |violation| {
+            Self::Violation(report) => report.results.violations.first().map_or(String::new(), |violation| {
                 let message = violation.id.as_deref().unwrap_or("-");
-                format!("{:?}, message {message}: {}", violation.rule, violation.what)
+                format!("{:?}, message {message}: {}", violation.invariant, violation.description)
             }),
             Self::Run(error) => error.to_string(),
         }
     }
 }
 
-/// Runs all seeds, `jobs` at a time. Each run has a thread of its own and depends on nothing but its seed.
+/// Runs all seeds, `jobs` at a time, and calls `progress` after each with the numbers of seeds run and
+/// failing so far. Each run stays on one thread and depends only on its seed.
 pub fn run(
     seeds: RangeInclusive<u64>,
     jobs: usize,
@@ -108,9 +109,9 @@
             }
             let failing = simulate(plan(seed)).map(|failure| shrink(seed, plan, failure));
             let mut found = found.lock().unwrap_or_else(PoisonError::into_inner);
-            found.played += 1;
+            found.seeds_run += 1;
             found.failing.extend(failing);
-            progress(found.played, found.failing.len());
+            progress(found.seeds_run, found.failing.len());
         }
     };
     std::thread::scope(|threads| {
@@ -123,19 +124,19 @@
     found
 }
 
-/// Runs a plan, and returns the failure if there is one.
+/// Simulates a plan. Returns the failure, or `None` if all invariants hold.
 fn simulate(plan: Plan) -> Option<Failure> {
     match sim::run(plan, sim::Show::default()) {
-        Ok(report) if report.verdict.kept => None,
+        Ok(report) if report.verdict.all_hold => None,
         Ok(report) => Some(Failure::Violation(Box::new(report))),
         Err(error) => Some(Failure::Run(error)),
     }
 }
 
-/// Shrinks the plan of a failing seed: removes one fault after another, and then shortens the run, as long as the run
-/// still fails.
+/// Shrinks the plan of a failing seed: removes each fault without which the run still fails, then shortens
+/// the run as long as it still fails.
 fn shrink(seed: u64, plan: &dyn Fn(u64) -> Plan, failure: Failure) -> FailingSeed {
-    let broken = failure.violation_counts();
+    let violation_counts = failure.violation_counts();
     let full_plan = plan(seed);
     let mut shrinking = Shrinking {
         seed,
@@ -146,12 +147,12 @@
     };
     shrinking.remove_faults();
     shrinking.shorten();
-    let lines = shrinking.shrunk_plan(&shrinking.faults, shrinking.length).faults;
+    let faults = shrinking.shrunk_plan(&shrinking.faults, shrinking.length).faults;
     FailingSeed {
         seed,
-        broken,
-        lines: lines.iter().map(|fault| fault.line()).collect(),
-        first: shrinking.failure.description(),
+        violation_counts,
+        fault_descriptions: faults.iter().map(|fault| fault.line()).collect(),
+        first_failure: shrinking.failure.description(),
         faults: shrinking.faults,
         length: shrinking.length,
     }
@@ -161,7 +162,7 @@
 struct Shrinking<'a> {
     seed: u64,
     plan: &'a dyn Fn(u64) -> Plan,
-    /// Indices of the faults that are left.
+    /// Indices of the faults that the plan keeps.
     faults: Vec<usize>,
     length: Span,
     /// How the plan with these faults and this length fails.
--- a/crates/micadrum-testkit/src/service_metrics.rs
+++ b/crates/micadrum-testkit/src/service_metrics.rs
@@ -1,42 +1,43 @@
-//! Processes the observations of a run: checks the invariants, and measures the service that clients got.
+//! Processes the observations of a run: checks the invariants, and measures the service that clients
+//! received.
 use crate::history::History;
-use crate::invariants::{InvariantChecker, Verdict, look_at_views};
+use crate::invariants::{InvariantChecker, Verdict, check_membership_views};
 use crate::observation::{AttemptResult, Micros, Observation, SubmissionAnswer};
 use crate::plan::{AIM, Arrival, Class, LATE_WORTH, PlannedFault, TENANTS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Length of the windows by which service is reported, in microseconds.
+/// Length of the windows for which service is reported, in microseconds.
 pub const WINDOW_MICROS: Micros = 10_000_000;
-/// Maximum latency that is distinguished, in microseconds.
+/// Maximum latency that is recorded, in microseconds; longer ones are recorded as this.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Service by second is recorded for this many seconds.
+/// Number of seconds from the start of the run for which service by second is recorded.
 const MAX_RECORDED_SECONDS: usize = 3600;
-/// Service has recovered when this share of the worth is delivered ...
+/// Minimum share of the worth that is delivered in a second of recovered service.
 const RECOVERED_SHARE: f64 = 0.9;
-/// ... in this many seconds in a row.
+/// Number of consecutive seconds with [`RECOVERED_SHARE`] after which service counts as recovered.
 const RECOVERED_SECONDS: usize = 2;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// The worth of messages that was submitted and delivered.
+/// The number of submitted operations and the worth that was delivered of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Service {
     /// Number of operations.
-    pub asked: u64,
+    pub operations: u64,
     /// Worth that was delivered; an operation within the latency objective is worth 1.
-    pub earned: f64,
+    pub delivered_worth: f64,
 }
 
 impl Service {
     /// Returns the share of the worth that was delivered; 1 if there were no operations.
     pub fn share(&self) -> f64 {
-        if self.asked == 0 { 1.0 } else { self.earned / self.asked as f64 }
+        if self.operations == 0 { 1.0 } else { self.delivered_worth / self.operations as f64 }
     }
 
     fn has_recovered(&self) -> bool {
-        self.asked > 0 && self.share() >= RECOVERED_SHARE
+        self.operations > 0 && self.share() >= RECOVERED_SHARE
     }
 }
 
@@ -54,7 +55,7 @@
     pub submitted: u64,
     /// Submissions that were rejected.
     pub rejected: u64,
-    /// Submissions that were not answered in the client's time.
+    /// Submissions that were not answered within the client's timeout.
     pub unanswered: u64,
     /// Calls to endpoints.
     pub calls: u64,
@@ -65,12 +66,12 @@
     /// Calls that the sender abandoned.
     pub calls_abandoned: u64,
     /// Calls that delivered a message.
-    pub useful: u64,
+    pub calls_delivered: u64,
     /// Notifications that a message failed.
     pub notified_failed: u64,
-    /// Notifications that a message is returned.
+    /// Notifications that a message was returned.
     pub notified_returned: u64,
-    /// Ends of senders' processes.
+    /// Exits of senders' processes.
     pub exits: u64,
 }
 
@@ -90,39 +91,39 @@
     pub classes: BTreeMap<Class, Service>,
     /// Service by tenant.
     pub tenants: [Service; TENANTS.len()],
-    /// Service by window of the run, in which an operation was first submitted.
+    /// Service by window of the run; an operation counts in the window of its first submission.
     pub windows: Vec<Service>,
-    /// Service by second of the first hour, in which an operation was first submitted.
+    /// Service by second of the first hour; an operation counts in the second of its first submission.
     pub seconds: Vec<Service>,
     /// Time from first submission to delivery, in microseconds.
     pub latency: BTreeMap<Class, Histogram<u32>>,
-    /// Counts.
+    /// Counts of submissions, calls, notifications and exits.
     pub counts: Counts,
-    /// Faults that this kind of run cannot play.
+    /// Descriptions of the faults that this kind of run cannot inject.
     pub not_played: Vec<String>,
     /// The senders' membership and recovery events.
     pub history: History,
 }
 
 impl Recorder {
-    /// Creates a recorder with an empty history of the senders of a plan.
+    /// Creates a recorder that adds to `history`.
     #[must_use]
     pub fn with_history(history: History) -> Self {
         Self { history, ..Self::default() }
     }
 
-    /// A client submits the message of an operation for the first time.
+    /// Records the first submission of an operation's message.
     pub fn operation_submitted(&mut self, arrival: &Arrival, at: Micros) {
         self.operation_count += 1;
         self.started_at.get_or_insert(at.saturating_sub(arrival.at.0));
         let Arrival { class, tenant, number, .. } = *arrival;
         let operation = Operation { class, tenant, first_submitted: at };
         self.grow_windows(at);
-        self.for_each_service(&operation, |service| service.asked += 1);
+        self.for_each_service(&operation, |service| service.operations += 1);
         self.operations.insert(number, operation);
     }
 
-    /// Makes room for the window and the second of `at`.
+    /// Extends the windows and the seconds to include `at`.
     fn grow_windows(&mut self, at: Micros) {
         let windows = self.index(at, WINDOW_MICROS) + 1;
         if self.windows.len() < windows {
@@ -139,7 +140,7 @@
         ((at - self.started_at.unwrap_or(0)) / period) as usize
     }
 
-    /// Updates each measure of service that an operation is part of.
+    /// Updates each measure of service in which an operation counts.
     fn for_each_service(&mut self, operation: &Operation, update: impl Fn(&mut Service)) {
         let window = self.index(operation.first_submitted, WINDOW_MICROS);
         let second = self.index(operation.first_submitted, MICROS_PER_SECOND);
@@ -152,8 +153,9 @@
         }
     }
 
-    /// Returns how many seconds after `at` service had recovered: messages first submitted in each of two seconds in a
-    /// row got nine tenths of their worth. None if it did not recover.
+    /// Returns the number of seconds from `at` until service recovered, or `None` if it did not. Service has
+    /// recovered when nine tenths of the worth first submitted in each of two consecutive seconds was
+    /// delivered.
     pub fn recovery_seconds(&self, at: Micros) -> Option<u64> {
         let first_second = at.div_ceil(MICROS_PER_SECOND) as usize;
         let seconds = self.seconds.get(first_second..)?;
@@ -166,7 +168,7 @@
         self.operation_count
     }
 
-    /// Notes a fault that this kind of run cannot play.
+    /// Records a fault that this kind of run cannot inject.
     pub fn not_played(&mut self, fault: &PlannedFault) {
         self.not_played.push(fault.line());
     }
@@ -201,7 +203,7 @@
     fn replied(&mut self, at: Micros, ends: &[(String, AttemptResult)]) {
         let has = |wanted: AttemptResult| ends.iter().any(|(_, end)| *end == wanted);
         if has(AttemptResult::Delivered) {
-            self.counts.useful += 1;
+            self.counts.calls_delivered += 1;
         } else if has(AttemptResult::Overloaded) {
             self.counts.calls_rejected += 1;
         } else {
@@ -226,25 +228,26 @@
         let Some(operation) = self.operations.remove(&number) else { return };
         let latency = at.saturating_sub(operation.first_submitted);
         let worth = worth(operation.class, latency);
-        self.for_each_service(&operation, |service| service.earned += worth);
+        self.for_each_service(&operation, |service| service.delivered_worth += worth);
         let histogram = self.latency.entry(operation.class).or_insert_with(|| {
-            // The bounds are constants that it accepts.
+            // The bounds are constants that are always valid.
             Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS).expect("valid bounds")
         });
         histogram.saturating_record(latency.max(1));
     }
 
-    /// Returns the verdict once the run is over, including that on membership if `has_peers`.
+    /// Returns the verdict at the end of the run, including the checks of membership views if `has_peers`.
     pub fn verdict(&mut self, at: Micros, has_peers: bool) -> Verdict {
         let mut verdict = std::mem::take(&mut self.checker).verdict(at);
         if has_peers {
-            look_at_views(&self.history, at, &mut verdict);
+            check_membership_views(&self.history, at, &mut verdict);
         }
         verdict
     }
 }
 
-/// Returns what a delivery is worth: 1 up to the latency objective, and linearly less up to the deadline.
+/// Returns the worth of a delivery: 1 up to the latency objective, then falling linearly to `LATE_WORTH` at
+/// the deadline.
 fn worth(class: Class, latency: Micros) -> f64 {
     let late = latency.saturating_sub(AIM.0) as f64 / (class.deadline().0 - AIM.0) as f64;
     1.0 - (1.0 - LATE_WORTH) * late.min(1.0)
--- a/crates/micadrum-testkit/src/soak.rs
+++ b/crates/micadrum-testkit/src/soak.rs
@@ -1,4 +1,4 @@
-//! Plays live runs of many seeds, several at a time, with real processes, and gathers the verdicts.
+//! Runs many seeds against real processes, several at a time, and collects the verdicts.
 use crate::live;
 use crate::plan::Plan;
 use crate::report::Report;
@@ -18,55 +18,55 @@
 }
 
 impl SoakRun {
-    /// Whether the run was carried out and all invariants hold.
+    /// Returns whether the run was carried out and all invariants hold.
     #[must_use]
-    pub fn is_kept(&self) -> bool {
-        self.outcome.as_ref().is_ok_and(|report| report.verdict.kept)
+    pub fn succeeded(&self) -> bool {
+        self.outcome.as_ref().is_ok_and(|report| report.verdict.all_hold)
     }
 
     /// Describes the run in one line.
     #[must_use]
     pub fn line(&self) -> String {
         match &self.outcome {
-            Err(error) => format!("seed {}: not carried out: {error}", self.seed),
-            Ok(Report { verdict, played, .. }) => format!(
-                "seed {}: {} service {:.4}, broken {:?}, injected {:?}",
+            Err(error) => format!("seed {}: run failed: {error}", self.seed),
+            Ok(Report { verdict, results, .. }) => format!(
+                "seed {}: {}, service {:.4}, violations {:?}, injected {:?}",
                 self.seed,
-                if verdict.kept { "kept" } else { "BROKEN" },
-                played.service,
-                verdict.broken,
-                played.injected
+                if verdict.all_hold { "passed" } else { "FAILED" },
+                results.service,
+                verdict.violation_counts,
+                results.injected
             ),
         }
     }
 }
 
-/// What all runs of a soak add up to.
+/// The summary of a soak.
 #[derive(Default)]
 pub struct SoakSummary {
     /// Number of seeds that were run.
-    pub played: u64,
+    pub seeds_run: u64,
     /// The seeds whose run violates an invariant or could not be carried out.
     pub failing: Vec<u64>,
-    /// How many system calls were made to fail, by kind.
+    /// Number of system calls that were made to fail, by kind.
     pub injected: BTreeMap<&'static str, u64>,
 }
 
 impl SoakSummary {
     fn add(&mut self, run: &SoakRun) {
-        self.played += 1;
-        if !run.is_kept() {
+        self.seeds_run += 1;
+        if !run.succeeded() {
             self.failing.push(run.seed);
         }
         if let Ok(report) = &run.outcome {
-            for (kind, count) in &report.played.injected {
+            for (kind, count) in &report.results.injected {
                 *self.injected.entry(kind).or_default() += count;
             }
         }
     }
 }
 
-/// Plays all seeds, `jobs` at a time, and passes each run to `finished`.
+/// Runs all seeds, `jobs` at a time, and passes each run to `finished` as soon as it ends.
 pub fn run(
     seeds: RangeInclusive<u64>,
     jobs: usize,
--- a/crates/micadrum-testkit/tests/command.rs
+++ b/crates/micadrum-testkit/tests/command.rs
@@ -1,7 +1,7 @@
-//! The command as people use it.
+//! Tests of the command-line interface.
 use std::process::{Command, Output};
 
-fn rehearse(args: &[&str]) -> Output {
+fn run_testkit(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_micadrum-testkit")).args(args).output().unwrap()
 }
 
@@ -11,55 +11,55 @@
     file
 }
 
-const GOOD: &str = "title = \"t\"\nlength = \"5 s\"\nsenders = 1\npartners = 2\ntraffic = \"10/s\"\n";
+const SCENARIO: &str = "title = \"t\"\nlength = \"5 s\"\nsenders = 1\npartners = 2\ntraffic = \"10/s\"\n";
 
-/// Guards against an exit code that hides a bad file or command, or a broken rule, or calls a good run bad.
+/// Guards against an exit code that hides an invalid file, an invalid option or a violation.
 #[test]
-fn the_exit_code_tells_what_happened() {
-    let (good, bad) = (file(GOOD), file("title = \"t\"\nlength = \"soon\"\n"));
+fn exits_with_the_code_of_the_outcome() {
+    let (valid, invalid) = (file(SCENARIO), file("title = \"t\"\nlength = \"soon\"\n"));
     let path = |file: &tempfile::NamedTempFile| file.path().to_str().unwrap().to_owned();
-    let played = rehearse(&["sim", &path(&good), "--seed", "2"]);
-    assert_eq!(played.status.code(), Some(0), "{played:?}");
-    assert!(String::from_utf8_lossy(&played.stdout).contains("verdict: no rule broke"));
-    let refused = rehearse(&["sim", &path(&bad)]);
-    assert_eq!(refused.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(said.contains(":2:") && said.contains("soon"), "{said}");
+    let output = run_testkit(&["sim", &path(&valid), "--seed", "2"]);
+    assert_eq!(output.status.code(), Some(0), "{output:?}");
+    assert!(String::from_utf8_lossy(&output.stdout).contains("verdict: no rule broke"));
+    let rejected = run_testkit(&["sim", &path(&invalid)]);
+    assert_eq!(rejected.status.code(), Some(2));
+    let message = String::from_utf8_lossy(&rejected.stderr).into_owned();
+    assert!(message.contains(":2:") && message.contains("soon"), "{message}");
     for args in
-        [&["sim"][..], &["sing", &path(&good)], &["sim", &path(&good), "--loud"], &["sim", "/nowhere"]]
+        [&["sim"][..], &["sing", &path(&valid)], &["sim", &path(&valid), "--loud"], &["sim", "/nowhere"]]
     {
-        assert_eq!(rehearse(args).status.code(), Some(2), "{args:?}");
+        assert_eq!(run_testkit(args).status.code(), Some(2), "{args:?}");
     }
     for args in [&["--help"][..], &["--version"], &["hunt", "--help"]] {
-        assert_eq!(rehearse(args).status.code(), Some(0), "{args:?}");
+        assert_eq!(run_testkit(args).status.code(), Some(0), "{args:?}");
     }
     for args in [&["--seeds", "9..3"][..], &["--seeds", "3"], &["--seeds", "1..2", "--jobs", "0"], &[]] {
-        let day = path(&good);
-        let hunt = [&["hunt", day.as_str()], args].concat();
-        assert_eq!(rehearse(&hunt).status.code(), Some(2), "{hunt:?}");
+        let scenario = path(&valid);
+        let search = [&["hunt", scenario.as_str()], args].concat();
+        assert_eq!(run_testkit(&search).status.code(), Some(2), "{search:?}");
     }
-    let none = rehearse(&["sim", &path(&good), "--random-faults", "--faults", "none"]);
+    let none = run_testkit(&["sim", &path(&valid), "--random-faults", "--faults", "none"]);
     assert!(!String::from_utf8_lossy(&none.stdout).contains("fault: "), "{none:?}");
-    assert_eq!(rehearse(&["check", &path(&good)]).status.code(), Some(0));
-    assert_eq!(rehearse(&["check", &path(&good), &path(&bad)]).status.code(), Some(2));
+    assert_eq!(run_testkit(&["check", &path(&valid)]).status.code(), Some(0));
+    assert_eq!(run_testkit(&["check", &path(&valid), &path(&invalid)]).status.code(), Some(2));
 }
 
-/// Guards against a report for machines that says something else than the one for people, or nothing.
+/// Guards against a JSON report that is empty or contradicts the exit code.
 #[test]
-fn the_json_holds_the_report() {
-    let (good, json) = (file(GOOD), file(""));
+fn writes_the_report_as_json() {
+    let (scenario, json) = (file(SCENARIO), file(""));
     let path = json.path().to_str().unwrap();
-    let played = rehearse(&["sim", good.path().to_str().unwrap(), "--json", path, "--random-faults"]);
+    let output = run_testkit(&["sim", scenario.path().to_str().unwrap(), "--json", path, "--random-faults"]);
     let report: serde_json::Value = serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap();
-    assert_eq!(report["verdict"]["kept"], serde_json::json!(played.status.code() == Some(0)));
+    assert_eq!(report["verdict"]["kept"], serde_json::json!(output.status.code() == Some(0)));
     assert!(report["played"]["counts"]["taken on"].as_u64().unwrap() > 10);
     assert!(!report["plan"]["faults"].as_array().unwrap().is_empty());
 }
 
-/// Guards against a former name of a subcommand that is refused, or does something else than the new one.
+/// Guards against a former name of a subcommand that is rejected, or behaves differently.
 #[test]
 fn former_subcommand_names_give_the_same_output() {
-    let scenario = file(GOOD);
+    let scenario = file(SCENARIO);
     let path = scenario.path().to_str().unwrap();
     let logs = tempfile::tempdir().unwrap();
     let log = "trace taken at=1000000 destination=3\ntrace list at=2000000\n";
@@ -71,12 +71,12 @@
         ("aggregate", "count", &[logs], "destination 3"),
     ];
     for (name, former_name, args, expected) in commands {
-        let output = rehearse(&[&[name], args].concat());
-        let former_output = rehearse(&[&[former_name], args].concat());
+        let output = run_testkit(&[&[name], args].concat());
+        let former_output = run_testkit(&[&[former_name], args].concat());
         assert!(String::from_utf8_lossy(&output.stdout).contains(expected), "{name}: {output:?}");
         assert_eq!(output, former_output, "{name} and {former_name}");
         for name in [name, former_name] {
-            assert_eq!(rehearse(&[name, "--help"]).status.code(), Some(0), "{name}");
+            assert_eq!(run_testkit(&[name, "--help"]).status.code(), Some(0), "{name}");
         }
     }
 }
--- a/crates/micadrum-testkit/tests/common/mod.rs
+++ b/crates/micadrum-testkit/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use micadrum_testkit::sim::{self, Show};
 use std::path::{Path, PathBuf};
 
-/// The scenarios that are shipped.
-pub fn shipped() -> Vec<PathBuf> {
+/// Returns the paths of the scenarios in `deploy/scenarios`, sorted.
+pub fn shipped_scenarios() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/scenarios");
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
@@ -15,11 +15,12 @@
     files
 }
 
-pub fn read(file: &Path) -> Scenario {
+/// Parses a scenario file.
+pub fn read_scenario(file: &Path) -> Scenario {
     Scenario::parse(&file.display().to_string(), &std::fs::read_to_string(file).unwrap()).unwrap()
 }
 
-/// A scenario of a minute's traffic for a few partners, with `rest` besides.
+/// Returns a scenario of two senders and six destinations, with `rest` appended to its text.
 pub fn scenario(length: &str, rest: &str) -> Scenario {
     let text = format!(
         "title = \"test\"\nlength = \"{length}\"\nsenders = 2\npartners = 6\ntraffic = \"30/s\"\n{rest}"
@@ -27,21 +28,26 @@
     Scenario::parse("test.toml", &text).unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
-pub fn play(plan: Plan) -> Report {
+/// Simulates a plan.
+pub fn simulate(plan: Plan) -> Report {
     sim::run(plan, Show::default()).unwrap()
 }
 
-/// Plays it and checks that no rule broke; a failure tells all.
-pub fn kept(scenario: Scenario, seed: u64) -> Report {
-    let report = play(Plan::new(scenario, seed));
-    assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
+/// Simulates a scenario and asserts that all invariants hold.
+pub fn simulate_without_violations(scenario: Scenario, seed: u64) -> Report {
+    let report = simulate(Plan::new(scenario, seed));
+    assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
     report
 }
 
-/// The daemon's program, as this test was built beside it.
+/// Returns the path of the daemon's binary, which is built together with the tests of the whole workspace.
 pub fn daemon() -> PathBuf {
     let exe = std::env::current_exe().unwrap();
     let daemon = exe.parent().and_then(|deps| deps.parent()).unwrap().join("micadrum");
-    assert!(daemon.exists(), "{}: test the whole workspace, which builds it", daemon.display());
+    assert!(
+        daemon.exists(),
+        "{} does not exist: run the tests of the whole workspace, which build it",
+        daemon.display()
+    );
     daemon
 }
--- a/crates/micadrum-testkit/tests/determinism.rs
+++ b/crates/micadrum-testkit/tests/determinism.rs
@@ -1,18 +1,18 @@
-//! Two runs of one seed are the same, whatever else the machine does.
+//! Tests that simulated runs depend on the scenario and the seed alone.
 mod common;
 
-use common::{play, read, shipped};
+use common::{read_scenario, shipped_scenarios, simulate};
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::units::Span;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Longer days are cut here; they were played whole, twice, when they were shipped.
-const CUT: Span = Span::seconds(180);
+/// Maximum length of a run; longer scenarios are cut.
+const MAX_LENGTH: Span = Span::seconds(180);
 
-/// Guards against whatever makes two runs of one seed differ: hashers, chance in `select!`, clocks, threads. Every
-/// shipped scenario is played twice at once, on two threads, with others keeping the cores busy.
+/// Guards against differences between two runs of one seed, caused by hash seeds, `select!`, clocks or
+/// threads. Both runs take place at the same time, while two more threads keep the CPU busy.
 #[test]
-fn every_shipped_scenario_plays_the_same_twice() {
+fn two_runs_of_a_shipped_scenario_have_the_same_report() {
     let done = AtomicBool::new(false);
     std::thread::scope(|threads| {
         for _ in 0..2 {
@@ -22,18 +22,18 @@
                 }
             });
         }
-        for file in shipped() {
+        for file in shipped_scenarios() {
             let run = || {
-                let mut plan = Plan::new(read(&file), 11);
-                plan.cut(CUT);
-                play(plan).json()
+                let mut plan = Plan::new(read_scenario(&file), 11);
+                plan.cut(MAX_LENGTH);
+                simulate(plan).json()
             };
             let (first, second) = std::thread::scope(|twice| {
                 let first = twice.spawn(run);
                 let second = twice.spawn(run);
                 (first.join(), second.join())
             });
-            // Whatever happened, the busy threads are to end.
+            // The busy threads must also end if the assertion fails.
             let same = matches!((&first, &second), (Ok(a), Ok(b)) if a == b);
             if !same {
                 done.store(true, Ordering::Relaxed);
@@ -44,24 +44,25 @@
     });
 }
 
-/// Guards against a seed that changes nothing, and against plans that depend on what is not the seed.
+/// Guards against a plan that does not depend on the seed, or depends on anything else.
 #[test]
-fn the_plan_follows_from_the_seed_alone() {
+fn plans_are_equal_for_one_seed_and_differ_between_seeds() {
     let report = |seed| {
         let mut plan = Plan::new(common::scenario("10 s", ""), seed);
         plan.add_random_faults();
-        play(plan)
+        simulate(plan)
     };
-    let (one, again, other) = (report(1), report(1), report(2));
-    assert_eq!(one.plan, again.plan);
-    assert_ne!(one.plan.digest, other.plan.digest);
-    assert_ne!(one.plan.faults, other.plan.faults);
+    let (first, repeated, other) = (report(1), report(1), report(2));
+    assert_eq!(first.plan, repeated.plan);
+    assert_ne!(first.plan.digest, other.plan.digest);
+    assert_ne!(first.plan.faults, other.plan.faults);
 }
 
-/// Guards against faults that change what is handed in: they are to be told apart by nothing else.
+/// Guards against a fault that changes the submitted operations, so that runs with and without it cannot be
+/// compared.
 #[test]
 fn a_fault_does_not_change_the_traffic() {
     let fault = "[[fault]]\nkind = \"hang\"\nat = \"2 s\"\nfor = \"3 s\"\n";
-    let digest = |rest| play(Plan::new(common::scenario("10 s", rest), 5)).plan.digest;
+    let digest = |rest| simulate(Plan::new(common::scenario("10 s", rest), 5)).plan.digest;
     assert_eq!(digest(""), digest(fault));
 }
--- a/crates/micadrum-testkit/tests/peers.rs
+++ b/crates/micadrum-testkit/tests/peers.rs
@@ -1,8 +1,8 @@
-//! Senders that know each other, several of them, with faults between them: simulated, and as real processes.
+//! Tests of senders that form a membership, with faults between them, simulated and as real processes.
 mod common;
 
 use common::daemon;
-use micadrum_membership::{Event, LocalStatus};
+use micadrum_membership::{Event, LocalStatus, Status};
 use micadrum_testkit::history::{AdminSnapshot, History, HistoryEvent};
 use micadrum_testkit::live;
 use micadrum_testkit::plan::Plan;
@@ -11,8 +11,8 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A day of senders that know each other; `faults` are what goes wrong.
-fn day(senders: u32, length: u32, crossing: &str, faults: &str) -> Scenario {
+/// Returns a scenario of senders that form a membership, with the given faults.
+fn scenario(senders: u32, length: u32, crossing: &str, faults: &str) -> Scenario {
     let text = format!(
         "title = \"peers\"\nlength = \"{length} s\"\nsenders = {senders}\npartners = 3\ntraffic = \"4/s\"\n\
          crossing = \"{crossing}\"\ntail = \"4 s\"\n[operator.peers]\nprobe_every = \"100 ms\"\ndead_after = \"1 s\"\n{faults}"
@@ -20,36 +20,38 @@
     Scenario::parse("peers.toml", &text).unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
+/// Returns the text of a fault that starts at `at` seconds.
 fn fault(kind: &str, at: u32, rest: &str) -> String {
     format!("[[fault]]\nkind = \"{kind}\"\nat = \"{at} s\"\n{rest}\n")
 }
 
-/// When all senders were up: the day begins then, on the kit's clock.
-fn begun(history: &History) -> u64 {
+/// Returns when the last sender was started: the start of the run on the test kit's clock.
+fn started_at(history: &History) -> u64 {
     history
         .records()
         .iter()
         .filter(|r| r.event == HistoryEvent::Started)
         .map(|r| r.at)
-        .nth(senders(history) - 1)
+        .nth(sender_count(history) - 1)
         .unwrap()
 }
 
-fn senders(history: &History) -> usize {
+fn sender_count(history: &History) -> usize {
     history.records().iter().map(|r| r.sender as usize + 1).max().unwrap()
 }
 
-fn right(report: &Report, from: u64, until: u64, what: &str) -> u64 {
-    match report.history.right_after(from, until) {
-        Ok(took) => {
-            println!("{what}: views right after {} ms", took / 1000);
-            took
+/// Asserts that all views are correct at `until`, and returns how long after `from` they became so.
+fn assert_convergence(report: &Report, from: u64, until: u64, what: &str) -> u64 {
+    match report.history.convergence_time(from, until) {
+        Ok(delay) => {
+            println!("{what}: views correct after {} ms", delay / 1000);
+            delay
         }
         Err(wrong) => panic!("{what}: {wrong:?}\n{}", report.history.text()),
     }
 }
 
-/// The day of all failures, one after the other; the same for real processes and simulated ones.
+/// Returns a scenario with each kind of failure, one after the other, for simulated and live runs.
 fn all_failures() -> Scenario {
     let faults = [
         fault("restart", 4, "how = \"kill\"\nsenders = [1]\ndown = \"4 s\""),
@@ -63,110 +65,116 @@
         fault("break", 55, "for = \"1500 ms\"\nevery = \"100 ms\""),
         fault("cut", 59, "for = \"5 s\"\nsenders = [6]\nbetween = [0, 1, 2]"),
     ];
-    let looks = [(3, 0), (14, 0), (30, 0), (55, 0), (57, 0), (60, 6)];
-    let look = |(at, sender): &(u32, u32)| format!("[[look]]\nat = \"{at} s\"\nsender = {sender}\n");
-    day(7, 66, "2 ms", &(looks.iter().map(look).collect::<String>() + &faults.concat()))
+    let snapshots = [(3, 0), (14, 0), (30, 0), (55, 0), (57, 0), (60, 6)];
+    let snapshot = |(at, sender): &(u32, u32)| format!("[[look]]\nat = \"{at} s\"\nsender = {sender}\n");
+    scenario(7, 66, "2 ms", &(snapshots.iter().map(snapshot).collect::<String>() + &faults.concat()))
 }
 
-/// What the history of that day has to show.
-fn judge_all_failures(report: &Report) {
+/// Checks the history of [`all_failures`].
+fn check_all_failures(report: &Report) {
     let history = &report.history;
-    let zero = begun(history);
-    let at = |seconds: u64| zero + seconds * SECOND;
-    // The day begins once the last sender is ready, which the kit sees within a second.
+    let start = started_at(history);
+    let at = |seconds: u64| start + seconds * SECOND;
+    // The run begins once the last sender is ready, which the kit observes within a second.
     let slack = SECOND;
-    right(report, zero, at(4), "all started at once");
-    assert!(right(report, at(4), at(8), "one killed") < 2 * SECOND + slack);
-    right(report, at(8), at(12), "back under a new life");
-    // In its midst each half holds the other for dead and itself for live.
+    assert_convergence(report, start, at(4), "simultaneous start of all senders");
+    assert!(assert_convergence(report, at(4), at(8), "one sender is killed") < 2 * SECOND + slack);
+    assert_convergence(report, at(8), at(12), "it restarts with a new incarnation");
+    // During the partition each half has the other as dead and itself as live.
     let cut = at(12) + 4 * SECOND;
-    let wrong = history.right_after(cut, cut).unwrap_err();
+    let wrong = history.convergence_time(cut, cut).unwrap_err();
     assert!(wrong.iter().all(|view| view.observer % 2 != view.subject % 2), "{wrong:?}");
-    assert!(wrong.len() == 24, "each half holds the other for dead: {wrong:?}");
-    assert!(right(report, at(17), at(21), "the buildings hear each other again") < 2 * SECOND + slack);
-    // Heard by nobody, sender 2 hears all the same: it accuses nobody.
-    let accused = |by: u32, from: u64, until: u64| {
-        let deaths = history.events(by, from).filter(|(when, event)| {
-            *when < until
-                && matches!(event, Event::StatusChanged { current: micadrum_membership::Status::Dead, .. })
+    assert!(wrong.len() == 24, "each half has the other as dead: {wrong:?}");
+    assert!(assert_convergence(report, at(17), at(21), "the partition ends") < 2 * SECOND + slack);
+    // Sender 2 still receives although nothing that it sends arrives: it must not declare anyone dead.
+    let deaths_declared = |observer: u32, from: u64, until: u64| {
+        let deaths = history.events(observer, from).filter(|(when, event)| {
+            *when < until && matches!(event, Event::StatusChanged { current: Status::Dead, .. })
         });
         deaths.count()
     };
-    assert_eq!(accused(2, at(21), at(25) + slack), 0, "{}", history.text());
-    assert!(right(report, at(25), at(29), "heard again") < 2 * SECOND + slack);
-    assert_eq!(accused(3, at(29), at(37)), 0, "one that stood still accuses nobody: {}", history.text());
-    assert!(right(report, at(33), at(37), "one that stood still goes on") < 2 * SECOND + slack);
-    right(report, at(37) + slack, at(41), "a restart within the time of detection");
+    assert_eq!(deaths_declared(2, at(21), at(25) + slack), 0, "{}", history.text());
+    assert!(assert_convergence(report, at(25), at(29), "its messages arrive again") < 2 * SECOND + slack);
+    assert_eq!(
+        deaths_declared(3, at(29), at(37)),
+        0,
+        "a suspended sender declares no one dead: {}",
+        history.text()
+    );
+    assert!(assert_convergence(report, at(33), at(37), "a suspended sender resumes") < 2 * SECOND + slack);
+    assert_convergence(report, at(37) + slack, at(41), "a restart before it is detected");
     let deaths_of_4 = history.records().iter().filter(|r| {
         r.at >= at(37) && r.at < at(41)
-            && matches!(&r.event, HistoryEvent::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name == "n4")
+            && matches!(&r.event, HistoryEvent::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) if name == "n4")
     });
     assert_eq!(deaths_of_4.count(), 0, "{}", history.text());
-    let forgot = history
+    let state_loss = history
         .events(5, at(41))
         .any(|(_, event)| matches!(event, Event::StateLossDetected { incarnation: 2, known: 1 }));
-    assert!(forgot, "a lost folder is recognised: {}", history.text());
-    right(report, at(42) + slack, at(45), "a lost folder");
+    assert!(state_loss, "the loss of the state folder is detected: {}", history.text());
+    assert_convergence(report, at(42) + slack, at(45), "a restart with a lost state folder");
     let left = history.events(1, at(45)).any(|(_, event)| {
-        matches!(event, Event::StatusChanged { name, current: micadrum_membership::Status::Left, .. } if name == "n0")
+        matches!(event, Event::StatusChanged { name, current: Status::Left, .. } if name == "n0")
     });
-    assert!(left, "who ends in good order says so: {}", history.text());
-    right(report, at(54), at(59), "after loss");
-    assert!(right(report, at(59), at(64), "one that sees half of the others") < SECOND);
+    assert!(left, "a sender that terminates announces that it leaves: {}", history.text());
+    assert_convergence(report, at(54), at(59), "the loss of datagrams ends");
+    assert!(assert_convergence(report, at(59), at(64), "a sender cut off from half of the others") < SECOND);
     assert_eq!(history.false_deaths(3 * SECOND), [], "{}", history.text());
     assert!(
         history
             .events(6, at(3))
             .all(|(_, e)| !matches!(e, Event::LocalStatusChanged(LocalStatus::Superseded)))
     );
-    assert!(report.verdict.kept, "{}", report.text());
+    assert!(report.verdict.all_hold, "{}", report.text());
 }
 
-/// What links between real processes carried: each look asks all for their own word.
-fn judge_links(report: &Report) {
+/// Checks which members answered the requests for the views of all members in a live run of [`all_failures`].
+fn check_admin_snapshots(report: &Report) {
     let history = &report.history;
-    let looks: Vec<AdminSnapshot> = history.admin_snapshots(0).collect();
+    let snapshots: Vec<AdminSnapshot> = history.admin_snapshots(0).collect();
     let all = [0, 1, 2, 3, 4, 5, 6];
-    let [calm, cut, paused, broken, whole, half] = &looks[..] else {
-        panic!("{looks:?}\n{}", history.text())
+    let [undisturbed, cut, paused, broken, restored, half] = &snapshots[..] else {
+        panic!("{snapshots:?}\n{}", history.text())
     };
-    assert_eq!((calm.answered, calm.silent), (&all[..], &[][..]), "all say what they see");
+    assert_eq!((undisturbed.answered, undisturbed.silent), (&all[..], &[][..]), "all members answer");
     assert_eq!(
         (cut.answered, cut.silent),
         (&[0, 2, 4, 6][..], &[1, 3, 5][..]),
-        "an open and silent link is given up"
+        "requests over a silent link time out"
     );
     assert_eq!(
         (paused.answered, paused.silent),
         (&[0, 1, 2, 4, 5, 6][..], &[3][..]),
-        "one that stands still is given up"
+        "requests to a suspended sender time out"
     );
-    assert!(!broken.silent.is_empty(), "a link that breaks within a frame gives nothing: {broken:?}");
-    assert_eq!((whole.answered, whole.silent), (&all[..], &[][..]), "and works again at the next try");
+    assert!(!broken.silent.is_empty(), "a link that breaks within a frame returns no view: {broken:?}");
+    assert_eq!((restored.answered, restored.silent), (&all[..], &[][..]), "the next request succeeds");
     assert_eq!((half.answered, half.silent), (&[3, 4, 5, 6][..], &[0, 1, 2][..]));
     for snapshot in [cut, paused] {
-        let asked = begun(history) + if snapshot.at == cut.at { 14 } else { 30 } * SECOND;
-        assert!(snapshot.at - asked < 5 * SECOND, "a look takes its time and no longer");
+        let requested = started_at(history) + if snapshot.at == cut.at { 14 } else { 30 } * SECOND;
+        assert!(snapshot.at - requested < 5 * SECOND, "the request takes longer than its timeouts");
     }
 }
 
-/// Guards against views, lives and rules that do not survive the failures of a fleet, in simulated time.
+/// Guards against wrong views, wrong incarnations and violations after the failures of a fleet, in simulated
+/// time.
 #[test]
-fn all_failures_simulated() {
+fn views_converge_after_each_failure_simulated() {
     for seed in 1..=3 {
-        judge_all_failures(&common::play(Plan::new(all_failures(), seed)));
+        check_all_failures(&common::simulate(Plan::new(all_failures(), seed)));
     }
 }
 
-/// The same with real processes whose datagrams pass through relays of the kit.
+/// Guards against the same with real processes, whose traffic passes through relays of the test kit.
 #[test]
-fn all_failures_with_real_processes() {
+fn views_converge_after_each_failure_with_real_processes() {
     let report = live::run(Plan::new(all_failures(), 1), Some(daemon())).unwrap();
-    judge_all_failures(&report);
-    judge_links(&report);
+    check_all_failures(&report);
+    check_admin_snapshots(&report);
 }
 
-/// Links of 110 ms that lose a fifth; a folder of yesterday put back; one killed in its midst.
+/// Returns a scenario with links of 110 ms that lose a fifth of the datagrams, a sender that restarts with an
+/// outdated state folder, and one that is killed during the loss.
 fn slow_and_lossy() -> Scenario {
     let faults = [
         fault("restart", 4, "how = \"kill\"\nsenders = [1]\ndown = \"600 ms\""),
@@ -174,45 +182,48 @@
         fault("lose", 11, "for = \"18 s\"\ncalls = \"20%\""),
         fault("restart", 16, "how = \"kill\"\nsenders = [2]\ndown = \"9 s\""),
     ];
-    day(8, 32, "110 ms", &faults.concat())
+    scenario(8, 32, "110 ms", &faults.concat())
 }
 
-fn judge_slow_and_lossy(report: &Report) {
+/// Checks the history of [`slow_and_lossy`].
+fn check_slow_and_lossy(report: &Report) {
     let history = &report.history;
-    let at = |seconds: u64| begun(history) + seconds * SECOND;
-    let forgot = history
+    let at = |seconds: u64| started_at(history) + seconds * SECOND;
+    let state_loss = history
         .events(1, at(8))
         .any(|(_, e)| matches!(e, Event::StateLossDetected { incarnation: 3, known: 2 }));
-    assert!(forgot, "a folder of yesterday is recognised: {}", history.text());
-    right(report, at(9) + SECOND, at(11), "a folder of yesterday");
-    // Behind loss a live one may be suspect at any moment: what counts is that the dead one is found, by all.
-    let found = |by: u32| {
-        history.events(by, at(16)).any(|(when, event)| {
+    assert!(state_loss, "an outdated state folder is detected: {}", history.text());
+    assert_convergence(report, at(9) + SECOND, at(11), "a restart with an outdated state folder");
+    // With lossy links a live sender may be suspected at any time, but all senders must declare the dead one
+    // dead.
+    let detects_death = |observer: u32| {
+        history.events(observer, at(16)).any(|(when, event)| {
             when < at(25)
-                && matches!(event, Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. } if name == "n2")
+                && matches!(event, Event::StatusChanged { name, current: Status::Dead, .. } if name == "n2")
         })
     };
-    let missed: Vec<u32> = (0..8).filter(|by| *by != 2 && !found(*by)).collect();
-    assert!(missed.is_empty(), "one killed behind loss: {missed:?}\n{}", history.text());
-    right(report, at(29), at(32), "after loss");
+    let missed: Vec<u32> = (0..8).filter(|observer| *observer != 2 && !detects_death(*observer)).collect();
+    assert!(missed.is_empty(), "senders that did not detect the death: {missed:?}\n{}", history.text());
+    assert_convergence(report, at(29), at(32), "the loss of datagrams ends");
     let deaths = history.records().iter().filter(|r| {
         r.at > at(11)
-            && matches!(&r.event, HistoryEvent::Peers(Event::StatusChanged { name, current: micadrum_membership::Status::Dead, .. }) if name != "n2")
+            && matches!(&r.event, HistoryEvent::Peers(Event::StatusChanged { name, current: Status::Dead, .. }) if name != "n2")
     });
-    assert_eq!(deaths.count(), 0, "loss kills nobody: {}", history.text());
-    assert!(report.verdict.kept, "{}", report.text());
+    assert_eq!(deaths.count(), 0, "loss causes no false deaths: {}", history.text());
+    assert!(report.verdict.all_hold, "{}", report.text());
 }
 
-/// Guards against slow and lossy links that hide a dead sender, or make a live one dead, in simulated time.
+/// Guards against slow and lossy links that prevent the detection of a dead sender, or have a live one
+/// declared dead, in simulated time.
 #[test]
-fn slow_and_lossy_links_simulated() {
+fn detects_only_real_deaths_over_slow_and_lossy_links_simulated() {
     for seed in 1..=5 {
-        judge_slow_and_lossy(&common::play(Plan::new(slow_and_lossy(), seed)));
+        check_slow_and_lossy(&common::simulate(Plan::new(slow_and_lossy(), seed)));
     }
 }
 
-/// The same with real processes.
+/// Guards against the same with real processes.
 #[test]
-fn slow_and_lossy_links_with_real_processes() {
-    judge_slow_and_lossy(&live::run(Plan::new(slow_and_lossy(), 1), Some(daemon())).unwrap());
+fn detects_only_real_deaths_over_slow_and_lossy_links_with_real_processes() {
+    check_slow_and_lossy(&live::run(Plan::new(slow_and_lossy(), 1), Some(daemon())).unwrap());
 }
--- a/crates/micadrum-testkit/tests/power.rs
+++ b/crates/micadrum-testkit/tests/power.rs
@@ -1,4 +1,5 @@
-//! Senders that lose power: what was not synced may be gone, in part or whole, and names may be as they were before.
+//! Tests of power losses, after which unsynced data may be lost in whole or in part and renames may be
+//! undone.
 mod common;
 
 use micadrum_membership::Event;
@@ -7,7 +8,7 @@
 use micadrum_testkit::report::Report;
 use micadrum_testkit::scenario::Scenario;
 
-fn day(outlasts: &str, disk: &str) -> Scenario {
+fn scenario(outlasts: &str, disk: &str) -> Scenario {
     let text = format!(
         "title = \"power\"\nlength = \"24 s\"\nsenders = 5\npartners = 6\ntraffic = \"60/s\"\n{disk}\
          [operator.durability]\noutlasts = \"{outlasts}\"\n\
@@ -18,52 +19,55 @@
     Scenario::parse("power.toml", &text).unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
-fn play(outlasts: &str, disk: &str, seed: u64) -> Report {
-    common::play(Plan::new(day(outlasts, disk), seed))
+fn simulate(outlasts: &str, disk: &str, seed: u64) -> Report {
+    common::simulate(Plan::new(scenario(outlasts, disk), seed))
 }
 
-/// Guards against an answer, a call or a notice that goes out before its record outlasts the machine: nothing that was
-/// acknowledged is lost, nothing takes effect twice, also where the journal is written anew again and again.
+/// Guards against an answer, a call or a notification that is sent before its record is synced: acknowledged
+/// messages would be lost or duplicated. A small disk forces frequent rewrites of the journal.
 #[test]
-fn under_machine_a_power_loss_of_all_costs_nothing_that_was_acknowledged() {
+fn power_losses_violate_no_invariant_with_durability_machine() {
     for disk in ["", "disk_mb = 0.2\n"] {
         for seed in 1..=12 {
-            let report = play("machine", disk, seed);
-            assert!(report.verdict.kept, "seed {seed} {disk}\n{}", report.text());
-            assert_eq!(report.played.counts["ends of senders"], 8);
+            let report = simulate("machine", disk, seed);
+            assert!(report.verdict.all_hold, "seed {seed} {disk}\n{}", report.text());
+            assert_eq!(report.results.counts["ends of senders"], 8);
         }
     }
 }
 
-/// Guards against a life that a power loss takes back: with peers that all lost power too, nobody else would know it.
+/// Guards against an incarnation number that a power loss of the whole fleet resets, as no peer would know
+/// it.
 #[test]
-fn lives_outlast_a_power_loss_of_the_whole_fleet() {
+fn incarnations_survive_a_power_loss_of_the_whole_fleet() {
     let text = "title = \"lives\"\nlength = \"24 s\"\nsenders = 5\npartners = 3\ntraffic = \"5/s\"\n\
         [operator.durability]\noutlasts = \"machine\"\n[operator.peers]\n\
         [[fault]]\nkind = \"power-loss\"\nat = \"5 s\"\nfor = \"1 s\"\nback = \"2 s\"\n\
         [[fault]]\nkind = \"power-loss\"\nat = \"12 s\"\nfor = \"1 s\"\nback = \"2 s\"\n";
     for seed in 1..=6 {
-        let report = common::play(Plan::new(Scenario::parse("lives.toml", text).unwrap(), seed));
-        assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
+        let report = common::simulate(Plan::new(Scenario::parse("lives.toml", text).unwrap(), seed));
+        assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
         for sender in 0..5 {
-            let forgot =
+            let lost_state =
                 report.history.events(sender, 0).any(|(_, e)| matches!(e, Event::StateLossDetected { .. }));
-            assert!(!forgot, "seed {seed}, sender {sender}\n{}", report.history.text());
+            assert!(!lost_state, "seed {seed}, sender {sender}\n{}", report.history.text());
         }
     }
 }
 
-/// Guards against a power loss that is none: the same seeds under `process` are convicted, of what they must be.
+/// Guards against simulated power losses that lose no data: without syncs the same seeds must show
+/// violations.
 #[test]
-fn under_process_the_same_is_convicted() {
-    let mut broken = std::collections::BTreeMap::<Invariant, usize>::new();
+fn power_losses_lose_and_duplicate_messages_with_durability_process() {
+    let mut violation_counts = std::collections::BTreeMap::<Invariant, usize>::new();
     for seed in 1..=12 {
-        for (rule, count) in play("process", "", seed).verdict.broken {
-            *broken.entry(rule).or_default() += count;
+        for (invariant, count) in simulate("process", "", seed).verdict.violation_counts {
+            *violation_counts.entry(invariant).or_default() += count;
         }
     }
     assert!(
-        broken.contains_key(&Invariant::Lost) && broken.contains_key(&Invariant::Duplicated),
-        "{broken:?}"
+        violation_counts.contains_key(&Invariant::Lost)
+            && violation_counts.contains_key(&Invariant::Duplicated),
+        "{violation_counts:?}"
     );
 }
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -1,11 +1,11 @@
-//! Senders whose machines begin anew: what they trust, what they ask, in which order service returns. Simulated, and as
-//! several real processes.
+//! Tests of the recovery of senders after their machines restart: the trust in the journal, the queries to
+//! peers and the order of the phases, simulated and as real processes.
 mod common;
 
 use common::daemon;
 use micadrum_recovery::journal_trust::{BootComparison, ClockTrust, JournalTrust, RecoveryFinding};
 use micadrum_recovery::phases::{PhaseEnd, RecoveryPhase};
-use micadrum_testkit::history::{History, Return};
+use micadrum_testkit::history::{History, ProcessRecovery};
 use micadrum_testkit::invariants::Invariant;
 use micadrum_testkit::live;
 use micadrum_testkit::plan::Plan;
@@ -14,60 +14,69 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A day of five senders; `parts` is what the operators turn on beside the peers, `faults` what goes wrong.
-fn day(length: u32, parts: &str, faults: &str) -> Scenario {
+/// Returns a scenario of five senders that form a membership. `operator_tables` is added to the operator's
+/// file.
+fn scenario(length: u32, operator_tables: &str, faults: &str) -> Scenario {
     let text = format!(
         "title = \"recovery\"\nlength = \"{length} s\"\nsenders = 5\npartners = 6\ntraffic = \"40/s\"\n\
-         crossing = \"2 ms\"\n[operator.peers]\n{parts}{faults}"
+         crossing = \"2 ms\"\n[operator.peers]\n{operator_tables}{faults}"
     );
     Scenario::parse("recovery.toml", &text).unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
+/// Turns on recovery, with a journal that survives a power loss.
 const MACHINE: &str = "[operator.durability]\noutlasts = \"machine\"\n[operator.recovery]\n";
 
-fn loss(at: u32, rest: &str) -> String {
+/// Returns the text of a power loss of one second, `at` seconds after the start.
+fn power_loss(at: u32, rest: &str) -> String {
     format!("[[fault]]\nkind = \"power-loss\"\nat = \"{at} s\"\nfor = \"1 s\"\n{rest}\n")
 }
 
-/// The returns of processes that found a journal of before.
-fn returned(history: &History) -> Vec<Return> {
-    let again = |of: &Return| {
-        of.trust.as_ref().is_some_and(|trust| !trust.findings.contains(&RecoveryFinding::Empty))
+/// Returns the recoveries of processes that found an earlier journal in their state folder.
+fn recoveries_with_journal(history: &History) -> Vec<ProcessRecovery> {
+    let found_journal = |recovery: &ProcessRecovery| {
+        recovery.trust.as_ref().is_some_and(|trust| !trust.findings.contains(&RecoveryFinding::Empty))
     };
-    history.returns().into_iter().filter(again).collect()
+    history.recoveries().into_iter().filter(found_journal).collect()
 }
 
-/// Each return went through its stages in their order, and those that were not cut short by another loss to the end.
-fn in_order(report: &Report, whole: usize) {
+/// Asserts that each recovery went through the phases in order, and that at least `min_completed` recoveries
+/// completed.
+fn assert_phases_in_order(report: &Report, min_completed: usize) {
     let order = [
         RecoveryPhase::QueryingPeers,
         RecoveryPhase::AwaitingEndpoints,
         RecoveryPhase::DrainingBacklog,
         RecoveryPhase::AdmittingGradually,
     ];
-    let returned = returned(&report.history);
-    for of in &returned {
-        let stages: Vec<RecoveryPhase> = of.steps.iter().map(|(_, step)| step.phase).collect();
-        assert_eq!(stages, order[..stages.len()], "{}", report.history.text());
+    let recoveries = recoveries_with_journal(&report.history);
+    for recovery in &recoveries {
+        let phases: Vec<RecoveryPhase> = recovery.phases.iter().map(|(_, phase)| phase.phase).collect();
+        assert_eq!(phases, order[..phases.len()], "{}", report.history.text());
     }
-    let to_the_end = returned.iter().filter(|of| of.steps.len() == 4).count();
-    assert!(to_the_end >= whole, "{to_the_end} of {whole}\n{}", report.history.text());
+    let completed = recoveries.iter().filter(|recovery| recovery.phases.len() == 4).count();
+    assert!(completed >= min_completed, "{completed} of {min_completed}\n{}", report.history.text());
 }
 
-/// All lose power, some of them again while they come back, and then one building.
-fn again_and_again(parts: &str) -> Scenario {
-    let faults =
-        [loss(5, "back = \"500 ms\""), loss(8, "share = \"60%\""), loss(16, "building = \"building-a\"")];
-    day(26, parts, &faults.concat())
+/// Returns a scenario in which all senders lose power, then some of them during their recovery, then one
+/// building.
+fn repeated_power_losses(operator_tables: &str) -> Scenario {
+    let faults = [
+        power_loss(5, "back = \"500 ms\""),
+        power_loss(8, "share = \"60%\""),
+        power_loss(16, "building = \"building-a\""),
+    ];
+    scenario(26, operator_tables, &faults.concat())
 }
 
-fn judge_again_and_again(report: &Report) {
-    assert!(report.verdict.kept, "{}\n{}", report.text(), report.history.text());
-    let returned = returned(&report.history);
-    // Five, three, and the three of a building.
-    assert_eq!(returned.len(), 11, "{}", report.history.text());
-    for of in &returned {
-        let trust = of.trust.as_ref().unwrap();
+/// Checks the report of [`repeated_power_losses`].
+fn check_repeated_power_losses(report: &Report) {
+    assert!(report.verdict.all_hold, "{}\n{}", report.text(), report.history.text());
+    let recoveries = recoveries_with_journal(&report.history);
+    // Five senders, then three, then the three of a building.
+    assert_eq!(recoveries.len(), 11, "{}", report.history.text());
+    for recovery in &recoveries {
+        let trust = recovery.trust.as_ref().unwrap();
         assert_eq!(
             (trust.machine, trust.journal),
             (BootComparison::Rebooted, JournalTrust::Complete),
@@ -75,225 +84,237 @@
             report.history.text()
         );
     }
-    in_order(report, 8);
-    // The building's senders asked in time, and heard the time from those that never stopped.
-    assert!(returned[8..].iter().all(|of| of.steps[0].1.end == PhaseEnd::Completed));
+    assert_phases_in_order(report, 8);
+    // The building's senders got answers in time, and the time from senders that did not lose power.
+    assert!(recoveries[8..].iter().all(|recovery| recovery.phases[0].1.end == PhaseEnd::Completed));
     assert!(
-        returned[8..].iter().all(|of| of.trust.as_ref().unwrap().clock_offset_us.is_some()),
+        recoveries[8..].iter().all(|recovery| recovery.trust.as_ref().unwrap().clock_offset_us.is_some()),
         "{}",
         report.history.text()
     );
 }
 
-/// Guards against a return that pushes partners over, loses or doubles a message, or goes through its stages in another
-/// order, also where power fails again in the midst of it.
+/// Guards against a recovery that overloads destinations, loses or duplicates a message, or runs its phases
+/// out of order, also when power fails again during the recovery.
 #[test]
-fn a_fleet_that_lost_power_returns_in_order() {
+fn a_fleet_recovers_from_repeated_power_losses_in_order() {
     for seed in 1..=6 {
-        judge_again_and_again(&common::play(Plan::new(again_and_again(MACHINE), seed)));
+        check_repeated_power_losses(&common::simulate(Plan::new(repeated_power_losses(MACHINE), seed)));
     }
 }
 
-/// Guards against a return that works in simulated time alone: five real processes, killed, their folders cut back to
-/// what they had synced.
+/// Guards against a recovery that works only in simulated time: five real processes are killed, and their
+/// files truncated to what was synced and a random part of the rest.
 #[test]
-fn real_processes_that_lost_power_return_in_order() {
-    let plan = Plan::new(again_and_again(MACHINE), 11);
+fn real_processes_recover_from_repeated_power_losses_in_order() {
+    let plan = Plan::new(repeated_power_losses(MACHINE), 11);
     let report = live::run(plan, Some(daemon())).unwrap();
-    judge_again_and_again(&report);
+    check_repeated_power_losses(&report);
 }
 
-/// Guards against clocks that are believed after a loss of power: hours ahead or behind, over told waits, deadlines and
-/// windows in which a key is known.
+/// Guards against trust in a clock that is hours ahead or behind after a power loss: Retry-After times,
+/// deadlines and the lifetimes of idempotency keys depend on it.
 #[test]
-fn clocks_that_stand_hours_off_break_no_rule() {
+fn clocks_that_are_hours_off_cause_no_violations() {
     let errors = "[[fault]]\nkind = \"errors\"\nat = \"2 s\"\nfor = \"12 s\"\ncalls = \"20%\"\n";
     let full = "[[fault]]\nkind = \"full\"\nat = \"3 s\"\nfor = \"5 s\"\ncalls = \"30%\"\n";
-    let faults = [errors.to_owned(), full.to_owned(), loss(6, "back = \"1 s\"\nclock = \"3 h\"")].concat();
+    let faults =
+        [errors.to_owned(), full.to_owned(), power_loss(6, "back = \"1 s\"\nclock = \"3 h\"")].concat();
     for seed in 1..=8 {
-        let report = common::play(Plan::new(day(20, MACHINE, &faults), seed));
-        assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
-        assert_eq!(returned(&report.history).len(), 5);
-        let off = returned(&report.history)
+        let report = common::simulate(Plan::new(scenario(20, MACHINE, &faults), seed));
+        assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
+        assert_eq!(recoveries_with_journal(&report.history).len(), 5);
+        let all_distrusted = recoveries_with_journal(&report.history)
             .iter()
-            .all(|of| of.trust.as_ref().unwrap().clock != ClockTrust::Trusted);
-        assert!(off, "seed {seed}\n{}", report.history.text());
+            .all(|recovery| recovery.trust.as_ref().unwrap().clock != ClockTrust::Trusted);
+        assert!(all_distrusted, "seed {seed}\n{}", report.history.text());
     }
 }
 
-/// Guards against a tenth that never comes back holding up the rest, and against one whose folder is lost or old being
-/// taken for what it was.
+/// Guards against a recovery that waits for senders that never restart, and against trust in a journal after
+/// the state folder was lost or replaced by an older copy.
 #[test]
-fn those_that_are_gone_or_have_forgotten_hold_nobody_up() {
+fn recovery_completes_with_senders_missing_or_their_state_lost() {
     let faults = [
-        loss(5, "never = \"20%\""),
-        loss(12, "senders = [0]\nfolder = \"lost\""),
-        loss(16, "senders = [1]\nfolder = \"older\""),
+        power_loss(5, "never = \"20%\""),
+        power_loss(12, "senders = [0]\nfolder = \"lost\""),
+        power_loss(16, "senders = [1]\nfolder = \"older\""),
     ];
-    let parts = format!("{MACHINE}list_for = \"1 s\"\n");
-    let mut judged = 0;
+    let operator_tables = format!("{MACHINE}list_for = \"1 s\"\n");
+    let mut checked = 0;
     for seed in 1..=4 {
-        let report = common::play(Plan::new(day(28, &parts, &faults.concat()), seed));
-        assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
-        let returns = report.history.returns();
-        let back = |sender: u32, from: u64| {
-            returns
+        let report = common::simulate(Plan::new(scenario(28, &operator_tables, &faults.concat()), seed));
+        assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
+        let recoveries = report.history.recoveries();
+        let trust_after = |sender: u32, from: u64| {
+            recoveries
                 .iter()
-                .find(|of| of.sender == sender && of.started >= from * SECOND)
-                .and_then(|of| of.trust.clone())
+                .find(|recovery| recovery.sender == sender && recovery.started >= from * SECOND)
+                .and_then(|recovery| recovery.trust.clone())
         };
         for (sender, from) in [(0, 12), (1, 16)] {
-            let Some(trust) = back(sender, from) else { continue };
-            let older = trust
+            let Some(trust) = trust_after(sender, from) else { continue };
+            let is_outdated = trust
                 .findings
                 .iter()
                 .any(|finding| matches!(finding, RecoveryFinding::OutdatedFolder { .. }));
             assert!(
-                older && trust.journal == JournalTrust::Incomplete,
+                is_outdated && trust.journal == JournalTrust::Incomplete,
                 "seed {seed}, sender {sender}: {trust:?}"
             );
-            judged += 1;
+            checked += 1;
         }
-        in_order(&report, 4);
-        let last = returns.last().unwrap();
+        assert_phases_in_order(&report, 4);
+        let last = recoveries.last().unwrap();
         assert!(last.started < 20 * SECOND, "{last:?}");
     }
-    assert!(judged >= 4, "{judged}");
+    assert!(checked >= 4, "{checked}");
 }
 
-/// Guards against a return that waits for peers whose links are cut or break, or that takes half a word for one.
+/// Guards against a recovery that waits for peers whose links are cut or break, or that accepts a truncated
+/// answer.
 #[test]
-fn a_building_that_is_cut_off_as_it_returns_serves_alone() {
+fn a_building_recovers_without_links_to_the_others() {
     for (kind, rest) in [("cut", ""), ("break", "every = \"50 ms\"\n")] {
         let link = format!(
             "[[fault]]\nkind = \"{kind}\"\nat = \"6 s\"\nfor = \"6 s\"\nbuilding = \"building-a\"\n{rest}"
         );
-        let faults = [link, loss(6, "building = \"building-a\"\nclock = \"3 h\"")].concat();
+        let faults = [link, power_loss(6, "building = \"building-a\"\nclock = \"3 h\"")].concat();
         for seed in 1..=4 {
-            let report = common::play(Plan::new(day(22, MACHINE, &faults), seed));
-            assert!(report.verdict.kept, "{kind}, seed {seed}\n{}", report.text());
-            in_order(&report, 3);
-            for of in returned(&report.history) {
-                let asked = of.steps[0].1.took_us;
-                assert!(asked <= SECOND + SECOND / 10, "{kind}, seed {seed}: {asked}");
-                let told = of.trust.unwrap().clock_offset_us.is_some();
-                assert!(kind != "cut" || !told, "{kind}, seed {seed}: nobody can have told the time");
+            let report = common::simulate(Plan::new(scenario(22, MACHINE, &faults), seed));
+            assert!(report.verdict.all_hold, "{kind}, seed {seed}\n{}", report.text());
+            assert_phases_in_order(&report, 3);
+            for recovery in recoveries_with_journal(&report.history) {
+                let query_us = recovery.phases[0].1.took_us;
+                assert!(query_us <= SECOND + SECOND / 10, "{kind}, seed {seed}: {query_us}");
+                let has_offset = recovery.trust.unwrap().clock_offset_us.is_some();
+                assert!(
+                    kind != "cut" || !has_offset,
+                    "{kind}, seed {seed}: no peer could have sent its time"
+                );
             }
         }
     }
 }
 
-/// Guards against one building's return that believes its clocks, or does not ask those that never stopped, who tell the time.
+/// Guards against a recovering building that trusts its own clocks instead of asking the senders that kept
+/// running.
 #[test]
-fn a_building_is_told_the_time_by_the_other() {
+fn a_recovering_building_gets_the_time_from_the_other_building() {
     let errors = "[[fault]]\nkind = \"errors\"\nat = \"2 s\"\nfor = \"12 s\"\ncalls = \"30%\"\n".to_owned();
-    let mut off = 0;
+    let mut detected = 0;
     let faults =
-        [errors, loss(6, "building = \"building-a\"\nclock = \"3 h\"\nwith_partners = true")].concat();
+        [errors, power_loss(6, "building = \"building-a\"\nclock = \"3 h\"\nwith_partners = true")].concat();
     for seed in 1..=8 {
-        let report = common::play(Plan::new(day(20, MACHINE, &faults), seed));
-        assert!(report.verdict.kept, "seed {seed}\n{}", report.text());
-        let returned = returned(&report.history);
-        assert_eq!(returned.len(), 3);
-        for of in returned {
-            let trust = of.trust.unwrap();
+        let report = common::simulate(Plan::new(scenario(20, MACHINE, &faults), seed));
+        assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
+        let recoveries = recoveries_with_journal(&report.history);
+        assert_eq!(recoveries.len(), 3);
+        for recovery in recoveries {
+            let trust = recovery.trust.unwrap();
             assert!(
                 trust.clock_offset_us.is_some(),
-                "seed {seed}: the other building tells the time: {trust:?}"
+                "seed {seed}: the other building did not send the time: {trust:?}"
             );
-            let (ClockTrust::Skewed(by) | ClockTrust::Behind(by)) = trust.clock else { continue };
-            let told = trust.clock_offset_us.unwrap().unsigned_abs();
-            assert!(told > 5 * SECOND && by > SECOND, "seed {seed}: {trust:?}");
-            off += 1;
+            let (ClockTrust::Skewed(skew_us) | ClockTrust::Behind(skew_us)) = trust.clock else { continue };
+            let offset_us = trust.clock_offset_us.unwrap().unsigned_abs();
+            assert!(offset_us > 5 * SECOND && skew_us > SECOND, "seed {seed}: {trust:?}");
+            detected += 1;
         }
     }
-    assert!(off >= 8, "of 24 clocks that are off by up to 3 h, {off} were seen to be");
+    assert!(detected >= 8, "{detected} of 24 clocks that are off by up to 3 h were detected");
 }
 
-/// Guards against a return that works where nothing else goes wrong alone: real processes of which one never comes back, one
-/// has lost its folder and one has an older copy.
+/// Guards against a recovery of real processes that fails when one sender never restarts, and others restart
+/// with a lost or an older state folder.
 #[test]
-fn real_processes_that_forgot_hold_nobody_up() {
+fn real_processes_recover_with_a_sender_missing_or_their_state_lost() {
     let faults = [
-        loss(4, "back = \"2 s\"\nnever = \"20%\""),
-        loss(12, "senders = [0, 1]\nfolder = \"lost\""),
-        loss(18, "senders = [2, 3]\nfolder = \"older\""),
+        power_loss(4, "back = \"2 s\"\nnever = \"20%\""),
+        power_loss(12, "senders = [0, 1]\nfolder = \"lost\""),
+        power_loss(18, "senders = [2, 3]\nfolder = \"older\""),
     ];
-    let report = live::run(Plan::new(day(26, MACHINE, &faults.concat()), 3), Some(daemon())).unwrap();
-    assert!(report.verdict.kept, "{}\n{}", report.text(), report.history.text());
-    let (mut forgot, mut away) = (0, 0);
-    for of in report.history.returns() {
-        let Some(trust) = of.trust else { continue };
-        forgot += usize::from(
+    let report = live::run(Plan::new(scenario(26, MACHINE, &faults.concat()), 3), Some(daemon())).unwrap();
+    assert!(report.verdict.all_hold, "{}\n{}", report.text(), report.history.text());
+    let (mut outdated, mut rebooted) = (0, 0);
+    for recovery in report.history.recoveries() {
+        let Some(trust) = recovery.trust else { continue };
+        outdated += usize::from(
             trust.findings.iter().any(|finding| matches!(finding, RecoveryFinding::OutdatedFolder { .. })),
         );
-        away += usize::from(trust.machine == BootComparison::Rebooted);
+        rebooted += usize::from(trust.machine == BootComparison::Rebooted);
     }
-    // Of the four that are struck later one may be gone for good.
-    assert!(forgot >= 3 && away >= 4, "{forgot} {away}\n{}", report.history.text());
+    // One of the four senders with the later faults may be the one that never restarts.
+    assert!(outdated >= 3 && rebooted >= 4, "{outdated} {rebooted}\n{}", report.history.text());
 }
 
-/// Guards against a sync that fails, hangs or is refused being taken for done: power is lost right after, or in the midst of
-/// it. And against a proof that proves nothing: a disk that lies is convicted.
+/// Guards against a failed or hanging sync that is taken for complete, when power is lost during the sync or
+/// right after it. A disk that reports success without syncing must show violations, or the test would detect
+/// nothing.
 #[test]
-fn syncs_that_fail_or_hang_cost_nothing_that_was_acknowledged() {
-    let days = |kind: &str| {
+fn failed_or_hanging_syncs_lose_no_acknowledged_message() {
+    let simulate_all = |kind: &str| {
         let sync = format!("[[fault]]\nkind = \"{kind}\"\nat = \"4 s\"\nfor = \"5 s\"\nshare = \"60%\"\n");
-        let faults = [sync, loss(8, "back = \"1 s\""), loss(12, "share = \"60%\"")].concat();
-        let plays = (1..=6).map(|seed| common::play(Plan::new(day(20, MACHINE, &faults), seed)));
-        plays.map(|report| (report.verdict.kept, report.text())).collect::<Vec<_>>()
+        let faults = [sync, power_loss(8, "back = \"1 s\""), power_loss(12, "share = \"60%\"")].concat();
+        let reports = (1..=6).map(|seed| common::simulate(Plan::new(scenario(20, MACHINE, &faults), seed)));
+        reports.map(|report| (report.verdict.all_hold, report.text())).collect::<Vec<_>>()
     };
     for kind in ["sync-fails", "sync-hangs"] {
-        for (kept, text) in days(kind) {
-            assert!(kept, "{kind}\n{text}");
+        for (all_hold, text) in simulate_all(kind) {
+            assert!(all_hold, "{kind}\n{text}");
         }
     }
-    assert!(days("sync-lies").iter().any(|(kept, _)| !kept), "a disk that lies loses what was acknowledged");
+    assert!(
+        simulate_all("sync-lies").iter().any(|(all_hold, _)| !all_hold),
+        "a disk that ignores syncs must lose acknowledged messages"
+    );
 }
 
-/// Guards against a return that waits for discovery, or that a full disk or a platform that hears nothing keeps from ending
-/// what is owed.
+/// Guards against a recovery that waits for discovery, or leaves messages without an end when the disk is
+/// full.
 #[test]
-fn a_return_without_discovery_or_room_is_one_all_the_same() {
+fn recovery_completes_without_discovery_or_with_a_full_disk() {
     let silent = "[[fault]]\nkind = \"list-silent\"\nat = \"6 s\"\nfor = \"20 s\"\n";
     let full = "[[fault]]\nkind = \"disk-full\"\nat = \"7500 ms\"\nfor = \"3 s\"\nshare = \"60%\"\n";
-    for (what, fault) in [("silent", silent), ("full", full)] {
-        let faults = [fault.to_owned(), loss(6, "back = \"1 s\"")].concat();
+    for (name, fault) in [("silent", silent), ("full", full)] {
+        let faults = [fault.to_owned(), power_loss(6, "back = \"1 s\"")].concat();
         for seed in 1..=4 {
-            let report = common::play(Plan::new(day(27, MACHINE, &faults), seed));
-            assert!(report.verdict.kept, "{what}, seed {seed}\n{}", report.text());
-            in_order(&report, 5);
-            let late = returned(&report.history).iter().all(|of| of.steps[1].1.end == PhaseEnd::TimedOut);
-            assert!(what != "silent" || late, "{}", report.history.text());
+            let report = common::simulate(Plan::new(scenario(27, MACHINE, &faults), seed));
+            assert!(report.verdict.all_hold, "{name}, seed {seed}\n{}", report.text());
+            assert_phases_in_order(&report, 5);
+            let timed_out = recoveries_with_journal(&report.history)
+                .iter()
+                .all(|recovery| recovery.phases[1].1.end == PhaseEnd::TimedOut);
+            assert!(name != "silent" || timed_out, "{}", report.history.text());
         }
     }
 }
 
-/// Guards against a sender that sends again what may have run, as its journal was not written to outlast the machine; and
-/// against a proof that proves nothing: the same days without this part are convicted of it.
+/// Guards against a sender with an unsynced journal that repeats an attempt that may have taken effect before
+/// a power loss. The same scenario without `wait_out` must show duplicates, or the test would detect nothing.
 #[test]
-fn under_process_nothing_runs_twice_where_it_is_waited_out() {
-    let days = |parts: &str| {
+fn wait_out_prevents_duplicates_with_durability_process() {
+    let violation_counts = |operator_tables: &str| {
         let errors =
             "[[fault]]\nkind = \"errors\"\nat = \"4 s\"\nfor = \"12 s\"\ncalls = \"20%\"\n".to_owned();
-        let faults = [errors, loss(8, "back = \"2 s\""), loss(13, "share = \"60%\"")].concat();
-        let mut broken = std::collections::BTreeMap::<Invariant, usize>::new();
+        let faults = [errors, power_loss(8, "back = \"2 s\""), power_loss(13, "share = \"60%\"")].concat();
+        let mut counts = std::collections::BTreeMap::<Invariant, usize>::new();
         for seed in 1..=12 {
-            let report = common::play(Plan::new(day(24, parts, &faults), seed));
-            for (rule, count) in report.verdict.broken {
-                *broken.entry(rule).or_default() += count;
+            let report = common::simulate(Plan::new(scenario(24, operator_tables, &faults), seed));
+            for (invariant, count) in report.verdict.violation_counts {
+                *counts.entry(invariant).or_default() += count;
             }
         }
-        println!("{parts:?}: {broken:?}");
-        broken
+        println!("{operator_tables:?}: {counts:?}");
+        counts
     };
-    let without = days("");
+    let without = violation_counts("");
     assert!(without.contains_key(&Invariant::Duplicated), "{without:?}");
-    let with = days("[operator.recovery]\nwait_out = \"13 s\"\n");
+    let with = violation_counts("[operator.recovery]\nwait_out = \"13 s\"\n");
     assert!(
         !with.contains_key(&Invariant::Duplicated) && !with.contains_key(&Invariant::SentAfterEnd),
         "{with:?}"
     );
-    // What was acknowledged and never synced is gone: no part can bring that back.
+    // Messages that were acknowledged but not synced are lost with any setting of recovery.
     assert!(with.contains_key(&Invariant::Lost), "{with:?}");
 }
--- a/crates/micadrum-testkit/tests/soak.rs
+++ b/crates/micadrum-testkit/tests/soak.rs
@@ -1,16 +1,20 @@
-//! A short soak of the built daemon: faults of system calls, clocks and folders that overlap with restarts. The binary and the
-//! preloaded library are there when the whole workspace is tested.
+//! A short soak of the built daemon: faults of system calls, clocks and folders that overlap with restarts.
+//! It needs the daemon's binary and the preloaded library, which the tests of the whole workspace build.
 mod common;
 
 use micadrum_testkit::plan::Plan;
 use micadrum_testkit::soak;
 
-/// Guards against promises that are broken where two or three rare troubles meet, in real processes.
+/// Guards against violations in real processes when several rare faults coincide.
 #[test]
-fn a_short_soak_keeps_all_invariants() {
+fn a_short_soak_has_no_violations() {
     let daemon =
         std::env::current_exe().unwrap().parent().and_then(|deps| deps.parent()).unwrap().join("micadrum");
-    assert!(daemon.exists(), "{}: test the whole workspace, which builds it", daemon.display());
+    assert!(
+        daemon.exists(),
+        "{} does not exist: run the tests of the whole workspace, which build it",
+        daemon.display()
+    );
     let plan = |seed| {
         let mut plan = Plan::new(common::scenario("8 s", ""), seed);
         plan.add_system_faults();
@@ -18,7 +22,7 @@
     };
     let print = |run: &soak::SoakRun| {
         println!("{}", run.line());
-        if let (false, Ok(report)) = (run.is_kept(), &run.outcome) {
+        if let (false, Ok(report)) = (run.succeeded(), &run.outcome) {
             println!("{}", report.text());
         }
     };
