--- a/crates/micadrum-testkit/src/http.rs
+++ b/crates/micadrum-testkit/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 for the stand-ins. Messages are read together with the time at which they were sent, and written
-//! as raw bytes, so that they can be corrupted.
+//! HTTP/1.1 for the stand-ins for destinations, the platform and clients. Messages are read together with the
+//! time at which they were sent, and written as raw bytes, so that they can be corrupted.
 use crate::test_network::TestConnection;
 use std::io;
 use std::pin::pin;
--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -22,25 +22,26 @@
     link_faults: Rc<RefCell<LinkFaults>>,
 ) {
     let started_at = Instant::now();
-    let broken = Rc::<Cell<Option<u64>>>::default();
+    let last_broken_at = Rc::<Cell<Option<u64>>>::default();
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        let (peer_address, link_faults, broken) = (peer_address.clone(), link_faults.clone(), broken.clone());
+        let Ok((client, _)) = listener.accept().await else { continue };
+        let (peer_address, link_faults, last_broken_at) =
+            (peer_address.clone(), link_faults.clone(), last_broken_at.clone());
         spawn_local(async move {
             let Some(peer_address) = peer_address.get() else { return };
-            let Ok(far) = TcpStream::connect(peer_address).await else { return };
-            let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+            let Ok(peer) = TcpStream::connect(peer_address).await else { return };
+            let ((client_in, client_out), (peer_in, peer_out)) = (client.into_split(), peer.into_split());
             let direction = |from, to| RelayedDirection {
                 from,
                 to,
                 link_faults: link_faults.clone(),
                 started_at,
-                broken: broken.clone(),
+                last_broken_at: last_broken_at.clone(),
             };
             // When one direction ends or breaks, the whole link is closed.
             tokio::select! {
-                () = direction(from, to).carry(near_in, far_out) => {}
-                () = direction(to, from).carry(far_in, near_out) => {}
+                () = direction(from, to).forward(client_in, peer_out) => {}
+                () = direction(to, from).forward(peer_in, client_out) => {}
             }
         });
     }
@@ -53,17 +54,19 @@
     link_faults: Rc<RefCell<LinkFaults>>,
     started_at: Instant,
     /// When a link between the two senders was last broken, in microseconds since `started_at`.
-    broken: Rc<Cell<Option<u64>>>,
+    last_broken_at: Rc<Cell<Option<u64>>>,
 }
 
 impl RelayedDirection {
-    async fn carry(self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) {
+    /// Forwards bytes, subject to the link faults, until either connection ends or the link breaks.
+    async fn forward(self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) {
         let mut buffer = vec![0; 16 * 1024];
         loop {
             let Ok(length @ 1..) = read.read(&mut buffer).await else { return };
             loop {
                 let now = self.started_at.elapsed().as_micros() as u64;
-                let window = self.link_faults.borrow().fault_window(self.from, self.to, now, &self.broken);
+                let window =
+                    self.link_faults.borrow().fault_window(self.from, self.to, now, &self.last_broken_at);
                 match window {
                     FaultWindow::Delayed(delay) => {
                         sleep(delay).await;
--- a/crates/micadrum-testkit/src/live/loopback.rs
+++ b/crates/micadrum-testkit/src/live/loopback.rs
@@ -1,4 +1,5 @@
-//! The network of the stand-ins in a live run: the loopback interface.
+//! The loopback interface, as the network of a live run's stand-ins for destinations, the platform and
+//! clients.
 use crate::test_network::{Host, TestConnection, TestListener, TestNetwork};
 use micadrum::daemon::ports::{Listener, LocalFuture, Network, Stream};
 use micadrum::daemon::system::Tcp;
--- a/crates/micadrum-testkit/src/test_network.rs
+++ b/crates/micadrum-testkit/src/test_network.rs
@@ -1,4 +1,5 @@
-//! The network of the stand-ins: simulated, or the loopback interface.
+//! The network of the stand-ins for destinations, the platform and clients: simulated, or the loopback
+//! interface.
 use micadrum::daemon::ports::LocalFuture;
 use std::io;
 use std::net::SocketAddr;
@@ -34,7 +35,7 @@
     fn address(&self) -> SocketAddr;
 }
 
-/// The network of the stand-ins. On loopback all hosts have the same address.
+/// A network on which stand-ins connect and listen. On loopback all hosts have the same address.
 pub trait TestNetwork {
     /// Connects from a stand-in on the host `from`.
     fn connect(&self, from: Host, to: SocketAddr) -> LocalFuture<'_, io::Result<Box<dyn TestConnection>>>;
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -24,8 +24,8 @@
     Scenario::parse("recovery.toml", &text).unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
-/// Turns on recovery, with a journal that survives a power loss.
-const MACHINE: &str = "[operator.durability]\noutlasts = \"machine\"\n[operator.recovery]\n";
+/// Tables of the operator's file that turn on recovery, with a journal that survives a power loss.
+const RECOVERY_TABLES: &str = "[operator.durability]\noutlasts = \"machine\"\n[operator.recovery]\n";
 
 /// Returns the text of a power loss of one second, `at` seconds after the start.
 fn power_loss(at: u32, rest: &str) -> String {
@@ -99,7 +99,10 @@
 #[test]
 fn a_fleet_recovers_from_repeated_power_losses_in_order() {
     for seed in 1..=6 {
-        check_repeated_power_losses(&common::simulate(Plan::new(repeated_power_losses(MACHINE), seed)));
+        check_repeated_power_losses(&common::simulate(Plan::new(
+            repeated_power_losses(RECOVERY_TABLES),
+            seed,
+        )));
     }
 }
 
@@ -107,7 +110,7 @@
 /// files truncated to what was synced and a random part of the rest.
 #[test]
 fn real_processes_recover_from_repeated_power_losses_in_order() {
-    let plan = Plan::new(repeated_power_losses(MACHINE), 11);
+    let plan = Plan::new(repeated_power_losses(RECOVERY_TABLES), 11);
     let report = live::run(plan, Some(daemon())).unwrap();
     check_repeated_power_losses(&report);
 }
@@ -121,7 +124,7 @@
     let faults =
         [errors.to_owned(), full.to_owned(), power_loss(6, "back = \"1 s\"\nclock = \"3 h\"")].concat();
     for seed in 1..=8 {
-        let report = common::simulate(Plan::new(scenario(20, MACHINE, &faults), seed));
+        let report = common::simulate(Plan::new(scenario(20, RECOVERY_TABLES, &faults), seed));
         assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
         assert_eq!(recoveries_with_journal(&report.history).len(), 5);
         let all_distrusted = recoveries_with_journal(&report.history)
@@ -140,7 +143,7 @@
         power_loss(12, "senders = [0]\nfolder = \"lost\""),
         power_loss(16, "senders = [1]\nfolder = \"older\""),
     ];
-    let operator_tables = format!("{MACHINE}list_for = \"1 s\"\n");
+    let operator_tables = format!("{RECOVERY_TABLES}list_for = \"1 s\"\n");
     let mut checked = 0;
     for seed in 1..=4 {
         let report = common::simulate(Plan::new(scenario(28, &operator_tables, &faults.concat()), seed));
@@ -181,7 +184,7 @@
         );
         let faults = [link, power_loss(6, "building = \"building-a\"\nclock = \"3 h\"")].concat();
         for seed in 1..=4 {
-            let report = common::simulate(Plan::new(scenario(22, MACHINE, &faults), seed));
+            let report = common::simulate(Plan::new(scenario(22, RECOVERY_TABLES, &faults), seed));
             assert!(report.verdict.all_hold, "{kind}, seed {seed}\n{}", report.text());
             assert_phases_in_order(&report, 3);
             for recovery in recoveries_with_journal(&report.history) {
@@ -206,7 +209,7 @@
     let faults =
         [errors, power_loss(6, "building = \"building-a\"\nclock = \"3 h\"\nwith_partners = true")].concat();
     for seed in 1..=8 {
-        let report = common::simulate(Plan::new(scenario(20, MACHINE, &faults), seed));
+        let report = common::simulate(Plan::new(scenario(20, RECOVERY_TABLES, &faults), seed));
         assert!(report.verdict.all_hold, "seed {seed}\n{}", report.text());
         let recoveries = recoveries_with_journal(&report.history);
         assert_eq!(recoveries.len(), 3);
@@ -234,7 +237,8 @@
         power_loss(12, "senders = [0, 1]\nfolder = \"lost\""),
         power_loss(18, "senders = [2, 3]\nfolder = \"older\""),
     ];
-    let report = live::run(Plan::new(scenario(26, MACHINE, &faults.concat()), 3), Some(daemon())).unwrap();
+    let report =
+        live::run(Plan::new(scenario(26, RECOVERY_TABLES, &faults.concat()), 3), Some(daemon())).unwrap();
     assert!(report.verdict.all_hold, "{}\n{}", report.text(), report.history.text());
     let (mut outdated, mut rebooted) = (0, 0);
     for recovery in report.history.recoveries() {
@@ -256,7 +260,8 @@
     let simulate_all = |kind: &str| {
         let sync = format!("[[fault]]\nkind = \"{kind}\"\nat = \"4 s\"\nfor = \"5 s\"\nshare = \"60%\"\n");
         let faults = [sync, power_loss(8, "back = \"1 s\""), power_loss(12, "share = \"60%\"")].concat();
-        let reports = (1..=6).map(|seed| common::simulate(Plan::new(scenario(20, MACHINE, &faults), seed)));
+        let reports =
+            (1..=6).map(|seed| common::simulate(Plan::new(scenario(20, RECOVERY_TABLES, &faults), seed)));
         reports.map(|report| (report.verdict.all_hold, report.text())).collect::<Vec<_>>()
     };
     for kind in ["sync-fails", "sync-hangs"] {
@@ -279,7 +284,7 @@
     for (name, fault) in [("silent", silent), ("full", full)] {
         let faults = [fault.to_owned(), power_loss(6, "back = \"1 s\"")].concat();
         for seed in 1..=4 {
-            let report = common::simulate(Plan::new(scenario(27, MACHINE, &faults), seed));
+            let report = common::simulate(Plan::new(scenario(27, RECOVERY_TABLES, &faults), seed));
             assert!(report.verdict.all_hold, "{name}, seed {seed}\n{}", report.text());
             assert_phases_in_order(&report, 5);
             let timed_out = recoveries_with_journal(&report.history)
