--- a/crates/micadrum-testkit/src/live/links.rs
+++ b/crates/micadrum-testkit/src/live/links.rs
@@ -1,4 +1,4 @@
-//! Relays of the links between real senders: delayed, held, or broken within a frame.
+//! Relays of the links between the processes of a live run, which delay, hold or break them.
 use crate::link_faults::{LinkEffect, LinkFaults};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The interval at which a held link is checked.
+/// Interval at which a held link checks whether its fault has ended.
 const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Relays the links that `from` opens to `to`.
+/// Relays the links that the sender `from` opens to the sender `to`, once `peer_address` is set.
 pub async fn relay(
     listener: TcpListener,
     from: u32,
@@ -22,25 +22,26 @@
     link_faults: Rc<RefCell<LinkFaults>>,
 ) {
     let started_at = Instant::now();
-    let broken = Rc::<Cell<Option<u64>>>::default();
+    let last_broken_at = Rc::<Cell<Option<u64>>>::default();
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        let (peer_address, link_faults, broken) = (peer_address.clone(), link_faults.clone(), broken.clone());
+        let Ok((client, _)) = listener.accept().await else { continue };
+        let (peer_address, link_faults, last_broken_at) =
+            (peer_address.clone(), link_faults.clone(), last_broken_at.clone());
         spawn_local(async move {
             let Some(peer_address) = peer_address.get() else { return };
-            let Ok(far) = TcpStream::connect(peer_address).await else { return };
-            let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+            let Ok(peer) = TcpStream::connect(peer_address).await else { return };
+            let ((client_in, client_out), (peer_in, peer_out)) = (client.into_split(), peer.into_split());
             let direction = |from, to| RelayedDirection {
                 from,
                 to,
                 link_faults: link_faults.clone(),
                 started_at,
-                broken: broken.clone(),
+                last_broken_at: last_broken_at.clone(),
             };
-            // Where one direction ends or breaks, so does the other.
+            // When one direction ends or breaks, the whole link is closed.
             tokio::select! {
-                () = direction(from, to).carry(near_in, far_out) => {}
-                () = direction(to, from).carry(far_in, near_out) => {}
+                () = direction(from, to).forward(client_in, peer_out) => {}
+                () = direction(to, from).forward(peer_in, client_out) => {}
             }
         });
     }
@@ -52,18 +53,20 @@
     to: u32,
     link_faults: Rc<RefCell<LinkFaults>>,
     started_at: Instant,
-    /// When a link between the two was last broken.
-    broken: Rc<Cell<Option<u64>>>,
+    /// When a link between the two senders was last broken, in microseconds since `started_at`.
+    last_broken_at: Rc<Cell<Option<u64>>>,
 }
 
 impl RelayedDirection {
-    async fn carry(self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) {
+    /// Forwards bytes, subject to the link faults, until either connection ends or the link breaks.
+    async fn forward(self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf) {
         let mut buffer = vec![0; 16 * 1024];
         loop {
             let Ok(length @ 1..) = read.read(&mut buffer).await else { return };
             loop {
                 let now = self.started_at.elapsed().as_micros() as u64;
-                let effect = self.link_faults.borrow().link_effect(self.from, self.to, now, &self.broken);
+                let effect =
+                    self.link_faults.borrow().link_effect(self.from, self.to, now, &self.last_broken_at);
                 match effect {
                     LinkEffect::Delayed(delay) => {
                         sleep(delay).await;
