--- a/crates/micadrum-testkit/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -149,32 +149,45 @@
     let full = "[[fault]]\nkind = \"full\"\nat = \"5 s\"\nfor = \"20 s\"\ncalls = \"60%\"\n";
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"5 s\"\nshare = \"50%\"\n";
     let restart = "[[fault]]\nkind = \"restart\"\nat = \"8 s\"\nhow = \"kill\"\n";
-    let lie = |pointer: &str, value: serde_json::Value| ConfigOverride { pointer: pointer.to_owned(), value };
+    let config_override =
+        |pointer: &str, value: serde_json::Value| ConfigOverride { pointer: pointer.to_owned(), value };
     let too_many_attempts = || {
-        let aims = [0, 1].map(|lane| lie(&format!("/settings/lanes/{lane}/aim"), 100_000.into()));
-        aims.into_iter().chain([lie("/settings/limits/max_attempts", 50.into())]).collect::<Vec<_>>()
+        let aims = [0, 1].map(|lane| config_override(&format!("/settings/lanes/{lane}/aim"), 100_000.into()));
+        aims.into_iter()
+            .chain([config_override("/settings/limits/max_attempts", 50.into())])
+            .collect::<Vec<_>>()
     };
     let few_vehicles = format!("vehicles = 3\n{errors}");
     let cases: Vec<(&str, Invariant, Vec<ConfigOverride>, bool)> = vec![
-        (errors, Invariant::Duplicated, vec![lie("/settings/lanes/0/repeat", "retryable".into())], false),
-        (errors, Invariant::Duplicated, vec![lie("/settings/lanes/1/key_ttl", 60_000_000.into())], false),
+        (
+            errors,
+            Invariant::Duplicated,
+            vec![config_override("/settings/lanes/0/repeat", "retryable".into())],
+            false,
+        ),
+        (
+            errors,
+            Invariant::Duplicated,
+            vec![config_override("/settings/lanes/1/key_ttl", 60_000_000.into())],
+            false,
+        ),
         (
             &few_vehicles,
             Invariant::OutOfOrder,
-            vec![lie("/settings/lanes/1/fifo_by_key", false.into())],
+            vec![config_override("/settings/lanes/1/fifo_by_key", false.into())],
             false,
         ),
         (full, Invariant::TooManyAttempts, too_many_attempts(), false),
-        (drain, Invariant::SentToDraining, vec![lie("/discovery", "10.9.9.9:1".into())], false),
+        (drain, Invariant::SentToDraining, vec![config_override("/discovery", "10.9.9.9:1".into())], false),
         (restart, Invariant::Lost, vec![], true),
     ];
-    for (rest, invariant, lies, forgetful) in cases {
+    for (rest, invariant, overrides, wipes_state) in cases {
         let is_detected = (1..=3).any(|seed| {
             let mut plan = Plan::new(scenario("30 s", rest), seed);
-            (plan.config_overrides, plan.wipes_state_on_restart) = (lies.clone(), forgetful);
+            (plan.config_overrides, plan.wipes_state_on_restart) = (overrides.clone(), wipes_state);
             simulate(plan).verdict.violation_counts.contains_key(&invariant)
         });
-        assert!(is_detected, "{invariant:?} was not found with {lies:?}");
+        assert!(is_detected, "{invariant:?} was not found with {overrides:?}");
         // With correctly configured senders the same scenario has no violation.
         simulate_without_violations(scenario("30 s", rest), 1);
     }
