--- a/src/daemon/membership/link_stream.rs
+++ b/src/daemon/membership/link_stream.rs
@@ -19,16 +19,16 @@
     #[error("{0}")]
     Link(#[from] LinkError),
     /// The answer did not arrive in time.
-    #[error("it has not answered in time")]
+    #[error("timed out while waiting for the other side")]
     TimedOut,
     /// The other side closed the stream.
-    #[error("it ended the link")]
+    #[error("the other side closed the link")]
     Closed,
     /// The other side sent something that cannot be decoded.
-    #[error("what it sent cannot be read")]
+    #[error("received a message that cannot be decoded")]
     Malformed,
     /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
-    #[error("too much waits to be sent")]
+    #[error("the payload is longer than {MAX_PAYLOAD_BYTES} bytes")]
     PayloadTooLong,
 }
 
