--- a/src/daemon/membership/event_log.rs
+++ b/src/daemon/membership/event_log.rs
@@ -29,9 +29,8 @@
         if let Err(error) = result
             && !self.write_failed
         {
-            self.log.line(&format!(
-                "membership: incarnation not persisted, sending is suspended error=\"{error}\""
-            ));
+            self.log
+                .line(&format!("membership: incarnation not persisted, sending is suspended error={error}"));
         }
         self.write_failed = result.is_err();
     }
--- a/src/daemon/membership/links.rs
+++ b/src/daemon/membership/links.rs
@@ -143,7 +143,7 @@
             match self.network.listen(address).await {
                 Ok(listener) => return listener,
                 Err(error) if !std::mem::replace(&mut is_logged, true) => log.line(&format!(
-                    "membership: listening for links failed, retrying address={address} error=\"{error}\""
+                    "membership: listening for links failed, retrying address={address} error={error}"
                 )),
                 Err(_) => {}
             }
--- a/src/daemon/membership/mod.rs
+++ b/src/daemon/membership/mod.rs
@@ -246,7 +246,7 @@
         let own = roster.own();
         self.incarnation_store.read(own).unwrap_or_else(|error| {
             self.ports.log.line(&format!(
-                "membership: incarnation record unusable, asking peers for this sender's incarnation error=\"{error}\""
+                "membership: incarnation record unusable, asking peers for this sender's incarnation error={error}"
             ));
             IncarnationRecord::new(own)
         })
@@ -281,7 +281,7 @@
                         membership.handle(Input::Datagram(&buffer[..length]), now);
                     }),
                     Err(error) => {
-                        self.ports.log.line(&format!("membership: receiving failed error=\"{error}\""));
+                        self.ports.log.line(&format!("membership: receiving failed error={error}"));
                         sleep(RECEIVE_RETRY_DELAY).await;
                     }
                 },
@@ -326,9 +326,10 @@
                     self.ports.log.line(&format!("membership: listening address={bound}"));
                     return Some(BoundSockets { datagrams, links });
                 }
-                Err(error) if !std::mem::replace(&mut is_logged, true) => self.ports.log.line(&format!(
-                    "membership: binding failed, retrying address={address} error=\"{error}\""
-                )),
+                Err(error) if !std::mem::replace(&mut is_logged, true) => self
+                    .ports
+                    .log
+                    .line(&format!("membership: binding failed, retrying address={address} error={error}")),
                 Err(_) => {}
             }
             if self.wait_to_bind(members).await == Flow::Stop {
--- a/src/daemon/notifications/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -142,7 +142,7 @@
                 let count = batch.notifications.len();
                 self.ports
                     .log
-                    .line(&format!("notifications: call failed, retrying count={count} error=\"{error}\""));
+                    .line(&format!("notifications: call failed, retrying count={count} error={error}"));
                 self.queue.requeue(batch);
                 self.connection = None;
                 sleep(RETRY_DELAY).await;
--- a/src/daemon/outbound_call/mod.rs
+++ b/src/daemon/outbound_call/mod.rs
@@ -244,7 +244,7 @@
         log: &dyn Log,
     ) -> Vec<AttemptOutcome> {
         let results = BatchResults::decode(body).unwrap_or_else(|error| {
-            log.line(&format!("calls: invalid response to a batch error=\"{error}\""));
+            log.line(&format!("calls: invalid response to a batch error={error}"));
             BatchResults::default()
         });
         let ended = |message: &BatchedMessage| {
