--- a/src/daemon/journal/mod.rs
+++ b/src/daemon/journal/mod.rs
@@ -3,12 +3,11 @@
 //! # Guarantees
 //! - A message is accepted, and an attempt is started, only if its record was written: a restarted process
 //!   knows every accepted message, and every attempt that may have been processed.
-//! - If the record of an end (of an attempt, of a message) cannot be written, the end is still applied in
-//!   memory, and the next compaction writes it to the file. After a restart before that compaction, the
-//!   attempt or message would be repeated. The [`reserve`] makes this rare.
-//! - Damage never prevents a start: readable records are applied, and [`CorruptionReport`] says how much was
-//!   lost. A folder that cannot be written does not prevent a start either; no message is accepted until it
-//!   can be written.
+//! - If the end of an attempt or a message cannot be recorded, it is applied in memory until the next
+//!   compaction writes it. A restart before that repeats the attempt or message; the [`reserve`] makes this
+//!   rare.
+//! - Damage never prevents a start: readable records are applied, and [`CorruptionReport`] describes the
+//!   loss. Neither does a folder that cannot be written; no message is accepted until it can be.
 //! - Nothing is appended after an incomplete record, or to a file that has been replaced.
 //! - The journal's files stay within the disk space assigned to the journal.
 //!
@@ -87,12 +86,10 @@
 }
 
 impl Journal {
-    /// Opens or creates the journal in `folder` and restores its state. The journal uses at most
-    /// `disk_bytes`.
+    /// Opens or creates the journal in `folder`, restores its state, and limits its files to `disk_bytes`.
     ///
     /// # Errors
-    /// The file cannot be read, for a reason that may be temporary. Neither a damaged file, which the report
-    /// describes, nor a file that cannot be written is an error.
+    /// The file cannot be read, for a reason that may be temporary. A damaged or unwritable file is no error.
     pub fn open(folder: Rc<dyn Storage>, disk_bytes: u64) -> Result<(Self, CorruptionReport), JournalError> {
         match folder.read(NAME) {
             Ok(bytes) => Ok(Self::with_contents(folder, disk_bytes, &bytes.unwrap_or_default())),
@@ -235,8 +232,7 @@
         self.append(Record::Finished { number, outcome })
     }
 
-    /// Records that a message was completed at `now`: it was delivered or cancelled, or its notification was
-    /// acknowledged. The message is then no longer pending.
+    /// Records that a message was delivered, cancelled or acknowledged at `now`, and is no longer pending.
     ///
     /// # Errors
     /// As for [`Journal::end_attempt`].
@@ -303,15 +299,13 @@
         self.state.pending.get(number)
     }
 
-    /// Returns whether the message with this ID is completed. The IDs of completed messages are retained for
-    /// a limited time.
+    /// Returns whether the message with this ID is completed. IDs are retained for a limited time.
     pub fn is_completed(&self, id: &str) -> bool {
         self.state.completed.contains(id)
     }
 
-    /// Adapts the state in memory to another clock that reads `now`: the IDs of completed messages are
-    /// retained as if the messages were completed at `now`, and times by the previous clock are dropped.
-    /// Nothing is written.
+    /// Adapts the state in memory to another clock that reads `now`: retains the IDs of completed messages
+    /// as if completed at `now`, and drops the times of the previous clock. Writes nothing.
     pub fn reset_clock(&mut self, now: u64) {
         self.state.completed.extend_all(now);
         self.state.times.clear_bounds();
