--- a/crates/micadrum-membership/benches/foca_comparison.rs
+++ b/crates/micadrum-membership/benches/foca_comparison.rs
@@ -1,6 +1,4 @@
-//! Compares the failure detector of this package with that of `foca` 1 in the same simulated fleet: how soon
-//! each detects failures, and how many live members it declares dead.
-//!
+//! Compares the detection times and false detections of this package and of `foca` 1 in a simulated fleet.
 //! Run with `cargo bench -p micadrum-membership --bench foca_comparison`.
 #[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
--- a/crates/micadrum-membership/benches/large_fleet.rs
+++ b/crates/micadrum-membership/benches/large_fleet.rs
@@ -1,7 +1,4 @@
-//! Measures a fleet of a thousand members: the peak traffic of a member in steady state and while members
-//! fail, the time until a hundred simultaneous deaths are detected by all, the cost of receiving a datagram,
-//! and the effect of a million forged ones.
-//!
+//! Measures the traffic, detection time, and cost of valid and forged datagrams in a fleet of 1000 members.
 //! Run with `cargo bench -p micadrum-membership --bench large_fleet`.
 #[path = "../tests/fleet/simulated_fleet.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
--- a/crates/micadrum-testkit/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -88,9 +88,8 @@
     assert!(repeated > 5, "{repeated} submissions were repeated\n{}", report.text());
 }
 
-/// Guards against senders of a starting fleet that learn of drained endpoints later than the grace period
-/// allows. With endpoint lists on request their first requests are spread over seconds, which must be
-/// detected as a violation.
+/// Guards against senders of a starting fleet that learn of drained endpoints only after the grace period.
+/// With lists on request the first requests are spread over seconds, which must be detected as a violation.
 #[test]
 fn a_starting_fleet_learns_of_drained_endpoints_in_time() {
     let fleet = |seed| {
@@ -114,8 +113,7 @@
 }
 
 /// Guards against violations when a whole fleet restarts while discovery answers only 20 requests per second.
-/// With lists on request, a sender that asks no one must be detected: it counts as informed after ten
-/// seconds.
+/// With lists on request, a sender that never reaches discovery must be detected.
 #[test]
 fn a_fleet_restart_with_an_overloaded_discovery_has_no_violations() {
     simulate_shipped("herd-fleet", 1..=1);
@@ -200,9 +198,8 @@
     replay_found_seed("rolling-release", 1_101_186, 42_000);
 }
 
-/// Guards against a recovering destination that is overloaded by one or two calls from each of many senders.
-/// Their calls had failed at one endpoint after the other, so that no endpoint was marked as down and queued
-/// messages were sent at once.
+/// Guards against overloading a recovering destination with one or two calls from each of many senders, whose
+/// failed calls were spread over its endpoints so that none was marked as down.
 #[test]
 fn a_few_calls_from_each_of_many_senders_do_not_overload_a_recovering_destination() {
     replay_found_seed("rolling-release", 1_101_013, 21_000);
--- a/crates/micadrum-testkit/tests/recovery.rs
+++ b/crates/micadrum-testkit/tests/recovery.rs
@@ -252,9 +252,8 @@
     assert!(outdated >= 3 && rebooted >= 4, "{outdated} {rebooted}\n{}", report.history.text());
 }
 
-/// Guards against a failed or hanging sync that is taken for complete, when power is lost during the sync or
-/// right after it. A disk that reports success without syncing must show violations, or the test would detect
-/// nothing.
+/// Guards against treating a failed or hanging sync as complete when power is lost during or right after it.
+/// A disk that reports success without syncing must cause violations.
 #[test]
 fn failed_or_hanging_syncs_lose_no_acknowledged_message() {
     let simulate_all = |kind: &str| {
--- a/src/daemon/class_registry/tests.rs
+++ b/src/daemon/class_registry/tests.rs
@@ -53,8 +53,7 @@
 }
 
 /// Guards against a recovered message that is never attempted because its class was removed or now requires a
-/// key that the message lacks, and against losing the order of keys because the strictest definition of the
-/// class is unordered.
+/// key, and against losing the order of messages with the same ordering key.
 #[test]
 fn recovered_messages_have_a_class_under_any_settings() {
     let keyed = Idempotency::WithKey { scope: DeduplicationScope::Destination, window: TimeDelta(5) };
--- a/src/daemon/poll_schedule/tests.rs
+++ b/src/daemon/poll_schedule/tests.rs
@@ -101,10 +101,8 @@
     }
 }
 
-/// Guards against detecting a silent watch too late to receive the missed changes before they count as
-/// notified, in both modes: 6 s after the watch fell silent or 2 s after the hold, whichever is later. Also
-/// guards against polling an agent that was unreachable only after the grace period, which starts as soon as
-/// the agent is reachable again.
+/// Guards against missed changes that are received only after they count as notified, because a silent watch
+/// was detected too late or an agent that is reachable again was not polled within the grace period.
 #[test]
 fn silent_watch_is_detected_before_missed_changes_count_as_notified() {
     const RESPONSE_TIME: Duration = Duration::from_millis(500);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -203,9 +203,8 @@
     assert!(expires.0 <= host.now + 5 * SECOND);
 }
 
-/// Guards against sending calls on dead idle connections (incidents i693fa0, i779a0d): after a timeout,
-/// connections that have been idle for as long are closed before they are used, until calls have succeeded
-/// for a while.
+/// Guards against sending calls on dead idle connections after a timeout (incidents i693fa0, i779a0d), until
+/// calls have succeeded for a while.
 #[test]
 fn closes_long_idle_connections_after_a_timeout() {
     let closes_before_send = |actions: &[Action], e: u32| {
--- a/tests/sockets/clients.rs
+++ b/tests/sockets/clients.rs
@@ -129,9 +129,8 @@
     call.ok();
 }
 
-/// Guards against clients that hold a connection forever: one that sends nothing, or an incomplete head or
-/// body, is answered with an error or closed in time. A client that is still sending a body over the limit
-/// receives 413.
+/// Guards against clients that hold a connection forever by sending nothing or an incomplete request, and
+/// against a client that is not answered with 413 while it sends a body over the limit.
 #[tokio::test]
 async fn closes_stalled_clients_and_refuses_oversized_bodies() {
     let platform = Platform::start().await;
--- a/tests/sockets/connection_races.rs
+++ b/tests/sockets/connection_races.rs
@@ -41,9 +41,8 @@
     }
 }
 
-/// Guards against a wrong decision on whether a call may have run, after its endpoint closes or resets the
-/// connection: before it reads a byte, within the head, after the request, within the response, or after a
-/// response with `Connection: close`. An unsafe message is sent exactly once in each case.
+/// Guards against sending an unsafe message twice after its endpoint closes or resets the connection at any
+/// stage of the call.
 #[tokio::test]
 async fn an_unsafe_message_is_sent_once_wherever_its_connection_breaks() {
     let (endpoint, mut platform) = (RawServer::start().await, Platform::start().await);
@@ -130,9 +129,8 @@
     node.wait_for_metrics("no message is held", |metrics| metrics["inflight"] == 0).await;
 }
 
-/// Guards against harm from clients that disconnect before they have sent all or before the response, and
-/// against a second delivery when a client repeats a message ID: during the call, as it ends, or after a
-/// kill.
+/// Guards against a second delivery when clients disconnect before the response, or repeat a message ID
+/// during the call, as it ends, or after a kill.
 #[tokio::test]
 async fn disconnecting_and_repeating_clients_cause_no_second_delivery() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
--- a/tests/sockets/handover.rs
+++ b/tests/sockets/handover.rs
@@ -294,9 +294,8 @@
     }
 }
 
-/// Guards against two processes that use one journal: a process that starts while another one holds the lock
-/// of the state folder and accepts no handover waits for the lock, changes nothing, and exits with an error
-/// if the lock stays held.
+/// Guards against two processes that use one journal: a process that can neither lock the state folder nor
+/// take it over changes nothing, and exits with an error after a timeout.
 #[tokio::test]
 async fn a_locked_state_folder_is_left_unchanged() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
--- a/tests/sockets/startup.rs
+++ b/tests/sockets/startup.rs
@@ -53,9 +53,8 @@
     delivered
 }
 
-/// Guards against failing messages without an attempt because the settings have changed since their
-/// acceptance: removed or reordered classes, a class that now requires an idempotency key, a removed tenant,
-/// or a lower limit of held messages.
+/// Guards against failing accepted messages without an attempt after a change of the settings: of classes,
+/// idempotency keys, tenants, or the limit of held messages.
 #[tokio::test]
 async fn tries_all_accepted_messages_after_a_change_of_the_settings() {
     let (mut endpoint, platform) = (TestServer::start().await, Platform::start().await);
