--- a/crates/micadrum-config/src/units.rs
+++ b/crates/micadrum-config/src/units.rs
@@ -34,7 +34,7 @@
     /// The text lacks a unit of time.
     #[error("{0:?} needs a unit: expected us, ms, s, min or h")]
     UnitMissing(String),
-    /// The unit is not a unit of time.
+    /// The text behind the number is not a supported unit of time.
     #[error("{0:?} is not a unit of time: expected us, ms, s, min or h")]
     UnitUnknown(String),
 }
--- a/crates/micadrum-membership/benches/foca_comparison.rs
+++ b/crates/micadrum-membership/benches/foca_comparison.rs
@@ -24,7 +24,7 @@
 /// The round-trip time that foca expects on the lossy links, where the real one is 110 to 220 ms.
 const LOSSY_LINK_RTT: Duration = ms(250);
 const ONE_HOUR: Duration = ms(3_600_000);
-/// Not the number of any member.
+/// A number that no member has.
 const NO_MEMBER: u16 = u16::MAX;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/micadrum-membership/src/detector/interface.rs
+++ b/crates/micadrum-membership/src/detector/interface.rs
@@ -55,10 +55,10 @@
     StatusChanged {
         /// The member's name.
         name: String,
-        /// The previous status.
+        /// The status before the change.
         #[serde(rename = "was")]
         previous: Status,
-        /// The new status.
+        /// The status after the change.
         #[serde(rename = "is")]
         current: Status,
         /// The number of the highest known incarnation.
--- a/crates/micadrum-membership/src/view.rs
+++ b/crates/micadrum-membership/src/view.rs
@@ -46,14 +46,14 @@
 /// Datagrams sent and received since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
     /// Bytes in datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams not sent because the send budget was exhausted.
     #[serde(rename = "held_back")]
     pub over_budget: u64,
-    /// Datagrams received.
+    /// Number of datagrams received.
     #[serde(rename = "came")]
     pub received: u64,
     /// Datagrams received that do not belong to this protocol or fleet.
@@ -65,7 +65,7 @@
     /// Datagrams received beyond the rate limit of their sender.
     #[serde(rename = "flooded")]
     pub over_limit: u64,
-    /// Members declared dead.
+    /// Number of members declared dead.
     pub deaths: u64,
 }
 
--- a/crates/micadrum-recovery/src/journal_trust/stamp.rs
+++ b/crates/micadrum-recovery/src/journal_trust/stamp.rs
@@ -28,7 +28,7 @@
 /// The record that a process writes to its journal at startup. The fields are encoded by position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalStamp {
-    /// The sender's name.
+    /// The name of the sender that wrote the stamp.
     pub sender: String,
     /// The boot id of the machine; `None` if unknown.
     pub boot: Option<BootId>,
--- a/crates/micadrum-testkit/src/cli.rs
+++ b/crates/micadrum-testkit/src/cli.rs
@@ -240,7 +240,7 @@
         "{text:?} is not the number of a fault: expected numbers from 0 on, separated by commas, or \"none\""
     )]
     FaultNumber {
-        /// The invalid text.
+        /// The text that was given as a fault number.
         text: String,
         /// The error of the integer parser.
         source: ParseIntError,
@@ -248,7 +248,7 @@
     /// A seed is invalid.
     #[error("{text:?} is not a seed: expected an integer from 0 to 2^64 - 1")]
     Seed {
-        /// The invalid text.
+        /// The text that was given as a seed.
         text: String,
         /// The error of the integer parser.
         source: ParseIntError,
@@ -259,9 +259,9 @@
     /// The first seed of a range is greater than the last.
     #[error("the first seed, {first}, is greater than the last, {last}")]
     EmptyRange {
-        /// The first seed.
+        /// The first seed of the range.
         first: u64,
-        /// The last seed.
+        /// The last seed of the range.
         last: u64,
     },
 }
--- a/crates/micadrum-testkit/src/history/mod.rs
+++ b/crates/micadrum-testkit/src/history/mod.rs
@@ -48,7 +48,7 @@
     pub at: Micros,
     /// Number of the sender.
     pub sender: u32,
-    /// The event.
+    /// What happened at this time.
     pub event: HistoryEvent,
 }
 
@@ -76,7 +76,7 @@
 /// The answer to a request for the views of all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdminSnapshot<'a> {
-    /// When the answer came.
+    /// When the answer was received.
     pub at: Micros,
     /// Members that answered.
     pub answered: &'a [u32],
--- a/crates/micadrum-testkit/src/http.rs
+++ b/crates/micadrum-testkit/src/http.rs
@@ -25,7 +25,7 @@
     /// The status code of an answer; 0 in a request.
     pub status: u16,
     fields: Vec<(String, String)>,
-    /// The body.
+    /// The body, empty if there is none.
     pub body: Vec<u8>,
     /// When its first byte was sent, or read if the network does not know when it was sent.
     pub first_sent_at: Instant,
--- a/crates/micadrum-testkit/src/invariants/state.rs
+++ b/crates/micadrum-testkit/src/invariants/state.rs
@@ -65,7 +65,7 @@
     pub(super) sender: u32,
     pub(super) route: u32,
     pub(super) sent_at: Micros,
-    /// Ids of its messages.
+    /// Ids of the call's messages.
     pub(super) ids: Vec<String>,
     /// Attempts that must not have been sent before the end of this call.
     pub(super) conflicts: Vec<Conflict>,
@@ -100,13 +100,13 @@
 /// The state of a sender and its processes.
 #[derive(Default)]
 pub(super) struct Sender {
-    /// When its latest restart began, until it is ready again.
+    /// When the latest restart began; `None` once the sender is ready again.
     pub(super) restarting_since: Option<Micros>,
-    /// Its messages do not count as overdue until this time.
+    /// The sender's messages do not count as overdue until this time.
     pub(super) excused_until: Micros,
-    /// When its latest process exited.
+    /// When the latest process exited.
     pub(super) exited_at: Option<Micros>,
-    /// Whether its process was signalled to exit.
+    /// Whether the process was signalled to exit.
     pub(super) is_shutdown_requested: bool,
 }
 
@@ -122,13 +122,13 @@
 pub(super) struct RetryAfter {
     /// The call that was answered with it.
     pub(super) call: u64,
-    /// When it starts to apply.
+    /// When the Retry-After starts to apply.
     pub(super) from: Micros,
-    /// The time that it names.
+    /// The time that the Retry-After names.
     pub(super) until: Micros,
 }
 
-/// A submission whose connection closed before an answer came.
+/// A submission whose connection closed before an answer arrived.
 #[derive(Clone)]
 pub(super) struct UnansweredSubmission {
     pub(super) at: Micros,
--- a/crates/micadrum-testkit/src/link_faults/mod.rs
+++ b/crates/micadrum-testkit/src/link_faults/mod.rs
@@ -42,7 +42,7 @@
         Self { zones: vec![0; senders], zone_delay: Duration::ZERO, active: Vec::new(), random }
     }
 
-    /// Activates a fault.
+    /// Applies a fault to the links until [`Self::end_fault`] is called for it.
     pub fn begin_fault(&mut self, fault: &PlannedFault) {
         self.active.push(fault.clone());
     }
--- a/crates/micadrum-testkit/src/live/fleet.rs
+++ b/crates/micadrum-testkit/src/live/fleet.rs
@@ -25,7 +25,7 @@
 pub(super) struct Node {
     /// Holds the configuration and the state folder.
     folder: TempDir,
-    /// The state folder.
+    /// The state folder of the sender's processes.
     state: PathBuf,
     /// Control over the processes' system calls, if the plan has faults of them.
     pub(super) system_faults: Option<SystemFaults>,
--- a/crates/micadrum-testkit/src/live/system_faults.rs
+++ b/crates/micadrum-testkit/src/live/system_faults.rs
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 use tokio::process::Command;
 
-/// `EIO`.
+/// The number of `EIO` on Linux.
 const ERROR_INPUT_OUTPUT: i64 = 5;
-/// `ENOSPC`.
+/// The number of `ENOSPC` on Linux.
 const ERROR_NO_SPACE: i64 = 28;
 /// Maximum delay that is injected before a write, in microseconds.
 const MAX_WRITE_DELAY_US: i64 = 150_000;
--- a/crates/micadrum-testkit/src/observation.rs
+++ b/crates/micadrum-testkit/src/observation.rs
@@ -25,15 +25,15 @@
     Accepted,
     /// The message was rejected: status 429 or 503, or no connection.
     Rejected,
-    /// Any other status.
+    /// The response has any other status.
     Failed,
-    /// No answer within the client's timeout.
+    /// No answer arrived within the client's timeout.
     TimedOut,
-    /// The connection was closed or refused before an answer came.
+    /// The connection was closed or refused before an answer arrived.
     ConnectionClosed,
 }
 
-/// An observation.
+/// An event of a run that the invariants and the service metrics are computed from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A sender reported that it is ready.
@@ -45,7 +45,7 @@
     ShutdownRequested {
         /// Number of the sender.
         sender: u32,
-        /// Whether by SIGKILL.
+        /// Whether the signal was SIGKILL.
         killed: bool,
     },
     /// A sender's process exited.
@@ -163,14 +163,14 @@
     },
     /// An outage of a route began or ended.
     Outage {
-        /// The route.
+        /// The route, as in [`Observation::CallBegan`].
         route: u32,
         /// Whether the outage began.
         began: bool,
     },
     /// A route in slow start failed by overload.
     Overloaded {
-        /// The route.
+        /// The route that failed, as in [`Observation::CallBegan`].
         route: u32,
         /// Numbers of the senders whose calls overloaded it, one entry for each call.
         senders: Vec<u32>,
--- a/crates/micadrum-testkit/src/plan/model.rs
+++ b/crates/micadrum-testkit/src/plan/model.rs
@@ -7,9 +7,9 @@
 /// The message classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// Debits an account. Not idempotent, so it must never take effect twice.
+    /// A message that debits an account; not idempotent, so the debit must never take effect twice.
     Charge,
-    /// Has an idempotency key, and is delivered in order for each vehicle.
+    /// A message with an idempotency key, delivered in order for each vehicle.
     TripRecord,
 }
 
@@ -67,41 +67,41 @@
 pub enum Limit {
     /// No limit; only the capacity restricts the calls.
     None,
-    /// Calls per second.
+    /// This number of calls per second.
     Rate(f64),
-    /// Calls in each window of 2 s.
+    /// This number of calls in each window of 2 s.
     Window(u32),
 }
 
 /// A destination of messages.
 #[derive(Clone, Debug)]
 pub struct Destination {
-    /// Its number, from 0.
+    /// The destination's number, from 0.
     pub number: u32,
-    /// Its kind.
+    /// The kind of destination.
     pub kind: Kind,
-    /// Share of the traffic that is addressed to it.
+    /// Share of the traffic that is addressed to the destination.
     pub share: f64,
-    /// Calls per second that all its endpoints together can serve when they are warm.
+    /// Calls per second that all endpoints together can serve when they are warm.
     pub capacity: f64,
-    /// Its limit, which applies to each endpoint separately if [`Kind::has_endpoint_limits`] returns true.
+    /// The limit, which applies to each endpoint separately if [`Kind::has_endpoint_limits`] returns true.
     pub limit: Limit,
-    /// Share of its rejections that carry a `Retry-After` header.
+    /// Share of the rejections that carry a `Retry-After` header.
     pub retry_after_share: f64,
     /// Mean service time of a call, in microseconds.
     pub mean_service_us: f64,
-    /// Its endpoints.
+    /// The endpoints that serve the destination.
     pub endpoints: Vec<EndpointPlan>,
 }
 
 /// An endpoint of a destination.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
-    /// Its number among the endpoints of all destinations, from 0, which determines its simulated address.
+    /// The number among the endpoints of all destinations, from 0; determines the simulated address.
     pub number: u32,
-    /// Its id in the endpoint list.
+    /// The id in the endpoint list.
     pub id: String,
-    /// Its zone, an index into the scenario's `buildings`.
+    /// The zone, an index into the scenario's `buildings`.
     pub building: usize,
     /// Maximum number of concurrent calls.
     pub slots: usize,
@@ -110,11 +110,11 @@
 /// A sender of the fleet.
 #[derive(Clone, Debug)]
 pub struct SenderPlan {
-    /// Its number, from 0.
+    /// The sender's number, from 0.
     pub number: u32,
-    /// Its name.
+    /// The sender's unique name.
     pub name: String,
-    /// Its zone, an index into the scenario's `buildings`.
+    /// The zone, an index into the scenario's `buildings`.
     pub building: usize,
 }
 
@@ -160,9 +160,9 @@
     pub batch: usize,
     /// Time from the start of one batch, pause or break to the start of the next.
     pub interval: Span,
-    /// Length of a pause.
+    /// Length of each pause of the fault.
     pub pause: Span,
-    /// Added delay.
+    /// Delay that the fault adds.
     pub delay: Span,
     /// Number of the write to the journal at which the process is killed, from 1.
     pub nth: u64,
--- a/crates/micadrum-testkit/src/report.rs
+++ b/crates/micadrum-testkit/src/report.rs
@@ -21,7 +21,7 @@
 pub struct PlanReport {
     /// The scenario's title.
     pub title: String,
-    /// The seed.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
     /// Length of the run, in microseconds.
     pub length_us: u64,
@@ -73,7 +73,7 @@
     pub service_by_window: Vec<f64>,
     /// Latency percentiles by message class, in microseconds: 50, 90, 99, 99.9 and 100.
     pub latency_us: BTreeMap<&'static str, [u64; 5]>,
-    /// Counts, by name.
+    /// Counts of the run, by the names that the report prints.
     pub counts: BTreeMap<&'static str, u64>,
     /// Share of the calls that delivered nothing.
     pub waste: f64,
--- a/crates/micadrum-testkit/src/scenario/fault.rs
+++ b/crates/micadrum-testkit/src/scenario/fault.rs
@@ -124,7 +124,7 @@
     /// Everything that the sender wrote.
     #[default]
     Kept,
-    /// No files.
+    /// Nothing: the folder is empty.
     Lost,
     /// A copy from when the sender was ready for the first time.
     Older,
@@ -146,11 +146,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WritePoint {
-    /// Before any byte is written.
+    /// The process is killed before any byte is written.
     Before,
-    /// After a part of the bytes is written.
+    /// The process is killed after a part of the bytes is written.
     Torn,
-    /// After all bytes are written, before the process does anything else.
+    /// The process is killed after all bytes are written, before it does anything else.
     After,
 }
 
@@ -218,9 +218,9 @@
     /// Time from the start of one batch, pause or break to the start of the next.
     #[serde(rename = "every")]
     pub interval: Option<Span>,
-    /// Length of a pause.
+    /// Length of each pause of the fault.
     pub pause: Option<Span>,
-    /// Added delay.
+    /// Delay that the fault adds.
     pub delay: Option<Span>,
     /// Number of the write to the journal at which the process is killed, from 1.
     pub nth: Option<u64>,
--- a/crates/micadrum-testkit/src/scenario/fault_validation.rs
+++ b/crates/micadrum-testkit/src/scenario/fault_validation.rs
@@ -8,7 +8,7 @@
     /// A field is given that faults of this kind do not have.
     #[error("a fault of kind \"{kind}\" has no field `{field}`")]
     UnusedField {
-        /// The name of the field.
+        /// The name of the unexpected field.
         field: &'static str,
         /// The kind of fault, as in scenario files.
         kind: String,
@@ -16,7 +16,7 @@
     /// A field that faults of this kind require is not given.
     #[error("a fault of kind \"{kind}\" requires the field `{field}`")]
     MissingField {
-        /// The name of the field.
+        /// The name of the required field.
         field: &'static str,
         /// The kind of fault, as in scenario files.
         kind: String,
@@ -27,9 +27,9 @@
     /// A destination or sender does not exist.
     #[error("there is no {role} {number}: they are numbered from 0 to {}", .count - 1)]
     UnknownNumber {
-        /// `partner` or `sender`.
+        /// What is numbered: `partner` or `sender`.
         role: &'static str,
-        /// The number in the file.
+        /// The number of the destination or sender that the fault names.
         number: u32,
         /// The number of destinations or senders in the scenario.
         count: u32,
@@ -51,7 +51,7 @@
     OutsideRun {
         /// When the fault ends.
         end: Span,
-        /// The length of the run.
+        /// The length of the run in the scenario.
         length: Span,
     },
 }
--- a/crates/micadrum-testkit/src/scenario/schema.rs
+++ b/crates/micadrum-testkit/src/scenario/schema.rs
@@ -60,7 +60,7 @@
     /// Requests for senders' views of the membership, which only live runs make.
     #[serde(rename = "look", default)]
     pub admin_snapshots: Vec<AdminSnapshotPlan>,
-    /// The faults.
+    /// The faults of the run, from the `[[fault]]` tables.
     #[serde(default)]
     pub fault: Vec<Spanned<Fault>>,
 }
--- a/crates/micadrum-testkit/src/scenario/validation.rs
+++ b/crates/micadrum-testkit/src/scenario/validation.rs
@@ -19,17 +19,17 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("{file}:{line}:{column}: {problem}")]
 pub struct ScenarioError {
-    /// Name of the file.
+    /// Name of the scenario file.
     pub file: String,
     /// Line of the problem, from 1.
     pub line: usize,
     /// Column of the problem in bytes, from 1.
     pub column: usize,
-    /// The problem.
+    /// What is wrong at this position.
     pub problem: ScenarioProblem,
 }
 
-/// A problem in a scenario.
+/// What is wrong in a scenario file.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ScenarioProblem {
     /// The file is not valid TOML, or does not follow the schema.
@@ -44,7 +44,7 @@
     /// The load is out of bounds.
     #[error("`load` must lie between 5% and 200%")]
     Load,
-    /// There is no zone.
+    /// The list of zones is empty.
     #[error("`buildings` must name at least one building")]
     NoZone,
     /// The operator's configuration is invalid.
--- a/crates/micadrum-testkit/src/seed_search.rs
+++ b/crates/micadrum-testkit/src/seed_search.rs
@@ -17,7 +17,7 @@
 
 /// A seed whose run violates an invariant.
 pub struct FailingSeed {
-    /// The seed.
+    /// The seed that reproduces the violation.
     pub seed: u64,
     /// The invariants that the full plan violates, with the number of violations.
     pub violation_counts: BTreeMap<Invariant, usize>,
@@ -31,7 +31,7 @@
     pub first_failure: String,
 }
 
-/// The result of a search.
+/// The failing seeds that a search found.
 #[derive(Default)]
 pub struct SearchResult {
     /// Number of seeds that were run.
--- a/crates/micadrum-testkit/src/soak.rs
+++ b/crates/micadrum-testkit/src/soak.rs
@@ -11,7 +11,7 @@
 
 /// The run of one seed.
 pub struct SoakRun {
-    /// The seed.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
     /// The report, or why the run could not be carried out.
     pub outcome: io::Result<Report>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The summary of a soak.
+/// The results of all runs of a soak, summed up.
 #[derive(Default)]
 pub struct SoakSummary {
     /// Number of seeds that were run.
--- a/crates/micadrum-testkit/src/trace_aggregate.rs
+++ b/crates/micadrum-testkit/src/trace_aggregate.rs
@@ -41,15 +41,15 @@
     MissingField {
         /// The kind of the line: the word after `trace`.
         kind: String,
-        /// Name of the field.
+        /// Name of the missing field.
         field: &'static str,
     },
     /// The value of a field is not a number.
     #[error("the field {field} has the value {value:?}, expected a number")]
     InvalidNumber {
-        /// Name of the field.
+        /// Name of the field whose value is invalid.
         field: &'static str,
-        /// The value of the field.
+        /// The value in the line.
         value: String,
     },
 }
@@ -57,7 +57,7 @@
 /// The sums over all logs that were read.
 #[derive(Default)]
 pub struct TraceAggregate {
-    /// By destination and second of the wall clock.
+    /// The totals, by destination and second of the wall clock.
     rows: BTreeMap<(u64, u64), Row>,
     /// Number of endpoint lists that senders received, by second of the wall clock.
     lists: BTreeMap<u64, u64>,
--- a/crates/micadrum-testkit/src/world/destination_model/mod.rs
+++ b/crates/micadrum-testkit/src/world/destination_model/mod.rs
@@ -67,7 +67,7 @@
     pub collapse: Option<Collapse>,
 }
 
-/// One message of a call.
+/// The parts of a call's message that the model depends on.
 pub struct CallMessage<'a> {
     /// The message's class.
     pub class: Class,
--- a/crates/micadrum-testkit/src/world/senders/fleet.rs
+++ b/crates/micadrum-testkit/src/world/senders/fleet.rs
@@ -24,7 +24,7 @@
 /// How a disk performs syncs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SyncBehavior {
-    /// Syncs succeed.
+    /// Syncs make the written data durable.
     #[default]
     Succeed,
     /// Syncs fail, and later syncs do not write the affected data either.
--- a/src/bin/micadrum-adapter/error.rs
+++ b/src/bin/micadrum-adapter/error.rs
@@ -20,7 +20,7 @@
     Line {
         /// The line number, starting at 1.
         number: u64,
-        /// The cause.
+        /// The error in the line.
         source: Box<AdapterError>,
     },
     /// An input in a batch is invalid.
@@ -30,7 +30,7 @@
         sender: u64,
         /// The index of the input among those of the sender, starting at 0.
         position: usize,
-        /// The cause.
+        /// The error in the input.
         source: Box<AdapterError>,
     },
     /// The settings of a sender contain an invalid value or an unknown name.
--- a/src/command/peers.rs
+++ b/src/command/peers.rs
@@ -69,7 +69,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerResponse {
-    /// The member's view.
+    /// The view of the fleet that the member returned.
     View(Box<View>),
     /// The reason why the member's view is not available.
     #[serde(rename = "silent")]
--- a/src/daemon/checkpoint/restore.rs
+++ b/src/daemon/checkpoint/restore.rs
@@ -14,9 +14,9 @@
 /// How the previous process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartKind {
-    /// It ended some time ago; discovery may have reported newer states since.
+    /// The process ended some time ago; discovery may have reported newer states since.
     Restart,
-    /// It hands over to this process; its checkpoint is the newest state.
+    /// The process hands over to this one; its checkpoint is the newest state.
     Handover,
 }
 
--- a/src/daemon/clock/continuity.rs
+++ b/src/daemon/clock/continuity.rs
@@ -64,7 +64,7 @@
 pub struct EngineTime {
     /// Engine time, in microseconds.
     pub now_us: u64,
-    /// Whether times of earlier processes are comparable with it.
+    /// Whether times of earlier processes are comparable with `now_us`.
     pub continuity: ClockContinuity,
 }
 
--- a/src/daemon/clock/mod.rs
+++ b/src/daemon/clock/mod.rs
@@ -38,9 +38,9 @@
 /// How the previous process ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Predecessor {
-    /// It ended some time ago, or there was none.
+    /// The process ended some time ago, or there was none.
     Ended,
-    /// It is handing over to this process.
+    /// The process is handing over to this one.
     HandsOver,
 }
 
--- a/src/daemon/durability/deferred_effects.rs
+++ b/src/daemon/durability/deferred_effects.rs
@@ -3,7 +3,7 @@
 
 /// A queue of effects, each of which waits for the records up to a sequence number.
 pub struct DeferredEffects<T> {
-    /// By sequence number, ascending.
+    /// The deferred effects, in ascending order of sequence number.
     effects: VecDeque<(u64, T)>,
 }
 
--- a/src/daemon/durability/traced_storage.rs
+++ b/src/daemon/durability/traced_storage.rs
@@ -20,7 +20,7 @@
 pub struct TracedStorage {
     folder: Rc<dyn Storage>,
     log: Rc<dyn Log>,
-    /// By current name.
+    /// The tracked files, by current name.
     files: RefCell<BTreeMap<String, Rc<TrackedFile>>>,
 }
 
--- a/src/daemon/endpoint_list.rs
+++ b/src/daemon/endpoint_list.rs
@@ -33,7 +33,7 @@
     /// The name of the destination's kind.
     #[serde(rename = "flavor")]
     pub kind: String,
-    /// The number of the destination.
+    /// The number of the destination to which the endpoint belongs.
     #[serde(rename = "cell")]
     pub destination: u64,
     /// The lifecycle phase of the endpoint.
--- a/src/daemon/event_loop/durable_effects.rs
+++ b/src/daemon/event_loop/durable_effects.rs
@@ -18,7 +18,7 @@
 pub(super) enum DeferredEffect {
     /// Responds to a client that its message is accepted.
     Accept(oneshot::Sender<SubmitResponse>),
-    /// Starts a call.
+    /// Sends a call to its endpoint.
     Call(Call),
     /// Notifies the platform of an outcome.
     Notification(Notification),
--- a/src/daemon/events.rs
+++ b/src/daemon/events.rs
@@ -49,7 +49,7 @@
 pub enum LoopEvent {
     /// A client submits a message.
     Submit {
-        /// The message.
+        /// The message as the client submitted it.
         message: SubmittedMessage,
         /// The time until which the message may be delivered.
         deadline: Instant,
@@ -73,7 +73,7 @@
         endpoint: EndpointId,
         /// The remote address of the connection.
         address: SocketAddr,
-        /// The connection.
+        /// The idle connection, for reuse.
         connection: Connection,
     },
     /// The discovery agent has sent an endpoint list, or changes to one.
@@ -101,17 +101,17 @@
 
 /// A request of an operator through the admin endpoint, or of a peer.
 pub enum AdminRequest {
-    /// Returns the metrics.
+    /// Requests the current metrics.
     Metrics(oneshot::Sender<Rc<Metrics>>),
-    /// Returns this sender's observations of endpoints, for a peer that is recovering.
+    /// Requests this sender's observations of endpoints, for a peer that is recovering.
     PeerReport(oneshot::Sender<BTreeMap<String, EndpointReport>>),
     /// Takes an endpoint out of service, or puts it back.
     SetMaintenance {
         /// The ID of the endpoint in the endpoint list.
         endpoint: String,
-        /// The requested change.
+        /// Whether the endpoint enters or leaves maintenance.
         change: MaintenanceChange,
-        /// Receives the result.
+        /// Receives the result of the change.
         reply: oneshot::Sender<Result<(), AdminError>>,
     },
 }
@@ -156,7 +156,7 @@
 /// The outcome of one message in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptOutcome {
-    /// The number of the message.
+    /// The number of the message in the journal.
     pub message: u32,
     /// The outcome of the attempt.
     pub outcome: Outcome,
--- a/src/daemon/handover.rs
+++ b/src/daemon/handover.rs
@@ -113,7 +113,7 @@
     /// The lock on the folder; `None` if the predecessor has no lock, or runs a version that does not send
     /// it.
     pub lock: Option<StateLock>,
-    /// The predecessor's state.
+    /// The state that the predecessor passes on.
     pub state: InheritedState,
 }
 
--- a/src/daemon/journal/acceptance_times.rs
+++ b/src/daemon/journal/acceptance_times.rs
@@ -16,7 +16,7 @@
 /// The bounds that pending messages need, and the latest time.
 #[derive(Default)]
 pub(super) struct AcceptanceTimes {
-    /// Ascending by number.
+    /// Bounds in ascending order of `first_number`.
     bounds: VecDeque<AcceptanceBound>,
     latest: u64,
 }
--- a/src/daemon/membership/link_stream.rs
+++ b/src/daemon/membership/link_stream.rs
@@ -12,7 +12,7 @@
 /// Why an exchange over a link failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkFailure {
-    /// The stream failed.
+    /// Connecting, reading or writing the stream failed.
     #[error("{0}")]
     Stream(#[from] std::io::Error),
     /// The link state machine reported an error.
@@ -32,7 +32,7 @@
     PayloadTooLong,
 }
 
-/// A link on its stream.
+/// A link and the byte stream that carries it.
 pub struct LinkStream {
     link: Link,
     stream: Box<dyn Stream>,
--- a/src/daemon/membership/links.rs
+++ b/src/daemon/membership/links.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerAnswer {
-    /// The member's view.
+    /// The view of the fleet that the member returned.
     View(Box<View>),
     /// Why no view was received.
     #[serde(rename = "silent")]
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -93,9 +93,9 @@
     /// The listening socket for clients or operators cannot be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The system's error.
+        /// The error that the operating system returned.
         source: io::Error,
     },
 }
--- a/src/daemon/notifications/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -29,7 +29,7 @@
 pub struct Notification {
     /// The number that identifies the message in the journal.
     pub number: u32,
-    /// The message's id.
+    /// The ID of the message that ended.
     pub id: String,
     pub outcome: FinalOutcome,
 }
--- a/src/daemon/notifications/queue.rs
+++ b/src/daemon/notifications/queue.rs
@@ -31,12 +31,12 @@
     backoff: Option<Duration>,
 }
 
-/// The pending notifications.
+/// Notifications to be sent or resent to the platform.
 #[derive(Default)]
 pub struct NotificationQueue {
     /// New notifications, halves of rejected batches, and batches to be resent unchanged.
     batches: VecDeque<Batch>,
-    /// Sorted by retry time, the earliest last.
+    /// Rejected notifications, sorted by retry time, the earliest last.
     rejected: Vec<RejectedNotification>,
 }
 
--- a/src/daemon/poll_schedule/tests.rs
+++ b/src/daemon/poll_schedule/tests.rs
@@ -10,9 +10,9 @@
 /// The behaviour of the discovery service for a call that it cannot answer in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Overload {
-    /// It rejects the call without processing it.
+    /// The service rejects the call without processing it.
     Rejects,
-    /// It processes the call and responds too late.
+    /// The service processes the call and responds too late.
     AnswersLate,
 }
 
--- a/src/daemon/ports.rs
+++ b/src/daemon/ports.rs
@@ -118,7 +118,7 @@
     /// Makes everything written so far durable. Blocks the event loop until then.
     ///
     /// # Errors
-    /// As [`AppendFile::sync`].
+    /// As for [`AppendFile::sync`].
     fn sync_now(&mut self) -> io::Result<()>;
 
     /// Truncates the file to `length` bytes.
@@ -169,7 +169,7 @@
 
 /// The log for operators.
 pub trait Log {
-    /// Writes a line.
+    /// Writes `text` as one line.
     fn line(&self, text: &str);
 }
 
@@ -178,11 +178,11 @@
 pub struct Ports {
     /// The clocks of the machine.
     pub wall: Rc<dyn WallClock>,
-    /// The network.
+    /// Opens connections and sockets.
     pub network: Rc<dyn Network>,
     /// The state folder.
     pub storage: Rc<dyn Storage>,
-    /// The log.
+    /// The log for operators.
     pub log: Rc<dyn Log>,
     /// The settings of the handover to the next process; `None` disables handover.
     pub handover: Option<HandoverConfig>,
--- a/src/daemon/recovery/peer_queries.rs
+++ b/src/daemon/recovery/peer_queries.rs
@@ -22,9 +22,9 @@
 /// A summary of the query, for `/status/recovery`.
 #[derive(Clone, Debug, Serialize)]
 pub struct QuerySummary {
-    /// Peers that answered.
+    /// The number of peers that answered.
     pub answered: usize,
-    /// Peers that answered and are at full service.
+    /// The number of peers that answered and are at full service.
     #[serde(rename = "steady")]
     pub at_full_service: usize,
     /// Peers that were queried and did not answer.
--- a/src/daemon/recovery/status.rs
+++ b/src/daemon/recovery/status.rs
@@ -17,7 +17,7 @@
 /// The contents of `/status/recovery`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The current phase.
+    /// The phase of recovery that this sender is in.
     #[serde(rename = "stage")]
     pub phase: RecoveryPhase,
     /// How long the phase has lasted, in microseconds.
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -12,11 +12,11 @@
 /// Writes trace lines to the log if traces are enabled.
 pub struct Trace(Option<Rc<dyn Log>>);
 
-/// A completed call.
+/// The fields of a trace line for a completed call.
 pub struct CompletedCall<'a> {
-    /// The number of the destination.
+    /// The number of the destination called.
     pub destination: u64,
-    /// The name of the endpoint.
+    /// The ID of the endpoint in the endpoint list.
     pub endpoint: &'a str,
     /// The number of messages in the call.
     pub messages: usize,
--- a/src/index/calls.rs
+++ b/src/index/calls.rs
@@ -17,7 +17,7 @@
 /// The progress of a call after one of its messages has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallProgress {
-    /// The call.
+    /// The call to which the ended message belongs.
     pub call: Call,
     /// Whether this message is the first one of the call to end.
     pub is_first: bool,
--- a/src/index/directory.rs
+++ b/src/index/directory.rs
@@ -35,7 +35,7 @@
 /// The effect of a discovery update on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointChange {
-    /// The endpoint.
+    /// The endpoint that the update changes.
     pub endpoint: EndpointId,
     /// The destination of the endpoint.
     pub destination: DestinationId,
@@ -48,7 +48,7 @@
 /// The outcome of [`Directory::retire`] for one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retirement {
-    /// The endpoint.
+    /// The endpoint to be retired.
     pub endpoint: EndpointId,
     /// The destination of the endpoint.
     pub destination: DestinationId,
--- a/src/index/message_state.rs
+++ b/src/index/message_state.rs
@@ -43,7 +43,7 @@
     pub sequence: u64,
     /// The number of attempts started so far.
     pub attempts: u32,
-    /// The current phase.
+    /// Whether the message is pending, in flight, or ended with an attempt in flight.
     pub phase: Phase,
     /// The first attempt that may have had an effect.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
--- a/src/index/pending.rs
+++ b/src/index/pending.rs
@@ -28,11 +28,11 @@
 /// What a pending message waits for.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Readiness {
-    /// It waits for another message of its key, or for its end because no attempts are left.
+    /// Another message of its ordering key, or its end because no attempts are left.
     Blocked,
-    /// It waits for this time.
+    /// The given time.
     NotBefore(Timestamp),
-    /// It waits only for an endpoint that may be called.
+    /// An endpoint that may be called.
     Ready,
 }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -24,7 +24,7 @@
     Return {
         /// The message to end.
         message: MessageId,
-        /// The delay after which the client may submit it again; `None` if unknown.
+        /// The delay after which the client may submit the message again; `None` if unknown.
         retry_after: Option<TimeDelta>,
     },
     /// End an undelivered message whose operation may have run.
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -4,11 +4,11 @@
 /// The state of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// In service.
+    /// The endpoint accepts new calls.
     Active,
-    /// Accepts no new calls; calls in flight may complete.
+    /// The endpoint accepts no new calls; calls in flight may complete.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
@@ -17,13 +17,13 @@
 pub struct EndpointEntry {
     /// The number that the host assigned to the endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination to which the endpoint belongs.
     pub destination: DestinationId,
-    /// The kind of its destination.
+    /// The kind of the destination.
     pub kind: KindId,
-    /// The zone that it runs in.
+    /// The zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// Whether it accepts calls.
+    /// Whether the endpoint accepts calls.
     pub state: EndpointState,
     /// The capacity hint, with the meaning that [`CapacityHints`](super::CapacityHints) defines.
     pub capacity_hint: f64,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -7,26 +7,26 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Success,
     /// The destination answered with an error; the operation may have run.
     Failure,
-    /// Rejected by the destination; the operation never ran.
+    /// The destination rejected the message; the operation never ran.
     Rejected {
         /// The Retry-After delay in the answer, if any.
         retry_after: Option<TimeDelta>,
     },
-    /// No answer before the attempt expired; the operation may have run.
+    /// No answer arrived before the attempt expired; the operation may have run.
     TimedOut,
     /// No connection was established; the operation never ran.
     ConnectFailed,
     /// The connection broke; the operation may have run.
     Reset,
-    /// Cancelled by this sender; the operation may have run.
+    /// This sender cancelled the attempt; the operation may have run.
     Cancelled,
-    /// Not sent; the operation never ran.
+    /// The attempt was not sent; the operation never ran.
     NotSent,
-    /// Postponed by the host before anything was written; not counted as an attempt.
+    /// The host postponed the attempt before anything was written; it is not counted.
     Deferred,
 }
 
@@ -41,7 +41,7 @@
     RetryAfter {
         /// The endpoint that answered.
         endpoint: EndpointId,
-        /// The Retry-After delay.
+        /// The delay that the Retry-After requests.
         wait: TimeDelta,
     },
     /// The end of a message was acknowledged; see [`Settings::completion_requires_acknowledgement`].
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -14,7 +14,7 @@
     pub key: Option<OrderKey>,
     /// The destination to deliver to.
     pub destination: DestinationId,
-    /// The remaining time until its deadline.
+    /// The remaining time until the message's deadline.
     pub time_to_live: TimeDelta,
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -25,7 +25,7 @@
         /// The endpoints that recognize the key.
         #[serde(rename = "group")]
         scope: DeduplicationScope,
-        /// How long they remember the key.
+        /// How long the endpoints remember the key.
         window: TimeDelta,
     },
     /// Repeating the operation has a second effect, so it is never retried once it may have run.
@@ -57,13 +57,13 @@
 /// How the weight of a message decreases after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightDecay {
-    /// Linearly, down to the late weight at the deadline.
+    /// The weight decreases linearly to the late weight at the deadline.
     Linear,
-    /// Halved for each further latency objective that passes, down to the late weight.
+    /// The weight halves with each further latency objective that passes, down to the late weight.
     Exponential,
 }
 
-/// A kind of destination.
+/// The properties that all destinations of one kind share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DestinationKind {
     /// Whether each endpoint has its own limit, pace and outages; otherwise the endpoints share those of the
--- a/src/profile.rs
+++ b/src/profile.rs
@@ -13,15 +13,15 @@
     /// A name that the settings don't define.
     #[error("unknown {what} {name:?}")]
     UnknownName {
-        /// What kind of name it is, such as a zone.
+        /// The kind of name, such as a zone.
         what: &'static str,
-        /// The unknown name.
+        /// The name as it is written in the settings.
         name: String,
     },
     /// A class without a valid deduplication scope.
     #[error("class {class:?}: group must be \"all\", \"zone\" or \"cell\", got {group:?}")]
     UnknownScope {
-        /// The name of the class.
+        /// The name of the class with the invalid scope.
         class: String,
         /// The scope that was given, if any.
         group: Option<String>,
@@ -141,13 +141,13 @@
 /// Maps the names in the settings to the identifiers of the core.
 #[derive(PartialEq)]
 pub struct Names {
-    /// The classes of messages.
+    /// Message classes, by name.
     pub classes: HashMap<String, ClassId>,
-    /// The tenants.
+    /// Tenants, by name.
     pub tenants: HashMap<String, TenantId>,
-    /// The kinds of destination.
+    /// Kinds of destination, by name.
     pub kinds: HashMap<String, KindId>,
-    /// The zones.
+    /// Zones, by name.
     pub zones: HashMap<String, ZoneId>,
 }
 
--- a/tests/compatibility/daemon.rs
+++ b/tests/compatibility/daemon.rs
@@ -159,7 +159,7 @@
 /// Waits until `condition` returns true.
 ///
 /// # Panics
-/// When that takes longer than [`TIMEOUT`].
+/// Panics if the condition does not hold within [`TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !condition() {
--- a/tests/compatibility/http.rs
+++ b/tests/compatibility/http.rs
@@ -52,7 +52,7 @@
     /// Returns the status code of a response.
     ///
     /// # Panics
-    /// When the first line has no status code.
+    /// Panics if the first line has no status code.
     pub fn status(&self) -> u16 {
         self.first_line
             .split(' ')
@@ -64,7 +64,7 @@
     /// Returns the body as JSON.
     ///
     /// # Panics
-    /// When the body is not valid JSON.
+    /// Panics if the body is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).expect("a JSON body")
     }
--- a/tests/compatibility/postcard.rs
+++ b/tests/compatibility/postcard.rs
@@ -8,7 +8,7 @@
 /// The type of the value at a position.
 #[derive(Clone)]
 pub enum Shape {
-    /// A boolean.
+    /// A boolean, encoded as one byte.
     Flag,
     /// An integer that is the same in every run.
     Number,
@@ -30,7 +30,7 @@
     Array(usize),
     /// A fixed number of bytes that vary between runs.
     VaryingArray(usize),
-    /// An `Option`.
+    /// An optional value, preceded by a byte that says whether it is present.
     Optional(Box<Shape>),
     /// A sequence, preceded by its number of items.
     List(Box<Shape>),
--- a/tests/compatibility/records.rs
+++ b/tests/compatibility/records.rs
@@ -44,7 +44,7 @@
 /// Returns the decoded records of a file.
 ///
 /// # Panics
-/// When the file contains anything but valid records.
+/// Panics if the file contains anything but valid records.
 pub fn decoded(file: &Path, shape: &Shape) -> Vec<Value> {
     let bytes = std::fs::read(file).unwrap();
     let (payloads, trailing_bytes) = payloads(&bytes);
--- a/tests/compatibility/test_servers.rs
+++ b/tests/compatibility/test_servers.rs
@@ -10,7 +10,7 @@
 
 /// A request that waits for a response from the test. If it is dropped instead, its connection is closed.
 pub struct Call {
-    /// The received request.
+    /// The request to respond to.
     pub request: Message,
     reply: Sender<String>,
 }
--- a/tests/sockets/calls.rs
+++ b/tests/sockets/calls.rs
@@ -229,7 +229,7 @@
     ];
     for (n, malformed) in malformed.into_iter().enumerate() {
         assert_eq!(node.submit(&format!("m{n}"), "ordered", "k").await.status(), 202);
-        // It is sent only after the one before has ended; a second copy of that would arrive first.
+        // Sent only after the previous message ended; a repeat of that message would arrive first.
         let call = endpoint.next_call().await;
         assert_eq!((call.id(), call.connection), (format!("m{n}").as_str(), n));
         call.reply(Reply::Response(malformed.to_owned()));
