--- a/crates/micadrum-membership/tests/fleet/incarnations.rs
+++ b/crates/micadrum-membership/tests/fleet/incarnations.rs
@@ -39,9 +39,9 @@
             (5, true, LocalStatus::Confirmed)
         );
         for n in [0, 1, 3, 4, 5] {
-            let seen = fleet.view_of(n, 2);
+            let view = fleet.view_of(n, 2);
             assert_eq!(
-                (seen.incarnation.unwrap().number, seen.lost_state),
+                (view.incarnation.unwrap().number, view.lost_state),
                 (5, true),
                 "{n} does not know that 2 lost its state"
             );
@@ -50,8 +50,8 @@
         fleet.kill(2);
         fleet.start(2);
         fleet.run(ms(2000));
-        let seen = fleet.view_of(0, 2);
-        assert_eq!((seen.incarnation.unwrap().number, seen.lost_state), (6, false));
+        let view = fleet.view_of(0, 2);
+        assert_eq!((view.incarnation.unwrap().number, view.lost_state), (6, false));
     }
 }
 
--- a/crates/micadrum-testkit/src/history/mod.rs
+++ b/crates/micadrum-testkit/src/history/mod.rs
@@ -115,8 +115,8 @@
             let names = views.iter().filter(|(_, view)| view.get(field).is_some()).map(|(name, _)| name);
             names.filter_map(|name| self.names.get(name).copied()).collect()
         };
-        let looked = HistoryEvent::Looked { came: members_with("view"), silent: members_with("silent") };
-        self.add(at, sender, looked);
+        let event = HistoryEvent::Looked { came: members_with("view"), silent: members_with("silent") };
+        self.add(at, sender, event);
     }
 
     /// Returns all records.
--- a/crates/micadrum-testkit/src/sim/network/tests.rs
+++ b/crates/micadrum-testkit/src/sim/network/tests.rs
@@ -27,8 +27,8 @@
 /// Returns the two ends of a connection: first the sender's, then the one at `to`.
 async fn connect(net: &Rc<SimNetwork>, to: Host) -> (Box<dyn TestConnection>, Box<dyn TestConnection>) {
     let listener = net.listen(to, 5000).await.unwrap();
-    let (mine, theirs) = tokio::join!(net.connect(SENDER, listener.address()), listener.accept());
-    (mine.unwrap(), theirs.unwrap())
+    let (client, server) = tokio::join!(net.connect(SENDER, listener.address()), listener.accept());
+    (client.unwrap(), server.unwrap())
 }
 
 async fn read(stream: &mut dyn TestConnection) -> io::Result<Vec<u8>> {
@@ -50,30 +50,30 @@
 #[test]
 fn cuts_delays_and_breaks_affect_connections_between_senders() {
     run_test(async |net| {
-        let (mut mine, mut theirs) = connect(&net, OTHER_SENDER).await;
+        let (mut client, mut server) = connect(&net, OTHER_SENDER).await;
         let cut = planned_fault("cut", "");
         net.link_faults.borrow_mut().begin_fault(&cut);
-        mine.write_all(b"lost").await.unwrap();
-        let late = tokio::time::timeout(Duration::from_secs(9), read(&mut *theirs)).await;
+        client.write_all(b"lost").await.unwrap();
+        let late = tokio::time::timeout(Duration::from_secs(9), read(&mut *server)).await;
         assert!(late.is_err(), "a cut connection delivered data or ended");
         let connecting = net.connect(SENDER, SocketAddr::new(address(OTHER_SENDER), 5000));
         assert!(tokio::time::timeout(Duration::from_secs(9), connecting).await.is_err());
         net.link_faults.borrow_mut().end_fault(&cut);
     });
     run_test(async |net| {
-        let (mut mine, mut theirs) = connect(&net, OTHER_SENDER).await;
+        let (mut client, mut server) = connect(&net, OTHER_SENDER).await;
         let (slow, broken) =
             (planned_fault("slow", "delay = \"300 ms\""), planned_fault("break", "every = \"1 s\""));
         net.link_faults.borrow_mut().begin_fault(&slow);
         let sent = Instant::now();
-        mine.write_all(b"slow").await.unwrap();
-        assert_eq!(read(&mut *theirs).await.unwrap(), b"slow");
+        client.write_all(b"slow").await.unwrap();
+        assert_eq!(read(&mut *server).await.unwrap(), b"slow");
         assert_eq!(sent.elapsed(), Duration::from_millis(300));
         net.link_faults.borrow_mut().end_fault(&slow);
         net.link_faults.borrow_mut().begin_fault(&broken);
-        mine.write_all(b"12345678").await.unwrap();
-        assert_eq!(read(&mut *theirs).await.err().map(|e| e.kind()), Some(io::ErrorKind::ConnectionReset));
-        assert_eq!(read(&mut *mine).await.err().map(|e| e.kind()), Some(io::ErrorKind::ConnectionReset));
+        client.write_all(b"12345678").await.unwrap();
+        assert_eq!(read(&mut *server).await.err().map(|e| e.kind()), Some(io::ErrorKind::ConnectionReset));
+        assert_eq!(read(&mut *client).await.err().map(|e| e.kind()), Some(io::ErrorKind::ConnectionReset));
     });
 }
 
@@ -82,14 +82,14 @@
 fn data_between_zones_takes_one_zone_delay_and_connecting_takes_two() {
     run_test(async |net| {
         let began = Instant::now();
-        let (mut mine, mut theirs) = connect(&net, FAR_ENDPOINT).await;
+        let (mut client, mut server) = connect(&net, FAR_ENDPOINT).await;
         assert_eq!(began.elapsed(), ZONE_DELAY * 2);
-        mine.write_all(b"hello").await.unwrap();
+        client.write_all(b"hello").await.unwrap();
         let sent = Instant::now();
-        assert_eq!(read(&mut *theirs).await.unwrap(), b"hello");
-        assert_eq!((sent.elapsed(), theirs.sent_at()), (ZONE_DELAY, Some(sent)));
-        drop(mine);
-        assert_eq!(read(&mut *theirs).await.unwrap(), b"");
+        assert_eq!(read(&mut *server).await.unwrap(), b"hello");
+        assert_eq!((sent.elapsed(), server.sent_at()), (ZONE_DELAY, Some(sent)));
+        drop(client);
+        assert_eq!(read(&mut *server).await.unwrap(), b"");
     });
 }
 
@@ -112,16 +112,16 @@
 #[test]
 fn a_cut_host_sends_nothing_and_its_connections_are_reset_when_the_cut_ends() {
     run_test(async |net| {
-        let (mut mine, mut theirs) = connect(&net, NEAR_ENDPOINT).await;
-        assert!(theirs.reaches_peer());
+        let (mut client, mut server) = connect(&net, NEAR_ENDPOINT).await;
+        assert!(server.reaches_peer());
         net.set_cut(NEAR_ENDPOINT, true);
-        assert!(!theirs.reaches_peer());
-        theirs.write_all(b"lost").await.unwrap();
-        let silent = tokio::time::timeout(Duration::from_secs(60), read(&mut *mine)).await;
+        assert!(!server.reaches_peer());
+        server.write_all(b"lost").await.unwrap();
+        let silent = tokio::time::timeout(Duration::from_secs(60), read(&mut *client)).await;
         assert!(silent.is_err());
         net.set_cut(NEAR_ENDPOINT, false);
-        assert!(!theirs.reaches_peer(), "the connection has lost data");
-        assert_eq!(read(&mut *mine).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
+        assert!(!server.reaches_peer(), "the connection has lost data");
+        assert_eq!(read(&mut *client).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     });
 }
 
@@ -129,16 +129,16 @@
 #[test]
 fn a_held_link_delivers_data_in_order_when_the_hold_ends() {
     run_test(async |net| {
-        let (mut mine, mut theirs) = connect(&net, FAR_ENDPOINT).await;
+        let (mut client, mut server) = connect(&net, FAR_ENDPOINT).await;
         let until = Instant::now() + Duration::from_secs(5);
         net.set_link(ZoneLinkState { held_until: Some(until), ..ZoneLinkState::default() });
-        mine.write_all(b"first ").await.unwrap();
+        client.write_all(b"first ").await.unwrap();
         sleep(Duration::from_secs(5)).await;
         net.set_link(ZoneLinkState::default());
-        mine.write_all(b"second").await.unwrap();
-        let mut all = read(&mut *theirs).await.unwrap();
+        client.write_all(b"second").await.unwrap();
+        let mut all = read(&mut *server).await.unwrap();
         while all.len() < 12 {
-            all.extend(read(&mut *theirs).await.unwrap());
+            all.extend(read(&mut *server).await.unwrap());
         }
         assert_eq!(all, b"first second");
         assert_eq!(Instant::now(), until + ZONE_DELAY);
@@ -155,12 +155,12 @@
         let network =
             ProcessNetwork { network: net.clone(), datagrams, host: SENDER, process: process.clone() };
         let at = listener.address();
-        let (mine, theirs) = tokio::join!(network.connect(at), listener.accept());
-        let (mut mine, mut theirs) = (mine.unwrap(), theirs.unwrap());
+        let (client, server) = tokio::join!(network.connect(at), listener.accept());
+        let (mut client, mut server) = (client.unwrap(), server.unwrap());
         process.kill();
-        let written = tokio::time::timeout(Duration::from_secs(9), mine.write_all(b"too late")).await;
+        let written = tokio::time::timeout(Duration::from_secs(9), client.write_all(b"too late")).await;
         assert!(written.is_err());
-        spawn_local(async move { drop(mine) });
-        assert_eq!(read(&mut *theirs).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
+        spawn_local(async move { drop(client) });
+        assert_eq!(read(&mut *server).await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
     });
 }
--- a/crates/micadrum-testkit/src/world/sender_config.rs
+++ b/crates/micadrum-testkit/src/world/sender_config.rs
@@ -42,9 +42,9 @@
         if let (Some(address), true) = (self.fleet.admin_address(), plan.scenario.operator.is_some()) {
             config["management"] = json!(address.to_string());
         }
-        for lie in &plan.config_overrides {
-            if let Some(value) = config.pointer_mut(&lie.pointer) {
-                *value = lie.value.clone();
+        for config_override in &plan.config_overrides {
+            if let Some(value) = config.pointer_mut(&config_override.pointer) {
+                *value = config_override.value.clone();
             }
         }
         config
--- a/crates/micadrum-testkit/tests/seed_search.rs
+++ b/crates/micadrum-testkit/tests/seed_search.rs
@@ -25,9 +25,9 @@
         let rest = "[[fault]]\nkind = \"stall\"\nat = \"2 s\"\nfor = \"5 s\"\npause = \"200 ms\"\nevery = \"1 s\"\n\
                     [[fault]]\nkind = \"errors\"\nat = \"4 s\"\nfor = \"10 s\"\ncalls = \"60%\"\n";
         let mut plan = Plan::new(scenario("30 s", rest), seed);
-        let lie =
+        let config_override =
             ConfigOverride { pointer: "/settings/lanes/0/repeat".to_owned(), value: "retryable".into() };
-        plan.config_overrides.push(lie);
+        plan.config_overrides.push(config_override);
         plan
     };
     let found = seed_search::run(3..=3, 1, &plan, &|_, _| {});
--- a/src/daemon/event_loop/attempt_check.rs
+++ b/src/daemon/event_loop/attempt_check.rs
@@ -1,6 +1,6 @@
 //! The run-time check of an attempt before it is recorded in the journal.
 use super::EventLoop;
-use crate::daemon::runtime_checks::{SendContext, SendViolation, UncertainAttempt, check_send};
+use crate::daemon::runtime_checks::{PriorAttempt, SendContext, SendViolation, check_send};
 use crate::{EndpointId, Idempotency, MessageId, Timestamp};
 
 impl EventLoop {
@@ -17,7 +17,7 @@
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| {
             self.configuration.settings.classes[class.0].idempotency
         });
-        let uncertain = pending.first_uncertain_attempt.as_ref().map(|attempt| UncertainAttempt {
+        let uncertain = pending.first_uncertain_attempt.as_ref().map(|attempt| PriorAttempt {
             started_at: Timestamp(attempt.started_at),
             is_same_zone: tracked.is_some_and(|tracked| tracked.listed.zone == attempt.zone),
         });
--- a/src/daemon/runtime_checks/mod.rs
+++ b/src/daemon/runtime_checks/mod.rs
@@ -3,7 +3,7 @@
 //! metrics and logged, and a send that would break a rule is blocked.
 mod send_check;
 
-pub use send_check::{SendContext, SendViolation, UncertainAttempt, check_send};
+pub use send_check::{PriorAttempt, SendContext, SendViolation, check_send};
 use serde::Serialize;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/daemon/runtime_checks/send_check.rs
+++ b/src/daemon/runtime_checks/send_check.rs
@@ -5,7 +5,7 @@
 
 /// The first attempt of a message that may have taken effect.
 #[derive(Clone, Copy, Debug)]
-pub struct UncertainAttempt {
+pub struct PriorAttempt {
     /// When the attempt started.
     pub started_at: Timestamp,
     /// Whether its endpoint is in the same zone as the endpoint of the checked attempt.
@@ -26,7 +26,7 @@
     /// Under which conditions the message may be sent again.
     pub idempotency: Idempotency,
     /// The first attempt that may have taken effect; `None` if there is none.
-    pub uncertain: Option<UncertainAttempt>,
+    pub uncertain: Option<PriorAttempt>,
 }
 
 /// Why an attempt is blocked.
@@ -73,7 +73,7 @@
     }
 }
 
-fn is_safe_to_retry(context: &SendContext, uncertain: UncertainAttempt) -> bool {
+fn is_safe_to_retry(context: &SendContext, uncertain: PriorAttempt) -> bool {
     match context.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
--- a/src/daemon/runtime_checks/send_check/tests.rs
+++ b/src/daemon/runtime_checks/send_check/tests.rs
@@ -33,8 +33,8 @@
 /// in another zone.
 #[test]
 fn allows_only_retries_that_cannot_take_effect_twice() {
-    let within = UncertainAttempt { started_at: Timestamp(16_000_000), is_same_zone: false };
-    let after = UncertainAttempt { started_at: Timestamp(15_000_000), is_same_zone: true };
+    let within = PriorAttempt { started_at: Timestamp(16_000_000), is_same_zone: false };
+    let after = PriorAttempt { started_at: Timestamp(15_000_000), is_same_zone: true };
     let with_key = |scope| Idempotency::WithKey { scope, window: WINDOW };
     let check = |idempotency, uncertain| {
         check_send(&SendContext { idempotency, uncertain: Some(uncertain), ..allowed_send() })
@@ -46,7 +46,7 @@
     assert_eq!(check(with_key(DeduplicationScope::Destination), after), unsafe_retry);
     assert_eq!(check(with_key(DeduplicationScope::Zone), within), unsafe_retry);
     assert_eq!(
-        check(with_key(DeduplicationScope::Zone), UncertainAttempt { is_same_zone: true, ..within }),
+        check(with_key(DeduplicationScope::Zone), PriorAttempt { is_same_zone: true, ..within }),
         Ok(())
     );
 }
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -125,10 +125,10 @@
         let siblings = destination.map_or(1, |destination| destination.endpoints.len());
         let route_count = if enforces_limit { 1 } else { siblings };
         let sent_at = call.sent_at;
-        let seen = ObservedOutcome { sent_at, outcome, report, route_count, answers_are_lost, jitter };
+        let observed = ObservedOutcome { sent_at, outcome, report, route_count, answers_are_lost, jitter };
         let route = self.directory.route_mut(slot);
         let was_ejected = matches!(route.pacer.health, Health::Ejected(_));
-        if route.record_outcome(self.now, &self.settings, &seen) {
+        if route.record_outcome(self.now, &self.settings, &observed) {
             let id = route.destination.0;
             let endpoint =
                 route.endpoint.map_or(String::new(), |endpoint| format!(" endpoint #{}", endpoint.0));
--- a/src/decision/route.rs
+++ b/src/decision/route.rs
@@ -34,29 +34,29 @@
         &mut self,
         now: Timestamp,
         settings: &Settings,
-        seen: &ObservedOutcome,
+        observed: &ObservedOutcome,
     ) -> bool {
         self.pacer = self.pacer_at(now, settings);
-        if let Some(report) = seen.report.filter(|report| report.limit_per_second > 0.0) {
+        if let Some(report) = observed.report.filter(|report| report.limit_per_second > 0.0) {
             (self.limit, self.remaining_share) = (report.limit_per_second, report.remaining_share);
-            self.route_count = seen.route_count;
+            self.route_count = observed.route_count;
         }
         let bounds = self.bounds(settings);
-        self.record_latency(now, seen);
+        self.record_latency(now, observed);
         let before = self.pacer.health;
-        match seen.outcome {
+        match observed.outcome {
             Outcome::Cancelled | Outcome::NotSent | Outcome::Deferred => return false,
-            Outcome::Success => self.record_success(now, settings, &bounds, seen.jitter),
+            Outcome::Success => self.record_success(now, settings, &bounds, observed.jitter),
             Outcome::Rejected { retry_after } => {
-                self.record_rejection(now, settings, &bounds, seen, retry_after)
+                self.record_rejection(now, settings, &bounds, observed, retry_after)
             }
             Outcome::Failure | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
-                self.record_failure(now, settings, seen);
+                self.record_failure(now, settings, observed);
             }
         }
         self.last_answer = now;
         if let Health::Ejected(_) = self.pacer.health {
-            self.schedule_trial(now, settings, &bounds, seen);
+            self.schedule_trial(now, settings, &bounds, observed);
         }
         before == Health::Healthy && self.pacer.health != Health::Healthy
     }
@@ -90,7 +90,7 @@
         now: Timestamp,
         settings: &Settings,
         bounds: &PaceBounds,
-        seen: &ObservedOutcome,
+        observed: &ObservedOutcome,
         retry_after: Option<TimeDelta>,
     ) {
         self.consecutive_rejections += 1;
@@ -98,10 +98,11 @@
         let window = settings.rules.overload_window.0 as f64;
         // A rejection because of an exceeded limit is no sign of an outage.
         let is_limit_spent = |report: LoadReport| report.remaining_share < UNEXPLAINED_REMAINING_SHARE;
-        let explained_by_limit = bounds.is_limited() && seen.report.is_none_or(is_limit_spent);
+        let explained_by_limit = bounds.is_limited() && observed.report.is_none_or(is_limit_spent);
         if retry_after.is_none() || !self.enforces_limit {
             let doublings = self.consecutive_rejections.min(MAX_BACKOFF_DOUBLINGS) - 1;
-            let backoff = window * BACKOFF_OVERLOAD_WINDOWS * f64::from(1 << doublings) * (0.5 + seen.jitter);
+            let backoff =
+                window * BACKOFF_OVERLOAD_WINDOWS * f64::from(1 << doublings) * (0.5 + observed.jitter);
             self.backoff_until = after(now, backoff);
         }
         let pacer = &mut self.pacer;
@@ -109,7 +110,7 @@
             // Jitter spreads the next calls of senders that were rejected at the same time.
             self.remaining_share = 0.0;
             pacer.pace = pacer.pace.min(bounds.rate_after_rejection());
-            pacer.tokens = pacer.tokens.min(seen.jitter);
+            pacer.tokens = pacer.tokens.min(observed.jitter);
         } else if self.enforces_limit {
             // After a Retry-After there is capacity, so up to one token is kept; otherwise none is.
             let min_rate = (bounds.equal_share / 2.0).max(min_trial_rate(settings));
@@ -122,30 +123,31 @@
         let is_closed =
             retry_after.is_some_and(|delay| delay.0 as f64 > CLOSED_OVERLOAD_WINDOWS * window) || is_repeated;
         if is_closed && retry_after.is_some() {
-            (pacer.health, pacer.tokens) = (Health::SlowStart(seen.retry_after_end(now)), seen.jitter);
+            (pacer.health, pacer.tokens) =
+                (Health::SlowStart(observed.retry_after_end(now)), observed.jitter);
         } else if is_closed || pacer.health != Health::Healthy {
             pacer.health = Health::Ejected(now);
         }
     }
 
-    fn record_failure(&mut self, now: Timestamp, settings: &Settings, seen: &ObservedOutcome) {
+    fn record_failure(&mut self, now: Timestamp, settings: &Settings, observed: &ObservedOutcome) {
         self.consecutive_failures += 1;
         if self.consecutive_failures > 1 {
             self.last_repeated_failure = Some(now);
         }
-        let elapsed = since(now, seen.sent_at) as f64;
-        let no_success_since_sent = self.last_success < seen.sent_at;
+        let elapsed = since(now, observed.sent_at) as f64;
+        let no_success_since_sent = self.last_success < observed.sent_at;
         // A full connection table refuses immediately; a connect that times out indicates a dead endpoint.
         let connect_timed_out =
-            seen.outcome == Outcome::ConnectFailed && elapsed > settings.connect_timeout.0 as f64 / 2.0;
+            observed.outcome == Outcome::ConnectFailed && elapsed > settings.connect_timeout.0 as f64 / 2.0;
         let pacer = &mut self.pacer;
         // Explicit errors are rarer than lost answers, so at a low call rate an error has more weight.
         let sample = 1.0 / (if connect_timed_out { 1.0 } else { 2.0 } + pacer.rate * RATE_WINDOW_SECONDS);
-        let is_explicit_error = matches!(seen.outcome, Outcome::Failure | Outcome::ConnectFailed);
+        let is_explicit_error = matches!(observed.outcome, Outcome::Failure | Outcome::ConnectFailed);
         let weight = if is_explicit_error { LEARNING_WEIGHT.max(sample) } else { LEARNING_WEIGHT };
         pacer.failure_share += weight * (1.0 - pacer.failure_share);
         let is_unresponsive =
-            seen.outcome == Outcome::TimedOut && no_success_since_sent && self.consecutive_failures > 1;
+            observed.outcome == Outcome::TimedOut && no_success_since_sent && self.consecutive_failures > 1;
         let has_relapsed = pacer.health != Health::Healthy && self.consecutive_failures > 2;
         let is_ejected = matches!(pacer.health, Health::Ejected(_));
         let is_outage = self.consecutive_failures >= OUTAGE_FAILURES || pacer.failure_share > OUTAGE_SHARE;
@@ -171,13 +173,13 @@
         now: Timestamp,
         settings: &Settings,
         bounds: &PaceBounds,
-        seen: &ObservedOutcome,
+        observed: &ObservedOutcome,
     ) {
-        let never_ran = matches!(seen.outcome, Outcome::ConnectFailed | Outcome::Rejected { .. });
+        let never_ran = matches!(observed.outcome, Outcome::ConnectFailed | Outcome::Rejected { .. });
         let min_rate = 2.0 * min_trial_rate(settings);
         let max_rate = if never_ran { 1e6 / settings.rules.overload_window.0 as f64 } else { min_rate };
         let rate = self.pacer.trial_rate(now, bounds, settings).min(max_rate).max(min_rate);
-        let next = after(seen.retry_after_end(now), (0.5 + seen.jitter) / rate * 1e6);
+        let next = after(observed.retry_after_end(now), (0.5 + observed.jitter) / rate * 1e6);
         self.pacer.health = Health::Ejected(next);
     }
 }
--- a/src/pacing/route.rs
+++ b/src/pacing/route.rs
@@ -121,13 +121,13 @@
     }
 
     /// Updates the mean latency from a call that succeeded or timed out.
-    pub(crate) fn record_latency(&mut self, now: Timestamp, seen: &ObservedOutcome) {
-        let elapsed = since(now, seen.sent_at) as f64;
-        match seen.outcome {
+    pub(crate) fn record_latency(&mut self, now: Timestamp, observed: &ObservedOutcome) {
+        let elapsed = since(now, observed.sent_at) as f64;
+        match observed.outcome {
             Outcome::Success | Outcome::TimedOut if self.latency == 0.0 => {
                 (self.latency, self.deviation) = (elapsed, elapsed / 2.0);
             }
-            Outcome::TimedOut if seen.answers_are_lost => {} // a lost answer says nothing about the latency
+            Outcome::TimedOut if observed.answers_are_lost => {} // the latency of a lost answer is unknown
             Outcome::Success | Outcome::TimedOut => {
                 self.deviation += LEARNING_WEIGHT * ((elapsed - self.latency).abs() - self.deviation);
                 self.latency += LEARNING_WEIGHT * (elapsed - self.latency);
--- a/tests/sockets/checker.rs
+++ b/tests/sockets/checker.rs
@@ -283,9 +283,9 @@
 
     async fn pair() -> (TcpStream, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (mine, theirs) =
+        let (client, server) =
             tokio::join!(TcpStream::connect(listener.local_addr().unwrap()), listener.accept());
-        (mine.unwrap(), theirs.unwrap().0)
+        (client.unwrap(), server.unwrap().0)
     }
 
     fn accept(checker: &mut DeliveryChecker, id: &str, class: &'static str) {
@@ -296,14 +296,14 @@
     /// Guards against a checker that misses violations: violates each rule once.
     #[tokio::test]
     async fn reports_a_violation_of_each_rule() {
-        let ((mine, theirs), (_second, other)) = (pair().await, pair().await);
+        let ((client, server), (_second, other)) = (pair().await, pair().await);
         let assert_violation = |checker: &mut DeliveryChecker, rule: &str| {
             let violations = checker.take_violations();
             assert!(violations.len() == 1 && violations[0].starts_with(rule), "{rule}: {violations:?}");
         };
         let mut checker = DeliveryChecker::default();
         accept(&mut checker, "a", "unsafe");
-        let call = checker.record_call("a", "s-1", &theirs);
+        let call = checker.record_call("a", "s-1", &server);
         checker.record_call("a", "s-1", &other);
         assert_violation(&mut checker, "ConcurrentCalls");
         checker.record_outcome(call, "a", CallOutcome::Error);
@@ -315,20 +315,20 @@
         let mut checker = DeliveryChecker::default();
         accept(&mut checker, "b", "ordered");
         accept(&mut checker, "c", "ordered");
-        checker.record_call("c", "s-1", &theirs);
+        checker.record_call("c", "s-1", &server);
         assert_violation(&mut checker, "OutOfOrder");
         checker.record_submission("d", "keyed", "", Duration::from_secs(5));
         checker.record_response("d", Some(503));
-        checker.record_call("d", "s-1", &theirs);
+        checker.record_call("d", "s-1", &server);
         assert_violation(&mut checker, "SentAfterEnd");
         let past = Instant::now() - Duration::from_secs(3);
         checker.draining_since[0] = Some(past);
         accept(&mut checker, "e", "keyed");
-        checker.record_call("e", "s-1", &theirs);
+        checker.record_call("e", "s-1", &server);
         assert_violation(&mut checker, "SentToDraining");
         checker.destination_wait = Some((past, Instant::now() + Duration::from_secs(3)));
         accept(&mut checker, "f", "keyed");
-        checker.record_call("f", "s-2", &theirs);
+        checker.record_call("f", "s-2", &server);
         assert_violation(&mut checker, "RetryAfterIgnored");
         assert_eq!(checker.unfinished().len(), 4, "unfinished messages");
         // An end after the deadline is reported, unless late ends are allowed.
@@ -340,9 +340,9 @@
         checker.record_notification(&json!({"id": "f", "state": "failed"}));
         assert_eq!(checker.take_violations(), [""; 0]);
         // A call whose connection the other side has closed is not open.
-        let call = CallRecord { socket: theirs.as_fd().try_clone_to_owned().unwrap(), open: true };
+        let call = CallRecord { socket: server.as_fd().try_clone_to_owned().unwrap(), open: true };
         assert!(is_open(&call));
-        drop(mine);
+        drop(client);
         // The close takes a moment to arrive.
         let closed = async {
             while is_open(&call) {
