--- a/crates/micadrum-testkit/src/world/faults/sender_faults.rs
+++ b/crates/micadrum-testkit/src/world/faults/sender_faults.rs
@@ -117,7 +117,7 @@
 }
 
 /// Applies a fault to the links between senders until `until`. Also cuts the senders' links to destinations
-/// if the fault says so.
+/// if the fault includes them.
 pub(super) async fn peer_links(world: &World, fault: &PlannedFault, until: Micros) {
     world.link_faults.borrow_mut().begin_fault(fault);
     record(world, fault, true);
--- a/src/daemon/ingress/mod.rs
+++ b/src/daemon/ingress/mod.rs
@@ -45,7 +45,7 @@
 /// not be below 2 s, as clients keep connections open between requests.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2100);
 /// Time limit for receiving a request body. Clients wait 400 ms for the response, so a slower client has
-/// given up.
+/// timed out.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection without a response is kept open before it may be closed for another one. Clients
 /// send a request as soon as they are connected, and wait 400 ms for the response.
--- a/src/daemon/outbound_call/mod.rs
+++ b/src/daemon/outbound_call/mod.rs
@@ -103,7 +103,7 @@
             return response::complete_body(body).await.is_some().then_some(connection);
         }
         // Any other response counts only if it is complete: if it is not, the endpoint may have processed the
-        // messages, whatever the head says. The outcomes of a batch are in the body.
+        // messages, regardless of the head. The outcomes of a batch are in the body.
         let received_at = Instant::now();
         let body = timeout_at(self.expires, response::complete_body(body)).await.ok().flatten();
         let outcomes = match &body {
@@ -186,7 +186,7 @@
     }
 
     /// Opens a connection. Connecting is retried until the connect timeout after an error of the local
-    /// machine, which says nothing about the endpoint. If only such errors occur, the attempt is deferred and
+    /// machine, which does not depend on the endpoint. If only such errors occur, the attempt is deferred and
     /// does not count.
     async fn open_connection(&self, context: &CallContext) -> Result<Connection, Outcome> {
         let time_left = self.expires.saturating_duration_since(Instant::now());
--- a/src/decision/route.rs
+++ b/src/decision/route.rs
@@ -96,7 +96,7 @@
         self.consecutive_rejections += 1;
         self.last_rejection = now;
         let window = settings.rules.overload_window.0 as f64;
-        // A rejection because of an exceeded limit is no sign of an outage.
+        // A rejection because of an exceeded limit does not indicate an outage.
         let is_limit_spent = |report: LoadReport| report.remaining_share < UNEXPLAINED_REMAINING_SHARE;
         let explained_by_limit = bounds.is_limited() && observed.report.is_none_or(is_limit_spent);
         if retry_after.is_none() || !self.enforces_limit {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -230,7 +230,7 @@
     );
     assert!(
         closes_before_send(&host.step_unfiltered(&[message_event(31, IDEMPOTENT, 2, None)]), 1),
-        "idle for as long, so closed before use"
+        "closed before use after being idle for as long"
     );
     host.now += 100_000;
     host.end_attempt(31, 0, Outcome::Success);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -52,7 +52,7 @@
 }
 
 /// Guards against retries of hundreds of senders to a recovering destination (incident ia592bc). A quickly
-/// refused connection is no sign of an outage: the connection table of the endpoint may be full.
+/// refused connection does not indicate an outage: the connection table of the endpoint may be full.
 #[test]
 fn a_connect_timeout_blocks_an_unknown_route_but_a_refused_connection_does_not() {
     for (elapsed, is_sent) in [(50_000, true), (SECOND, false)] {
--- a/tests/sockets/calls.rs
+++ b/tests/sockets/calls.rs
@@ -189,7 +189,7 @@
     drop(first);
 }
 
-/// Guards against acting on a response that cannot be parsed: whatever it says, the message may have run, so
+/// Guards against acting on a response that cannot be parsed: the message may have run, so
 /// an unsafe one fails at once and is not sent again.
 #[tokio::test]
 async fn an_unsafe_message_fails_after_a_malformed_response() {
--- a/tests/sockets/recovery.rs
+++ b/tests/sockets/recovery.rs
@@ -3,7 +3,7 @@
 use crate::harness::{Node, Platform, TestServer, endpoint_entry, response};
 use std::process::Command;
 
-/// Sets the boot ID that the sender reads: another number stands for a reboot of the machine.
+/// Sets the boot ID that the sender reads: a different one simulates a reboot of the machine.
 fn set_boot_id(node: &Node, boot: u8) {
     std::fs::write(node.state_path("boot_id"), format!("{boot:032x}\n")).unwrap();
 }
