--- a/crates/micadrum-testkit/src/live/relays.rs
+++ b/crates/micadrum-testkit/src/live/relays.rs
@@ -103,7 +103,7 @@
     async fn relay(self, datagrams: UdpSocket, link_faults: Rc<RefCell<LinkFaults>>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // The receiver has closed its socket, which the sender detects by the missing answers.
+            // An error means that the receiver closed its socket; the sender detects the missing answers.
             let Ok(length) = datagrams.recv(&mut buffer).await else { continue };
             let Some(peer_address) = self.peer_address.get() else { continue };
             let delays = link_faults.borrow_mut().datagram_delays(self.from, self.to);
