--- a/crates/micadrum-testkit/tests/hard_cases.rs
+++ b/crates/micadrum-testkit/tests/hard_cases.rs
@@ -88,9 +88,8 @@
     assert!(repeated > 5, "{repeated} submissions were repeated\n{}", report.text());
 }
 
-/// Guards against senders of a starting fleet that learn of drained endpoints later than the grace period
-/// allows. With endpoint lists on request their first requests are spread over seconds, which must be
-/// detected as a violation.
+/// Guards against senders of a starting fleet that learn of drained endpoints only after the grace period.
+/// With lists on request the first requests are spread over seconds, which must be detected as a violation.
 #[test]
 fn a_starting_fleet_learns_of_drained_endpoints_in_time() {
     let fleet = |seed| {
@@ -114,8 +113,7 @@
 }
 
 /// Guards against violations when a whole fleet restarts while discovery answers only 20 requests per second.
-/// With lists on request, a sender that asks no one must be detected: it counts as informed after ten
-/// seconds.
+/// With lists on request, a sender that never reaches discovery must be detected.
 #[test]
 fn a_fleet_restart_with_an_overloaded_discovery_has_no_violations() {
     simulate_shipped("herd-fleet", 1..=1);
@@ -149,32 +147,45 @@
     let full = "[[fault]]\nkind = \"full\"\nat = \"5 s\"\nfor = \"20 s\"\ncalls = \"60%\"\n";
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"5 s\"\nshare = \"50%\"\n";
     let restart = "[[fault]]\nkind = \"restart\"\nat = \"8 s\"\nhow = \"kill\"\n";
-    let lie = |pointer: &str, value: serde_json::Value| ConfigOverride { pointer: pointer.to_owned(), value };
+    let config_override =
+        |pointer: &str, value: serde_json::Value| ConfigOverride { pointer: pointer.to_owned(), value };
     let too_many_attempts = || {
-        let aims = [0, 1].map(|lane| lie(&format!("/settings/lanes/{lane}/aim"), 100_000.into()));
-        aims.into_iter().chain([lie("/settings/limits/max_attempts", 50.into())]).collect::<Vec<_>>()
+        let aims = [0, 1].map(|lane| config_override(&format!("/settings/lanes/{lane}/aim"), 100_000.into()));
+        aims.into_iter()
+            .chain([config_override("/settings/limits/max_attempts", 50.into())])
+            .collect::<Vec<_>>()
     };
     let few_vehicles = format!("vehicles = 3\n{errors}");
     let cases: Vec<(&str, Invariant, Vec<ConfigOverride>, bool)> = vec![
-        (errors, Invariant::Duplicated, vec![lie("/settings/lanes/0/repeat", "retryable".into())], false),
-        (errors, Invariant::Duplicated, vec![lie("/settings/lanes/1/key_ttl", 60_000_000.into())], false),
+        (
+            errors,
+            Invariant::Duplicated,
+            vec![config_override("/settings/lanes/0/repeat", "retryable".into())],
+            false,
+        ),
+        (
+            errors,
+            Invariant::Duplicated,
+            vec![config_override("/settings/lanes/1/key_ttl", 60_000_000.into())],
+            false,
+        ),
         (
             &few_vehicles,
             Invariant::OutOfOrder,
-            vec![lie("/settings/lanes/1/fifo_by_key", false.into())],
+            vec![config_override("/settings/lanes/1/fifo_by_key", false.into())],
             false,
         ),
         (full, Invariant::TooManyAttempts, too_many_attempts(), false),
-        (drain, Invariant::SentToDraining, vec![lie("/discovery", "10.9.9.9:1".into())], false),
+        (drain, Invariant::SentToDraining, vec![config_override("/discovery", "10.9.9.9:1".into())], false),
         (restart, Invariant::Lost, vec![], true),
     ];
-    for (rest, invariant, lies, forgetful) in cases {
+    for (rest, invariant, overrides, wipes_state) in cases {
         let is_detected = (1..=3).any(|seed| {
             let mut plan = Plan::new(scenario("30 s", rest), seed);
-            (plan.config_overrides, plan.wipes_state_on_restart) = (lies.clone(), forgetful);
+            (plan.config_overrides, plan.wipes_state_on_restart) = (overrides.clone(), wipes_state);
             simulate(plan).verdict.violation_counts.contains_key(&invariant)
         });
-        assert!(is_detected, "{invariant:?} was not found with {lies:?}");
+        assert!(is_detected, "{invariant:?} was not found with {overrides:?}");
         // With correctly configured senders the same scenario has no violation.
         simulate_without_violations(scenario("30 s", rest), 1);
     }
@@ -187,9 +198,8 @@
     replay_found_seed("rolling-release", 1_101_186, 42_000);
 }
 
-/// Guards against a recovering destination that is overloaded by one or two calls from each of many senders.
-/// Their calls had failed at one endpoint after the other, so that no endpoint was marked as down and queued
-/// messages were sent at once.
+/// Guards against overloading a recovering destination with one or two calls from each of many senders, whose
+/// failed calls were spread over its endpoints so that none was marked as down.
 #[test]
 fn a_few_calls_from_each_of_many_senders_do_not_overload_a_recovering_destination() {
     replay_found_seed("rolling-release", 1_101_013, 21_000);
--- a/src/daemon/membership/links.rs
+++ b/src/daemon/membership/links.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerAnswer {
-    /// The member's view.
+    /// The view of the fleet that the member returned.
     View(Box<View>),
     /// Why no view was received.
     #[serde(rename = "silent")]
@@ -143,7 +143,7 @@
             match self.network.listen(address).await {
                 Ok(listener) => return listener,
                 Err(error) if !std::mem::replace(&mut is_logged, true) => log.line(&format!(
-                    "membership: listening for links failed, retrying address={address} error=\"{error}\""
+                    "membership: listening for links failed, retrying address={address} error={error}"
                 )),
                 Err(_) => {}
             }
--- a/src/daemon/notifications/mod.rs
+++ b/src/daemon/notifications/mod.rs
@@ -29,7 +29,7 @@
 pub struct Notification {
     /// The number that identifies the message in the journal.
     pub number: u32,
-    /// The message's id.
+    /// The ID of the message that ended.
     pub id: String,
     pub outcome: FinalOutcome,
 }
@@ -142,7 +142,7 @@
                 let count = batch.notifications.len();
                 self.ports
                     .log
-                    .line(&format!("notifications: call failed, retrying count={count} error=\"{error}\""));
+                    .line(&format!("notifications: call failed, retrying count={count} error={error}"));
                 self.queue.requeue(batch);
                 self.connection = None;
                 sleep(RETRY_DELAY).await;
--- a/tests/sockets/calls.rs
+++ b/tests/sockets/calls.rs
@@ -189,7 +189,7 @@
     drop(first);
 }
 
-/// Guards against acting on a response that cannot be parsed: whatever it says, the message may have run, so
+/// Guards against acting on a response that cannot be parsed: the message may have run, so
 /// an unsafe one fails at once and is not sent again.
 #[tokio::test]
 async fn an_unsafe_message_fails_after_a_malformed_response() {
@@ -229,7 +229,7 @@
     ];
     for (n, malformed) in malformed.into_iter().enumerate() {
         assert_eq!(node.submit(&format!("m{n}"), "ordered", "k").await.status(), 202);
-        // It is sent only after the one before has ended; a second copy of that would arrive first.
+        // Sent only after the previous message ended; a repeat of that message would arrive first.
         let call = endpoint.next_call().await;
         assert_eq!((call.id(), call.connection), (format!("m{n}").as_str(), n));
         call.reply(Reply::Response(malformed.to_owned()));
